--- a/martenlead/edge/membership.py
+++ b/martenlead/edge/membership.py
@@ -99,13 +99,20 @@
 
     def _facts(self, box: Box, line: Line) -> RunnerFacts:
         if not box.runner or line.start != box.started:
-            box.since = 0 if line.age_ms is None else max(1, self.loop.clock() - round(line.age_ms * 1e6))
+            box.since = self._since(line.age_ms)
             box.started = line.start
         state = STATES[line.state]
         if state is State.UP and box.drains and box.drains == line.start:
             state = State.DRAINING  # its own word is newer than the source's until it has started anew
         return box.facts(state, box.since, line.weight or line.memory_mb or UNKNOWN_WEIGHT)
 
+    def _since(self, age_ms: float | None) -> int:
+        """When a worker started, by our clock; 0 for long ago. None started later than now."""
+        if age_ms is None:
+            return 0
+        age = max(0, round(age_ms * 1e6))
+        return max(1, self.loop.clock() - age)
+
     def forget(self, box: Box) -> None:
         """Forgets a worker that is gone, once the last of what was sent there has ended."""
         if box.gone and not box.out:
--- a/martenlead/node/journal.py
+++ b/martenlead/node/journal.py
@@ -45,8 +45,8 @@
         state: Any,
         started: int,
     ) -> Line:
-        """`started` is a Unix ms, 0 for long past; it stands in `start` and is turned into an age by whoever
-        knows the time."""
+        """`started` is a Unix ms of the source's clock, 0 for long past; it stands in `start`, and
+        `worker_age.WorkerAges` turns it into an age."""
         return Line(
             id=id,
             host=host,
@@ -61,13 +61,6 @@
         )
 
 
-def age(news: News, now: int) -> News:
-    """Fills in how old the runners are; `now` is a Unix time, ns."""
-    for line in news.runners or ():
-        line.age_ms = now / 1e6 - int(line.start) if line.start != "0" else None
-    return news
-
-
 class Frames:
     """Bytes in, news out; the empty frame is news without runners."""
 
--- a/martenlead/node/roster.py
+++ b/martenlead/node/roster.py
@@ -7,7 +7,8 @@
 
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.edge.waits import within
-from martenlead.node.journal import NUMBER, BadFrame, Frames, Places, age
+from martenlead.node.journal import NUMBER, BadFrame, Frames, Places
+from martenlead.node.worker_age import MS, WorkerAges
 from martenlead.runnerlink.roster import Gap, List, News
 
 QUIET = 1.6  # s: an empty frame is due each second
@@ -19,6 +20,7 @@
     def __init__(self, name: str, at: tuple[str, int], known: list[News], places: Places) -> None:
         self.at, self.known, self.places = at, known, places
         self.list = List()
+        self.ages = WorkerAges()
         self.log = structlog.get_logger().bind(edge=name)
         self._scope: anyio.CancelScope | None = None
         self._gap: tuple[int, int] | None = None  # the last one met: behind which event, and up to which
@@ -80,8 +82,10 @@
             return "a fault of ours"
 
     def _tell(self, dispatcher: Dispatcher, news: News) -> None:
-        if news.version <= self.list.version:
-            return  # nothing new, or written twice
+        if news.version <= self.list.version:  # nothing new, or written twice
+            if news.runners is None:
+                self.ages.confirm(dispatcher.clock())
+            return
         ahead = news.runners is None or (not news.whole and news.version > self.list.version + 1)
         gap = self.list.version, news.version
         if ahead and gap != self._gap:
@@ -91,5 +95,13 @@
             return
         if ahead:  # asked again it has nothing between: better what changed since than none of it, for good
             self.list.version = news.version - 1
-        if self.list.told(age(news, dispatcher.clock())):
+        self._date(news, dispatcher.clock())
+        if self.list.told(news):
             dispatcher.news(news.runners, news.whole)
+
+    def _date(self, news: News, now: int) -> None:
+        """Turns the starts of workers into ages."""
+        before = self.ages.offset
+        self.ages.date(news, now)
+        if self.ages.offset != before:
+            self.log.info("clock_offset_estimated", offset_ms=self.ages.offset / MS, version=news.version)
--- a/martenlead/node/serve.py
+++ b/martenlead/node/serve.py
@@ -10,7 +10,6 @@
 import signal
 import socket
 import sys
-import time
 from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import Any
@@ -27,6 +26,7 @@
 from martenlead.node.roster import JournalSource
 from martenlead.node.runners import RunnerLink
 from martenlead.node.sockets import readable
+from martenlead.system.clocks import unix_clock
 
 # descriptors for the listener, the event loop, the journal service, what the interpreter opens, and clients
 # that come while others give way
@@ -41,18 +41,12 @@
 HELD = 1 / 8  # of the memory limit, for bodies of tasks that are held
 
 
-def clock() -> Callable[[], int]:
-    """The system's Unix clock as it stood at the start, ns, and steady from there."""
-    ahead = time.time_ns() - time.monotonic_ns()
-    return lambda: time.monotonic_ns() + ahead
-
-
 class Node:
     def __init__(self, path: Path) -> None:
         """Raises config.BadConfig."""
         self.path = path
         self.told = told = config.read(path)
-        now = clock()
+        now = unix_clock()
         sockets = max(16, told.limits.sockets - OWN)
         soft = {name: o.soft_limit for name, o in told.about.offerings.items()}
         self.link = RunnerLink(told.conn, sockets // 2, soft, now)
