--- a/martenlead/cli/state.py
+++ b/martenlead/cli/state.py
@@ -1,14 +1,16 @@
 from __future__ import annotations
 
-import time
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 import msgspec
 
 from martenlead.config.load import BadConfig
 
+if TYPE_CHECKING:
+    from martenlead.lasting.store import State
+
 FOLDER = click.Path(path_type=Path)
 
 
@@ -39,7 +41,7 @@
             found.append({**about, "state": "unreadable", "why": str(error)})
             continue
         about |= {"state": "whole", "generation": told.generation, "version": told.version}
-        about["age_s"] = round((time.time_ns() - told.saved) / 1e9, 1)
+        about["age_s"] = round(_age(told) / 1e9, 1)
         if match[1] == EPOCHS:
             about["epoch"] = told.value
         elif isinstance(told.value, dict):
@@ -50,6 +52,17 @@
     return found
 
 
+def _age(told: State) -> int:
+    """Since a state was saved, ns: by the boot clock where it holds one of this start of the machine."""
+    from martenlead.system import clocks
+
+    value = told.value if isinstance(told.value, dict) else {}
+    boot, uptime = value.get("boot"), value.get("at")
+    if not isinstance(boot, str) or not isinstance(uptime, int):
+        boot, uptime = "", 0
+    return clocks.passed(clocks.Moment(told.saved, boot, uptime), clocks.moment())
+
+
 def _json(told: Any) -> None:
     click.echo(msgspec.json.format(msgspec.json.encode(told)))
 
--- a/martenlead/edge/httplink.py
+++ b/martenlead/edge/httplink.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import time
 from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
@@ -229,7 +228,7 @@
                 since = dispatcher.boxes[line.id].since
                 kept.append(msgspec.structs.replace(line, age_ms=(now - since) / 1e6 if since else None))
             try:
-                whole = roster.Kept(self.list.version, time.time(), kept)
+                whole = roster.dated(self.list.version, kept)
                 await anyio.to_thread.run_sync(roster.keep, path, whole)
             except OSError as error:
                 self.log.warning("the list could not be kept", why=str(error))
--- a/martenlead/edge/keeper.py
+++ b/martenlead/edge/keeper.py
@@ -23,25 +23,15 @@
 from martenlead.lasting import knowledge as kn
 from martenlead.lasting.disk import Folder
 from martenlead.lasting.store import InUse, Kind, Store, TooLarge
+from martenlead.system import clocks
 
 KNOWLEDGE = Kind("knowledge")
 ASK_WITHIN = 0.25  # s after a start in which copies are asked for, so that dispatchers do not ask in step
 SHARE = 100  # times what one reading of the module takes, until the next
 
 
-def boot() -> str:
-    try:
-        return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
-    except OSError:
-        return ""
-
-
-def uptime() -> int:
-    return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
-
-
 class Keeper:
-    def __init__(self, edge: Edge, told: Lasting, wall: Callable[[], int] = time.time_ns) -> None:
+    def __init__(self, edge: Edge, told: Lasting, wall: Callable[[], int] = clocks.wall_ns) -> None:
         self.told, self.wall = told, wall
         self.log = structlog.get_logger().bind(edge=edge.name)
         self.store: Store | None = None
@@ -59,7 +49,7 @@
         if state is not None:
             try:
                 known = msgspec.convert(state.value, kn.Knowledge)
-                age = kn.age(known, state.saved, wall(), boot(), uptime())
+                age = kn.age(known, state.saved, wall(), clocks.boot_id(), clocks.uptime_ns())
                 self.found = known, age
             except msgspec.ValidationError as error:
                 self.store.problems.append(f"knowledge: {error}")
@@ -151,7 +141,7 @@
                 told: kn.Knowledge = stop.value
                 break
             yield True
-        told.boot, told.at = boot(), uptime()
+        told.boot, told.at = clocks.boot_id(), clocks.uptime_ns()
         self.last = dispatcher.clock(), told
 
     def _save(self) -> None:
--- a/martenlead/emulator/planned.py
+++ b/martenlead/emulator/planned.py
@@ -15,6 +15,7 @@
 from martenlead.planner.edgeside import LOOK, EdgeSide
 from martenlead.planner.link import Broken, PlannerEnd
 from martenlead.planner.serve import KEEP_S, Planner, PlannerSettings
+from martenlead.system.clocks import Moment
 
 START_UP = 600_000_000  # ns that a planner's process takes until it listens
 STEP = 5_000_000  # ns between two looks of a planner at its links
@@ -62,12 +63,16 @@
         self.life += 1
         self.up, self.hangs = True, False
         settings = PlannerSettings(name=f"planner-{self.number}")
-        self.planner = Planner(settings, self.kernel.clock, lambda: self.kernel.now / 1e9)
+        self.planner = Planner(settings, self.kernel.clock, self._moment)
         self.planner.life = f"{self.number}-{self.life}"
         if before is not None:
             self.planner.kept = before.kept
         self.kernel.spawn(self._keeps(self.life))
 
+    def _moment(self) -> Moment:
+        """Virtual time: it is never stepped, and the machine never starts anew."""
+        return Moment(self.kernel.now, "virtual", self.kernel.now)
+
     def _keeps(self, life: int) -> Steps:
         while life == self.life:
             yield int(KEEP_S * 1e9)
--- a/martenlead/planner/serve.py
+++ b/martenlead/planner/serve.py
@@ -23,6 +23,8 @@
 from martenlead.planner import frames as fr
 from martenlead.planner.link import MS, Broken, PlannerEnd
 from martenlead.runnerlink.roster import replace
+from martenlead.system import clocks
+from martenlead.system.clocks import Moment
 
 GONE = (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 HELLO_S, WRITE_S, KEEP_S = 5.0, 5.0, 1.0
@@ -49,10 +51,13 @@
 
 
 class Kept(msgspec.Struct):
-    """What was held for each edge, as of a time of the wall clock (s)."""
+    """What was held for each edge, as of a time of the wall clock (s), and of the boot clock (`uptime`, ns,
+    of the machine's start `boot`). Older files have no boot clock."""
 
     saved: float
     edges: dict[str, list[fr.Copy]]
+    boot: str = ""
+    uptime: int = 0
 
 
 class Planner:
@@ -60,9 +65,9 @@
         self,
         settings: PlannerSettings,
         clock: Callable[[], int] = monotonic_ns,
-        wall: Callable[[], float] = time.time,
+        moment: Callable[[], Moment] = clocks.moment,
     ) -> None:
-        self.settings, self.clock, self.wall = settings, clock, wall
+        self.settings, self.clock, self.moment = settings, clock, moment
         self.life = f"{Random().getrandbits(64):016x}"
         self.ends: dict[str, PlannerEnd] = {}
         self.scopes: dict[str, anyio.CancelScope] = {}
@@ -78,15 +83,20 @@
 
     def _read(self) -> Kept:
         if self.settings.kept is None:
-            return Kept(self.wall(), {})
+            return self._kept_now({})
         try:
             return msgspec.json.decode(Path(self.settings.kept).read_bytes(), type=Kept)
         except (OSError, msgspec.DecodeError):
-            return Kept(self.wall(), {})
+            return self._kept_now({})
+
+    def _kept_now(self, edges: dict[str, list[fr.Copy]]) -> Kept:
+        now = self.moment()
+        return Kept(now.wall / 1e9, edges, now.boot, now.uptime)
 
     def recall(self, edge: str) -> list[fr.Copy]:
         """What was held for an edge, and has not lapsed since to our knowledge."""
-        since = max(0.0, self.wall() - self.kept.saved) * 1000
+        saved = Moment(round(self.kept.saved * 1e9), self.kept.boot, self.kept.uptime)
+        since = clocks.passed(saved, self.moment()) / MS
         keep = self._keep_ms(edge)
         copies = self.kept.edges.get(edge, [])
         return [(r, m, lanes, mb, age + since) for r, m, lanes, mb, age in copies if age + since < keep]
@@ -104,7 +114,7 @@
         changed = {n: [c[:2] for c in v] for n, v in edges.items()} != {
             n: [c[:2] for c in v] for n, v in self.kept.edges.items()
         }
-        self.kept = Kept(self.wall(), edges)
+        self.kept = self._kept_now(edges)
         return changed
 
     async def _keep(self) -> None:
--- a/martenlead/runnerlink/roster.py
+++ b/martenlead/runnerlink/roster.py
@@ -8,12 +8,14 @@
 from __future__ import annotations
 
 import os
-import time
 from pathlib import Path
 from typing import Literal
 
 import msgspec
 
+from martenlead.system import clocks
+from martenlead.system.clocks import Moment
+
 
 class Line(msgspec.Struct, omit_defaults=True):
     """A runner. `start` names this life of its process; `age_ms` is how long that life had lasted when the
@@ -41,11 +43,14 @@
 
 
 class Kept(msgspec.Struct):
-    """The list as it lies on disk, with the wall clock's time (s) of its writing."""
+    """The list as it lies on disk, with the time of its writing: by the wall clock (s), for people, and by
+    the boot clock (`uptime`, ns, of the machine's start `boot`). Older files have no boot clock."""
 
     version: int
     saved: float
     runners: list[Line]
+    boot: str = ""
+    uptime: int = 0
 
 
 decode = msgspec.json.Decoder(News).decode
@@ -98,14 +103,23 @@
     replace(path, encode(kept))
 
 
+def dated(version: int, runners: list[Line]) -> Kept:
+    """A list to be kept, as of now."""
+    now = clocks.moment()
+    return Kept(version, now.wall / 1e9, runners, now.boot, now.uptime)
+
+
 def kept(path: Path) -> Kept | None:
-    """The list that an earlier life kept, its ages grown by the time since; None where there is none to be
-    read."""
+    """The list that an earlier life kept, its ages grown by the time that has certainly passed since; None
+    where there is none to be read. The wall clock has no part in it: a step forward would make workers that
+    have just started look warm. A worker that is taken for younger than it is has its share a slow start
+    later at most."""
     try:
         found = msgspec.json.decode(path.read_bytes(), type=Kept)
     except (OSError, msgspec.DecodeError):
         return None
-    passed = max(0.0, time.time() - found.saved) * 1000
+    saved = Moment(round(found.saved * 1e9), found.boot, found.uptime)
+    passed = clocks.certainly_passed(saved, clocks.moment()) / 1e6
     for line in found.runners:
         if line.age_ms is not None:
             line.age_ms += passed
