--- a/martenlead/edge/door.py
+++ b/martenlead/edge/door.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import time
 from random import Random
 from typing import Annotated, Any
 
@@ -24,6 +23,7 @@
 from martenlead.events.problem import problem
 from martenlead.events.server import Reply, Server, ServerLimits
 from martenlead.interface import Result, Task
+from martenlead.system.clocks import wall_ns
 
 PASSED_ON = frozenset({b"content-type", b"traceparent", b"tracestate"})
 TITLES = {400: "Bad task", 404: "No such path", 405: "Only POST", 413: "Too large", 415: "Not an event"}
@@ -42,7 +42,7 @@
             dispatcher.about_door = self.gate.told
         secret = edge.queues.secret if edge.queues is not None else None
         self.secret = secret.encode() if secret else None
-        self._wall = time.time_ns
+        self._wall = wall_ns
         self._changed: dict[Ticket, anyio.Event] = {}
         limits = edge.limits
         self.server = Server(
@@ -153,7 +153,9 @@
             del self._changed[ticket]
 
     def _brought(self, event: Event) -> tuple[int, int] | None:
-        """The appointment that a task brings from another door, by this door's clock."""
+        """The appointment that a task brings from another door, by this door's clock. One that was given in
+        the future shows that a wall clock was stepped. By no more than doors allow for it counts as given
+        now, so that nobody is told to wait for longer than was stated; beyond, it is refused."""
         text = event.text("appointment") if self.secret is not None else None
         if text is None or self.secret is None:
             return None
@@ -162,8 +164,13 @@
         if told is None:
             self.dispatcher.counts["appointment", "not ours"] += 1
             return None
-        ahead = self.dispatcher.clock() - wall
-        return told[0] * 1_000_000 + ahead, told[1] * 1_000_000 + ahead
+        since, until = (time * 1_000_000 for time in told)
+        early = max(0, given_at(since, until) - wall)
+        if early > gate.GRACE:
+            self.dispatcher.counts["appointment", "clocks differ"] += 1
+            return None
+        ahead = self.dispatcher.clock() - wall - early
+        return since + ahead, until + ahead
 
     def _appoint(self, reply: Reply, event: Event, ticket: Ticket) -> Reply:
         if self.secret is not None and ticket.appointment is not None:
@@ -239,6 +246,13 @@
         return problem(500, "A fault of ours", "the dispatcher failed on this task", final="scrapped")
 
 
+def given_at(since: int, until: int) -> int:
+    """When an appointment from `since` to `until` was given: its span is the early part of its wait and the
+    grace."""
+    wait = round((until - since - gate.GRACE) / gate.EARLY)
+    return until - gate.GRACE - wait
+
+
 def end_of(final: str, task: Task | None, why: str) -> End:
     """What became of a task that was let in, for the gate. What is over its customer's share is the
     module's to turn back, with its own wait, and no appointment of the door's."""
--- a/martenlead/edge/protocol.py
+++ b/martenlead/edge/protocol.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-import time
-
 from martenlead.edge.records import Wanted
 from martenlead.events.cloudevent import BadEvent, Event, parse_time
+from martenlead.system.clocks import wall_ns
 
 INTEGER_MOST = 2**31 - 1
 
@@ -20,7 +19,7 @@
     left = _number(event, "timeleftms")
     expires = event.text("expirytime")
     if expires is not None:
-        until = (parse_time(expires, "expirytime") - time.time()) * 1000
+        until = parse_time(expires, "expirytime") * 1000 - wall_ns() / 1e6
         left = until if left is None else min(left, until)
     again = event.text("again")
     if again not in (None, "true", "false"):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -3,14 +3,23 @@
 from __future__ import annotations
 
 import json
+import time
+from collections.abc import Callable
+from datetime import UTC, datetime
 from pathlib import Path
 from types import SimpleNamespace
+from typing import Any
 
 import pytest
 from click.testing import CliRunner
 from msgspec.structs import replace
 
+from martenlead.admission import token
+from martenlead.admission.gate import EARLY, GRACE
 from martenlead.cli.state import state
+from martenlead.edge import protocol
+from martenlead.edge.door import given_at
+from martenlead.events.cloudevent import Event
 from martenlead.lasting import knowledge
 from martenlead.lasting.disk import Folder
 from martenlead.lasting.store import Kind
@@ -18,7 +27,7 @@
 from martenlead.planner.serve import Planner, PlannerSettings
 from martenlead.runnerlink import roster
 from martenlead.system import clocks
-from support.fleet import fleet
+from support.fleet import fleet, satisfied, silent
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -147,3 +156,108 @@
     ages = {one["file"].partition(".")[0]: one["age_s"] for one in shown}
     assert ages["knowledge"] == 2.0
     assert ages["epochs"] >= 0  # it has no boot clock
+
+
+# -- what a request brings
+
+
+def task(**more: Any) -> Event:
+    attributes = {"specversion": "1.0", "id": "t", "source": "/c", "type": "estimate", "model": "m"}
+    return Event({**attributes, **more}, b"{}", "application/json")
+
+
+def expiry(at: int) -> str:
+    return datetime.fromtimestamp(at / 1e9, UTC).isoformat()
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_an_expiry_is_judged_by_one_read_of_the_clock(
+    machine: Machine, monkeypatch: pytest.MonkeyPatch, step: int
+) -> None:
+    count = 0
+
+    def stepping() -> int:
+        nonlocal count
+        count += 1
+        return machine.true + count * step
+
+    monkeypatch.setattr(clocks, "_read_wall", stepping)
+    found = protocol.wanted(task(expirytime=expiry(machine.true + SECOND), timeleftms=1500))
+    assert found.left is not None and abs(found.left - min(SECOND - step, 1500 * MS)) < MS
+    assert count == 1
+
+
+@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.anyio
+async def test_a_request_with_an_expiry_gets_its_answer_in_time_whatever_is_stepped(
+    monkeypatch: pytest.MonkeyPatch, step: int
+) -> None:
+    """The worker is silent. A step before the request came leaves it no time or all that its class allows,
+    and one afterwards changes nothing."""
+    read: Callable[[], int] = clocks._read_wall
+    reads = 0
+
+    def stepping() -> int:
+        nonlocal reads
+        reads += 1
+        return read() + step * reads
+
+    limits = {"soft_limit_ms": 100, "hard_limit_ms": 400}
+    offerings = [{"name": "estimate", "effect": "idempotent", **limits}]
+    async with fleet({"a": [silent]}, offerings=offerings) as f:
+        monkeypatch.setattr(clocks, "_read_wall", stepping)
+        began = time.monotonic()
+        status, _ = await f.call(left=None, expirytime=expiry(read() + 300 * MS))
+        assert status in (502, 503, 504)
+        assert time.monotonic() - began < 0.4 + 0.5
+        assert not f.dispatcher.held
+
+
+# -- appointments
+
+SECRET = "the same at all doors"
+MARK = ("/c", "t")
+WAIT = 4 * SECOND
+
+
+def appointment(given: int) -> str:
+    since, until = given + int((1 - EARLY) * WAIT), given + WAIT + GRACE
+    return token.give(SECRET.encode(), MARK, since // MS, until // MS)
+
+
+def test_when_an_appointment_was_given_is_read_from_it() -> None:
+    for wait in (100 * MS, 1234 * MS, 120 * SECOND):
+        given = 1_800_000_000 * SECOND
+        found = given_at(given + int((1 - EARLY) * wait), given + wait + GRACE)
+        assert abs(found - given) < MS
+
+
+@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("after", [0, WAIT])
+@pytest.mark.anyio
+async def test_an_appointment_from_another_clock_asks_for_no_longer_wait_than_it_stated(
+    machine: Machine, step: int, after: int
+) -> None:
+    async with fleet(queues={"secret": SECRET}) as f:
+        text = appointment(machine.true)
+        machine.run(after)
+        machine.step = step
+        found = f.door._brought(task(appointment=text))
+        now = f.dispatcher.clock()
+        if found is None:
+            why = "not ours" if step == -HOUR else "clocks differ"
+            assert step < -GRACE and f.dispatcher.counts["appointment", why] == 1
+        else:
+            assert found[0] <= found[1]
+            assert found[1] - GRACE - now <= WAIT + 20 * MS
+
+
+@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.anyio
+async def test_a_request_with_an_appointment_from_another_clock_is_answered(
+    machine: Machine, step: int
+) -> None:
+    async with fleet({"a": [satisfied]}, queues={"secret": SECRET}) as f:
+        text = appointment(machine.true)
+        machine.step = step
+        assert (await f.call(ident="t", again=True, appointment=text))[0] == 200
