--- a/martenlead/capture/store.py
+++ b/martenlead/capture/store.py
@@ -24,6 +24,7 @@
 from martenlead.capture.checkpoint import Checkpoint, load, path_of
 from martenlead.capture.events import Event, Gap, Input
 from martenlead.capture.format import HEAD_SIZE, BadCapture, Entry, Packer, Segment, entry, write_head
+from martenlead.system import clocks
 
 FILE = re.compile(r"(?P<name>.+)-(?P<run>\d{19})-(?P<segment>\d{6})\.mlc\Z")
 BATCH = 2048  # events a frame at most
@@ -59,7 +60,7 @@
         except OSError:
             self._lock.close()
             raise Busy(f"{self.folder}: another dispatcher named {name} writes there") from None
-        self.run = time.time_ns()
+        self.run = self._new_run()
         self.segment = 0
         self.dropped = self.written = self.bytes = 0
         self._queue: deque[Event] = deque()
@@ -78,6 +79,16 @@
         self._thread = threading.Thread(target=self._work, name="capture", daemon=True)
         self._thread.start()
 
+    def _new_run(self) -> int:
+        """The number of this run: the Unix time, ns, but above those of all earlier runs under this name, so
+        that their order is kept and no file is written twice whatever the wall clock says. The lock is
+        held."""
+        earlier = (FILE.match(path.name) for path in self.folder.glob(f"{self.name}-*"))
+        latest = max(
+            (int(match["run"]) for match in earlier if match and match["name"] == self.name), default=0
+        )
+        return max(clocks.wall_ns(), latest + 1)
+
     def put(self, event: Event) -> None:
         queue = self._queue
         if len(queue) < self.settings.queue:
--- a/martenlead/capture/tape.py
+++ b/martenlead/capture/tape.py
@@ -8,7 +8,6 @@
 import hashlib
 import inspect
 import platform
-import time
 from collections.abc import Callable
 from typing import Any
 
@@ -31,6 +30,7 @@
     Task,
     TurnBack,
 )
+from martenlead.system.clocks import wall_ns
 
 PROGRAM = "0.2.0"
 
@@ -63,7 +63,7 @@
         packed = ev.pack_settings(settings)
         python = platform.python_version()
         self.sink(
-            ev.Start(t, time.time(), self.edge, module_hash(), PROGRAM, python, seed, packed, names, told)
+            ev.Start(t, wall_ns() / 1e9, self.edge, module_hash(), PROGRAM, python, seed, packed, names, told)
         )
 
     def begin(self, t: int) -> None:
--- a/martenlead/layers/cache.py
+++ b/martenlead/layers/cache.py
@@ -2,8 +2,9 @@
 
 A chunk is a file `chunks/AB/HEX` named by its digest and put there by a rename: it is there whole or not at
 all, and the folder is its own index. The time of last use is the file's time of change, so that a restart
-knows it without reading a chunk. What fails its check goes to `aside/` and counts as missing. The rule of
-eviction: the chunk that was used least lately and is not pinned goes first.
+knows it without reading a chunk; each is later than all before it, so that their order outlives steps of the
+wall clock. What fails its check goes to `aside/` and counts as missing. The rule of eviction: the chunk that
+was used least lately and is not pinned goes first.
 """
 
 from __future__ import annotations
@@ -17,6 +18,7 @@
 from pathlib import Path
 
 from martenlead.layers.image import DIGEST, BadImage, check
+from martenlead.system import clocks
 
 VERSION = "1"
 TOUCH_S = 60.0  # a use is written to disk at most so often
@@ -30,6 +32,12 @@
     """All that is there is pinned, or the disk is full."""
 
 
+def set_aside_at(path: Path) -> int:
+    """The number at the end of the name of what was set aside; 0 for what was not named here."""
+    number = path.name.rpartition(".")[2]
+    return int(number) if number.isascii() and number.isdigit() else 0
+
+
 class Cache:
     """One process's. Not for several threads at once."""
 
@@ -58,6 +66,7 @@
         self.size = 0
         self._known: OrderedDict[str, int] = OrderedDict()  # by last use
         self._touched: dict[str, float] = {}
+        self._latest_use = 0  # ns, the latest time of last use in the folder
         self._pins: dict[str, int] = {}
         self.set_aside = self.evicted = 0
         self._scan()
@@ -69,9 +78,10 @@
             for entry in os.scandir(part.path):
                 if len(entry.name) == 64:
                     stat = entry.stat()
-                    found.append((stat.st_mtime, "sha256:" + entry.name, stat.st_size))
+                    found.append((stat.st_mtime_ns, "sha256:" + entry.name, stat.st_size))
                 else:  # begun and never renamed
                     os.unlink(entry.path)
+        self._latest_use = max((used for used, _, _ in found), default=0)
         for _, digest, size in sorted(found):
             self._known[digest] = size
             self.size += size
@@ -107,7 +117,7 @@
             self._forget(digest)
             self.set_aside += 1
             try:
-                os.replace(path, self.aside / f"{digest[7:]}.{time.time_ns()}")
+                os.replace(path, self.aside / f"{digest[7:]}.{self._next_aside()}")
             except OSError:
                 path.unlink(missing_ok=True)
             self._bound_aside()
@@ -136,17 +146,27 @@
         while self._hot_size > self.hot:
             self._hot_size -= len(self._hot.popitem(last=False)[1])
 
+    def _next_aside(self) -> int:
+        """The Unix time, ns, but above that of all that was set aside before."""
+        latest = max((set_aside_at(path) for path in self.aside.iterdir()), default=0)
+        return max(clocks.wall_ns(), latest + 1)
+
     def _bound_aside(self) -> None:
         """What was set aside is kept for whoever looks into it, the latest few of it."""
-        for path in sorted(self.aside.iterdir(), key=lambda p: p.stat().st_mtime)[:-16]:
+        for path in sorted(self.aside.iterdir(), key=set_aside_at)[:-16]:
             path.unlink(missing_ok=True)
 
+    def _note_use(self, path: Path) -> None:
+        """Writes the time of last use to a file. Raises OSError."""
+        self._latest_use = max(clocks.wall_ns(), self._latest_use + 1)
+        os.utime(path, ns=(self._latest_use, self._latest_use))
+
     def _use(self, digest: str, path: Path) -> None:
         self._known.move_to_end(digest)
         now = time.monotonic()
         if now - self._touched.get(digest, -TOUCH_S) >= TOUCH_S:
             self._touched[digest] = now
-            os.utime(path)
+            self._note_use(path)
 
     def put(self, digest: str, data: bytes) -> None:
         """Keeps a chunk. Raises `BadImage` for other bytes, `NoRoom`; then nothing has changed but what was
@@ -163,6 +183,7 @@
                 self._parts.add(digest[7:9])
             with open(temporary, "wb") as file:
                 file.write(data)
+            self._note_use(temporary)
             os.replace(temporary, path)
         except OSError as error:
             self._parts.discard(digest[7:9])  # if somebody took the folder away, it is made anew
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -16,6 +16,8 @@
 
 from martenlead.admission import token
 from martenlead.admission.gate import EARLY, GRACE
+from martenlead.capture import events as ev
+from martenlead.capture.store import Store, StoreSettings, runs
 from martenlead.cli.state import state
 from martenlead.edge import protocol
 from martenlead.edge.door import given_at
@@ -24,6 +26,8 @@
 from martenlead.lasting.disk import Folder
 from martenlead.lasting.store import Kind
 from martenlead.lasting.store import Store as StateStore
+from martenlead.layers.cache import Cache
+from martenlead.layers.image import digest_of
 from martenlead.planner.serve import Planner, PlannerSettings
 from martenlead.runnerlink import roster
 from martenlead.system import clocks
@@ -261,3 +265,63 @@
         text = appointment(machine.true)
         machine.step = step
         assert (await f.call(ident="t", again=True, appointment=text))[0] == 200
+
+
+# -- names made from the time
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_captures_keep_their_order_and_no_file_is_written_twice(
+    tmp_path: Path, machine: Machine, step: int
+) -> None:
+    """The clock stands still between two lives as well, and there is a capture of another name."""
+    written = []
+    for life, name in enumerate(["edge", "edge_2", "edge", "edge"]):
+        store = Store(StoreSettings(folder=str(tmp_path), flush_ms=1), name, lambda *_: None)
+        store.put(ev.Advance(life))
+        store.close()
+        assert store.written == 1
+        written.append((name, store.run))
+        machine.step += step
+    own = [run for name, run in written if name == "edge"]
+    assert own == sorted(set(own))
+    assert [(r.name, r.run) for r in runs([tmp_path])] == sorted(written)
+    assert len(list(tmp_path.glob("*.mlc"))) == 4
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_chunks_set_aside_keep_their_order_and_their_files(
+    tmp_path: Path, machine: Machine, step: int
+) -> None:
+    cache = Cache(tmp_path, 10_000)
+    data = b"x" * 100
+    name = digest_of(data)
+    for number in range(18):
+        cache.put(name, data)
+        cache.path(name).write_bytes(b"%d" % number)
+        assert cache.get(name) is None
+        machine.step += step
+    cache.close()
+    left = {path.read_bytes() for path in cache.aside.iterdir()}
+    assert left == {b"%d" % number for number in range(2, 18)}
+
+
+@pytest.mark.parametrize("step", OTHER_STEPS)
+def test_chunks_keep_the_order_of_their_uses_over_a_restart(
+    tmp_path: Path, machine: Machine, step: int
+) -> None:
+    cache = Cache(tmp_path, 10_000)
+    chunks = [b"%d" % number * 100 for number in range(4)]
+    names = [digest_of(data) for data in chunks]
+    for name, data in zip(names, chunks, strict=True):
+        cache.put(name, data)
+        machine.step += step
+    cache.close()
+    cache = Cache(tmp_path, 10_000)
+    assert list(cache) == names
+    machine.step -= 2 * step
+    assert cache.get(names[1]) == chunks[1]
+    cache.close()
+    again = Cache(tmp_path, 10_000)
+    assert list(again) == [names[0], names[2], names[3], names[1]]
+    again.close()
