--- a/martenlead/layers/image.py
+++ b/martenlead/layers/image.py
@@ -21,6 +21,8 @@
 import zstandard
 from fastcdc import fastcdc
 
+from martenlead.system.clocks import wall_ns
+
 DIGEST = re.compile(r"sha256:[0-9a-f]{64}\Z")
 TIME = re.compile(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?Z\Z")
 MANIFEST = "application/vnd.oci.image.manifest.v1+json"
@@ -259,7 +261,9 @@
         told.manifest, before = layout.manifest(ref)
         if before.layers == descriptors:
             return told
-    made = created or datetime.now(UTC).isoformat(timespec="microseconds").replace("+00:00", "Z")
+    made = created or datetime.fromtimestamp(wall_ns() / 1e9, UTC).isoformat(timespec="microseconds").replace(
+        "+00:00", "Z"
+    )
     manifest = Manifest(
         Descriptor(CONFIG, config.digest, config.size), descriptors, annotations={CREATED: made}
     )
--- a/martenlead/standins/client.py
+++ b/martenlead/standins/client.py
@@ -3,7 +3,6 @@
 
 from __future__ import annotations
 
-import time
 from datetime import UTC, datetime
 from random import Random
 from time import monotonic_ns
@@ -19,6 +18,7 @@
 from martenlead.standins.record import Recorder
 from martenlead.standins.settings import Clients, Fault
 from martenlead.standins.traced import Traced
+from martenlead.system.clocks import wall_ns
 
 FINALS = {200: "satisfied", 429: "turned back", 503: "turned back", 502: "scrapped", 504: "scrapped"}
 
@@ -80,7 +80,7 @@
         )
         if settings.expiry:  # also covers what passes before the edge reads it
             left = (give_up - monotonic_ns()) / 1e9
-            event.attributes["expirytime"] = datetime.fromtimestamp(time.time() + left, UTC).isoformat()
+            event.attributes["expirytime"] = datetime.fromtimestamp(wall_ns() / 1e9 + left, UTC).isoformat()
         if call.customer:
             event.attributes["customer"] = call.customer
         if call.again:
--- /dev/null
+++ b/tests/test_wall_clock_contract.py
@@ -0,0 +1,150 @@
+"""Only martenlead/system/clocks.py reads the wall clock or the boot clock; each use of it is named here."""
+
+from __future__ import annotations
+
+import ast
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent / "martenlead"
+CLOCKS = "system/clocks.py"
+CLOCK_FUNCTIONS = {"wall_ns", "moment", "unix_clock"}  # of that module, those that read the wall clock
+TIME_READS = {
+    *("time", "time_ns", "clock_gettime", "clock_gettime_ns", "gmtime", "localtime", "ctime", "asctime"),
+    *("strftime", "CLOCK_REALTIME", "CLOCK_BOOTTIME", "CLOCK_TAI"),
+}
+DATE_READS = {"now", "utcnow", "today"}
+FILE_TIMES = {
+    *("st_mtime", "st_mtime_ns", "st_ctime", "st_ctime_ns", "st_atime", "st_atime_ns", "st_birthtime"),
+    *("getmtime", "getctime", "getatime", "utime"),
+}
+OTHER_READS = {"TimeStamper", "uuid1", "formatdate"}
+
+USES = {
+    "node/serve.py Node.__init__ unix_clock": "starts of workers are Unix times; bounded by worker_age",
+    "node/serve.py configure_log TimeStamper": "the time of a log line, for people",
+    "edge/serve.py configure_log TimeStamper": "the time of a log line, for people",
+    "edge/protocol.py wanted wall_ns": "`expirytime` is a Unix time; judged once, on arrival",
+    "edge/door.py Door.__init__ wall_ns": "appointments travel between edges in Unix time",
+    "edge/keeper.py Keeper.__init__ wall_ns": "the time of saving, for another boot of the machine",
+    "runnerlink/roster.py dated moment": "the time of writing; ages are read back by the boot clock alone",
+    "runnerlink/roster.py kept moment": "the boot clock's part of it; the wall clock's is not used",
+    "planner/serve.py Planner.__init__ moment": "the time of saving, for another boot of the machine",
+    "cli/state.py _age moment": "the age of a file from another boot of the machine, for people",
+    "capture/store.py Store._new_run wall_ns": "a name for people; above all that are there",
+    "capture/tape.py Tape.start wall_ns": "when a capture began, for people; replays do not read it",
+    "layers/cache.py Cache._next_aside wall_ns": "a name for people; above all that are there",
+    "layers/cache.py Cache._note_use wall_ns": "the time of last use; later than all before it",
+    "layers/cache.py Cache._note_use utime": "keeps that time with the file",
+    "layers/cache.py Cache._scan st_mtime_ns": "reads that time for its order alone",
+    "layers/image.py pack wall_ns": "when an image was made, as its format asks for; no decision reads it",
+    "standins/client.py Crowd.a_try wall_ns": "a client's `expirytime` is a Unix time",
+    "standins/depot.py Depot.names st_mtime_ns": "compared for equality: whether a file is another one",
+}
+
+
+class Reads(ast.NodeVisitor):
+    """All reads of the wall clock in a module, as `scope name`."""
+
+    def __init__(self) -> None:
+        self.scope: list[str] = []
+        self.found: list[str] = []
+
+    def note(self, name: str) -> None:
+        self.found.append(f"{'.'.join(self.scope)} {name}".strip())
+
+    def scoped(self, node: ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef) -> None:
+        self.scope.append(node.name)
+        self.generic_visit(node)
+        self.scope.pop()
+
+    visit_ClassDef = scoped
+    visit_FunctionDef = scoped
+    visit_AsyncFunctionDef = scoped
+
+    def visit_ImportFrom(self, node: ast.ImportFrom) -> None:
+        for alias in node.names:
+            if node.module == "time" and alias.name in TIME_READS:
+                self.note(alias.name)
+            if (node.module or "").endswith("system.clocks") and alias.asname in CLOCK_FUNCTIONS:
+                self.note(f"{alias.name} under the name of a clock")
+            if (
+                (node.module or "").endswith("system.clocks")
+                and alias.name in CLOCK_FUNCTIONS
+                and alias.asname
+            ):
+                self.note(f"{alias.name} under another name")
+            if alias.name in OTHER_READS | (FILE_TIMES - {"utime"}):
+                self.note(alias.name)
+
+    def visit_Import(self, node: ast.Import) -> None:
+        for alias in node.names:
+            if alias.name in ("time", "datetime") and alias.asname not in (None, alias.name):
+                self.note(f"{alias.name} under another name")
+
+    def visit_Attribute(self, node: ast.Attribute) -> None:
+        of = ast.unparse(node.value).rpartition(".")[2]
+        if of == "time" and node.attr in TIME_READS:
+            self.note(f"time.{node.attr}")
+        elif of in ("datetime", "date") and node.attr in DATE_READS:
+            self.note(f"{of}.{node.attr}")
+        elif node.attr in FILE_TIMES | OTHER_READS or (of == "clocks" and node.attr in CLOCK_FUNCTIONS):
+            self.note(node.attr)
+        self.generic_visit(node)
+
+    def visit_Name(self, node: ast.Name) -> None:
+        if isinstance(node.ctx, ast.Load) and node.id in CLOCK_FUNCTIONS | OTHER_READS:
+            self.note(node.id)
+
+
+def reads(source: str) -> list[str]:
+    visitor = Reads()
+    visitor.visit(ast.parse(source))
+    return visitor.found
+
+
+def uses() -> Iterator[str]:
+    for path in sorted(ROOT.rglob("*.py")):
+        name = path.relative_to(ROOT).as_posix()
+        if name != CLOCKS:
+            yield from (f"{name} {found}" for found in reads(path.read_text()))
+
+
+def test_every_read_of_the_wall_clock_is_named_with_its_reason() -> None:
+    found = set(uses())
+    assert sorted(found - USES.keys()) == []
+    assert sorted(USES.keys() - found) == []
+
+
+@pytest.mark.parametrize(
+    "source",
+    [
+        "import time\nx = time.time()",
+        "import time\nx = time.time_ns",
+        "from time import time_ns",
+        "import time as t",
+        "import time\nx = time.clock_gettime(time.CLOCK_REALTIME)",
+        "import time\nx = time.clock_gettime_ns(time.CLOCK_BOOTTIME)",
+        "from datetime import datetime\nx = datetime.now()",
+        "import datetime\nx = datetime.datetime.utcnow()",
+        "from datetime import date\nx = date.today()",
+        "x = path.stat().st_mtime",
+        "import os\nos.utime(path)",
+        "from os.path import getmtime",
+        "import structlog\nx = structlog.processors.TimeStamper()",
+        "from uuid import uuid1",
+        "from martenlead.system.clocks import wall_ns as steady",
+        "from martenlead.system import clocks\nx = clocks.wall_ns()",
+        "from martenlead.system.clocks import moment\nx = moment()",
+    ],
+)
+def test_a_read_is_found_in_every_form(source: str) -> None:
+    assert reads(source)
+
+
+def test_clocks_that_are_never_stepped_may_be_read_anywhere() -> None:
+    assert (
+        reads("import time\nfrom time import monotonic_ns\nx = time.monotonic() + time.perf_counter()") == []
+    )
