--- a/martenlead/lasting/knowledge.py
+++ b/martenlead/lasting/knowledge.py
@@ -21,8 +21,6 @@
 
 from martenlead import interface as io
 from martenlead.brain import Brain
-from martenlead.system import clocks
-from martenlead.system.clocks import Moment
 
 SECOND = 1_000_000_000
 UNKNOWN_AGE = 24 * 3600 * SECOND
@@ -167,12 +165,11 @@
 
 
 def age(told: Knowledge, saved: int, wall: int, boot: str, uptime: int) -> int:
-    """Since it was saved: by the machine's uptime where it has not started anew, else by the wall clock, and
-    at least as long as the machine has been running since. A wall clock that runs backwards says nothing."""
-    then, now = Moment(saved, told.boot, told.at), Moment(wall, boot, uptime)
-    if wall < saved and not clocks.is_same_boot(then, now):
-        return UNKNOWN_AGE
-    return clocks.passed(then, now)
+    """Since it was saved: by the machine's uptime where it has not started anew, else by the wall clock; one
+    that runs backwards says nothing."""
+    if told.boot and told.boot == boot and uptime >= told.at:
+        return uptime - told.at
+    return wall - saved if wall >= saved else UNKNOWN_AGE
 
 
 def worth(change: float, age_ns: int) -> float:
--- a/martenlead/system/clocks.py
+++ b/martenlead/system/clocks.py
@@ -69,16 +69,12 @@
 
 
 def passed(then: Moment, now: Moment) -> int:
-    """The span between two moments, ns. Exact within one start of the machine; otherwise by the wall clock,
-    whose steps show in it, and at least as long as the machine has been running since."""
-    if is_same_boot(then, now):
-        return now.uptime - then.uptime
-    return max(now.wall - then.wall, certainly_passed(then, now))
+    """The span between two moments, ns: exact within one start of the machine, else by the wall clock, whose
+    steps show in it, and never below zero."""
+    return certainly_passed(then, now) if is_same_boot(then, now) else max(0, now.wall - then.wall)
 
 
 def certainly_passed(then: Moment, now: Moment) -> int:
-    """The least that the span between two moments can have been, ns, whatever the wall clock says."""
-    if is_same_boot(then, now):
-        return now.uptime - then.uptime
-    is_restarted = bool(then.boot) and bool(now.boot) and then.boot != now.boot
-    return now.uptime if is_restarted else 0
+    """The least that the span between two moments can have been, ns, whatever the wall clock says. Another
+    start says nothing: the folder may have moved to a machine that has been up for long."""
+    return now.uptime - then.uptime if is_same_boot(then, now) else 0
