--- a/martenlead/edge/httplink.py
+++ b/martenlead/edge/httplink.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from contextlib import suppress
 from dataclasses import dataclass
 from pathlib import Path
 from random import Random
@@ -27,6 +28,8 @@
 from martenlead.runnerlink import orders, outcomes, roster
 from martenlead.runnerlink.follow import follow
 from martenlead.runnerlink.heard import Heard
+from martenlead.system.durable_file import Backoff, remove_leftovers
+from martenlead.system.state_saver import SaveHealth, StateSaver
 
 RELAYED_ANEW = frozenset({b"ce-timeleftms", b"ce-handoff"})
 
@@ -184,28 +187,27 @@
         self.edge = edge
         self.list = roster.List()
         self.log = structlog.get_logger().bind(edge=edge.name)
-        self._changed = anyio.Event()
+        self._saver: StateSaver[roster.Kept] | None = None
 
     async def run(self, dispatcher: Dispatcher) -> None:
-        path = self.edge.roster.kept
-        found = roster.kept(Path(path)) if path else None
-        if found is not None:
-            self.list.version = 0  # whatever was missed since is asked for whole
-            self.list.lines = {line.id: line for line in found.runners}
-            dispatcher.news(list(self.list.lines.values()), True)
-            self.log.info("starts with the kept list", runners=len(found.runners))
+        path = Path(self.edge.roster.kept) if self.edge.roster.kept else None
+        if path is not None:
+            self._saver = self._make_saver(path, dispatcher)
 
         def told(news: roster.News) -> None:
             dispatcher.news(news.runners or [], news.whole)
-            self._changed.set()
+            if self._saver is not None:
+                self._saver.changed()
 
         def lost(why: str) -> None:
             dispatcher.counts["roster", "lost"] += 1
             self.log.warning("no roster; the last list stands", why=why, runners=len(self.list.lines))
 
         async with anyio.create_task_group() as group:
-            if path:
-                group.start_soon(self._keep, Path(path), dispatcher)
+            if path is not None and self._saver is not None:
+                if not self._start_with_kept(path, dispatcher):
+                    group.start_soon(self._read_again, path, dispatcher)
+                group.start_soon(self._saver.run)
             await follow(
                 self.edge.roster,
                 f"martenlead/{self.edge.name}".encode(),
@@ -216,22 +218,56 @@
                 pick=dispatcher.chance.random,
             )
 
-    async def _keep(self, path: Path, dispatcher: Dispatcher) -> None:
+    def _start_with_kept(self, path: Path, dispatcher: Dispatcher) -> bool:
+        """Whether the kept list is done with: taken up, or not there."""
+        try:
+            found = roster.kept(path)
+        except OSError as error:
+            self.log.warning("list_unread", why=str(error))
+            return False
+        self._take_up(found, dispatcher)
+        return True
+
+    async def _read_again(self, path: Path, dispatcher: Dispatcher) -> None:
+        """A kept list that could not be read at the start is of use until the roster has answered."""
+        backoff = Backoff(Random(self.edge.name))
+        while True:
+            await anyio.sleep(backoff.next_seconds())
+            found = None
+            with suppress(OSError):
+                found = await anyio.to_thread.run_sync(roster.kept, path)
+            if dispatcher.listed.is_set():
+                return
+            if found is not None:
+                self._take_up(found, dispatcher)
+
+    def _take_up(self, found: roster.Kept | None, dispatcher: Dispatcher) -> None:
+        if found is None:
+            return
+        self.list.version = 0  # whatever was missed since is asked for whole
+        self.list.lines = {line.id: line for line in found.runners}
+        dispatcher.news(list(self.list.lines.values()), True)
+        self.log.info("starts with the kept list", runners=len(found.runners))
+
+    def _make_saver(self, path: Path, dispatcher: Dispatcher) -> StateSaver[roster.Kept]:
         """Writes the list whenever it has changed: off the event loop, since a disk may take its time, and
         only the latest, however many came meanwhile."""
-        while True:
-            await self._changed.wait()
-            self._changed = anyio.Event()
-            now = dispatcher.clock()
-            kept = []
-            for line in self.list.lines.values():
-                since = dispatcher.boxes[line.id].since
-                kept.append(msgspec.structs.replace(line, age_ms=(now - since) / 1e6 if since else None))
-            try:
-                whole = roster.dated(self.list.version, kept)
-                await anyio.to_thread.run_sync(roster.keep, path, whole)
-            except OSError as error:
-                self.log.warning("the list could not be kept", why=str(error))
+        remove_leftovers(path)
+        health = SaveHealth(
+            "list",
+            self.log,
+            Backoff(Random(self.edge.name)),
+            count=lambda event, state: dispatcher.counts.update([(event, state)]),
+        )
+        return StateSaver(lambda: self._snapshot(dispatcher), lambda kept: roster.keep(path, kept), health)
+
+    def _snapshot(self, dispatcher: Dispatcher) -> roster.Kept:
+        now = dispatcher.clock()
+        kept = []
+        for line in self.list.lines.values():
+            since = dispatcher.boxes[line.id].since
+            kept.append(msgspec.structs.replace(line, age_ms=(now - since) / 1e6 if since else None))
+        return roster.dated(self.list.version, kept)
 
 
 def dispatcher(edge: Edge, clock: Callable[[], int] = monotonic_ns, tape: Tape | None = None) -> Dispatcher:
--- a/martenlead/edge/keeper.py
+++ b/martenlead/edge/keeper.py
@@ -1,16 +1,19 @@
 """Keeps what the dispatcher knows in a folder, beside it, and gives it back at the next start.
 
 Never on a task's path: what is known is read in the event loop, seldom enough to take less than a
-hundredth of it, and written in a thread. A folder that cannot be used, or a disk that is full, is told
-once; serving goes on.
+hundredth of it, and written in a thread. A folder that cannot be used, or a disk that is full, costs one log
+line, and one more when it is well again; in between serving goes on and the newest state is tried again with
+exponential backoff.
 """
 
 from __future__ import annotations
 
+import errno
 import time
-from collections.abc import Awaitable, Callable, Iterator
+from collections.abc import Callable, Iterator
 from contextlib import suppress
 from pathlib import Path
+from random import Random
 from typing import Any
 
 import anyio
@@ -24,65 +27,105 @@
 from martenlead.lasting.disk import Folder
 from martenlead.lasting.store import InUse, Kind, Store, TooLarge
 from martenlead.system import clocks
+from martenlead.system.durable_file import Backoff
+from martenlead.system.state_saver import SaveHealth
 
 KNOWLEDGE = Kind("knowledge")
 ASK_WITHIN = 0.25  # s after a start in which copies are asked for, so that dispatchers do not ask in step
 SHARE = 100  # times what one reading of the module takes, until the next
+READ_OPENINGS = 5  # openings in a row whose state may fail to be read before it is done without
+RESTORE_WITHIN_SECONDS = 60.0  # of the start; what was learnt since then is worth more than what was kept
 
 
 class Keeper:
     def __init__(self, edge: Edge, told: Lasting, wall: Callable[[], int] = clocks.wall_ns) -> None:
         self.told, self.wall = told, wall
+        self.name = edge.name
         self.log = structlog.get_logger().bind(edge=edge.name)
         self.store: Store | None = None
         self.last: tuple[int, kn.Knowledge] | None = None
-        self.counts = {"saved": 0, "failed": 0}
         self.found: tuple[kn.Knowledge, int] | None = None  # and its age, ns
-        self._said = ""
+        self._openings = 0
+        self._started = time.monotonic()
+        self._counter: Callable[[str, str], None] | None = None
+        # seeded by the name: edges that share a disk do not try in step
+        self.health = SaveHealth("knowledge", self.log, Backoff(Random(edge.name)), count=self._count)
+        self._first_wait: float | None = None
         try:
-            folder = Folder(Path(told.folder) / edge.name)
-            self.store = Store(folder, told.deployment, wall, told.bytes)
+            self._open()
         except (OSError, InUse) as error:
-            self.log.warning("nothing is kept", why=str(error), folder=told.folder)
-            return
-        state = self.store.read(KNOWLEDGE)
+            self._first_wait = self.health.failure(str(error))
+
+    @property
+    def counts(self) -> dict[str, int]:
+        return {"saved": self.health.saved, "failed": self.health.failed}
+
+    def _count(self, event: str, state: str) -> None:
+        if self._counter is not None:
+            self._counter(event, state)
+
+    def _open(self) -> None:
+        """Takes the folder, and reads what an earlier life kept there. Raises OSError and `InUse`."""
+        folder = Folder(Path(self.told.folder) / self.name)
+        store = Store(folder, self.told.deployment, self.wall, self.told.bytes)
+        self._openings += 1
+        state = store.read(KNOWLEDGE)
+        if state is None and store.read_errors and self._openings < READ_OPENINGS:
+            store.close()
+            raise OSError(errno.EIO, "; ".join(store.problems))
         if state is not None:
             try:
                 known = msgspec.convert(state.value, kn.Knowledge)
-                age = kn.age(known, state.saved, wall(), clocks.boot_id(), clocks.uptime_ns())
+                age = kn.age(known, state.saved, self.wall(), clocks.boot_id(), clocks.uptime_ns())
                 self.found = known, age
             except msgspec.ValidationError as error:
-                self.store.problems.append(f"knowledge: {error}")
-        for problem in self.store.problems:
+                store.problems.append(f"knowledge: {error}")
+        for problem in store.problems:
             self.log.warning("a state is lost", why=problem)
-        self.store.problems.clear()
+        store.problems.clear()
+        self.store = store
 
     async def run(self, dispatcher: Dispatcher) -> None:
         """As long as the dispatcher; what is known is saved once more as it ends."""
+        self._counter = lambda event, state: dispatcher.counts.update([(event, state)])
+        if self._first_wait is not None:  # told before there was a dispatcher to count it
+            self._count("state_save_failed", self.health.state)
         await dispatcher.listed.wait()
         try:
-            await self._safely(self._restore, dispatcher)
-            while self.store is not None and await self._safely(self._once, dispatcher):
-                pass
+            await anyio.sleep(self._first_wait or 0.0)
+            while True:
+                await anyio.sleep(await self._attempt(dispatcher))
         finally:
+            with suppress(Exception):  # told when it was met first
+                for _ in self._gathering(dispatcher):
+                    pass
+            if self.store is not None or self._is_past_restoring():
+                with suppress(Exception):
+                    self._save()
             if self.store is not None:
-                with suppress(Exception):  # told when it was met first
-                    for _ in self._gathering(dispatcher):
-                        pass
-                self._save()
                 self.store.close()
 
-    async def _safely(self, work: Callable[[Dispatcher], Awaitable[None]], dispatcher: Dispatcher) -> bool:
-        """What is kept must cost no task anything: a fault in it is told, and nothing more is kept."""
+    async def _attempt(self, dispatcher: Dispatcher) -> float:
+        """One attempt at all that is to do, and the seconds until the next. What is kept must cost no task
+        anything: an error of the disk and a fault of ours alike are told once, and it is tried again."""
         try:
-            await work(dispatcher)
+            if self.store is None:
+                await anyio.to_thread.run_sync(self._open)
+            if self.found is not None:
+                await self._restore(dispatcher)
+            took = await self._gather(dispatcher)
+            await anyio.to_thread.run_sync(self._save)
+        except (OSError, InUse, TooLarge) as error:
+            return self.health.failure(str(error))
         except Exception as error:
-            self.log.error("a fault of ours: nothing more is kept", exc_info=error)
-            return False
-        return True
+            if not self.health.is_failing:
+                self.log.error("a fault of ours", exc_info=error)
+            return self.health.failure(repr(error))
+        self.health.success()
+        return max(ns(self.told.every_ms) / 1e9, SHARE * took)
 
-    async def _once(self, dispatcher: Dispatcher) -> None:
-        """One saving, and the wait until the next."""
+    async def _gather(self, dispatcher: Dispatcher) -> float:
+        """Reads what is known; the seconds of the event loop that this took."""
         took = 0.0
         steps = self._gathering(dispatcher)
         more: bool | None = True
@@ -91,13 +134,19 @@
             more = next(steps, None)
             took += time.perf_counter() - begun
             await anyio.sleep(0)
-        await anyio.to_thread.run_sync(self._save)
-        await anyio.sleep(max(ns(self.told.every_ms) / 1e9, SHARE * took))
+        return took
+
+    def _is_past_restoring(self) -> bool:
+        """Whether what this life has learnt is worth more than what an earlier one kept."""
+        return time.monotonic() - self._started > RESTORE_WITHIN_SECONDS
 
     async def _restore(self, dispatcher: Dispatcher) -> None:
-        if self.found is None:
-            return
+        """Once, whatever comes of it: a part of it must not count twice."""
+        assert self.found is not None
         known, age = self.found
+        self.found = None
+        if self._is_past_restoring():
+            return
         runners = self._runners(dispatcher)
         most = dispatcher.about.models
         models = {
@@ -145,15 +194,8 @@
         self.last = dispatcher.clock(), told
 
     def _save(self) -> None:
-        """In a thread: encodes and writes what was gathered last."""
-        if self.store is None or self.last is None:
-            return
-        try:
+        """In a thread: encodes and writes what was gathered last. Raises OSError, `InUse` and `TooLarge`."""
+        if self.store is None:
+            self._open()
+        if self.store is not None and self.last is not None:
             self.store.write(KNOWLEDGE, self.last[1])
-            self.counts["saved"] += 1
-            self._said = ""
-        except (OSError, TooLarge) as error:
-            self.counts["failed"] += 1
-            if str(error) != self._said:
-                self._said = str(error)
-                self.log.warning("what is known is not kept", why=str(error))
--- a/martenlead/lasting/store.py
+++ b/martenlead/lasting/store.py
@@ -1,7 +1,8 @@
 """A crash-safe store of small states: each a whole file, replaced by a newer generation, the one before kept.
 
 docs/format-lasting.md has the bytes. A write is a new file, synced, renamed into its place, and its folder
-synced: whatever cuts it short, the generation before or the new one is found whole. One process writes to a
+synced: whatever cuts it short, the generation before or the new one is found whole. A write that fails at
+any of these steps is done again from the first one, under the same generation. One process writes to a
 folder; it holds a lock that the kernel lets go with it, and counts the folder's epochs.
 
 What can not be read is set aside, told once, and never stops a start: a state that is lost costs what was in
@@ -10,6 +11,7 @@
 
 from __future__ import annotations
 
+import errno
 import hashlib
 import re
 import struct
@@ -29,6 +31,9 @@
 HEADER = struct.Struct("<8sHHIQqQ16s")  # magic, format, version, 0, generation, saved, length, whose
 SUM = 16
 KEPT = 2  # generations of a kind
+MOST_GENERATIONS = 16  # of a kind while older ones cannot be removed; beyond it nothing is written
+MOST_PROBLEMS = 64  # that are not told yet
+READ_ATTEMPTS = 3  # of a file, in a row: a call that fails for a moment must not cost a generation
 ASIDE = 8  # files set aside that are kept, the newest
 NAME = re.compile(r"([a-z]+)\.(\d{16})\.state\Z")
 LOCK, EPOCHS = "lock", "epochs"
@@ -129,27 +134,44 @@
         self.disk, self.deployment, self.wall, self.most = disk, deployment, wall, most
         self.problems: list[str] = []
         self._generations: dict[str, int] = {}
+        self.read_errors = 0  # files that are there and could not be read
+        self.epoch = 0  # 0 until it is durable
         if not disk.lock(LOCK):
             raise InUse("another process writes there")
-        for name in disk.names():
-            if name.endswith(".part"):
-                disk.remove(name)  # of a write that was cut short
-        self.epoch = self._count_epoch()
+        try:
+            self._remove_parts()
+            try:
+                self.epoch = self._count_epoch()
+            except OSError as error:  # reading goes on
+                self._say(f"nothing can be kept: {error.strerror or error}")
+        except BaseException:
+            disk.unlock()  # whoever tries again in this process must not find it held
+            raise
 
     def close(self) -> None:
         self.disk.unlock()
 
+    def _remove_parts(self) -> None:
+        """Of writes that were cut short. Those that cannot be removed now are written over."""
+        for name in self.disk.names():
+            if name.endswith(".part"):
+                with suppress(OSError):
+                    self.disk.remove(name)
+
+    def _say(self, problem: str) -> None:
+        if problem not in self.problems and len(self.problems) < MOST_PROBLEMS:
+            self.problems.append(problem)
+
     def _count_epoch(self) -> int:
-        """How many processes have written here before, and this one: the lock's fence. 0 where the disk takes
-        nothing: reading goes on."""
+        """How many processes have written here before, and this one: the lock's fence, once it is durable.
+        Raises OSError: the first write counts anew."""
         kind = Kind(EPOCHS)
+        # each epoch is a generation of its own: one whose file cannot be read is not given a second time
+        last = max((generation for generation, _ in self._files(EPOCHS)), default=0)
         before = self.read(kind)
-        last = before.value if before is not None and isinstance(before.value, int) else 0
-        try:
-            self.write(kind, last + 1)
-        except OSError as error:
-            self.problems.append(f"nothing can be kept: {error.strerror or error}")
-            return 0
+        if before is not None and isinstance(before.value, int):
+            last = max(last, before.value)
+        self._replace(kind, last + 1)
         return last + 1
 
     def _files(self, kind: str) -> list[tuple[int, str]]:
@@ -162,52 +184,66 @@
         return sorted(found, reverse=True)
 
     def read(self, kind: Kind) -> State | None:
-        """The newest generation that is whole, None where there is none. Never raises for what lies there."""
+        """The newest generation that is whole, None where there is none. Never raises for what lies there;
+        what could not be read, and may be whole, is counted in `read_errors`."""
         found = None
         try:
             files = self._files(kind.name)
         except OSError as error:
-            self.problems.append(f"{kind.name}: {error.strerror or error}")
+            self.read_errors += 1
+            self._say(f"{kind.name}: {error.strerror or error}")
             return None
         for generation, name in files:
             self._generations[kind.name] = max(self._generations.get(kind.name, 0), generation)
             if found is not None:
                 break
             try:
-                state = unpack(self.disk.read(name), kind, self.deployment, self.most)
+                state = unpack(self._bytes_of(name), kind, self.deployment, self.most)
                 if state.generation != generation:
                     raise Unreadable(f"it is generation {state.generation}")
                 found = state
             except Unreadable as error:
                 self._aside(name, str(error))
             except OSError as error:
-                self.problems.append(f"{name}: {error.strerror or error}")
+                self.read_errors += 1
+                self._say(f"{name}: {error.strerror or error}")
         return found
 
+    def _bytes_of(self, name: str) -> bytes:
+        for _ in range(READ_ATTEMPTS - 1):
+            with suppress(OSError):
+                return self.disk.read(name)
+        return self.disk.read(name)
+
     def _aside(self, name: str, why: str) -> None:
-        self.problems.append(f"{name} is set aside: {why}")
+        self._say(f"{name} is set aside: {why}")
         try:
             self.disk.rename(name, f"{name}.aside")
             aside = sorted(n for n in self.disk.names() if n.endswith(".aside"))
             for old in aside[:-ASIDE]:
                 self.disk.remove(old)
         except OSError as error:
-            self.problems.append(f"{name}: {error.strerror or error}")
+            self._say(f"{name}: {error.strerror or error}")
 
     def write(self, kind: Kind, value: Any) -> int:
         """Its generation, once it is safe on disk. Raises `TooLarge`; OSError for a full or broken disk, and
         then what was there before stands."""
+        if not self.epoch:
+            self.epoch = self._count_epoch()
+        return self._replace(kind, value)
+
+    def _replace(self, kind: Kind, value: Any) -> int:
         if kind.name not in self._generations:
             self._generations[kind.name] = max((g for g, _ in self._files(kind.name)), default=0)
         generation = self._generations[kind.name] + 1
         data = pack(kind, self.deployment, generation, self.wall(), value)
         if len(data) > self.most:
             raise TooLarge(f"{kind.name}: {len(data)} bytes, {self.most} are allowed")
+        self._check_room(kind)
         part, name = f"{kind.name}.part", f"{kind.name}.{generation:016d}.state"
         disk = self.disk
         try:
-            disk.write(part, data)
-            disk.sync(part)
+            disk.write_synced(part, data)
             disk.rename(part, name)
             disk.sync_folder()
         except OSError:
@@ -215,6 +251,19 @@
                 disk.remove(part)
             raise
         self._generations[kind.name] = generation
-        for _, old in self._files(kind.name)[KEPT:]:
-            disk.remove(old)
+        self._remove_older(kind)
         return generation
+
+    def _check_room(self, kind: Kind) -> None:
+        """Older generations that could not be removed are few, or nothing is added to them."""
+        if len(self._files(kind.name)) < MOST_GENERATIONS:
+            return
+        self._remove_older(kind)
+        if len(self._files(kind.name)) >= MOST_GENERATIONS:
+            raise OSError(errno.EIO, "older generations cannot be removed")
+
+    def _remove_older(self, kind: Kind) -> None:
+        """What cannot be removed now goes with the next write: the state that was written is safe."""
+        with suppress(OSError):
+            for _, old in self._files(kind.name)[KEPT:]:
+                self.disk.remove(old)
--- a/martenlead/layers/agent.py
+++ b/martenlead/layers/agent.py
@@ -9,6 +9,7 @@
 
 import hashlib
 import os
+from collections import Counter
 from collections.abc import AsyncGenerator, Callable
 from contextlib import suppress
 from dataclasses import dataclass
@@ -20,6 +21,7 @@
 
 import anyio
 import anyio.lowlevel
+import anyio.to_thread
 import msgspec
 import structlog
 import xxhash
@@ -50,6 +52,8 @@
 from martenlead.layers.naming import AskName, Heard, Names, Release, Resolved
 from martenlead.runnerlink import roster
 from martenlead.runnerlink.follow import follow
+from martenlead.system.durable_file import Backoff, read_if_there, remove_leftovers, replace_file
+from martenlead.system.state_saver import SaveHealth, StateSaver
 
 WORD = b"martenlead-layers"
 WORDS = {b"busy": End.BUSY, b"wait": End.WAIT, b"away": End.AWAY, b"missing": End.MISSING}
@@ -155,11 +159,14 @@
         self.vault_bytes = self.peer_bytes = self.sent_bytes = 0
         self._ended: dict[Want, anyio.Event] = {}
         self.names = Names(clock, self.chooser.later, last_known=settings.last_known)
+        self.log = structlog.get_logger().bind(box=settings.name)
+        self._are_names_unread = False  # the file must not be written over
         self._read_names()
+        self.saves = Counter[str]()  # of names, by their outcome
+        self.names_saver = self._make_names_saver()
         self.list = roster.List()
         self.loading = 0
         self.loads: dict[str, int] = {}  # by how they ended
-        self.log = structlog.get_logger().bind(box=settings.name)
         self.server = Server(
             self.handle,
             ServerLimits(limits),
@@ -191,21 +198,44 @@
         self.members([*self.settings.members, *found])
 
     def _read_names(self) -> None:
-        """What an earlier life knew of names; a file that can not be read is as none."""
+        """What an earlier life knew of names; what can not be read now is read again before it is written
+        over."""
         try:
-            told = (self.cache.folder / KNOWN).read_bytes()
-            self.names.known = msgspec.json.decode(told, type=dict[str, Release])
-        except (OSError, msgspec.DecodeError):
+            self.names.known = self._names_on_disk()
+        except OSError as error:
             self.names.known = {}
+            self._are_names_unread = True
+            self.log.warning("names_unread", why=str(error))
 
-    def _keep_names(self) -> None:
-        path = self.cache.folder / KNOWN
-        temporary = path.with_name(f"{KNOWN}.new")
+    def _names_on_disk(self) -> dict[str, Release]:
+        """Raises OSError for a file that is there and cannot be read now; one of other content is as none."""
+        data = read_if_there(self.cache.folder / KNOWN)
         try:
-            temporary.write_bytes(msgspec.json.encode(self.names.known))
-            os.replace(temporary, path)
-        except OSError as error:
-            self.log.warning("names are not kept", why=str(error))
+            return msgspec.json.decode(data or b"", type=dict[str, Release])
+        except msgspec.DecodeError:
+            return {}
+
+    async def _read_unread_names(self) -> None:
+        """Takes up what could not be read at the start, beside what the vault has told since. Raises
+        OSError."""
+        if self._are_names_unread:
+            found = await anyio.to_thread.run_sync(self._names_on_disk)
+            self.names.known = {**found, **self.names.known}
+            self._are_names_unread = False
+
+    def _make_names_saver(self) -> StateSaver[bytes]:
+        path = self.cache.folder / KNOWN
+        remove_leftovers(path)
+        backoff = Backoff(Random(self.settings.seed or self.settings.mark))
+        health = SaveHealth(
+            "names", self.log, backoff, count=lambda event, _state: self.saves.update([event])
+        )
+        return StateSaver(
+            lambda: msgspec.json.encode(self.names.known),
+            lambda data: replace_file(path, data),
+            health,
+            prepare=self._read_unread_names,
+        )
 
     # -- for the runner beside it, and for other boxes
 
@@ -244,6 +274,7 @@
             "ends": {end.name.lower(): n for end, n in counts.by_end.items()},
             "uploads_refused": counts.uploads_refused,
             "old_names_told": self.names.old_told,
+            "saves": dict(self.saves),
         }
 
     async def load_for(self, body: bytes) -> Reply:
@@ -450,7 +481,7 @@
         except StopIteration as stop:
             ended: Resolved | Failure = stop.value
         if self.names.known.get(ref) != before:
-            self._keep_names()
+            self.names_saver.changed()
         return ended
 
     async def ask_name(self, ask: AskName) -> tuple[Heard, Release | None]:
@@ -555,6 +586,7 @@
         """Until it is cancelled, or `drain` is through."""
         async with anyio.create_task_group() as group:
             self.group = group
+            group.start_soon(self.names_saver.run)
             if self.settings.roster is not None:
                 group.start_soon(self._follow, self.settings.roster)
             await self.server.serve(listener)
--- a/martenlead/layers/cache.py
+++ b/martenlead/layers/cache.py
@@ -14,16 +14,24 @@
 import time
 from collections import OrderedDict
 from collections.abc import Iterable, Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
 from pathlib import Path
 
 from martenlead.layers.image import DIGEST, BadImage, check
 from martenlead.system import clocks
+from martenlead.system.durable_file import replace_file
 
 VERSION = "1"
 TOUCH_S = 60.0  # a use is written to disk at most so often
 
 
+def _read(path: Path) -> bytes:
+    """Once more where it fails: a call that fails for a moment must not cost a fetch. Raises OSError."""
+    with suppress(OSError):
+        return path.read_bytes()
+    return path.read_bytes()
+
+
 class Refused(Exception):
     """The folder is in use, or of another version; says which."""
 
@@ -62,12 +70,14 @@
         if told not in ("", VERSION):
             self._lock.close()
             raise Refused(f"{folder}: of version {told}; this program knows version {VERSION}")
-        version.write_text(VERSION)
+        if not told:
+            replace_file(version, VERSION.encode())
         self.size = 0
         self._known: OrderedDict[str, int] = OrderedDict()  # by last use
         self._touched: dict[str, float] = {}
         self._latest_use = 0  # ns, the latest time of last use in the folder
         self._pins: dict[str, int] = {}
+        self._unreadable: set[str] = set()  # on the disk, and of no use until they were written anew
         self.set_aside = self.evicted = 0
         self._scan()
 
@@ -79,8 +89,9 @@
                 if len(entry.name) == 64:
                     stat = entry.stat()
                     found.append((stat.st_mtime_ns, "sha256:" + entry.name, stat.st_size))
-                else:  # begun and never renamed
-                    os.unlink(entry.path)
+                else:  # begun and never renamed; one that cannot be removed now is in nobody's way
+                    with suppress(OSError):
+                        os.unlink(entry.path)
         self._latest_use = max((used for used, _, _ in found), default=0)
         for _, digest, size in sorted(found):
             self._known[digest] = size
@@ -96,7 +107,7 @@
         return self.chunks / digest[7:9] / digest[7:]
 
     def __contains__(self, digest: str) -> bool:
-        return digest in self._known
+        return digest in self._known and digest not in self._unreadable
 
     def __len__(self) -> int:
         return len(self._known)
@@ -106,25 +117,37 @@
 
     def get(self, digest: str) -> bytes | None:
         """A chunk, checked; None where it is not there. One that fails its check is set aside and not
-        there."""
-        if digest not in self._known:
+        there; one that cannot be read now stays on the disk, and counts as missing until it is written
+        anew."""
+        if digest not in self:
             return None
         path = self.path(digest)
         try:
-            data = path.read_bytes()
+            data = _read(path)
             check(data, digest)
-        except (OSError, BadImage):
+        except FileNotFoundError:
             self._forget(digest)
-            self.set_aside += 1
-            try:
-                os.replace(path, self.aside / f"{digest[7:]}.{self._next_aside()}")
-            except OSError:
-                path.unlink(missing_ok=True)
-            self._bound_aside()
+            return None
+        except OSError:
+            self._unreadable.add(digest)
+            return None
+        except BadImage:
+            self._set_aside(digest, path)
             return None
         self._use(digest, path)
         return data
 
+    def _set_aside(self, digest: str, path: Path) -> None:
+        self._forget(digest)
+        self.set_aside += 1
+        try:
+            os.replace(path, self.aside / f"{digest[7:]}.{self._next_aside()}")
+        except OSError:
+            with suppress(OSError):
+                path.unlink(missing_ok=True)
+        with suppress(OSError):
+            self._bound_aside()
+
     def lend(self, digest: str) -> bytes | None:
         """A chunk for another box, as `get`, or as it came and was checked then: after a release an owner
         is asked for the same few by all boxes, and reading and checking it each time would be most of the
@@ -166,13 +189,14 @@
         now = time.monotonic()
         if now - self._touched.get(digest, -TOUCH_S) >= TOUCH_S:
             self._touched[digest] = now
-            self._note_use(path)
+            with suppress(OSError):  # it is older than it is at the next start, no more
+                self._note_use(path)
 
     def put(self, digest: str, data: bytes) -> None:
         """Keeps a chunk. Raises `BadImage` for other bytes, `NoRoom`; then nothing has changed but what was
         evicted."""
         check(data, digest)
-        if digest in self._known:
+        if digest in self:
             return
         self._shrink(len(data))
         path = self.path(digest)
@@ -187,25 +211,35 @@
             os.replace(temporary, path)
         except OSError as error:
             self._parts.discard(digest[7:9])  # if somebody took the folder away, it is made anew
-            temporary.unlink(missing_ok=True)
+            with suppress(OSError):
+                temporary.unlink(missing_ok=True)
             raise NoRoom(f"{self.folder}: {error.strerror}") from None
+        self.size += len(data) - self._known.get(digest, 0)
         self._known[digest] = len(data)
-        self.size += len(data)
+        self._unreadable.discard(digest)
         self._heat(digest, data)
 
     def _shrink(self, room: int) -> None:
         if self.size + room <= self.most:
             return
         for digest in list(self._known):
-            if digest not in self._pins:
-                self.path(digest).unlink(missing_ok=True)
+            if digest not in self._pins and self._remove(digest):
                 self._forget(digest)
                 self.evicted += 1
                 if self.size + room <= self.most:
                     return
         raise NoRoom(f"{self.folder}: {self.size} bytes are in use of {self.most}")
 
+    def _remove(self, digest: str) -> bool:
+        """Whether its file is gone: what cannot be removed now still takes its room."""
+        try:
+            self.path(digest).unlink(missing_ok=True)
+        except OSError:
+            return False
+        return True
+
     def _forget(self, digest: str) -> None:
+        self._unreadable.discard(digest)
         self.size -= self._known.pop(digest)
         self._touched.pop(digest, None)
 
--- a/martenlead/planner/serve.py
+++ b/martenlead/planner/serve.py
@@ -4,6 +4,7 @@
 
 import signal
 import time
+from collections import Counter
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
@@ -12,6 +13,7 @@
 from typing import Annotated, Any
 
 import anyio
+import anyio.to_thread
 import msgspec
 import structlog
 from anyio.abc import SocketListener, SocketStream
@@ -22,12 +24,14 @@
 from martenlead.events.server import Reply, Server, ServerLimits, listen
 from martenlead.planner import frames as fr
 from martenlead.planner.link import MS, Broken, PlannerEnd
-from martenlead.runnerlink.roster import replace
 from martenlead.system import clocks
 from martenlead.system.clocks import Moment
+from martenlead.system.durable_file import Backoff, read_if_there, remove_leftovers, replace_file
+from martenlead.system.state_saver import SaveHealth, StateSaver
 
 GONE = (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 HELLO_S, WRITE_S, KEEP_S = 5.0, 5.0, 1.0
+LONGEST_UNSAVED_S = 5.0  # the ages of copies that are saved are wrong by this at most
 
 Port = Annotated[int, Meta(ge=0, le=65535)]
 Positive = Annotated[float, Meta(gt=0)]
@@ -60,6 +64,11 @@
     uptime: int = 0
 
 
+def saved_at(kept: Kept) -> Moment:
+    """When this state was written."""
+    return Moment(round(kept.saved * 1e9), kept.boot, kept.uptime)
+
+
 class Planner:
     def __init__(
         self,
@@ -73,7 +82,10 @@
         self.scopes: dict[str, anyio.CancelScope] = {}
         self.log = structlog.get_logger().bind(planner=settings.name)
         self._number = 0
+        self._is_unread = False  # a file is there that could not be read: it must not be written over
         self.kept = self._read()
+        self.saves = Counter[str]()  # by their outcome
+        self.saver = self._make_saver()
 
     def _numbers(self) -> int:
         self._number += 1
@@ -82,21 +94,57 @@
     # -- what was held
 
     def _read(self) -> Kept:
+        """At the start. What cannot be read now is read again before anything is written."""
+        try:
+            return self._read_file()
+        except OSError as error:
+            self._is_unread = True
+            self.log.warning("state_unread", why=str(error))
+            return self._kept_now({})
+
+    def _read_file(self) -> Kept:
+        """Raises OSError for a file that is there and cannot be read now."""
         if self.settings.kept is None:
             return self._kept_now({})
+        data = read_if_there(Path(self.settings.kept))
         try:
-            return msgspec.json.decode(Path(self.settings.kept).read_bytes(), type=Kept)
-        except (OSError, msgspec.DecodeError):
+            return msgspec.json.decode(data or b"", type=Kept)
+        except msgspec.DecodeError:
             return self._kept_now({})
 
     def _kept_now(self, edges: dict[str, list[fr.Copy]]) -> Kept:
         now = self.moment()
         return Kept(now.wall / 1e9, edges, now.boot, now.uptime)
 
+    async def _read_unread(self) -> None:
+        """Takes up what could not be read at the start, where no edge has told of newer since. Raises
+        OSError."""
+        if not self._is_unread:
+            return
+        found = await anyio.to_thread.run_sync(self._read_file)
+        passed = clocks.passed(saved_at(found), saved_at(self.kept)) / MS
+        for edge, copies in found.edges.items():
+            aged = [(r, m, lanes, mb, age + passed) for r, m, lanes, mb, age in copies]
+            self.kept.edges.setdefault(edge, aged)
+        self._is_unread = False
+
+    def _make_saver(self) -> StateSaver[bytes]:
+        backoff = Backoff(Random(self.settings.name))
+        health = SaveHealth(
+            "planner", self.log, backoff, count=lambda event, _state: self.saves.update([event])
+        )
+        return StateSaver(
+            lambda: msgspec.json.encode(self.kept), self._write, health, prepare=self._read_unread
+        )
+
+    def _write(self, data: bytes) -> None:
+        """In a thread. Raises OSError."""
+        if self.settings.kept is not None:
+            replace_file(Path(self.settings.kept), data)
+
     def recall(self, edge: str) -> list[fr.Copy]:
         """What was held for an edge, and has not lapsed since to our knowledge."""
-        saved = Moment(round(self.kept.saved * 1e9), self.kept.boot, self.kept.uptime)
-        since = clocks.passed(saved, self.moment()) / MS
+        since = clocks.passed(saved_at(self.kept), self.moment()) / MS
         keep = self._keep_ms(edge)
         copies = self.kept.edges.get(edge, [])
         return [(r, m, lanes, mb, age + since) for r, m, lanes, mb, age in copies if age + since < keep]
@@ -118,19 +166,17 @@
         return changed
 
     async def _keep(self) -> None:
-        written = 0.0
+        """Tells the saver when what is held has changed, and now and then, since copies were used
+        meanwhile."""
+        saved = 0.0
         while True:
             await anyio.sleep(KEEP_S)
             changed = self.look()
-            path = self.settings.kept
-            if path is None or not (changed or time.monotonic() - written > 5 * KEEP_S):
+            if self.settings.kept is None:
                 continue
-            written = time.monotonic()
-            data = msgspec.json.encode(self.kept)
-            try:
-                await anyio.to_thread.run_sync(replace, Path(path), data)
-            except OSError as error:
-                self.log.warning("what is held is not kept", why=str(error))
+            if changed or time.monotonic() - saved > LONGEST_UNSAVED_S:
+                saved = time.monotonic()
+                self.saver.changed()
 
     # -- links
 
@@ -152,7 +198,10 @@
 
     async def run(self, listener: SocketListener) -> None:
         async with anyio.create_task_group() as group:
+            if self.settings.kept is not None:
+                remove_leftovers(Path(self.settings.kept))
             group.start_soon(self._keep)
+            group.start_soon(self.saver.run)
             if self.settings.admin is not None:
                 admin, port = await listen(self.settings.admin.host, self.settings.admin.port)
                 group.start_soon(self._admin().serve, admin)
@@ -225,6 +274,7 @@
             "planner": self.settings.name,
             "life": self.life,
             "edges": [end.told() for end in self.ends.values()],
+            "saves": dict(self.saves),
         }
 
     def _admin(self) -> Server:
--- a/martenlead/runnerlink/roster.py
+++ b/martenlead/runnerlink/roster.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import os
 from pathlib import Path
 from typing import Literal
 
@@ -15,6 +14,7 @@
 
 from martenlead.system import clocks
 from martenlead.system.clocks import Moment
+from martenlead.system.durable_file import replace_file
 
 
 class Line(msgspec.Struct, omit_defaults=True):
@@ -89,18 +89,9 @@
         return True
 
 
-def replace(path: Path, data: bytes) -> None:
-    """Writes a file so that a reader finds the old one or the new one, whole. Raises OSError."""
-    temporary = path.with_name(f"{path.name}.{os.getpid()}.new")
-    with open(temporary, "wb") as file:
-        file.write(data)
-        file.flush()
-        os.fsync(file.fileno())
-    os.replace(temporary, path)
-
-
 def keep(path: Path, kept: Kept) -> None:
-    replace(path, encode(kept))
+    """Durable when it returns. Raises OSError."""
+    replace_file(path, encode(kept))
 
 
 def dated(version: int, runners: list[Line]) -> Kept:
@@ -111,12 +102,12 @@
 
 def kept(path: Path) -> Kept | None:
     """The list that an earlier life kept, its ages grown by the time that has certainly passed since; None
-    where there is none to be read. The wall clock has no part in it: a step forward would make workers that
-    have just started look warm. A worker that is taken for younger than it is has its share a slow start
-    later at most."""
+    where there is none, or what is there is no list. The wall clock has no part in it: a step forward would
+    make workers that have just started look warm. A worker that is taken for younger than it is has its share
+    a slow start later at most. Raises OSError for a file that cannot be read now."""
     try:
         found = msgspec.json.decode(path.read_bytes(), type=Kept)
-    except (OSError, msgspec.DecodeError):
+    except (FileNotFoundError, msgspec.DecodeError):
         return None
     saved = Moment(round(found.saved * 1e9), found.boot, found.uptime)
     passed = clocks.certainly_passed(saved, clocks.moment()) / 1e6
--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -53,6 +53,11 @@
         if self.full:
             raise OSError(28, "No space left on device")
 
+    def write_synced(self, name: str, data: bytes) -> None:
+        """In the order of `durable_file.write_synced`, which tests/test_disk_faults.py holds to it."""
+        self.write(name, data)
+        self.sync(name)
+
     def sync(self, name: str) -> None:
         self.step()
         number = self.folder[name]
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -10,6 +10,7 @@
 import anyio
 import msgspec
 import pytest
+from structlog.testing import capture_logs
 
 from martenlead.capture import events as ev
 from martenlead.capture.replay import replay
@@ -230,21 +231,21 @@
     def fails(*_: Any) -> Any:
         raise ZeroDivisionError
 
-    async with fleet() as f:
-        keeper = Keeper(f.edge, told)
-        keeper.found = known(), 0
-        monkeypatch.setattr("martenlead.lasting.knowledge.past", fails)
-        monkeypatch.setattr("martenlead.lasting.knowledge.gathering", fails)
-        ended = anyio.Event()
-
-        async def run() -> None:
-            await keeper.run(f.dispatcher)
-            ended.set()
-
-        f.group.start_soon(run)
-        with anyio.fail_after(10):
-            await ended.wait()
-        assert (await f.call())[0] == 200
+    with capture_logs() as logs:
+        async with fleet() as f:
+            keeper = Keeper(f.edge, told)
+            keeper.found = known(), 0
+            monkeypatch.setattr("martenlead.lasting.knowledge.past", fails)
+            monkeypatch.setattr("martenlead.lasting.knowledge.gathering", fails)
+            f.group.start_soon(keeper.run, f.dispatcher)
+            await until(lambda: keeper.counts["failed"] > 3)
+            assert (await f.call())[0] == 200
+            assert keeper.counts["saved"] == 0
+            monkeypatch.undo()
+            await until(lambda: keeper.counts["saved"] >= 2)
+            assert (await f.call())[0] == 200
+    told_of = [line["event"] for line in logs if line["event"].startswith(("a fault", "state_"))]
+    assert told_of == ["a fault of ours", "state_save_failed", "state_save_recovered"]
 
 
 async def test_a_second_edge_of_the_name_keeps_nothing_and_a_state_that_makes_no_sense_is_passed_over(
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -31,6 +31,7 @@
 from martenlead.planner.serve import Planner, PlannerSettings
 from martenlead.runnerlink import roster
 from martenlead.system import clocks
+from martenlead.system.durable_file import replace_file
 from support.fleet import fleet, satisfied, silent
 
 MS = 1_000_000
@@ -139,7 +140,7 @@
     first = Planner(settings)
     first.kept.edges["edge"] = [("a", "m", 1, 10.0, 500.0), ("b", "m", 1, 10.0, 9500.0)]
     first.look()
-    roster.replace(path, roster.encode(first.kept))
+    replace_file(path, roster.encode(first.kept))
     for planner in (first, Planner(settings)):
         planner.ends["edge"] = SimpleNamespace(mirror=mirror)  # type: ignore[assignment]
     machine.run(2 * SECOND)
