--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -36,6 +36,7 @@
 from martenlead.capture.tape import module_hash
 from martenlead.engine import Engine, Process
 from martenlead.interface import Result, Task, Wait
+from martenlead.system.durable_file import remove_leftovers, replace_file
 
 MAGIC = b"mlcheckp\x01"
 
@@ -293,9 +294,8 @@
 
 def save(path: Path, t: int, replayer: ReplayState) -> None:
     body = msgspec.msgpack.encode((t, module_hash(), write(replayer)))
-    temporary = path.with_suffix(".ckpt.new")
-    temporary.write_bytes(MAGIC + xxhash.xxh3_64_digest(body) + body)
-    temporary.replace(path)
+    remove_leftovers(path)
+    replace_file(path, MAGIC + xxhash.xxh3_64_digest(body) + body)
 
 
 def load(path: Path) -> Checkpoint:
--- a/martenlead/capture/store.py
+++ b/martenlead/capture/store.py
@@ -1,5 +1,9 @@
 """A folder of segments: written by one thread, bounded on disk, never in the way of the event loop.
 
+A disk that fails for a while costs the batches that were tried meanwhile: they are counted, a `Gap` stands in
+their place, and writing goes on in a new segment once an attempt succeeds. Attempts back off; in between,
+events wait in the bounded queue.
+
 Files are named NAME-RUN-SEGMENT.mlc: one run is one life of a dispatcher. Only the holder of NAME.lock writes
 or removes files of that name, so that dispatchers share a folder as long as their names differ.
 """
@@ -13,21 +17,27 @@
 import sys
 import threading
 import time
-from collections import deque
+from collections import Counter, deque
 from collections.abc import Callable, Iterator
+from contextlib import suppress
 from itertools import dropwhile, pairwise
 from pathlib import Path
-from typing import Literal
+from random import Random
+from typing import Literal, Protocol
 
+import anyio
 import msgspec
 
 from martenlead.capture.checkpoint import Checkpoint, load, path_of
 from martenlead.capture.events import Event, Gap, Input
 from martenlead.capture.format import HEAD_SIZE, BadCapture, Entry, Packer, Segment, entry, write_head
 from martenlead.system import clocks
+from martenlead.system.durable_file import Backoff, remove_leftovers, sync_folder, write_all
 
 FILE = re.compile(r"(?P<name>.+)-(?P<run>\d{19})-(?P<segment>\d{6})\.mlc\Z")
 BATCH = 2048  # events a frame at most
+UNBOUNDED_SEGMENTS = 4  # begun while older ones cannot be removed; beyond it nothing is written
+REPORT_S = 1.0  # between two copies of the counters
 CHILD_S = 600.0  # the longest that a checkpoint may take
 
 
@@ -42,6 +52,13 @@
     checkpoints: bool = True  # made in a process of its own before a segment goes, so that the rest replays
 
 
+class HasCounts(Protocol):
+    """What has the counters that operators see."""
+
+    @property
+    def counts(self) -> Counter[tuple[str, str]]: ...
+
+
 class Busy(Exception):
     """Another process writes under this name."""
 
@@ -50,27 +67,36 @@
     """`put` is for the event loop and never waits; a thread of its own packs and writes."""
 
     def __init__(self, settings: StoreSettings, name: str, tell: Callable[[str, str], None]) -> None:
-        """Raises OSError, and `Busy` where another process writes under that name."""
+        """Raises `Busy` where another process writes under that name. A folder that cannot be used is tried
+        again by the thread."""
         self.settings, self.name, self._tell = settings, re.sub(r"[^\w.]", "_", name), tell
         self.folder = Path(settings.folder)
-        self.folder.mkdir(parents=True, exist_ok=True)
-        self._lock = open(self.folder / f"{self.name}.lock", "w")  # noqa: SIM115
+        self._lock: int | None = None
+        self.run = 0  # until the folder is taken
+        self._backoff = Backoff(Random(self.name))
+        self._failing_since: float | None = None
+        self._next_attempt = 0.0  # by the monotonic clock
+        self.failures = self.recoveries = 0
         try:
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
-            self._lock.close()
-            raise Busy(f"{self.folder}: another dispatcher named {name} writes there") from None
-        self.run = self._new_run()
+            self._take_folder()
+        except OSError as error:
+            self._begin_trouble(error)
         self.segment = 0
         self.dropped = self.written = self.bytes = 0
         self._queue: deque[Event] = deque()
         self._lost: tuple[int, int, int] | None = None  # first, last, count of what did not fit
+        self.unsynced = 0  # events in segments whose sync has failed: they may be on the disk or not
         self._failed = 0  # the thread's: events that the disk did not take
         self._failed_at = 0
         self._packer = Packer()
         self._file: int | None = None
+        self._path = self.folder  # of the segment that was begun last
+        self._uncounted: tuple[Path, int] | None = None  # where events begin that count as lost
+        self._empty: Path | None = None  # the file of a segment that was begun and holds no events yet
+        self._unbounded = 0  # segments begun since the bound on disk could be held
         self._size = 0
         self._opened = 0.0
+        self._events = 0  # in the segment
         self._entries: list[Entry] = []
         self._child: subprocess.Popen[bytes] | None = None
         self._child_for: Path | None = None
@@ -107,86 +133,202 @@
         """Writes what waits, the index, and ends the thread."""
         self._stop.set()
         self._thread.join(10)
-        self._lock.close()
+        if self._lock is not None:
+            os.close(self._lock)
+            self._lock = None
+
+    async def report(self, dispatcher: HasCounts) -> None:
+        """Copies the counters to where operators see them, as long as the dispatcher runs."""
+        while True:
+            for name in ("written", "dropped", "unsynced", "failures", "recoveries"):
+                dispatcher.counts["capture", name] = getattr(self, name)
+            await anyio.sleep(REPORT_S)
 
     # -- the thread
 
     def _work(self) -> None:
         while True:
             stopping = self._stop.wait(self.settings.flush_ms / 1000)
-            while self._queue:
-                self._write()
+            if not stopping and time.monotonic() < self._next_attempt:
+                continue
+            while (self._queue or self._failed) and self._write():
+                pass
             if stopping:
+                self._lose([self._queue.popleft() for _ in range(len(self._queue))])
                 self._finish()
                 return
 
-    def _write(self) -> None:
+    def _write(self) -> bool:
+        """Whether the disk took a batch. One that it did not take is lost, and counted."""
         batch: list[Event] = []
         while self._queue and len(batch) < BATCH:
             batch.append(self._queue.popleft())
-        if self._failed:
-            t = next((e.t for e in batch if isinstance(e, Input)), self._failed_at)
-            batch.insert(0, Gap(self._failed_at or t, t, self._failed, "the disk did not take it"))
-        count = len(batch)
         try:
-            if self._file is None:
-                self._open(batch)
-            assert self._file is not None
-            at = self._size
-            self._append(self._packer.events(batch))
-            self._entries.append(entry(at, batch))
+            self._put_down([*self._gap_before(batch), *batch])
+        except (OSError, Busy) as error:
+            self._lose(batch)
+            self._begin_trouble(error)
+            self._leave_segment()
+            return False
+        self.written += len(batch)
+        self._end_trouble()
+        old = time.monotonic() - self._opened > self.settings.segment_s
+        if self._size > self.settings.segment_bytes or old:
+            self._finish()
+        return True
+
+    def _put_down(self, events: list[Event]) -> None:
+        """One frame, in a segment that is begun if need be. Raises OSError and `Busy`; then none of it stands
+        in the file, as far as the disk still takes orders."""
+        if self._lock is None:
+            self._take_folder()
+        if self._file is None:
+            self._open(events)
+        assert self._file is not None
+        at = self._size
+        self._append(self._packer.events(events))
+        try:
             if self.settings.sync == "flush":
                 os.fsync(self._file)
-            self.written += count
-            self._failed = 0
-            old = time.monotonic() - self._opened > self.settings.segment_s
-            if self._size > self.settings.segment_bytes or old:
-                self._finish()
-        except OSError as error:
-            if not self._failed:
-                self._tell("the capture is not written", str(error))
-                self._failed_at = next((e.t for e in batch if isinstance(e, Input)), 0)
-            self._failed += count
-            self.dropped += count
-            self._abandon()
-
-    def _open(self, batch: list[Event]) -> None:
-        path = self.folder / f"{self.name}-{self.run:019d}-{self.segment:06d}.mlc"
-        self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o644)
-        self._size, self._entries, self._opened = 0, [], time.monotonic()
-        first = next((e.t for e in batch if isinstance(e, Input)), 0)
-        self.segment += 1
-        self._append(write_head(self.segment - 1, self.run, first))
-        self._bound()
+        except OSError:  # it may be on the disk or not; a second sync would not tell
+            self._uncounted = self._path, at
+            raise
+        if not self._entries:
+            self.segment += 1
+            self._empty = None
+        self._entries.append(entry(at, events))
+        self._events += len(events)
+
+    # -- trouble with the disk
+
+    def _gap_before(self, batch: list[Event]) -> list[Event]:
+        if not self._failed:
+            return []
+        t = next((e.t for e in batch if isinstance(e, Input)), self._failed_at)
+        return [Gap(self._failed_at or t, t, self._failed, "the disk did not take it")]
+
+    def _lose(self, batch: list[Event]) -> None:
+        """Counts events that are in no file; a `Gap` among them stands for those that `put` has counted."""
+        if batch and not self._failed:
+            self._failed_at = next((e.t for e in batch if isinstance(e, Input)), 0)
+        self._failed += sum(e.dropped if isinstance(e, Gap) else 1 for e in batch)
+        self.dropped += sum(not isinstance(e, Gap) for e in batch)
+
+    def _begin_trouble(self, error: Exception) -> None:
+        self.failures += 1
+        now = time.monotonic()
+        self._next_attempt = now + self._backoff.next_seconds()
+        if self._failing_since is None:
+            self._failing_since = now
+            self._tell("the capture is not written", str(error))
+
+    def _end_trouble(self) -> None:
+        if self._failing_since is None:
+            return
+        seconds = time.monotonic() - self._failing_since
+        self._tell("capture_resumed", f"{self._failed} events were lost in {seconds:.1f} s")
+        self._failing_since, self._next_attempt, self._failed = None, 0.0, 0
+        self._backoff.reset()
+        self.recoveries += 1
+
+    # -- segments
+
+    def _take_folder(self) -> None:
+        """Raises OSError, and `Busy` where another process writes under that name."""
+        self.folder.mkdir(parents=True, exist_ok=True)
+        lock = os.open(self.folder / f"{self.name}.lock", os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o644)
+        try:
+            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self.run = self._new_run()
+        except BlockingIOError:
+            os.close(lock)
+            raise Busy(f"{self.folder}: another dispatcher named {self.name} writes there") from None
+        except OSError:
+            os.close(lock)
+            raise
+        self._lock = lock
+
+    def _open(self, events: list[Event]) -> None:
+        """Begins a segment, once what failed attempts have left behind is gone."""
+        self._clean_up()
+        self._path = self.folder / f"{self.name}-{self.run:019d}-{self.segment:06d}.mlc"
+        self._file = os.open(self._path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o644)
+        self._empty = self._path
+        self._size, self._events, self._entries, self._opened = 0, 0, [], time.monotonic()
+        first = next((e.t for e in events if isinstance(e, Input)), 0)
+        self._append(write_head(self.segment, self.run, first))
+        if self.settings.sync == "flush":
+            sync_folder(self.folder)
+        self._hold_bound()
 
     def _append(self, data: bytes) -> None:
         """All of it or an error; a part that a full disk took is cut off again."""
         assert self._file is not None
-        done = 0
         try:
-            while done < len(data):
-                done += os.write(self._file, data[done:])
+            write_all(self._file, data)
         except OSError:
-            os.ftruncate(self._file, self._size)
+            with suppress(OSError):
+                os.ftruncate(self._file, self._size)
             raise
-        self._size += done
-        self.bytes += done
+        self._size += len(data)
+        self.bytes += len(data)
 
     def _finish(self) -> None:
         if self._file is None:
             return
         try:
             self._append(self._packer.index(self._entries))
-            if self.settings.sync != "never":
-                os.fsync(self._file)
         except OSError as error:
             self._tell("a segment has no index", str(error))
+        self._sync_segment()
         self._abandon()
 
+    def _sync_segment(self) -> None:
+        """Once: after a failed sync another one may say that it is done while nothing is."""
+        if self._file is None or self.settings.sync == "never":
+            return
+        try:
+            os.fsync(self._file)
+            sync_folder(self.folder)
+        except OSError as error:
+            self.unsynced += self._events
+            self._tell("segment_sync_failed", f"{self._path}: {error}")
+
+    def _leave_segment(self) -> None:
+        """After an error. What was taken before stays readable; a segment without any of it goes."""
+        if self._entries and self.settings.sync == "segment":
+            self._sync_segment()
+        self._abandon()
+        with suppress(OSError):
+            self._clean_up()
+
+    def _clean_up(self) -> None:
+        """Removes what failed attempts have left: a segment without events, and events that were counted as
+        lost, since their sync failed, but can be read. Raises OSError."""
+        if self._empty is not None:
+            self._empty.unlink(missing_ok=True)
+            self._empty = self._uncounted = None
+        if self._uncounted is not None:
+            os.truncate(*self._uncounted)
+            self._uncounted = None
+
     def _abandon(self) -> None:
         if self._file is not None:
-            os.close(self._file)
-            self._file = None
+            file, self._file = self._file, None
+            with suppress(OSError):  # the descriptor is gone all the same
+                os.close(file)
+
+    def _hold_bound(self) -> None:
+        """Raises OSError once older segments could not be removed for a while: the bound comes first."""
+        try:
+            self._bound()
+            self._unbounded = 0
+        except OSError as error:
+            self._unbounded += 1
+            if self._unbounded == 1:
+                self._tell("segment_removal_failed", str(error))
+            if self._unbounded > UNBOUNDED_SEGMENTS:
+                raise
 
     def _bound(self) -> None:
         """Removes the oldest segments beyond the bound, each when the one behind it has its checkpoint."""
@@ -209,6 +351,7 @@
             total -= path.stat().st_size
             path.unlink(missing_ok=True)
             path.with_suffix(".ckpt").unlink(missing_ok=True)
+            remove_leftovers(path.with_suffix(".ckpt"))
             self._tell("the oldest segment is removed", path.name)
 
     def _make_checkpoint(self, path: Path) -> None:
@@ -245,7 +388,7 @@
     def _checkpoint(self, path: Path) -> Checkpoint | None:
         try:
             return load(path_of(path))
-        except OSError:
+        except (OSError, BadCapture):  # none, or one that a power cut has torn
             return None
 
     def events(self) -> Iterator[Event]:
@@ -259,9 +402,12 @@
             except FileNotFoundError:  # removed by the bound on disk while it was about to be read
                 continue
             except BadCapture as error:
-                if path.stat().st_size < HEAD_SIZE and path is self.paths[-1]:
-                    self.torn += path.stat().st_size  # killed as it was begun
-                    return
+                if _is_without_head(path):  # killed, or cut off from power, as it was begun
+                    self.torn += path.stat().st_size
+                    if path is not self.paths[-1]:
+                        yield Gap(last, last, 0, f"{path.name} is torn")
+                        expected = int(path.stem.rpartition("-")[2]) + 1
+                    continue
                 raise BadCapture(f"{path}: {error}") from None
             if segment.head.segment != expected and not expected:
                 found = self._checkpoint(path)
@@ -292,6 +438,13 @@
             expected = segment.head.segment + 1
 
 
+def _is_without_head(path: Path) -> bool:
+    """Whether the disk lost a segment's first bytes: it is too short, or a power cut left zeros there."""
+    with open(path, "rb") as file:
+        head = file.read(HEAD_SIZE)
+    return len(head) < HEAD_SIZE or not any(head)
+
+
 def runs(paths: list[Path]) -> list[Run]:
     """The runs in some files and folders, by name and time. Raises `BadCapture` where there is none."""
     files: dict[tuple[str, int], list[Path]] = {}
--- a/martenlead/cli/edge.py
+++ b/martenlead/cli/edge.py
@@ -37,7 +37,7 @@
         told = decode(msgspec.to_builtins(settings.capture), StoreSettings, str(config))
         try:
             store = Store(told, settings.name, lambda what, why: log.warning(what, why=why))
-        except (OSError, Busy) as error:
+        except Busy as error:
             raise BadConfig(f"{config}: $.capture.folder: {error}") from None
         tape = Tape(store.put, settings.name)
     side = EdgeSide(settings, settings.planner) if settings.planner and not with_planner else None
@@ -45,6 +45,8 @@
         tape = cast(BorderTape, Both(tape, side.tape)) if tape is not None else side.tape
     keeper = Keeper(settings, settings.lasting) if settings.lasting is not None else None
     beside = [one.run for one in (side, keeper) if one is not None]
+    if store is not None:
+        beside.append(store.report)
     try:
         run(settings, started, tape, beside)
     except* OSError as errors:
