--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -115,8 +115,9 @@
         f.dispatcher.news([replace(box.line, start="anew", age_ms=500.0)], False)
         source = HttpRoster(f.edge)
         source.list = f.dispatcher.list
-        f.group.start_soon(source._keep, path, f.dispatcher)
-        source._changed.set()
+        saver = source._make_saver(path, f.dispatcher)
+        f.group.start_soon(saver.run)
+        saver.changed()
         await until(path.exists)
         age_ms = (f.dispatcher.clock() - box.since) / 1e6
     machine.run(2 * SECOND)
