--- a/support/disk_faults.py
+++ b/support/disk_faults.py
@@ -50,6 +50,12 @@
         self._fails_from = self._fails_until = self._short_at = self._dies_at = NEVER
         self._errno = 0
         self._fails_only = ""
+        self._fails_every = 1
+
+    def fail_every(self, code: int, every: int) -> None:
+        """Every so many calls one fails, for good."""
+        self.fail(code, every)
+        self._fails_every = every
 
     def fail(self, code: int, first: int, calls: int = NEVER, only: str = "") -> None:
         """Calls from the `first` on, counted from 1, `calls` of them; `only` those of that name."""
@@ -73,6 +79,7 @@
         if number >= self._dies_at:
             raise Killed
         hit = self._fails_from <= number < self._fails_until and self._fails_only in ("", name)
+        hit = hit and number % self._fails_every == 0
         return OSError(self._errno, os.strerror(self._errno)) if hit else None
 
     # -- the calls
--- a/tests/test_capture_disk_faults.py
+++ b/tests/test_capture_disk_faults.py
@@ -19,6 +19,7 @@
 from martenlead.capture.store import Store as Captures
 from martenlead.system.durable_file import Backoff
 from support.disk_faults import ERRNOS, DiskFaults
+from support.fleet import fleet, until
 
 QUICK = partial(Backoff, first_seconds=0.001, longest_seconds=0.004)
 each_errno = pytest.mark.parametrize("code", ERRNOS, ids=[errno.errorcode[e] for e in ERRNOS])
@@ -137,6 +138,61 @@
         assert told == ["the capture is not written", "capture_resumed"]
 
 
+@pytest.mark.anyio
+async def test_an_edge_shows_what_its_capture_lost(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    disk = DiskFaults(tmp_path, Random(1))
+    with disk():
+        made, _ = captures(tmp_path, monkeypatch)
+        put(made, 1, 2)
+        disk.fail(errno.ENOSPC, 1)
+        put(made, 3, 1)
+        disk.heal()
+        put(made, 4, 1)
+        async with fleet() as f:
+            f.group.start_soon(made.report, f.dispatcher)
+            await until(lambda: f.dispatcher.counts["capture", "written"])
+            counts = f.dispatcher.state()["counts"]
+        made.close()
+    assert [counts[f"capture/{name}"] for name in ("written", "dropped", "unsynced")] == [3, 1, 0]
+    assert counts["capture/failures"] >= 1
+    assert counts["capture/recoveries"] == 1
+
+
+def test_between_attempts_events_wait_in_the_queue(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Only what was tried is lost; the rest is written as the disk is well again."""
+    monkeypatch.setattr(Backoff, "next_seconds", lambda _: 3600.0)
+    disk = DiskFaults(tmp_path, Random(1))
+    with disk():
+        made, _ = captures(tmp_path, monkeypatch)
+        disk.fail(errno.ENOSPC, 1)
+        put(made, 1, 1)
+        for n in range(2, 50):
+            made.put(ev.Advance(n))
+        time.sleep(0.05)  # fifty flushes
+        assert (made.failures, made.dropped) == (1, 1)
+        disk.heal()
+        made.close()
+        assert read(tmp_path) == (list(range(2, 50)), 1)
+
+
+def test_a_segment_that_cannot_be_removed_at_once_costs_no_event(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    disk = DiskFaults(tmp_path, Random(1))
+    with disk():
+        made, told = captures(tmp_path, monkeypatch, segment_bytes=1, total_bytes=2000)
+        disk.fail(errno.EIO, 1, only="unlink")
+        count = 0
+        while "segment_removal_failed" not in told:
+            count += 1
+            put(made, count, 1)
+        disk.heal()
+        put(made, count + 1, 10)
+        assert made.dropped == 0
+        made.close()
+        assert sum(path.stat().st_size for path in tmp_path.glob("*.mlc")) < 2600
+
+
 def test_while_older_segments_cannot_be_removed_the_bound_on_disk_holds(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -38,6 +38,13 @@
 QUICK = partial(Backoff, first_seconds=0.001, longest_seconds=0.004)
 
 
+class NoRetry(Backoff):
+    """Waits for longer than any test."""
+
+    def next_seconds(self) -> float:
+        return 3600.0
+
+
 # -- what uses the folders: each saves a number, and finds one at its start
 
 
@@ -162,6 +169,28 @@
                 assert found(disk, user) == 3, (k, seed)
 
 
+@each_user
+@each_errno
+def test_a_disk_that_fails_at_every_kth_call_then_a_kill_leaves_what_was_saved_or_newer(
+    tmp_path: Path, user: str, code: int
+) -> None:
+    for k in range(1, len(calls_of_a_save(tmp_path, user)) + 4):
+        for seed in range(4):
+            disk = begin(tmp_path, user, f"{k}-{seed}", Random(seed))
+            with disk():
+                using = USERS[user](disk.root)
+                disk.fail_every(code, k)
+                last = 1
+                for number in range(2, 8):
+                    last = number if is_saved(using, number) else last
+                disk.crash()
+                assert last <= found(disk, user) <= 7, (k, seed)
+                disk.crash()
+                USERS[user](disk.root).save(8)
+                disk.crash()
+                assert found(disk, user) == 8, (k, seed)
+
+
 @each_user
 @each_errno
 def test_a_save_that_failed_is_durable_once_a_later_one_succeeds(
@@ -176,6 +205,7 @@
                 disk.fail(code, k, 1)
                 is_saved(using, 2)
                 disk.heal()
+                assert temporary_files(disk.root) == []
                 using.save(3)
                 assert temporary_files(disk.root) == []
                 disk.crash()
@@ -336,6 +366,16 @@
         assert len(list(tmp_path.rglob("thing.*.state"))) == KEPT
 
 
+def test_a_write_cut_short_that_cannot_be_removed_stops_no_start(tmp_path: Path) -> None:
+    disk = DiskFaults(tmp_path, Random(1))
+    (tmp_path / "thing.part").write_bytes(b"half")
+    with disk():
+        disk.fail(errno.EIO, 1, only="unlink")
+        store = Store(Folder(tmp_path), "here", lambda: 1)
+        assert store.write(THING, "new") == 1
+        assert temporary_files(tmp_path) == []  # written over, and renamed
+
+
 def test_a_read_that_fails_for_a_moment_costs_no_generation(tmp_path: Path) -> None:
     store = Store(Folder(tmp_path / "edge"), "here", lambda: 1)
     store.write(THING, "old")
@@ -430,16 +470,29 @@
                 saver.changed()
                 disk.heal()
                 await until(has_arrived)
+            group.cancel_scope.cancel()
+    events = [line["event"] for line in logs]
+    assert events == ["state_save_failed", "state_save_recovered"] * len(ERRNOS)
+
+
+@pytest.mark.anyio
+async def test_what_is_not_saved_at_the_end_is_tried_once_more(tmp_path: Path) -> None:
+    import structlog
+
+    disk = DiskFaults(tmp_path, Random(1))
+    path = tmp_path / "file"
+    with disk():
+        health = SaveHealth("thing", structlog.get_logger(), NoRetry(Random(1)))
+        saver: StateSaver[bytes] = StateSaver(lambda: b"last", partial(replace_file, path), health)
+        async with anyio.create_task_group() as group:
+            group.start_soon(saver.run)
             disk.fail(errno.EIO, 1)
-            value = b"last"
             saver.changed()
             await until(lambda: health.is_failing)
             disk.heal()
-            group.cancel_scope.cancel()  # in a wait, as a rule: the last attempt is made at the end
+            group.cancel_scope.cancel()
         disk.crash()
         assert path.read_bytes() == b"last"
-    events = [line["event"] for line in logs]
-    assert events == ["state_save_failed", "state_save_recovered"] * (len(ERRNOS) + 1)
 
 
 @pytest.mark.anyio
@@ -504,6 +557,28 @@
             assert [line["models"] for line in logs if line["event"] == "remembers"] == [1]
 
 
+@pytest.mark.anyio
+async def test_a_short_life_without_its_folder_writes_over_nothing_at_its_end(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """What an earlier life knew is worth more than what this one could have learnt."""
+    monkeypatch.setattr("martenlead.edge.keeper.Backoff", NoRetry)
+    told = Lasting(folder=str(tmp_path))
+    earlier = Store(Folder(tmp_path / "edge"), told.deployment, lambda: 1)
+    earlier.write(KNOWLEDGE, {"models": "of then"})
+    earlier.close()
+    disk = DiskFaults(tmp_path, Random(1))
+    with disk():
+        async with fleet({"a": [after(5, satisfied)]}) as f:
+            disk.fail(errno.EIO, 1)
+            keeper = Keeper(f.edge, told)
+            f.group.start_soon(keeper.run, f.dispatcher)
+            assert (await f.call())[0] == 200
+            disk.heal()
+        state = Store(Folder(tmp_path / "edge"), told.deployment, lambda: 1).read(KNOWLEDGE)
+        assert state is not None and (state.value, state.generation) == ({"models": "of then"}, 1)
+
+
 @pytest.mark.anyio
 async def test_an_edge_keeps_the_newest_list_once_its_disk_is_well_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -645,6 +720,20 @@
         again.close()
 
 
+def test_a_chunk_whose_use_cannot_be_written_down_is_given(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def read_only(*_: Any) -> None:
+        raise OSError(errno.EROFS, "Read-only file system")
+
+    data = b"d" * 300
+    cache = Cache(tmp_path, 1000)
+    cache.put(digest_of(data), data)
+    monkeypatch.setattr(os, "utime", read_only)
+    assert cache.get(digest_of(data)) == data
+    cache.close()
+
+
 def test_a_chunk_that_cannot_be_read_now_is_not_set_aside(tmp_path: Path) -> None:
     data = b"d" * 300
     cache = Cache(tmp_path, 1000)
