--- a/martenlead/capture/store.py
+++ b/martenlead/capture/store.py
@@ -2,7 +2,7 @@
 
 A disk that fails for a while costs the batches that were tried meanwhile: they are counted, a `Gap` stands in
 their place, and writing goes on in a new segment once an attempt succeeds. Attempts back off; in between,
-events wait in the bounded queue.
+events wait in the bounded queue, and so does the beginning of a run until it is written.
 
 Files are named NAME-RUN-SEGMENT.mlc: one run is one life of a dispatcher. Only the holder of NAME.lock writes
 or removes files of that name, so that dispatchers share a folder as long as their names differ.
@@ -166,7 +166,10 @@
         try:
             self._put_down([*self._gap_before(batch), *batch])
         except (OSError, Busy) as error:
-            self._lose(batch)
+            if self.written:
+                self._lose(batch)
+            else:  # a run whose beginning is missing cannot be replayed
+                self._queue.extendleft(reversed(batch))
             self._begin_trouble(error)
             self._leave_segment()
             return False
--- a/tests/test_capture_disk_faults.py
+++ b/tests/test_capture_disk_faults.py
@@ -128,13 +128,18 @@
         disk.fail(errno.EROFS, 1)
         made, told = captures(tmp_path / "captures", monkeypatch)
         assert told == ["the capture is not written"]
-        put(made, 1, 2)
+        for n in (1, 2):
+            made.put(ev.Advance(n))
+        end = time.monotonic() + 10
+        while made.failures < 5 and time.monotonic() < end:
+            time.sleep(0.001)
+        assert (made.failures >= 5, made.dropped) == (True, 0)
         disk.heal()
         put(made, 3, 2)
         with pytest.raises(Busy):
             captures(tmp_path / "captures", monkeypatch)
         made.close()
-        assert read(tmp_path / "captures") == ([3, 4], 2)
+        assert read(tmp_path / "captures") == ([1, 2, 3, 4], 0)  # a run is replayed from its beginning only
         assert told == ["the capture is not written", "capture_resumed"]
 
 
@@ -164,15 +169,16 @@
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         made, _ = captures(tmp_path, monkeypatch)
-        disk.fail(errno.ENOSPC, 1)
         put(made, 1, 1)
-        for n in range(2, 50):
+        disk.fail(errno.ENOSPC, 1)
+        put(made, 2, 1)
+        for n in range(3, 50):
             made.put(ev.Advance(n))
         time.sleep(0.05)  # fifty flushes
         assert (made.failures, made.dropped) == (1, 1)
         disk.heal()
         made.close()
-        assert read(tmp_path) == (list(range(2, 50)), 1)
+        assert read(tmp_path) == ([1, *range(3, 50)], 1)
 
 
 def test_a_segment_that_cannot_be_removed_at_once_costs_no_event(
