--- a/martenlead/layers/cache.py
+++ b/martenlead/layers/cache.py
@@ -180,17 +180,18 @@
             path.unlink(missing_ok=True)
 
     def _note_use(self, path: Path) -> None:
-        """Writes the time of last use to a file. Raises OSError."""
+        """Writes the time of last use to a file. Where that fails, the chunk counts as older at the next start
+        than it is, no more."""
         self._latest_use = max(clocks.wall_ns(), self._latest_use + 1)
-        os.utime(path, ns=(self._latest_use, self._latest_use))
+        with suppress(OSError):
+            os.utime(path, ns=(self._latest_use, self._latest_use))
 
     def _use(self, digest: str, path: Path) -> None:
         self._known.move_to_end(digest)
         now = time.monotonic()
         if now - self._touched.get(digest, -TOUCH_S) >= TOUCH_S:
             self._touched[digest] = now
-            with suppress(OSError):  # it is older than it is at the next start, no more
-                self._note_use(path)
+            self._note_use(path)
 
     def put(self, digest: str, data: bytes) -> None:
         """Keeps a chunk. Raises `BadImage` for other bytes, `NoRoom`; then nothing has changed but what was
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -723,14 +723,16 @@
 def test_a_chunk_whose_use_cannot_be_written_down_is_given(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def read_only(*_: Any) -> None:
+    def read_only(*_: Any, **_named: Any) -> None:
         raise OSError(errno.EROFS, "Read-only file system")
 
-    data = b"d" * 300
+    data, further = b"d" * 300, b"e" * 300
     cache = Cache(tmp_path, 1000)
     cache.put(digest_of(data), data)
     monkeypatch.setattr(os, "utime", read_only)
     assert cache.get(digest_of(data)) == data
+    cache.put(digest_of(further), further)
+    assert cache.get(digest_of(further)) == further
     cache.close()
 
 
