--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -49,6 +49,7 @@
     zone: int
     state: WorkerState = WorkerState.UP
     started_ms: int = 0
+    weight_thousandths: int = WEIGHT_THOUSANDTHS
 
     def record(self) -> bytes:
         address = FIRST_ADDRESS + self.number
@@ -60,7 +61,7 @@
             self.zone,
             0,
             self.number % 64,
-            WEIGHT_THOUSANDTHS,
+            self.weight_thousandths,
             self.started_ms,
         )
 
@@ -125,7 +126,7 @@
             "locality": zones[member.zone],
             "flavor": "standard",
             "cell": member.number % 64,
-            "size": WEIGHT_THOUSANDTHS / 1000,
+            "size": member.weight_thousandths / 1000,
             "up_since_ms": member.started_ms,
         }
         for member in listed
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -157,7 +157,7 @@
     ) -> None:
         """`known` goes before the list of the configuration; its lines may be shared by dispatchers."""
         self.meter, self.clock = meter, clock
-        self.link = HollowLink(clock)
+        self.link: Any = self.make_link(told, clock)
         self.source = ListSource()
         self.dispatcher = Dispatcher(told.about, self.link, self.source, clock)
         metered: Any = MeteredBorder(self.dispatcher.border, meter)
@@ -167,6 +167,10 @@
         self.armed = 1 << 62  # when the simulation runs the timers next
         self._known = told.known if known is None else known
 
+    def make_link(self, _told: config.Config, clock: Callable[[], int]) -> Any:
+        """The link to workers; another kind of dispatcher has another one."""
+        return HollowLink(clock)
+
     def begin(self) -> None:
         """Takes in the list of the configuration and starts the periodic work, as the program does."""
         with self.meter.measure(Activity.MEMBERSHIP):
--- /dev/null
+++ b/benchmarks/scale/production.py
@@ -0,0 +1,280 @@
+"""The same minutes on more and smaller workers, beside what a dispatcher may need then.
+
+    python -m benchmarks.scale.production
+
+Hollow dispatchers with the node's own link play a start, traffic, the replacement of half of the workers, a
+zone that is lost and returns cold, and a whole list that is sent again. Of the sizes the first is the usual
+one. Traffic of a dispatcher, its limits and the capacity of all workers together stay as they are; a worker
+of a fleet that is sixteen times as large is a sixteenth as large. Each size is played in a process of its
+own, one after the other. Exit status 1 where a bound does not hold, 2 where a size was not played to its end.
+"""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Iterator
+from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass, replace
+from multiprocessing import get_context
+from pathlib import Path
+from time import monotonic
+from typing import Any
+
+import click
+
+from benchmarks.scale import discovery
+from benchmarks.scale.bounds import BOUNDS, Verdict, verdicts
+from benchmarks.scale.discovery import EventKind, Member, WorkerState
+from benchmarks.scale.measure import Run, configured, logs_discarded
+from benchmarks.scale.meter import Meter
+from benchmarks.scale.pooled import PooledDispatcher, PooledSimulation
+from benchmarks.scale.sizes import Assumptions, BadSize, FleetSize, resident_bytes
+from benchmarks.scale.workers import SECOND_NS
+from martenlead.edge.records import Final
+from martenlead.node.runners import SWEEP
+
+INSTANCES = 3_200  # of all workers together, so that the largest fleet has one a worker
+ZONES, REGIONS = 4, 1
+STEP_SECONDS = SWEEP / SECOND_NS  # between two looks of the link for idle connections, as in the node
+REPLACED_FROM = 0.25  # of the time played
+REPLACED_SHARE = 0.5  # of the workers
+REPLACING_SECONDS = 7.0
+ZONE_LOST_AT, ZONE_LOST_SECONDS = 0.6, 5.0
+RESYNC_AT = 0.85
+EXIT_BOUND, EXIT_NOT_PLAYED = 1, 2
+
+
+@dataclass(frozen=True, slots=True)
+class Play:
+    """What is played at one size."""
+
+    workers: int
+    dispatchers: int
+    calls: float  # a second, at one dispatcher
+    functions: int
+    seconds: float
+    sockets: int
+    seed: int
+    limit_seconds: float
+
+    def size(self) -> FleetSize:
+        """Raises BadSize where the instances do not divide among the workers."""
+        if INSTANCES % self.workers:
+            raise BadSize(f"workers: has to divide {INSTANCES}, not {self.workers}")
+        return FleetSize(
+            dispatchers=self.dispatchers,
+            workers=self.workers,
+            instances_per_worker=INSTANCES // self.workers,
+            functions=self.functions,
+            calls_per_second=self.calls * self.dispatchers,
+            zones=ZONES,
+            regions=REGIONS,
+        )
+
+
+class ListScript:
+    """What discovery tells over the time played, the same share of the workers at each size."""
+
+    def __init__(self, size: FleetSize, seconds: float) -> None:
+        weight = size.instances_per_worker * discovery.WEIGHT_THOUSANDTHS
+        self.size, self.seconds = size, seconds
+        self.members = {m.number: replace(m, weight_thousandths=weight) for m in discovery.members(size)}
+        self.version = 1
+        self.gone: list[int] = []  # whose processes have ended: what stood there stands no more
+        self._fresh = size.workers  # the next number of a new worker
+        self._events = sorted(self._schedule(), key=lambda event: event[0])
+
+    def _schedule(self) -> Iterator[tuple[float, Any]]:
+        steps = round(REPLACING_SECONDS / STEP_SECONDS)
+        replaced = list(range(round(self.size.workers * REPLACED_SHARE)))
+        began = self.seconds * REPLACED_FROM
+        for step in range(steps):
+            part = replaced[step::steps]
+            yield began + step * STEP_SECONDS, lambda now, part=part: self._drain(part)
+            yield began + (step + 2) * STEP_SECONDS, lambda now, part=part: self._replace(part, now)
+        lost = self.seconds * ZONE_LOST_AT
+        yield lost, lambda now: self._lose_zone()
+        yield lost + ZONE_LOST_SECONDS, lambda now: self._return_zone(now)
+        yield self.seconds * RESYNC_AT, lambda now: (EventKind.SNAPSHOT, list(self.members.values()))
+
+    def due(self, passed: float, now: int) -> Iterator[bytes]:
+        """The frames up to a second of the time played; `now` is a Unix time, ns."""
+        while self._events and self._events[0][0] <= passed:
+            kind, listed = self._events.pop(0)[1](now)
+            self.version += 1
+            yield discovery.frame(self.version, kind, listed)
+
+    def _drain(self, numbers: list[int]) -> tuple[EventKind, list[Member]]:
+        drained = [replace(self.members[n], state=WorkerState.DRAINING) for n in numbers]
+        self.members |= {m.number: m for m in drained}
+        return EventKind.DELTA, drained
+
+    def _replace(self, numbers: list[int], now: int) -> tuple[EventKind, list[Member]]:
+        """A new worker has the zone of the one that it replaces."""
+        changed = []
+        for number in numbers:
+            old = self.members.pop(number)
+            self.gone.append(number)
+            while self._fresh % ZONES != old.zone:
+                self._fresh += 1
+            new = replace(old, number=self._fresh, state=WorkerState.UP, started_ms=now // 1_000_000)
+            self._fresh += 1
+            self.members[new.number] = new
+            changed += [replace(old, state=WorkerState.GONE), new]
+        return EventKind.DELTA, changed
+
+    def _zone(self) -> list[Member]:
+        return [member for member in self.members.values() if member.zone == 0]
+
+    def _lose_zone(self) -> tuple[EventKind, list[Member]]:
+        lost = self._zone()
+        self.gone += [member.number for member in lost]
+        return EventKind.DELTA, [replace(member, state=WorkerState.GONE) for member in lost]
+
+    def _return_zone(self, now: int) -> tuple[EventKind, list[Member]]:
+        back = [replace(member, started_ms=now // 1_000_000) for member in self._zone()]
+        self.members |= {member.number: member for member in back}
+        return EventKind.DELTA, back
+
+
+def play(about: Play) -> dict[str, float]:
+    """The figures of a mean dispatcher at one size. Raises BadSize."""
+    size = about.size()
+    deadline = monotonic() + about.limit_seconds
+    run = Run(size, Assumptions(), about.seed, about.seconds, deadline, "production")
+    script = ListScript(size, about.seconds)
+    meter = Meter(without_collections=True)
+    simulation = PooledSimulation(size, run.assumptions, about.seed, deadline)
+    before = resident_bytes()
+    with logs_discarded(), meter.collections():
+        reading = start(run, about, script, simulation, meter)
+        carry(simulation, script, about)
+    if simulation.stopped:
+        raise BadSize(f"{about.workers} workers: the time limit was over before the end")
+    return figures(simulation, meter, reading, peak_bytes() - before)
+
+
+def start(run: Run, about: Play, script: ListScript, simulation: PooledSimulation, meter: Meter) -> float:
+    """Starts each dispatcher from its own configuration; the CPU seconds of reading them all."""
+    listed = list(script.members.values())
+    reading = 0.0
+    for number in range(about.dispatchers):
+        simulation.check_time("the dispatchers started")
+        told, _, read_ms = configured(run, number, listed)
+        reading += read_ms / 1e3
+        simulation.add(PooledDispatcher(told, simulation.clock, meter, about.sockets))
+    return reading
+
+
+def carry(simulation: PooledSimulation, script: ListScript, about: Play) -> None:
+    """Traffic and the list's changes, for the time played."""
+    simulation.traffic(about.calls * about.dispatchers, about.seconds)
+    began = simulation.now
+    while not simulation.stopped and simulation.now - began < about.seconds * SECOND_NS:
+        for data in script.due((simulation.now - began) / SECOND_NS, simulation.now):
+            for number, dispatcher in enumerate(simulation.dispatchers):
+                dispatcher.membership(data)
+                simulation.carry_from(number)
+        forget_workers(simulation, script)
+        for dispatcher in simulation.dispatchers:
+            dispatcher.maintain()
+        simulation.run(STEP_SECONDS)
+
+
+def forget_workers(simulation: PooledSimulation, script: ListScript) -> None:
+    """The instances of workers that have gone. What runs there then still ends."""
+    for number in script.gone:
+        simulation.workers.workers.pop(number, None)
+    script.gone.clear()
+
+
+def figures(
+    simulation: PooledSimulation, meter: Meter, reading: float, grown_bytes: float
+) -> dict[str, float]:
+    """Of a mean dispatcher."""
+    dispatchers: list[Any] = simulation.dispatchers
+    count = len(dispatchers)
+    finals = simulation.outcomes.finals
+    return {
+        "cpu_seconds": (sum(meter.spent.values()) / 1e9 + reading) / count,
+        "peak_memory_bytes": grown_bytes / count,
+        "descriptors": sum(d.link.most_connections for d in dispatchers) / count,
+        "connections_made": sum(d.link.connections_made for d in dispatchers) / count,
+        "list_bytes": sum(d.control.received_bytes for d in dispatchers) / count,
+        "share_served": finals[Final.SATISFIED.value] / max(1, simulation.outcomes.calls),
+    }
+
+
+def peak_bytes() -> int:
+    """The largest resident set that this process has had."""
+    for line in Path("/proc/self/status").read_text().splitlines():
+        if line.startswith("VmHWM"):
+            return int(line.split()[1]) * 1024
+    return resident_bytes()
+
+
+def play_apart(about: Play) -> dict[str, float]:
+    """In a process of its own, whose peak of memory is of this size alone. Raises BadSize."""
+    with ProcessPoolExecutor(1, mp_context=get_context("spawn")) as pool:
+        return pool.submit(play, about).result()
+
+
+def table(found: list[Verdict]) -> str:
+    """One line a figure and size, as a page has it."""
+    lines = [
+        "| workers | of a mean dispatcher | usual size | found | bound | |",
+        "| --- | --- | --- | --- | --- | --- |",
+    ]
+    for verdict in found:
+        bound = BOUNDS[verdict.name]
+        cells = (shown(amount, bound.unit) for amount in (verdict.usual, verdict.found, verdict.limit))
+        end = "holds" if verdict.holds else "FAILS"
+        lines.append(f"| {verdict.workers} | {bound.title} | {' | '.join(cells)} | {end} |")
+    return "\n".join(lines)
+
+
+def shown(amount: float, unit: str) -> str:
+    if unit == "bytes":
+        return f"{amount / 1e6:.3f} MB"
+    return f"{amount:.4g}{' ' + unit if unit else ''}"
+
+
+@click.command()
+@click.option(
+    "--workers", type=click.IntRange(1), multiple=True, default=(200, 800, 3_200), show_default=True
+)
+@click.option("--dispatchers", type=click.IntRange(1), default=40, show_default=True)
+@click.option(
+    "--calls", type=click.FloatRange(0.01), default=5.0, show_default=True, help="A second, at each."
+)
+@click.option("--functions", type=click.IntRange(1), default=400, show_default=True)
+@click.option(
+    "--seconds", type=click.FloatRange(20), default=60.0, show_default=True, help="Of virtual time."
+)
+@click.option("--sockets", type=click.IntRange(64), default=256, show_default=True, help="Limit of each.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
+@click.option(
+    "--limit-seconds", type=click.FloatRange(1), default=100.0, show_default=True, help="Wall time, each."
+)
+def main(workers: tuple[int, ...], **about: Any) -> None:
+    """Play the same minutes at several counts of workers and compare with the bounds."""
+    found: list[dict[str, float]] = []
+    try:
+        for count in workers:
+            found.append(play_apart(Play(workers=count, **about)))
+    except BadSize as error:
+        click.echo(f"not played: {error}", err=True)
+        sys.exit(EXIT_NOT_PLAYED)
+    judged = [
+        v for count, one in zip(workers[1:], found[1:], strict=True) for v in verdicts(found[0], one, count)
+    ]
+    click.echo(table(judged))
+    failed = [v for v in judged if not v.holds]
+    click.echo(f"{len(failed)} of {len(judged)} bounds fail")
+    for verdict in failed:
+        click.echo(f"fails: {BOUNDS[verdict.name].title} at {verdict.workers} workers")
+    sys.exit(EXIT_BOUND if failed else 0)
+
+
+if __name__ == "__main__":
+    main()
--- a/benchmarks/scale/simulation.py
+++ b/benchmarks/scale/simulation.py
@@ -37,6 +37,7 @@
     EXPIRES = auto()
     TIMERS = auto()
     HEARTBEAT = auto()
+    CONNECTED = auto()  # of links with connections alone
 
 
 @dataclass(slots=True)
