--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -4,6 +4,7 @@
 
 import json
 import struct
+from collections import defaultdict
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager, suppress
 from pathlib import Path
@@ -90,6 +91,18 @@
     return later
 
 
+def in_turn(part: Part) -> Part:
+    """One at a time on a connection: two that write in the same turn of the loop are a fault of the rig,
+    which ends the runner."""
+    locks: defaultdict[SocketStream, anyio.Lock] = defaultdict(anyio.Lock)
+
+    async def one(runner: Runner, stream: SocketStream, message: dict[str, Any]) -> None:
+        async with locks[stream]:
+            await part(runner, stream, message)
+
+    return one
+
+
 done, silent = says("DONE"), raw(b"")
 
 
@@ -223,6 +236,47 @@
         return word(await self.answer())
 
 
+class Asker:
+    """A client that asks without waiting for answers, and keeps when each was asked and answered."""
+
+    def __init__(self, caller: Caller, first: int = 0) -> None:
+        """Numbers and ids begin behind `first`, so that those of several askers differ."""
+        self.caller = caller
+        caller.number = first
+        self.asked: dict[int, float] = {}
+        self.answers: list[tuple[int, str, float]] = []  # number, answer in a word, when
+        self.ended = False
+
+    async def ask(self, method: str = "safe", **more: Any) -> None:
+        if method == "keyed":
+            more["once"] = f"{self.caller.number + 1:032x}"
+        number = self.caller.number + 1
+        self.asked[number] = anyio.current_time()
+        await self.caller.ask(method, **more)
+
+    async def read(self) -> None:
+        """Until the connection ends."""
+        while (told := await self.caller.answer(within=60)) is not None:
+            self.answers.append((told["id"], word(told), anyio.current_time()))
+        self.ended = True
+
+    def latencies(self) -> list[float]:
+        return [at - self.asked[number] for number, _, at in self.answers]
+
+    def words(self) -> set[str]:
+        return {answer for _, answer, _ in self.answers}
+
+    def has_one_answer_each(self) -> bool:
+        """Exactly one, and none to what was not asked."""
+        return sorted(number for number, _, _ in self.answers) == sorted(self.asked)
+
+
+def with_deadlines(seconds: float) -> dict[str, Any]:
+    """The settings with this deadline for each class, and half of it as the latency objective."""
+    classes = [c | {"on-time": seconds / 2, "give-up": seconds} for c in SETTINGS["classes"]]
+    return SETTINGS | {"classes": classes}
+
+
 def message(told: Any) -> bytes:
     body = json.dumps(told).encode()
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
@@ -283,9 +337,10 @@
 
 @asynccontextmanager
 async def play(
-    tmp_path: Path, parts: dict[str, list[Part]] | None = None, **more: Any
+    tmp_path: Path, parts: dict[str, list[Part]] | None = None, journal: Journal | None = None, **more: Any
 ) -> AsyncIterator[Play]:
     p = Play()
+    p.journal = journal or p.journal
     p.path = tmp_path / "config.json"
     async with anyio.create_task_group() as p.group:
         for name, its in (parts or {"a": [done]}).items():
