--- /dev/null
+++ b/tests/test_isolation.py
@@ -0,0 +1,288 @@
+"""Trouble at workers or with other clients frees no request of its final answer, in the node and in the edge.
+
+Workers hang, refuse all connections, or are not listed; another client floods, or never reads what it is
+answered; and all of these at once. Whoever asks meanwhile has each answer in its time, and exactly one.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import AsyncIterator, Awaitable, Callable
+from contextlib import asynccontextmanager, suppress
+from pathlib import Path
+from typing import Any
+
+import anyio
+import pytest
+from anyio.abc import SocketStream
+
+from martenlead.events import http
+from martenlead.events.client import Pool
+from martenlead.events.cloudevent import Event, write
+from support.fleet import Fleet, Runner, fleet, satisfied, until
+from tests.nodes import BROKEN, SETTINGS, Asker, Play, done, in_turn, play
+
+pytestmark = pytest.mark.anyio
+
+WAIT = 0.4  # s that each client waits for its answer
+LATEST = 0.5  # s after that: an answer that comes later counts as lost
+REQUESTS = 15
+BETWEEN = 0.05  # s between two requests
+OPEN = 32  # requests of one connection that may be open, by the protocol
+FLOODS = 4  # connections of the client that floods
+FLOOD, FLOOD_EVERY = 100, 0.05  # requests of each of them that are written at once, and how often, s
+UNREAD = 600  # requests of the client that never reads
+LARGE = "QUFB" * 4_000  # a body in base64, so that unread answers fill the buffers of both machines
+QUOTA = 20.0  # requests a second of the tenant that floods
+OVER_SHARE = 0.2  # what a request over its tenant's quota is worth, as a part
+RUN = 0.02  # s that a worker takes
+SERVED = 1 / 2  # of who asks within its quota, where workers are well
+
+WORKERS = ("well", "hung", "refusing", "not listed")
+CLIENTS = ("none", "floods", "never reads")
+TROUBLE = [(w, c) for w in WORKERS for c in CLIENTS if (w, c) != ("well", "none")]
+
+
+class AtWorkers:
+    """How many requests of whom workers have had, in all and at once."""
+
+    def __init__(self) -> None:
+        self.all: Counter[str] = Counter()
+        self.now: Counter[str] = Counter()
+        self.most: Counter[str] = Counter()
+
+    def begun(self, whose: str) -> None:
+        self.all[whose] += 1
+        self.now[whose] += 1
+        self.most[whose] = max(self.most[whose], self.now[whose])
+
+    def ended(self, whose: str) -> None:
+        self.now[whose] -= 1
+
+
+# -- the node
+
+TENANTS = [{"name": "acme", "quota-per-s": 1000.0}, {"name": "noisy", "quota-per-s": QUOTA}]
+NOISY = 0x10_0000  # ids of the clients that make trouble are over this
+
+
+async def ask_for_long(asker: Asker, method: str) -> None:
+    for _ in range(REQUESTS):
+        await asker.ask(method, wait=round(WAIT * 1000))
+        await anyio.sleep(BETWEEN)
+    await until(lambda: len(asker.answers) >= len(asker.asked), within=3)
+
+
+async def flood_node(p: Play) -> None:
+    """A hundred written at once on each connection, again and again, and all answers are read."""
+
+    async def connection(number: int) -> None:
+        caller = await p.client()
+        caller.number = NOISY * (number + 1)
+        p.group.start_soon(drain, caller.stream)
+        with suppress(*BROKEN):
+            while True:
+                wait = round(WAIT * 1000)
+                await caller.send(b"".join(caller.task(tenant="noisy", wait=wait) for _ in range(FLOOD)))
+                await anyio.sleep(FLOOD_EVERY)
+
+    async with anyio.create_task_group() as group:
+        for number in range(FLOODS):
+            group.start_soon(connection, number)
+
+
+async def watch_open(p: Play, most: Counter[str]) -> None:
+    """The most requests of each tenant that the node holds at once, looked at every few ms."""
+    while True:
+        held = Counter(str(held.wanted.customer) for held in p.node.dispatcher.held.values())
+        for tenant, count in held.items():
+            most[tenant] = max(most[tenant], count)
+        await anyio.sleep(0.005)
+
+
+async def drain(stream: SocketStream) -> None:
+    with suppress(*BROKEN):
+        while True:
+            await stream.receive()
+
+
+async def never_read_node(p: Play) -> None:
+    """Its answers wait in the machine and in the node."""
+    caller = await p.client()
+    caller.number = NOISY
+    for _ in range(UNREAD // 10):
+        with suppress(*BROKEN), anyio.move_on_after(0.05):
+            await caller.send(b"".join(caller.task(tenant="noisy", blob=LARGE) for _ in range(10)))
+
+
+@asynccontextmanager
+async def troubled_node(tmp_path: Path, workers: str, at_workers: AtWorkers) -> AsyncIterator[Play]:
+    answers = in_turn(done)
+
+    async def counted(runner: Any, stream: SocketStream, told: dict[str, Any]) -> None:
+        whose = "noisy" if int(told["txn"], 16) >= NOISY else "acme"
+        at_workers.begun(whose)
+        if workers == "hung":
+            return  # it has it for good
+        await anyio.sleep(RUN)
+        at_workers.ended(whose)
+        await answers(runner, stream, told)
+
+    parts = {"a": [counted], "b": [counted]}
+    settings = SETTINGS | {"orgs": TENANTS, "over-share-worth": OVER_SHARE}
+    async with play(tmp_path, parts, settings=settings) as p:
+        if workers == "refusing":
+            for runner in p.runners.values():
+                await runner.listener.aclose()
+        if workers == "not listed":
+            await until(lambda: p.journal.streams)
+            await p.journal.tell(kind=1)
+            await until(lambda: not any(box.up for box in p.node.dispatcher.boxes.values()))
+        yield p
+
+
+NODE_CLIENTS: dict[str, Callable[[Play], Awaitable[None]]] = {
+    "floods": flood_node,
+    "never reads": never_read_node,
+}
+
+
+@pytest.mark.parametrize("method", ["safe", "keyed", "unsafe"])
+@pytest.mark.parametrize(("workers", "clients"), TROUBLE)
+async def test_the_node_answers_who_asks_in_its_time_whatever_happens_to_others(
+    workers: str, clients: str, method: str, tmp_path: Path
+) -> None:
+    at_workers = AtWorkers()
+    async with troubled_node(tmp_path, workers, at_workers) as p:
+        asker = Asker(await p.client())
+        p.group.start_soon(asker.read)
+        most_open: Counter[str] = Counter()
+        p.group.start_soon(watch_open, p, most_open)
+        async with anyio.create_task_group() as group:
+            if clients in NODE_CLIENTS:
+                group.start_soon(NODE_CLIENTS[clients], p)
+            await ask_for_long(asker, method)
+            group.cancel_scope.cancel()
+        assert asker.has_one_answer_each(), (asker.asked, asker.answers)
+        assert max(asker.latencies()) < WAIT + LATEST
+        if workers == "well":
+            assert [w for _, w, _ in asker.answers].count("satisfied") >= REQUESTS * SERVED, asker.answers
+        else:
+            assert asker.words() <= {"turned back", "error -32000"}
+        connections = FLOODS if clients == "floods" else 1
+        assert most_open["noisy"] <= OPEN * connections
+        assert workers == "hung" or at_workers.most["noisy"] <= OPEN * connections
+        assert (at_workers.all["noisy"] > 0) == (clients != "none" and workers in ("well", "hung"))
+
+
+# -- the edge
+
+
+async def post(pool: Pool, ident: str, kind: str, customer: str, wait: float) -> int:
+    """One request; the status of its answer."""
+    attributes: dict[str, Any] = {
+        "specversion": "1.0",
+        "id": ident,
+        "source": "/c",
+        "type": kind,
+        "model": "m",
+        "timeleftms": round(wait * 1000),
+        "customer": customer,
+    }
+    headers, body = write(Event(attributes, b"{}", "application/json"))
+    exchange = await pool.exchange(http.request(b"POST", b"/", b"edge", headers, body))
+    assert exchange.message is not None, exchange
+    return exchange.message.status
+
+
+async def large(_runner: Runner, stream: SocketStream, _message: http.Message) -> None:
+    event = Event({"specversion": "1.0", "id": "r", "source": "/r", "type": "t"}, b"x" * 12_000, "text/plain")
+    headers, body = write(event)
+    await stream.send(http.response(200, [*headers, (b"martenlead-copy", b"warm")], body))
+
+
+async def flood_edge(f: Fleet) -> None:
+    pool = Pool("127.0.0.1", f.port, most=FLOODS * OPEN, connect=10_000_000_000)
+
+    async def client(number: int) -> None:
+        for count in range(10):
+            await post(pool, f"noisy{number}-{count}", "estimate", "noisy", WAIT)
+
+    async with anyio.create_task_group() as group:
+        for number in range(FLOODS * OPEN):
+            group.start_soon(client, number)
+
+
+async def never_read_edge(f: Fleet) -> None:
+    """Pipelined requests, and nothing is read."""
+    async with await anyio.connect_tcp("127.0.0.1", f.port) as stream:
+        for number in range(UNREAD):
+            attributes: dict[str, Any] = {
+                "specversion": "1.0",
+                "id": f"noisy-unread-{number}",
+                "source": "/c",
+                "type": "estimate",
+                "model": "m",
+                "timeleftms": round(WAIT * 1000),
+                "customer": "noisy",
+            }
+            headers, body = write(Event(attributes, b"{}" * 2000, "application/json"))
+            with anyio.move_on_after(0.05):
+                await stream.send(http.request(b"POST", b"/", b"edge", headers, body))
+        await anyio.sleep_forever()
+
+
+EDGE_CLIENTS: dict[str, Callable[[Fleet], Awaitable[None]]] = {
+    "floods": flood_edge,
+    "never reads": never_read_edge,
+}
+CUSTOMERS = [{"name": "acme", "quota_per_s": 1000.0}, {"name": "noisy", "quota_per_s": QUOTA}]
+
+
+@asynccontextmanager
+async def troubled_edge(workers: str, at_workers: AtWorkers) -> AsyncIterator[Fleet]:
+    async def counted(runner: Runner, stream: SocketStream, message: http.Message) -> None:
+        whose = "noisy" if (message.header(b"ce-id") or b"").startswith(b"noisy") else "acme"
+        at_workers.begun(whose)
+        if workers == "hung":
+            return  # it has it for good
+        await anyio.sleep(RUN)
+        at_workers.ended(whose)
+        await (large if whose == "noisy" else satisfied)(runner, stream, message)
+
+    async with fleet({"a": [counted], "b": [counted]}, customers=CUSTOMERS, over_share=OVER_SHARE) as f:
+        if workers == "refusing":
+            for runner in f.runners.values():
+                await runner.listener.aclose()
+        if workers == "not listed":
+            for name in f.runners:
+                await f.say(name, "gone")
+            await until(lambda: not any(box.up for box in f.dispatcher.boxes.values()))
+        yield f
+
+
+@pytest.mark.parametrize("kind", ["estimate", "notice"])
+@pytest.mark.parametrize(("workers", "clients"), TROUBLE)
+async def test_the_edge_answers_who_asks_in_its_time_whatever_happens_to_others(
+    workers: str, clients: str, kind: str
+) -> None:
+    at_workers = AtWorkers()
+    async with troubled_edge(workers, at_workers) as f:
+        pool = Pool("127.0.0.1", f.port, connect=10_000_000_000)
+        statuses: list[int] = []
+        async with anyio.create_task_group() as group:
+            if clients in EDGE_CLIENTS:
+                group.start_soon(EDGE_CLIENTS[clients], f)
+            for number in range(REQUESTS):
+                with anyio.fail_after(WAIT + LATEST):
+                    statuses.append(await post(pool, f"asks-{number}", kind, "acme", WAIT))
+                await anyio.sleep(BETWEEN)
+            group.cancel_scope.cancel()
+        assert len(statuses) == REQUESTS
+        if workers == "well":
+            assert statuses.count(200) >= REQUESTS * SERVED, statuses
+        else:
+            assert set(statuses) <= {429, 502, 503, 504}, statuses
+        connections = FLOODS if clients == "floods" else 1
+        assert workers == "hung" or at_workers.most["noisy"] <= OPEN * connections
+        assert (at_workers.all["noisy"] > 0) == (clients != "none" and workers in ("well", "hung"))
