--- a/martenlead/layers/cache.py
+++ b/martenlead/layers/cache.py
@@ -180,8 +180,8 @@
             path.unlink(missing_ok=True)
 
     def _note_use(self, path: Path) -> None:
-        """Writes the time of last use to a file. Where that fails, the chunk counts as older at the next start
-        than it is, no more."""
+        """Writes the time of last use to a file. Where that fails, the chunk counts as older at the next
+        start than it is, no more."""
         self._latest_use = max(clocks.wall_ns(), self._latest_use + 1)
         with suppress(OSError):
             os.utime(path, ns=(self._latest_use, self._latest_use))
