--- a/martenlead/edge/serve.py
+++ b/martenlead/edge/serve.py
@@ -71,7 +71,7 @@
 
 
 async def _until_idle(dispatcher: Dispatcher, door: Door) -> None:
-    while dispatcher.held or door.server.connections:
+    while dispatcher.held or door.server.serving:
         await anyio.sleep(IDLE_CHECK_SECONDS)
 
 
--- a/martenlead/events/server.py
+++ b/martenlead/events/server.py
@@ -3,6 +3,9 @@
 Every request of a connection is begun when it has been read, also behind one that still runs: its client's
 time runs too. Answers leave in the order of the requests, as RFC 9112 section 9.3.2 wants. A peer that closes
 its sending side is taken to have left: HTTP/1.1 clients keep it open until they have their answer.
+
+A request that was read is answered before its connection closes: at a drain, at a full table, at a message
+that is none behind it, at a fault of its handler. A fault costs the connection that it happens on.
 """
 
 from __future__ import annotations
@@ -11,16 +14,30 @@
 from collections.abc import AsyncGenerator, Awaitable, Callable
 from contextlib import aclosing, suppress
 from dataclasses import dataclass
-from socket import SO_RCVBUF, SOL_SOCKET
 from time import monotonic_ns
+from typing import Any
 
 import anyio
-from anyio.abc import SocketAttribute, SocketListener, SocketStream
+from anyio.abc import SocketAttribute, SocketStream
 
 from martenlead.events.http import BadMessage, Headers, Limits, Message, Reader, chunk, response
+from martenlead.events.stream_listener import StreamListener, listen
+from martenlead.system.sockets import has_ended, readable
+
+__all__ = ["Handler", "Reply", "Server", "ServerLimits", "StreamListener", "listen"]
 
 SECOND = 1_000_000_000
 READ = 16_384  # bytes at a time: what one read holds is parsed at once, and a slow reader sits on it
+HANGUP_CHECK_SECONDS = 0.02  # between two looks for a client's end while no request of it may be begun
+READ_AHEAD = 262_144  # bytes read meanwhile: an end does not show behind more than the kernel takes
+ROOM_CHECK_SECONDS = 0.02  # between two looks for idle connections that give way, while some have no room
+GIVE_WAY = 4  # idle connections that are ended at each look
+YOUNG = 50_000_000  # ns that a connection has for its first request before it may give way
+DRAIN_YOUNG = 200_000_000  # the same, before a drain ends it
+BACKLOG_SECONDS = 1.0  # for the connections that wait to be accepted as a drain begins
+REJECT_SECONDS = 1.0  # for the response to a connection beyond the limit
+LINGER_SECONDS = 0.25  # for the client to read its response and to close
+GONE = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 @dataclass(slots=True)
@@ -69,32 +86,60 @@
         self.handler, self.limits, self.bad, self.crashed = handler, limits, bad, crashed
         self.connections: set[Connection] = set()
         self.draining = False
+        self.serving = 0  # listeners; 0 again once all their connections have ended
+        self._takes_backlog = True
         self._stop = anyio.Event()
 
-    async def serve(self, listener: SocketListener) -> None:
-        """Until `drain`: then no connection is taken, idle ones end, and those with requests end when
-        answered."""
-        async with anyio.create_task_group() as group:
-            accepting, sweeping = anyio.CancelScope(), anyio.CancelScope()
-
-            async def accept_until_stopped() -> None:
-                with accepting, suppress(anyio.ClosedResourceError):
-                    await listener.serve(self._connected, group)
-
-            async def sweep() -> None:
-                with sweeping:
-                    await self._sweep()
-
-            group.start_soon(accept_until_stopped)
-            group.start_soon(sweep)
-            await self._stop.wait()
-            accepting.cancel()
-            await listener.aclose()
+    async def serve(self, listener: StreamListener) -> None:
+        """Until `drain`: then what waits to be accepted is taken still, idle connections end, and those with
+        requests end when answered."""
+        full = anyio.Event()
+
+        def on_full() -> None:
+            full.set()
+
+        async def keep_room() -> None:
+            nonlocal full
+            while True:
+                await full.wait()
+                full = anyio.Event()
+                while listener.is_full:
+                    self._make_room()
+                    await anyio.sleep(ROOM_CHECK_SECONDS)
+
+        listener.on_full = on_full
+        self.serving += 1
+        try:
+            async with anyio.create_task_group() as group, anyio.create_task_group() as helpers:
+                group.start_soon(listener.serve, self._connected, group)
+                helpers.start_soon(keep_room)
+                helpers.start_soon(self._sweep)
+                await self._stop.wait()
+                await self._wind_up(listener)
+                helpers.cancel_scope.cancel()
+        finally:
+            self.serving -= 1
+
+    async def _wind_up(self, listener: StreamListener) -> None:
+        if self._takes_backlog:
+            with anyio.move_on_after(BACKLOG_SECONDS):
+                await listener.accept_all()
+        listener.close()
+        while self.connections or not listener.is_idle:
+            now = monotonic_ns()
             for connection in list(self.connections):
-                connection.wind_up()
-            while self.connections:
-                await anyio.sleep(0.01)
-            sweeping.cancel()
+                connection.end_if_idle(now - DRAIN_YOUNG)
+            await anyio.sleep(0.01)
+
+    def _make_room(self) -> None:
+        """Ends the connections that never asked anything, the oldest first, then those idle for longest."""
+        now = monotonic_ns()
+        by_rank = sorted(self.connections, key=lambda connection: (connection.has_spoken, connection.read))
+        ended = 0
+        for connection in by_rank:
+            if ended == GIVE_WAY:
+                break
+            ended += connection.end_if_idle(now - YOUNG)
 
     async def _sweep(self) -> None:
         """Ends what takes too long. One look at all connections now and then costs less than a timer for each
@@ -111,13 +156,17 @@
         self.draining = True
         self._stop.set()
 
+    def abort(self) -> None:
+        """Ends everything now, as a process that dies would."""
+        self._takes_backlog = False
+        self.drain()
+        for connection in list(self.connections):
+            connection.scope.cancel()
+
     async def _connected(self, stream: SocketStream) -> None:
         connection = Connection(self, stream)
         if len(self.connections) >= self.limits.connections:
-            reply = self.bad(503, f"more than {self.limits.connections} connections")
-            with anyio.move_on_after(1):
-                await connection.write(reply, True)
-            await anyio.aclose_forcefully(stream)
+            await connection.reject(self.bad(503, f"more than {self.limits.connections} connections"))
             return
         self.connections.add(connection)
         try:
@@ -125,6 +174,13 @@
         finally:
             self.connections.discard(connection)
 
+    def crash(self, error: Exception) -> Reply:
+        """What a client is told of a fault of ours, whatever else fails."""
+        try:
+            return self.crashed(error)
+        except Exception:
+            return Reply(500, [])
+
 
 class Connection:
     """One client's. `group` holds a worker for the request at hand, and one more task for each pipelined
@@ -139,16 +195,35 @@
         self.read = monotonic_ns()  # when there was last something, or the message at hand had begun
         self.scope = anyio.CancelScope()
         self.reading = anyio.CancelScope()
+        self.has_spoken = False
+        self.is_ending = False  # it was idle, and closes once what crosses that is answered
         self.slow = False
-        self.flushed = anyio.Event()
         self.last = False  # nothing more is read
+        self._unbegun = 0  # requests that were read, and wait for one before them to be answered
+        self._ahead: deque[tuple[bytes, int]] = deque()  # what was read meanwhile, and when
+        self._ahead_bytes = 0
+        self._waiting = anyio.CancelScope()
         self._job: tuple[Message, int, _Slot] | None = None
         self._ready = anyio.Event()
         self._idle = False
-
-    def wind_up(self) -> None:
-        if not self.slots and not self.reader.in_message:
-            self.scope.cancel()
+        self._socket: Any = None
+        with suppress(AttributeError):  # reset while it was being made: the stream has no socket any more
+            self._socket = stream.extra(SocketAttribute.raw_socket)
+
+    def _has_nothing_unread(self) -> bool:
+        if self._unbegun or self._ahead or self.reader.in_message:
+            return False
+        return not readable(self._socket)
+
+    def end_if_idle(self, before: int) -> bool:
+        """Ends it if no request is open or unread, unless it is new since `before` (ns) and has not spoken.
+        Only reading is cancelled: a request that the event loop has read in this turn is answered still."""
+        is_young = not self.has_spoken and self.read > before
+        if self.is_ending or self.slots or is_young or not self._has_nothing_unread():
+            return False
+        self.is_ending = True
+        self.reading.cancel()
+        return True
 
     def look(self, now: int) -> None:
         """The sweeper's: ends the connection of a peer that does not read, send on or ask again."""
@@ -160,7 +235,13 @@
                 self.slow = True
                 self.reading.cancel()
         elif not self.slots and now - self.read > self.limits.idle:
-            self.scope.cancel()
+            self.end_if_idle(now)
+
+    async def reject(self, reply: Reply) -> None:
+        """Answers before anything was read, and closes."""
+        with anyio.move_on_after(REJECT_SECONDS), suppress(*GONE):
+            await self.write(reply, True)
+            await self._linger()
 
     async def run(self) -> None:
         try:
@@ -170,7 +251,7 @@
                     try:
                         with self.reading:
                             bad = await self._read(group)
-                    except (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream):
+                    except GONE:
                         group.cancel_scope.cancel()
                         return
                     if self.slow:
@@ -182,7 +263,7 @@
                     while self.slots:  # a last request is out: a peer that leaves is still to be noticed
                         try:
                             await self.stream.receive()
-                        except (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream):
+                        except GONE:
                             break
                     group.cancel_scope.cancel()
                 if self.last:
@@ -196,20 +277,16 @@
         group.start_soon(self._work)
         while not self.last:
             waiting = reader.in_message
-            data = await self.stream.receive(READ)
-            now = monotonic_ns()
+            data, now = await self._receive()
             if not waiting:
                 self.read = now
-            bad = None
-            try:
-                messages = reader.feed(data)
-            except BadMessage as error:
-                bad, messages = error, reader.done
+            messages, bad = self._parse(data)
+            self.has_spoken = self.has_spoken or bool(messages)
+            self._unbegun = len(messages)
             for message in messages:
                 # one read holds far more small requests than may be begun at a time
-                while len(slots) >= self.limits.pipelined:
-                    self.flushed = anyio.Event()
-                    await self.flushed.wait()
+                await self._wait_for_slot()
+                self._unbegun -= 1
                 self.last = self.last or not message.keep_alive
                 slot = _Slot(self.last)
                 slots.append(slot)
@@ -220,7 +297,8 @@
                 else:
                     group.start_soon(self._answer, message, now, slot)
                 if self.last:
-                    break
+                    self._unbegun = 0  # whoever says that a request is the last one sends none behind it
+                    return None
             if bad is not None:
                 self.last = True
                 return bad
@@ -229,6 +307,35 @@
                 await self.stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
         return None
 
+    def _parse(self, data: bytes) -> tuple[list[Message], BadMessage | None]:
+        """The messages that ended in these bytes, and what made the rest unreadable."""
+        try:
+            return self.reader.feed(data), None
+        except BadMessage as error:
+            return self.reader.done, error
+
+    async def _receive(self) -> tuple[bytes, int]:
+        """The next bytes, and when they were read."""
+        if not self._ahead:
+            data = await self.stream.receive(READ)
+            return data, monotonic_ns()
+        data, now = self._ahead.popleft()
+        self._ahead_bytes -= len(data)
+        return data, now
+
+    async def _wait_for_slot(self) -> None:
+        """Reads ahead meanwhile, and asks the socket: the client may leave. Raises EndOfStream, or what else
+        the stream does."""
+        while len(self.slots) >= self.limits.pipelined:
+            with anyio.move_on_after(HANGUP_CHECK_SECONDS) as self._waiting:
+                if self._ahead_bytes >= READ_AHEAD:
+                    await anyio.sleep_forever()
+                data = await self.stream.receive(READ)
+                self._ahead.append((data, monotonic_ns()))
+                self._ahead_bytes += len(data)
+            if has_ended(self._socket):
+                raise anyio.EndOfStream
+
     async def _work(self) -> None:
         """Answers one request after the other: most connections have one at a time, and need no task for
         each."""
@@ -244,7 +351,7 @@
         try:
             reply = await self.server.handler(message, now)
         except Exception as error:
-            reply = self.server.crashed(error)
+            reply = self.server.crash(error)
         await self._put(slot, reply)
 
     async def _put(self, slot: _Slot, reply: Reply) -> None:
@@ -254,14 +361,19 @@
         self.writing = monotonic_ns()
         try:
             while self.slots and (first := self.slots[0]).reply is not None:
-                close = first.close or first.reply.close or self.server.draining
+                self.is_ending = self.is_ending or first.close or first.reply.close
+                close = self._closes_behind_first()
                 try:
                     await self.write(first.reply, close)
-                except (anyio.BrokenResourceError, anyio.ClosedResourceError):
+                except GONE:
+                    self.scope.cancel()
+                    return
+                except Exception as error:  # of the body: the client can tell that it is not whole
+                    self.server.crash(error)
                     self.scope.cancel()
                     return
                 self.slots.popleft()
-                self.flushed.set()
+                self._waiting.cancel()
                 if close and not self.slots:
                     self.last = True
                     await self._linger()
@@ -271,12 +383,19 @@
             self.writing = 0
             self.read = monotonic_ns()
 
+    def _closes_behind_first(self) -> bool:
+        """Whether the first response is the last one. None is as long as more requests are open or unread: a
+        client that is told of a close expects no further response."""
+        if len(self.slots) > 1:
+            return False
+        if self.slots[0].close:
+            return True
+        return (self.is_ending or self.server.draining) and self._has_nothing_unread()
+
     async def write(self, reply: Reply, close: bool) -> None:
         headers = reply.headers
         if isinstance(reply.body, bytes):
-            if close:
-                headers = [*headers, (b"connection", b"close")]
-            await self.stream.send(response(reply.status, headers, reply.body))
+            await self.stream.send(self._whole(reply, reply.body, close))
             return
         await self.stream.send(response(reply.status, [*headers, (b"transfer-encoding", b"chunked")], None))
         async with aclosing(reply.body) as parts:  # its end is told also where the peer has gone
@@ -286,25 +405,17 @@
                 self.writing = 1 << 62  # between two parts nobody is to blame
         await self.stream.send(chunk(b""))
 
+    def _whole(self, reply: Reply, body: bytes, close: bool) -> bytes:
+        last: Headers = [(b"connection", b"close")] if close else []
+        try:
+            return response(reply.status, [*reply.headers, *last], body)
+        except Exception as error:  # headers that cannot be written
+            return response(500, [*self.server.crash(error).headers, *last], b"")
+
     async def _linger(self) -> None:
         """Bytes left unread would make the kernel reset the connection and drop the answer with it."""
-        gone = (
-            anyio.EndOfStream,
-            anyio.BrokenResourceError,
-            anyio.ClosedResourceError,
-            anyio.BusyResourceError,
-        )
-        with anyio.move_on_after(0.25), suppress(*gone):
+        with anyio.move_on_after(LINGER_SECONDS), suppress(*GONE, anyio.BusyResourceError):
             await self.stream.send_eof()
             left = 1 << 20
             while left > 0:
                 left -= len(await self.stream.receive())
-
-
-async def listen(host: str, port: int) -> tuple[SocketListener, int]:
-    """A listener and the port it has; port 0 takes a free one. Raises OSError."""
-    multi = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=1024)
-    listener = multi.listeners[0]
-    # what the kernel holds is read at once, whatever is asked for; accepted sockets inherit it
-    listener.extra(SocketAttribute.raw_socket).setsockopt(SOL_SOCKET, SO_RCVBUF, 2 * READ)
-    return listener, int(listener.extra(SocketAttribute.local_port))  # type: ignore[return-value]
--- a/martenlead/layers/agent.py
+++ b/martenlead/layers/agent.py
@@ -33,7 +33,7 @@
 from martenlead.events.client import Exchange, Pool
 from martenlead.events.http import Limits, Message
 from martenlead.events.problem import problem
-from martenlead.events.server import Reply, Server, ServerLimits
+from martenlead.events.server import Reply, Server, ServerLimits, StreamListener
 from martenlead.layers.cache import Cache, NoRoom
 from martenlead.layers.choice import MS, PARKED, Ask, Chooser, End, Failure, Pause, Peer, Want
 from martenlead.layers.image import (
@@ -582,7 +582,7 @@
             return End.BUSY
         return End.MISSING if message.status == 404 else End.BROKEN
 
-    async def run(self, listener: anyio.abc.SocketListener) -> None:
+    async def run(self, listener: StreamListener) -> None:
         """Until it is cancelled, or `drain` is through."""
         async with anyio.create_task_group() as group:
             self.group = group
@@ -596,7 +596,7 @@
         """Takes nothing new, and gives what is out its time."""
         self.server.drain()
         with anyio.move_on_after(self.settings.drain_ms / 1000):
-            while self.server.connections:
+            while self.server.serving:
                 await anyio.sleep(0.005)
 
     async def _follow(self, link: RosterLink) -> None:
--- a/martenlead/node/serve.py
+++ b/martenlead/node/serve.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import errno
 import gc
 import logging
 import os
@@ -22,11 +21,12 @@
 from martenlead.edge.waits import within
 from martenlead.node import config
 from martenlead.node.door import Door
-from martenlead.node.listener import BACKLOG, Listener
+from martenlead.node.listener import Listener, listener_of
 from martenlead.node.roster import JournalSource
 from martenlead.node.runners import RunnerLink
 from martenlead.node.sockets import readable
 from martenlead.system.clocks import unix_clock
+from martenlead.system.listener import bind
 
 # descriptors for the listener, the event loop, the journal service, what the interpreter opens, and clients
 # that come while others give way
@@ -37,7 +37,7 @@
     3.0,
 )  # s: SIGKILL comes no sooner than this and the longest hard limit, at most so long
 LEAVING = 0.1  # s before it, for the last answers to leave
-AGAIN = 0.05  # s between two tries for an address that is taken
+LISTEN_MARGIN = 4.0  # s, for an old life to be ended in, and for faults that pass; ready within 10 s
 HELD = 1 / 8  # of the memory limit, for bodies of tasks that are held
 
 
@@ -69,7 +69,7 @@
                 await self.dispatcher.listed.wait()
                 leave_out_of_collections()
                 host, port = self.told.listen
-                listener = Listener(await self._listen(), self.door)
+                listener = listener_of(await self._listen(), self.door)
                 listener.start()
                 self.log.info("serves", host=host, port=port)
                 if started is not None:
@@ -80,16 +80,13 @@
                     self._got(got, group, listener)
 
     async def _listen(self) -> socket.socket:
-        """Bound here: the loop would look up its own address on four threads, which then stay. An old life
-        may have it as long as it may live after SIGTERM, and a second to be ended in. Raises OSError."""
-        for _ in range(round((KILLED + KILLED_MOST + 1) / AGAIN)):
-            try:
-                return socket.create_server(self.told.listen, backlog=BACKLOG)
-            except OSError as error:
-                if error.errno != errno.EADDRINUSE:
-                    raise
-                await anyio.sleep(AGAIN)
-        return socket.create_server(self.told.listen, backlog=BACKLOG)
+        """An old life may have the address as long as it may live after SIGTERM; other faults may pass too.
+        Raises OSError for what cannot pass, or as the time is over."""
+
+        def delayed(error: OSError) -> None:
+            self.log.warning("listener_delayed", at=self.told.listen, why=str(error))
+
+        return await bind(self.told.listen, KILLED + KILLED_MOST + LISTEN_MARGIN, delayed=delayed)
 
     def _got(self, got: signal.Signals, group: TaskGroup, listener: Listener) -> None:
         """The roster is followed to the end, so that it may move while the stop goes on."""
--- a/martenlead/planner/serve.py
+++ b/martenlead/planner/serve.py
@@ -16,12 +16,12 @@
 import anyio.to_thread
 import msgspec
 import structlog
-from anyio.abc import SocketListener, SocketStream
+from anyio.abc import SocketStream
 from msgspec import Meta
 
 from martenlead.events.http import Message
 from martenlead.events.problem import problem
-from martenlead.events.server import Reply, Server, ServerLimits, listen
+from martenlead.events.server import Reply, Server, ServerLimits, StreamListener, listen
 from martenlead.planner import frames as fr
 from martenlead.planner.link import MS, Broken, PlannerEnd
 from martenlead.system import clocks
@@ -196,7 +196,7 @@
             )
         return self.ends[edge]
 
-    async def run(self, listener: SocketListener) -> None:
+    async def run(self, listener: StreamListener) -> None:
         async with anyio.create_task_group() as group:
             if self.settings.kept is not None:
                 remove_leftovers(Path(self.settings.kept))
@@ -236,6 +236,9 @@
                 await stream.send(fr.frame(fr.Refuse(why)))
         except* (fr.BadFrame, *GONE) as errors:
             why = f"{type(errors.exceptions[0]).__name__} {errors.exceptions[0]}".strip()
+        except* Exception as errors:  # it costs this link alone; its edge asks for a new one
+            self.log.error("link_failed", edge=edge, exc_info=errors)
+            why = "a fault of ours"
         finally:
             self.log.info("link ends", edge=edge, why=why)
             with anyio.CancelScope(shield=True):
--- a/martenlead/standins/runner.py
+++ b/martenlead/standins/runner.py
@@ -83,9 +83,7 @@
         self.record("down", runner=self.part.name, life=self.life)
         self.life += 1
         if self.server is not None:
-            self.server.drain()
-            for connection in list(self.server.connections):
-                connection.scope.cancel()
+            self.server.abort()
 
     async def sweeps(self, life: int) -> None:
         while life == self.life:
--- /dev/null
+++ b/martenlead/system/sockets.py
@@ -0,0 +1,40 @@
+"""What the machine knows of a socket and a transport of the event loop does not tell."""
+
+from __future__ import annotations
+
+import select
+from typing import Any
+
+HALF_CLOSED = getattr(select, "POLLRDHUP", 0)  # of Linux: told also where bytes lie in front of the end
+ENDED = HALF_CLOSED | select.POLLHUP | select.POLLERR | select.POLLNVAL
+
+
+def descriptor(at: Any) -> int:
+    """Of a transport or of a socket; -1 where it is closed."""
+    socket = at.get_extra_info("socket") if hasattr(at, "get_extra_info") else at
+    return -1 if socket is None else int(socket.fileno())
+
+
+def poll(number: int, events: int) -> int:
+    """What of these is so now, 0 for nothing. Where the machine cannot say, something is taken to wait to be
+    read: whoever asks then reads, or leaves the connection as it is."""
+    asked = select.poll()
+    asked.register(number, events)
+    try:
+        found = asked.poll(0)
+    except OSError:
+        return events & select.POLLIN
+    return found[0][1] if found else 0
+
+
+def readable(at: Any) -> bool:
+    """Whether bytes, a new connection or an end wait there, of a transport or of a listening socket: what the
+    machine has and the event loop has not told yet."""
+    number = descriptor(at)
+    return number >= 0 and bool(poll(number, select.POLLIN))
+
+
+def has_ended(at: Any) -> bool:
+    """Whether the peer has closed, or half of it, or the connection is broken or closed here."""
+    number = descriptor(at)
+    return number < 0 or bool(poll(number, HALF_CLOSED) & ENDED)
