--- a/martenlead/edge/httplink.py
+++ b/martenlead/edge/httplink.py
@@ -172,12 +172,15 @@
             await anyio.sleep(every / 1e9)
 
     async def _probe(self, box: Box, within: int) -> None:
-        with anyio.move_on_after(within / 1e9):
-            exchange = await box.way.pool.exchange(orders.probe(box.way.host, self.agent))
-            if exchange.message:
-                box.reported.update(orders.report(exchange.message.header(outcomes.REPORT)))
-                if exchange.message.header(outcomes.STATE) == b"draining":
-                    self.dispatcher.drains(box)
+        try:
+            with anyio.move_on_after(within / 1e9):
+                exchange = await box.way.pool.exchange(orders.probe(box.way.host, self.agent))
+                if exchange.message:
+                    box.reported.update(orders.report(exchange.message.header(outcomes.REPORT)))
+                    if exchange.message.header(outcomes.STATE) == b"draining":
+                        self.dispatcher.drains(box)
+        except Exception as error:  # costs this probe, not the link and the program
+            self.dispatcher.fault(error)
 
 
 class HttpRoster:
--- a/martenlead/events/client.py
+++ b/martenlead/events/client.py
@@ -9,7 +9,7 @@
 import os
 import select
 import socket
-from collections.abc import AsyncIterator, Callable
+from collections.abc import AsyncGenerator, Callable
 from dataclasses import dataclass
 from enum import Enum
 from time import monotonic_ns
@@ -21,6 +21,13 @@
 from martenlead.events.http import BadMessage, Limits, Message, Reader
 
 SECOND = 1_000_000_000
+ENDED = (
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    OSError,
+    RuntimeError,  # of an event loop that has closed the transport and not told of it
+)
 
 
 class End(Enum):
@@ -66,16 +73,20 @@
         self.poll.register(self.descriptor, select.POLLIN | select.POLLHUP | select.POLLERR)
 
     def stale(self) -> bool:
-        """Anything to read on an idle connection is its end, or bytes that answer nothing."""
-        return bool(self.poll.poll(0))
+        """Anything to read on an idle connection is its end, or bytes that answer nothing. One that cannot
+        be asked is not used again."""
+        try:
+            return bool(self.poll.poll(0))
+        except OSError:
+            return True
 
     def stray(self) -> bool:
         """Whether what came on a stale connection are bytes, and not only its end."""
-        with socket.socket(fileno=os.dup(self.descriptor)) as own:
-            try:
+        try:
+            with socket.socket(fileno=os.dup(self.descriptor)) as own:
                 return bool(own.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
-            except OSError:
-                return False
+        except OSError:  # also where no descriptor is left to look with
+            return False
 
 
 class Pool:
@@ -140,18 +151,20 @@
             stale = connection.stale()
             if not stale and monotonic_ns() - connection.since < self.idle:
                 return connection
-            self.strays += stale and connection.stray()
             self.open -= 1
-            await anyio.aclose_forcefully(connection.stream)
+            self.strays += stale and connection.stray()
+            with anyio.CancelScope(shield=True):
+                await anyio.aclose_forcefully(connection.stream)
         return None
 
     async def _connect(self) -> _Connection | Exchange:
+        """Whatever fails here, not a byte of a request was sent."""
         try:
             with anyio.fail_after(self.connect / 1e9):
                 stream = await anyio.connect_tcp(self.host, self.port)
         except TimeoutError:
             return Exchange(End.CONNECT_TIMEOUT)
-        except OSError as error:
+        except Exception as error:  # event loops raise more than OSError for an end in that moment
             return Exchange(End.REFUSED, detail=str(error))
         except BaseException:
             self.open -= 1
@@ -159,8 +172,9 @@
         self.opened += 1
         try:
             return _Connection(stream, self.limits)
-        except (AttributeError, OSError):  # reset while it was being made: the stream has no socket any more
-            await anyio.aclose_forcefully(stream)
+        except (AttributeError, OSError, ValueError):  # reset while it was being made: no socket any more
+            with anyio.CancelScope(shield=True):
+                await anyio.aclose_forcefully(stream)
             return Exchange(End.REFUSED, detail="reset as soon as it was made")
 
     async def _exchange(self, connection: _Connection, data: bytes, sending: Sending) -> Exchange:
@@ -184,7 +198,7 @@
                             False  # answers nobody asked for: the first counts, the rest is dropped
                         )
                     return Exchange(End.ANSWERED, done[0])
-        except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
+        except ENDED:
             return Exchange(End.CUT if begun else End.CLOSED)
         except BadMessage as error:
             if reader.done:
@@ -201,15 +215,18 @@
             await anyio.aclose_forcefully(connection.stream)
 
 
-async def lines(host: str, port: int, data: bytes, *, quiet: float, longest: int) -> AsyncIterator[bytes]:
+async def lines(host: str, port: int, data: bytes, *, quiet: float, longest: int) -> AsyncGenerator[bytes]:
     """The lines of a chunked answer that does not end, as they come.
 
-    Raises OSError, anyio's errors of a broken stream, TimeoutError after `quiet` seconds without a byte, and
+    Raises OSError, anyio's errors of a broken stream, TimeoutError after `quiet` seconds without a connection
+    or without a byte, and
     `BadMessage` for an answer other than 200 or a line over `longest` bytes.
     """
-    stream = await anyio.connect_tcp(host, port)
+    with anyio.fail_after(quiet):
+        stream = await anyio.connect_tcp(host, port)
     try:
-        await stream.send(data)
+        with anyio.fail_after(quiet):
+            await stream.send(data)
         left = b""
         status = 0
         reader = _Stream()
--- a/martenlead/planner/edgeside.py
+++ b/martenlead/planner/edgeside.py
@@ -132,6 +132,9 @@
                 why = str(errors.exceptions[0])
             except* GONE as errors:
                 why = f"{type(errors.exceptions[0]).__name__} {errors.exceptions[0]}".strip()
+            except* Exception as errors:  # of the event loop or ours: the edge goes on without a planner
+                self.dispatcher.fault(errors)
+                why = "a fault of ours"
             proven = self.end.proven()
             self.end.lost()
             self.counts["links lost"] += 1
--- a/martenlead/runnerlink/follow.py
+++ b/martenlead/runnerlink/follow.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from contextlib import aclosing
 from typing import Protocol
 
 import anyio
@@ -13,6 +14,7 @@
 from martenlead.runnerlink import roster
 
 LONGEST = 16 * 1024 * 1024
+GONE = (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 class Link(Protocol):
@@ -46,16 +48,18 @@
     while True:
         ask = http.request(b"GET", b"/roster?after=%d" % known.version, host, [(b"user-agent", agent)])
         try:
-            async for line in lines(link.host, link.port, ask, quiet=link.quiet_ms / 1000, longest=LONGEST):
-                news = roster.decode(line)
-                if known.told(news):
-                    told(news)
-                wait = link.retry_ms / 1000
+            quiet = link.quiet_ms / 1000
+            async with aclosing(lines(link.host, link.port, ask, quiet=quiet, longest=LONGEST)) as stream:
+                async for line in stream:
+                    news = roster.decode(line)
+                    if known.told(news):
+                        told(news)
+                    wait = link.retry_ms / 1000
             why = "the stream ended"
         except roster.Gap as gap:
             why = str(gap)
             known.version = 0
-        except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
+        except GONE as error:
             why = f"{type(error).__name__} {error}".strip()
         except (http.BadMessage, msgspec.DecodeError) as error:
             why = str(error)
--- a/support/fleet.py
+++ b/support/fleet.py
@@ -149,6 +149,7 @@
         self.roster_port = 0
         self.group: Any = None
         self.roster_scope: anyio.CancelScope
+        self.roster_server: Server
         self.pool: Pool
         self.count = 0
 
@@ -210,6 +211,16 @@
         with anyio.fail_after(10):
             return await self.pool.exchange(http.request(b"POST", b"/", b"edge", headers, body))
 
+    async def break_roster(self) -> None:
+        """Ends the stream that is open; a new one is served."""
+        for connection in list(self.roster_server.connections):
+            connection.scope.cancel()
+        await until(lambda: not self.roster_server.connections)
+
+    def listens(self) -> bool:
+        """Whether the roster has a stream open."""
+        return bool(self.roster_server.connections)
+
     def ran(self) -> list[str]:
         return [f"{ident} at {name}" for _, name, ident in self.arrivals]
 
@@ -234,6 +245,8 @@
         )
         f.roster_scope = anyio.CancelScope()
 
+        f.roster_server = stub
+
         async def serve_roster() -> None:
             with f.roster_scope:
                 await stub.serve(listener)
--- a/tests/test_http_server_answers.py
+++ b/tests/test_http_server_answers.py
@@ -13,7 +13,7 @@
 import pytest
 
 from martenlead.events.http import Limits, Message
-from martenlead.events.server import READ, SECOND, Reply, Server, ServerLimits, listen
+from martenlead.events.server import READ, SECOND, Connection, Reply, Server, ServerLimits, listen
 from support.fleet import until
 from tests.nodes import linger
 
@@ -218,6 +218,29 @@
         first.close()
 
 
+async def test_a_503_that_cannot_be_written_costs_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The client has reset the connection by then. It ended the server."""
+    real, failed = Connection.write, []
+
+    async def write(own: Connection, reply: Reply, close: bool) -> None:
+        if reply.status == 503:
+            failed.append(reply)
+            raise anyio.BrokenResourceError
+        await real(own, reply, close)
+
+    monkeypatch.setattr(Connection, "write", write)
+    async with served(ServerLimits(connections=1)) as p:
+        first = p.connect()
+        first.sendall(GET % 1)
+        await part(first, b"/1")
+        p.connect().close()
+        await until(lambda: failed)
+        first.setblocking(True)
+        first.sendall(GET % 2)
+        await part(first, b"/2")
+        first.close()
+
+
 async def test_a_connection_beyond_the_limit_that_is_reset_costs_no_other() -> None:
     async with served(ServerLimits(connections=1)) as p:
         first = p.connect()
--- /dev/null
+++ b/tests/test_system_call_faults.py
@@ -0,0 +1,620 @@
+"""System calls that fail as Linux documents it, one case for every call site and error.
+
+While the fault lasts each request gets one final answer in time, and service is back after it. Under asyncio
+the faults stand below the event loop, under uvloop above it (support/socket_faults.py).
+"""
+
+from __future__ import annotations
+
+import errno
+import os
+import signal
+import socket
+import subprocess
+import sys
+from contextlib import aclosing
+from pathlib import Path
+from random import Random
+from typing import Any
+
+import anyio
+import pytest
+
+from martenlead.events.client import End, Pool, lines
+from martenlead.events.http import request
+from martenlead.events.server import listen
+from martenlead.interface import Result
+from martenlead.planner import frames as fr
+from support.fleet import fleet, satisfied, until
+from support.planned import answered, planned, planner
+from support.socket_faults import SocketFaults, break_transport, dribble, from_port, to_port
+from tests.nodes import answer, done, play, raw, word
+from tests.test_late_connections import unreachable_listener
+
+pytestmark = pytest.mark.anyio
+ROOT = Path(__file__).parent.parent
+
+OPENING = (
+    errno.ECONNABORTED,
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPROTO,
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+)
+"""What accept, socket, connect and bind may answer for a moment."""
+BROKEN = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EPIPE)
+"""How a broken connection may show as it is read or written."""
+CONNECTING = (*OPENING, errno.ECONNREFUSED, errno.ETIMEDOUT)
+LONG = 1_400.0  # ms that a request has: more than its faults last
+FINAL = ("satisfied", "turned back", "error -32000")
+
+
+def name(number: int) -> str:
+    return errno.errorcode[number]
+
+
+opening = pytest.mark.parametrize("number", OPENING, ids=name)
+connecting = pytest.mark.parametrize("number", CONNECTING, ids=name)
+broken = pytest.mark.parametrize("number", BROKEN, ids=name)
+asyncio_alone = pytest.mark.parametrize(
+    "anyio_backend", [("asyncio", {"use_uvloop": False})], ids=["asyncio"]
+)
+"""For calls that uvloop makes itself, below what a test can reach."""
+
+
+@pytest.fixture(params=[False, True], ids=["asyncio", "uvloop"])
+def anyio_backend(request: Any) -> Any:
+    return "asyncio", {"use_uvloop": request.param}
+
+
+@pytest.fixture
+def connect_call(anyio_backend: Any) -> str:
+    """Where a connection that is asked for can be made to fail."""
+    return "create_connection" if anyio_backend[1]["use_uvloop"] else "connect"
+
+
+def is_uvloop(anyio_backend: Any) -> bool:
+    return bool(anyio_backend[1]["use_uvloop"])
+
+
+# -- bind and accept
+
+
+@opening
+async def test_the_node_binds_once_the_fault_has_passed(
+    tmp_path: Path, number: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path) as p:
+            with socket.socket() as probe:
+                probe.bind(("127.0.0.1", 0))
+                p.port = int(probe.getsockname()[1])
+            p.write(p.journal.port)
+            faults.add("bind", number, to_port(p.port), times=2)
+            faults.add("listen", number, from_port(p.port), times=1)
+            started = anyio.Event()
+            p.group.start_soon(type(p.node)(p.path).serve, started.set)
+            with anyio.fail_after(5):
+                await started.wait()
+            assert faults.failed == {"bind": 2, "listen": 1}
+            assert await (await p.client()).call() == "satisfied"
+
+
+FORBIDDEN = """
+import errno, sys
+from martenlead.node.serve import main
+from support.socket_faults import SocketFaults
+
+faults = SocketFaults()
+faults.add("bind", errno.EACCES)
+with faults.installed():
+    status = main()
+sys.exit(status if faults.failed["bind"] == 1 else 99)
+"""
+
+
+@asyncio_alone
+async def test_the_node_gives_up_at_once_for_an_address_it_may_not_have(tmp_path: Path) -> None:
+    """With one line that says why, and the status of a start that failed."""
+    async with play(tmp_path) as p:
+        path = p.path
+    environment = {**os.environ, "ROUTER_CONFIG": str(path)}
+    with anyio.fail_after(10):
+        ended = await anyio.run_process(
+            [sys.executable, "-c", FORBIDDEN], cwd=ROOT, env=environment, check=False, stderr=subprocess.PIPE
+        )
+    lines = ended.stderr.decode().splitlines()
+    said = [line for line in lines if '"level": "info"' not in line]  # its list of workers
+    assert (ended.returncode, len(said)) == (2, 1), lines
+    assert "it cannot listen" in said[0] and "Permission denied" in said[0]
+
+
+@opening
+async def test_a_program_of_http_binds_once_the_fault_has_passed(number: int) -> None:
+    faults = SocketFaults()
+    faults.add("bind", number, times=2)
+    with faults.installed(), anyio.fail_after(5):
+        listener, _ = await listen("127.0.0.1", 0)
+    listener.close()
+    assert faults.failed["bind"] == 2
+
+
+@opening
+async def test_the_node_accepts_once_the_fault_has_passed(tmp_path: Path, number: int) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path) as p:
+            faults.add("accept", number, from_port(p.port), times=3)
+            client = await p.client()
+            assert await client.call(wait=LONG) == "satisfied"
+            assert faults.failed["accept"] == 3
+            assert await (await p.client()).call(id="a" * 16) == "satisfied"
+
+
+@opening
+async def test_a_program_of_http_accepts_once_the_fault_has_passed(number: int) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with fleet() as f:
+            faults.add("accept", number, from_port(f.port), times=3)
+            assert (await f.call(left=LONG))[0] == 200
+            assert faults.failed["accept"] == 3
+            assert (await f.call())[0] == 200
+
+
+# -- connections to workers
+
+
+@connecting
+async def test_a_connection_to_a_worker_that_cannot_be_made_proves_that_nothing_ran(
+    tmp_path: Path, number: int, connect_call: str
+) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path, {"a": [done]}) as p:
+            client = await p.client()
+            faults.add(connect_call, number, to_port(p.runners["a"].port))
+            heard = await order(p)
+            assert heard.result is Result.UNREACHED
+            assert await client.call("unsafe", wait=LONG) in FINAL
+            assert not p.did() and faults.failed[connect_call]
+            assert sum(way.open for way in p.node.link.ways) == 0
+            faults.end()
+            await until_served(client)
+
+
+@pytest.mark.parametrize("number", (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), ids=name)
+@asyncio_alone
+async def test_a_socket_to_a_worker_that_cannot_be_had_proves_that_nothing_ran(
+    tmp_path: Path, number: int
+) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path, {"a": [done]}) as p:
+            client = await p.client()
+            faults.add("socket", number)
+            assert (await order(p)).result is Result.UNREACHED
+            assert await client.call("unsafe", wait=LONG) in FINAL
+            assert not p.did() and faults.failed["socket"]
+            assert sum(way.open for way in p.node.link.ways) == 0
+            faults.end()
+            await until_served(client)
+
+
+@broken
+async def test_a_connection_to_a_worker_that_breaks_under_a_request_may_have_run(
+    tmp_path: Path, number: int, anyio_backend: Any
+) -> None:
+    """A request that may not run twice is not sent again, one that may is."""
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path, {"a": [raw(b""), done], "b": [done]}) as p:
+            client = await p.client()
+            for runner in p.runners.values():
+                runner.parts = [raw(b""), done]
+            await client.ask("unsafe", wait=LONG)
+            await until(p.did)
+            (conn,) = [c for way in p.node.link.ways for c in way.conns if c.open]
+            if is_uvloop(anyio_backend):
+                break_transport(conn, conn.transport, number)
+            else:
+                faults.add("recv", number, to_port(conn.way.port), times=1)
+                stream = next(r for r in p.runners.values() if r.port == conn.way.port).streams[-1]
+                await stream.send(answer("FIT", "0"))  # something to be read
+            assert word(await client.answer()) == "error -32000"
+            assert len(p.did()) == 1
+            assert conn not in conn.way.conns
+            faults.end()
+            await until_served(client)
+
+
+@broken
+@asyncio_alone
+async def test_a_write_to_a_worker_that_fails_costs_one_attempt(tmp_path: Path, number: int) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path, {"a": [done], "b": [done]}) as p:
+            client = await p.client()
+            for runner in p.runners.values():
+                faults.add("send", number, to_port(runner.port), times=1)
+            assert await client.call("safe", wait=LONG) in FINAL
+            assert faults.failed["send"]
+            faults.end()
+            await until_served(client)
+            assert all(conn.transport for way in p.node.link.ways for conn in way.conns)
+
+
+HALF = b'{"m":"DONE","txn":"%TXN%","pro'
+
+
+async def half_close(_runner: Any, stream: Any, _message: dict[str, Any]) -> None:
+    await stream.send_eof()
+
+
+async def half_close_within(_runner: Any, stream: Any, _message: dict[str, Any]) -> None:
+    await stream.send(HALF)
+    await stream.send_eof()
+
+
+ENDINGS = {
+    "reset": raw(b"", reset=True),
+    "reset within the answer": raw(HALF, reset=True),
+    "close": raw(b"", end=True),
+    "close within the answer": raw(HALF, end=True),
+    "half-close": half_close,
+    "half-close within the answer": half_close_within,
+}
+
+
+@pytest.mark.parametrize("ending", ENDINGS)
+async def test_a_worker_that_ends_a_connection_under_a_request(tmp_path: Path, ending: str) -> None:
+    """What may run twice is sent to the other worker, what may not is answered as failed; nothing waits."""
+    async with play(tmp_path, {"a": [done], "b": [done]}) as p:
+        client = await p.client()
+        for runner in p.runners.values():
+            runner.parts = [ENDINGS[ending], done]
+        with anyio.fail_after(LONG / 1000):
+            assert await client.call("unsafe", wait=LONG) == "error -32000"
+        assert len(p.did()) == 1
+        for runner in p.runners.values():
+            runner.parts = [ENDINGS[ending], done]
+        with anyio.fail_after(LONG / 1000):
+            assert await client.call("safe", wait=LONG) in FINAL
+        await until_served(client)
+        assert all(conn.transport for way in p.node.link.ways for conn in way.conns)
+
+
+async def test_reads_and_writes_of_one_byte_change_no_request_and_no_answer(
+    tmp_path: Path, anyio_backend: Any
+) -> None:
+    """Of clients, workers and discovery; under uvloop the peers dribble instead."""
+    faults = SocketFaults()
+
+    async def dribbled(_runner: Any, stream: Any, message: dict[str, Any]) -> None:
+        await dribble(stream.send, answer("DONE", message["txn"], "resident", message["raw"]))
+
+    with faults.installed():
+        async with play(tmp_path, {"a": [dribbled]}) as p:
+            faults.short_reads = faults.short_writes = not is_uvloop(anyio_backend)
+            client = await p.client()
+            await dribble(client.send, client.task(wait=LONG))
+            found = await client.answer()
+            assert word(found) == "satisfied" and found is not None and found["result"]["blob"] == "Ym9keQ=="
+            await p.runner("b", done)
+            await p.journal.tell(p.record("b"))
+            await until(lambda: len(p.node.dispatcher.boxes) == 2, within=10)
+            assert is_uvloop(anyio_backend) or (faults.shortened["recv"] and faults.shortened["send"])
+
+
+async def order(p: Any) -> Any:
+    """Asks worker "a" how many replicas it has, over a connection of its own; what is heard."""
+    heard: list[Any] = []
+    known = p.node.dispatcher.known("0" * 15 + "1", 1, 100.0)
+    (box,) = p.node.dispatcher.boxes.values()
+    p.node.link.order(box, known, 0, heard.append)
+    await until(lambda: heard)
+    return heard[0]
+
+
+async def until_served(client: Any) -> None:
+    """Within the time that a worker may be left alone after faults."""
+    with anyio.fail_after(8):
+        while await client.call("safe", wait=LONG, id=f"{client.number + 4096:016x}") != "satisfied":
+            await anyio.sleep(0.05)
+
+
+# -- connections of clients
+
+
+@broken
+async def test_a_client_whose_connection_breaks_costs_the_others_nothing(
+    tmp_path: Path, number: int, anyio_backend: Any
+) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path, {"a": [raw(b""), done]}) as p:
+            lost, other = await p.client(), await p.client()
+            await lost.ask(wait=LONG)
+            await until(p.did)
+            own = next(client for client in p.node.door.clients if client.open)
+            if is_uvloop(anyio_backend):
+                break_transport(own, own.transport, number)
+            else:
+                peer = lost.stream.extra(anyio.abc.SocketAttribute.local_port)
+                faults.add("recv", number, to_port(peer), times=1)
+                await lost.send(b"C")
+            await until(lambda: own.over)
+            assert not own.open
+            assert await other.call(id="b" * 16) == "satisfied"
+            assert len(p.node.door.clients) == 1 and not p.node.door.closing
+
+
+@broken
+async def test_a_client_of_http_whose_connection_breaks_costs_the_others_nothing(
+    number: int, anyio_backend: Any
+) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with fleet() as f:
+            stream = await anyio.connect_tcp("127.0.0.1", f.port)
+            await until(lambda: f.door.server.connections)
+            (connection,) = f.door.server.connections
+            if is_uvloop(anyio_backend):
+                transport = connection.stream._transport  # type: ignore[attr-defined]
+                break_transport(connection.stream._protocol, transport, number)  # type: ignore[attr-defined]
+            else:
+                peer = stream.extra(anyio.abc.SocketAttribute.local_port)
+                faults.add("recv", number, to_port(peer), times=1)
+                await stream.send(b"P")
+            await until(lambda: not f.door.server.connections)
+            assert (await f.call())[0] == 200
+            await stream.aclose()
+
+
+# -- discovery
+
+
+@connecting
+async def test_discovery_is_asked_again_until_a_connection_can_be_made(
+    tmp_path: Path, number: int, connect_call: str
+) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path) as p:
+            await until(lambda: p.journal.streams)
+            faults.add(connect_call, number, to_port(p.journal.port), times=3)
+            for stream in p.journal.streams:
+                await stream.aclose()
+            p.journal.streams.clear()
+            await until(lambda: faults.failed[connect_call] == 3)
+            client = await p.client()
+            assert await client.call() == "satisfied"
+            await p.runner("b", done)
+            await p.journal.tell(p.record("b"))
+            await until(lambda: len(p.node.dispatcher.boxes) == 2, within=5)
+
+
+@broken
+@asyncio_alone
+async def test_discovery_whose_connection_breaks_is_asked_again(tmp_path: Path, number: int) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path) as p:
+            faults.add("recv", number, to_port(p.journal.port), times=1)
+            await until(lambda: len(p.journal.asked) == 2, within=5)
+            assert faults.failed["recv"] == 1
+            assert await (await p.client()).call() == "satisfied"
+
+
+# -- the HTTP pool
+
+
+def whole(pool: Pool) -> bool:
+    return pool.open == len(pool._idle)
+
+
+@connecting
+async def test_a_pool_that_cannot_connect_sent_nothing_and_keeps_no_slot(
+    number: int, connect_call: str
+) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with fleet() as f:
+            faults.add(connect_call, number, to_port(f.port), times=1)
+            pool = Pool("127.0.0.1", f.port, most=1)
+            data = request(b"GET", b"/nothing", b"e", [])
+            exchange = await pool.exchange(data)
+            assert exchange.end in (End.REFUSED, End.CONNECT_TIMEOUT) and whole(pool)
+            assert (await pool.exchange(data)).end is End.ANSWERED and whole(pool)
+
+
+@broken
+@pytest.mark.parametrize("call", ["send", "recv"])
+@asyncio_alone
+async def test_a_pool_whose_connection_breaks_may_have_sent_and_keeps_no_slot(number: int, call: str) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with fleet() as f:
+            faults.add(call, number, to_port(f.port), times=1)
+            pool = Pool("127.0.0.1", f.port, most=1)
+            data = request(b"GET", b"/nothing", b"e", [])
+            assert (await pool.exchange(data)).end is End.CLOSED and whole(pool)
+            assert (await pool.exchange(data)).end is End.ANSWERED and whole(pool)
+
+
+async def test_a_connection_of_a_pool_that_cannot_be_looked_at_keeps_no_slot(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """It has ended, and no descriptor is left to look whether bytes came before."""
+
+    def dup(_number: int) -> int:
+        raise OSError(errno.EMFILE, "Too many open files")
+
+    async with fleet() as f:
+        pool = Pool("127.0.0.1", f.port, most=1)
+        data = request(b"GET", b"/nothing", b"e", [])
+        assert (await pool.exchange(data)).end is End.ANSWERED
+        for connection in f.door.server.connections:
+            connection.scope.cancel()
+        await until(lambda: not f.door.server.connections)
+        await anyio.sleep(0.02)
+        monkeypatch.setattr(os, "dup", dup)
+        assert (await pool.exchange(data)).end is End.ANSWERED and whole(pool)
+
+
+async def test_a_probe_that_fails_as_no_error_of_a_socket_costs_the_probe(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """It ran in the link's group, and ended the program."""
+    async with fleet({"a": [satisfied]}) as f:
+        (box,) = f.dispatcher.boxes.values()
+        failed = anyio.Event()
+
+        async def exchange(*_arguments: Any) -> Any:
+            failed.set()
+            raise RuntimeError("of the event loop")
+
+        monkeypatch.setattr(box.way.pool, "exchange", exchange)
+        await f.dispatcher.link._probe(box, 1_000_000_000)  # type: ignore[attr-defined]
+        assert failed.is_set()
+
+
+# -- the roster of HTTP, and planners
+
+
+@connecting
+async def test_the_roster_of_http_is_asked_again_until_a_connection_can_be_made(
+    number: int, connect_call: str
+) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with fleet() as f:
+            faults.add(connect_call, number, to_port(f.roster_port), times=1)
+            lost = f.dispatcher.counts["roster", "lost"]
+            await f.break_roster()
+            await until(lambda: faults.failed[connect_call] == 1, within=5)
+            assert (await f.call())[0] == 200
+            await until(lambda: f.listens(), within=5)
+            assert f.dispatcher.counts["roster", "lost"] == lost + 2
+
+
+async def test_a_roster_whose_connection_never_comes_up_is_given_up_in_its_time() -> None:
+    """It waited for as long as the machine tries, more than two minutes."""
+    with unreachable_listener() as listener, anyio.fail_after(2), pytest.raises(TimeoutError):
+        async with aclosing(lines(*listener.getsockname(), b"", quiet=0.2, longest=1)) as stream:
+            await anext(stream)
+
+
+@connecting
+async def test_a_planner_is_asked_again_until_a_connection_can_be_made(
+    number: int, connect_call: str
+) -> None:
+    faults = SocketFaults()
+    with faults.installed():
+        async with planner() as (_, port):
+            faults.add(connect_call, number, to_port(port), times=3)
+            async with planned([port]) as (f, side):
+                await answered(f)
+                await until(side.end.leased, within=5)
+                assert faults.failed[connect_call] == 3 and side.counts["links lost"] == 3
+
+
+async def test_an_error_that_no_socket_raises_ends_a_link_to_a_planner_and_not_the_edge(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Event loops raise a RuntimeError where a connection ends in the turn that it is made in."""
+    real, failed = anyio.connect_tcp, []
+
+    async def connect(host: str, port: int) -> Any:
+        if port == planner_port and len(failed) < 2:
+            failed.append(port)
+            raise RuntimeError("the handler is closed")
+        return await real(host, port)
+
+    async with planner() as (_, planner_port):
+        monkeypatch.setattr(anyio, "connect_tcp", connect)
+        async with planned([planner_port]) as (f, side):
+            await answered(f)
+            await until(side.end.leased, within=5)
+            assert len(failed) == 2
+
+
+async def test_a_fault_in_one_link_of_a_planner_costs_that_link(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with planner() as (one, port), planned([port], name="first") as (f, first):
+        await until(first.end.leased, within=5)
+        with monkeypatch.context() as patch:
+            patch.setattr(one, "end", fault)
+            stream = await anyio.connect_tcp("127.0.0.1", port)
+            await stream.send(fr.frame(fr.Hello(fr.LEAST, fr.MOST, "second", "0", "0")))
+            with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
+                await stream.receive()
+        await answered(f)
+        assert first.end.leased() and first.counts["links lost"] == 0
+
+
+def fault(_edge: str) -> Any:
+    raise KeyError("a fault of ours")
+
+
+# -- waits
+
+
+async def test_signals_that_interrupt_every_wait_cost_no_request(tmp_path: Path) -> None:
+    """Each real one ends a system call with EINTR."""
+    before = signal.signal(signal.SIGALRM, lambda _number, _frame: None)
+    async with play(tmp_path) as p:
+        signal.setitimer(signal.ITIMER_REAL, 0.002, 0.002)
+        try:
+            client = await p.client()
+            for _ in range(30):
+                assert await client.call(wait=LONG) == "satisfied"
+        finally:
+            signal.setitimer(signal.ITIMER_REAL, 0)
+            signal.signal(signal.SIGALRM, before)
+
+
+# -- all at once
+
+
+@pytest.mark.parametrize("seed", range(3))
+async def test_each_request_has_one_final_answer_while_calls_fail_at_random(
+    tmp_path: Path, seed: int, connect_call: str
+) -> None:
+    """A fifth of all calls to workers, to discovery and of the listener fails, by seeded draws."""
+    faults, chance = SocketFaults(seed), Random(seed)
+    with faults.installed():
+        parts = [chance.choice([done, done, done, *ENDINGS.values()]) for _ in range(100)]
+        async with play(tmp_path, {"a": [done], "b": [done], "c": [done]}) as p:
+            p.runners["a"].parts = [*parts, done]
+            clients = [await p.client() for _ in range(4)]
+            ports = [*(runner.port for runner in p.runners.values()), p.journal.port]
+            for number in OPENING:
+                faults.add("accept", number, from_port(p.port), share=0.02)
+                for port in ports:
+                    faults.add(connect_call, number, to_port(port), share=0.02)
+            for number in BROKEN:
+                for port in ports:
+                    faults.add("recv", number, to_port(port), share=0.02)
+                    faults.add("send", number, to_port(port), share=0.02)
+            words: list[str] = []
+
+            async def ask(at: int) -> None:
+                for count in range(25):
+                    words.append(await clients[at].call(wait=LONG, id=f"{at:04x}{count:012x}"))
+                    late = await p.client()
+                    words.append(await late.call(wait=LONG, id=f"{at + 16:04x}{count:012x}"))
+                    await late.stream.aclose()
+
+            with anyio.fail_after(60):
+                async with anyio.create_task_group() as group:
+                    for at in range(len(clients)):
+                        group.start_soon(ask, at)
+            assert len(words) == 200 and set(words) <= set(FINAL)
+            assert faults.failed[connect_call] + faults.failed["accept"]
+            faults.end()
+            await until_served(clients[0])
