--- a/martenlead/events/stream_listener.py
+++ b/martenlead/events/stream_listener.py
@@ -53,8 +53,12 @@
             except ValueError:  # what anyio makes of a connection that was reset meanwhile
                 connection.close()
                 return
+            try:
+                group.start_soon(self._handle, handler, stream)
+            except RuntimeError:  # the group has ended meanwhile
+                await anyio.aclose_forcefully(stream)
+                return
             self._take()
-            group.start_soon(self._handle, handler, stream)
 
         listener = Listener(self.sock, connect, self._has_room, ACCEPTED_PER_TURN)
         self._listener = listener
--- a/martenlead/system/listener.py
+++ b/martenlead/system/listener.py
@@ -13,6 +13,7 @@
 import resource
 import socket
 from collections.abc import Awaitable, Callable
+from contextlib import suppress
 from time import monotonic
 
 import anyio
@@ -86,10 +87,20 @@
 
 
 def _create(address: tuple[str, int], backlog: int) -> socket.socket:
-    """Resolved here: the event loop would do it on threads, which then stay. IPv4 comes first."""
-    found = socket.getaddrinfo(*address, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
+    family, target = _resolve(*address)
+    return socket.create_server(target, family=family, backlog=backlog)
+
+
+def _resolve(host: str, port: int) -> tuple[int, tuple[str, int]]:
+    """Names are looked up here: the event loop would do it on threads, which then stay. IPv4 comes first, and
+    an IPv4 address, or none, needs no look at all."""
+    with suppress(OSError):
+        if host:
+            socket.inet_pton(socket.AF_INET, host)
+        return socket.AF_INET, (host, port)
+    found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
     family, _, _, _, target = min(found)
-    return socket.create_server(target[:2], family=family, backlog=backlog)
+    return family, (str(target[0]), port)
 
 
 def descriptors_for_clients() -> int:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -53,6 +53,41 @@
         await bind(("no-such-host.invalid", 0), 60)
 
 
+@pytest.mark.parametrize("host", ["127.0.0.1", "localhost", ""])
+async def test_an_address_or_a_name_is_listened_on_over_ipv4(host: str) -> None:
+    with closing(await bind((host, 0), 1)) as sock:
+        assert sock.family is socket.AF_INET
+        with closing(socket.create_connection(("127.0.0.1", sock.getsockname()[1]), 2)):
+            pass
+
+
+async def test_a_connection_that_comes_as_its_listener_is_cancelled_takes_no_descriptor(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Its stream is made once the group that would serve it has ended."""
+    clients = ClientDescriptors()
+    listener = StreamListener(await bind(LOOPBACK, 1), clients)
+    real, going_on, asked = anyio.abc.SocketStream.from_socket, anyio.Event(), anyio.Event()
+
+    async def from_socket(sock: socket.socket) -> Any:
+        asked.set()
+        await going_on.wait()
+        return await real(sock)
+
+    monkeypatch.setattr(anyio.abc.SocketStream, "from_socket", from_socket)
+    with closing(socket.create_connection(("127.0.0.1", listener.port), 2)) as client:
+        async with anyio.create_task_group() as group:
+            group.start_soon(listener.serve, anyio.sleep_forever)
+            await asked.wait()
+            group.cancel_scope.cancel()
+        going_on.set()
+        assert listener._listener is not None
+        await until(lambda: not listener._listener.accepting)
+        client.settimeout(2)
+        assert await anyio.to_thread.run_sync(client.recv, 1) == b""
+    assert (clients.in_use, listener.open) == (0, 0)
+
+
 async def test_an_address_in_use_ends_a_program_of_http_at_once() -> None:
     with (
         closing(socket.create_server(LOOPBACK)) as taken,
