--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -12,7 +12,7 @@
 import socket
 import subprocess
 import sys
-from contextlib import aclosing
+from contextlib import aclosing, closing
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -25,10 +25,11 @@
 from martenlead.events.server import listen
 from martenlead.interface import Result
 from martenlead.planner import frames as fr
+from martenlead.system.sockets import has_ended, readable
 from support.fleet import fleet, satisfied, until
 from support.planned import answered, planned, planner
 from support.socket_faults import SocketFaults, break_transport, dribble, from_port, to_port
-from tests.nodes import answer, done, play, raw, word
+from tests.nodes import Caller, answer, done, play, raw, word
 from tests.test_late_connections import unreachable_listener
 
 pytestmark = pytest.mark.anyio
@@ -354,6 +355,25 @@
             assert len(p.node.door.clients) == 1 and not p.node.door.closing
 
 
+@pytest.mark.parametrize("number", (errno.EAGAIN, *BROKEN), ids=name)
+async def test_the_read_of_unread_bytes_fails(tmp_path: Path, number: int) -> None:
+    """Without bytes the event loop reads them later; a broken connection ends, and costs no other client."""
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path) as p:
+            with closing(socket.create_connection(("127.0.0.1", p.port))) as client:
+                await until(lambda: p.node.door.clients)
+                (own,) = p.node.door.clients
+                client.sendall(Caller.task(Caller(None), id="c" * 16))  # type: ignore[arg-type]
+                faults.add("os.read", number, times=1)
+                own.read_pending()
+                assert faults.failed["os.read"] == 1
+                assert own.over == (number != errno.EAGAIN)
+                if not own.over:
+                    await until(p.did)
+                assert await (await p.client()).call(id="d" * 16) == "satisfied"
+
+
 @broken
 async def test_a_client_of_http_whose_connection_breaks_costs_the_others_nothing(
     number: int, anyio_backend: Any
@@ -564,6 +584,30 @@
 # -- waits
 
 
+@asyncio_alone
+async def test_a_look_at_a_socket_that_fails_ends_nothing(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """poll may fail for want of memory. Something is taken to wait to be read then: nothing is closed for
+    having been idle, and an attempt leaves once its client's bytes were asked for."""
+
+    class Poll:
+        def register(self, *_arguments: Any) -> None: ...
+
+        def poll(self, _wait: float) -> Any:
+            raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
+
+    async with play(tmp_path) as p:
+        client = await p.client()
+        with monkeypatch.context() as patch:
+            patch.setattr("martenlead.system.sockets.select.poll", Poll)
+            with socket.socket() as any_socket:
+                assert readable(any_socket) and not has_ended(any_socket)
+            assert await client.call(wait=LONG) == "satisfied"
+        assert await client.call(wait=LONG) == "satisfied"
+        assert len(p.did()) == 2
+
+
 async def test_signals_that_interrupt_every_wait_cost_no_request(tmp_path: Path) -> None:
     """Each real one ends a system call with EINTR."""
     before = signal.signal(signal.SIGALRM, lambda _number, _frame: None)
