--- a/martenlead/brain.py
+++ b/martenlead/brain.py
@@ -152,6 +152,8 @@
         self.orders: deque[int] = deque()  # when each was given, once it has ended by when it had arrived
         self.going: dict[io.Order, int] = {}  # not ended, since when: they may arrive at any time
         self.rate = self.best = self.asked = 0.0  # a second: satisfied, the best of it, first tried
+        self.recent_tries = self.recent_satisfied = 0.0  # of about the last `LONG` periods
+        self.satisfied_share = 0.0  # of what was first tried: the best of it, lately
         self.peers: float = settings.front_ends  # how many like this one carry all tasks
         self.satisfied = self.first_tries = self.running = self.span = 0
         self.served: dict[io.Customer, int] = {}
@@ -252,6 +254,7 @@
             self.rate = (self.rate + rate) / 2 if self.rate else rate
             self.best = max(self.rate, FADING * self.best)
             self.weight = max(self.index.weight, FADING * self.weight)
+            self.update_satisfied_share()
             asked, self.first_tries, self.satisfied = self.first_tries * SECOND / self.span, 0, 0
             self.asked = (self.asked + asked) / 2 if self.asked else asked
             # one that carries far more than its part must not take itself for the mean of many
@@ -268,6 +271,17 @@
                 self.unchecked = deque(sorted(self.models, key=lambda m: (-m.counts[1], m.facts.mark)))
             yield from self.check_some()
 
+    def update_satisfied_share(self) -> None:
+        """The best part of the first tries that was satisfied lately, each by one deviation less. Of fewer
+        than `ENOUGH` the present part counts, as the best of them is chance."""
+        self.recent_tries += self.first_tries - self.recent_tries / LONG
+        self.recent_satisfied += self.satisfied - self.recent_satisfied / LONG
+        tries = max(self.recent_tries, 1.0)
+        share = min(1.0, self.recent_satisfied / tries)
+        surely = max(0.0, share - math.sqrt(share * (1 - share) / tries))
+        before = FADING * self.satisfied_share if tries >= ENOUGH else 0.0
+        self.satisfied_share = max(surely, before)
+
     def check_some(self) -> io.Steps:
         """Of many models, some at once: a check of all would hold up the requests that come meanwhile."""
         for _ in range(min(CHECKED, len(self.unchecked))):
@@ -456,7 +470,7 @@
         growth = (1 - s.cold_from) / max(s.cold, 1)
         share = s.cold_from + growth * max(0, self.now - runner.facts.since)  # clocks of workers may be ahead
         part = LEAST_CAPACITY * runner.facts.weight / max(self.weight, self.index.weight, 1e-9)
-        rate = s.fall_multiple * min(self.best, self.asked) * part
+        rate = s.fall_multiple * min(self.best, self.satisfied_share * self.asked) * part
         need = requests * SECOND / max(rate, 1e-3) + 1  # ns that it takes a warm worker
         # solves share * gap + growth * gap ** 2 / 2 = need: of many dispatchers, a gap spans most of the ramp
         return int(2 * need / (share + math.sqrt(share**2 + 2 * growth * need)))
--- a/tests/test_slow_start_capacity.py
+++ b/tests/test_slow_start_capacity.py
@@ -1,5 +1,5 @@
 """Slow start of cold workers that can do half of what their weight says, for any number of dispatchers and of
-requests, N from under 1 to hundreds, also while the fleet is asked for more than it can do.
+requests: N from under 1 to hundreds, also while the fleet is asked for more than it can do.
 
 The budget is the operators': N + 2 * sqrt(N) + 2, and for N under 30 N + 3 * sqrt(N) + 3.
 """
@@ -92,6 +92,19 @@
     keeps_to_the_budget(Fleet(size, size, capacity=100.0), fleets.some_restarted)
 
 
+@pytest.mark.parametrize("size", [1, 5, 30, 200])
+@pytest.mark.parametrize(
+    "case",
+    [fleets.replaced, fleets.zone_gone, fleets.others_carried_their_traffic, fleets.traffic_moved],
+    ids=lambda case: case.__name__,
+)
+def test_twice_as_much_is_asked_as_can_be_done(case: Case, size: int) -> None:
+    """The best of a few noisy rates is far more than the fleet can do, and so is what is asked."""
+    if size == 1 and case is fleets.others_carried_their_traffic:
+        return  # there are no others
+    keeps_to_the_budget(Fleet(size, size, load=2.0, satisfied=0.5), case)
+
+
 @pytest.mark.parametrize("size", [1, 2, 5, 30, 200])
 @pytest.mark.parametrize(
     "case",
