--- /dev/null
+++ b/tests/test_production_terms.py
@@ -0,0 +1,426 @@
+"""What production adds to the days of the bench, where no other test forces it.
+
+Workers end, reset or forget connections that rest; attempts fail at once; requests have very little time
+left; trouble begins after a long quiet time; discovery is out for long while workers restart, drain and go,
+and the node itself is stopped.
+"""
+
+from __future__ import annotations
+
+import os
+import signal
+from collections import Counter
+from collections.abc import Callable
+from contextlib import suppress
+from pathlib import Path
+from typing import Any
+
+import anyio
+import pytest
+from anyio.abc import SocketAttribute, SocketStream
+
+from martenlead import interface as io
+from martenlead.events import http
+from support.fleet import Runner as EdgeRunner
+from support.fleet import fleet, satisfied, until
+from tests.nodes import (
+    BROKEN,
+    SETTINGS,
+    Asker,
+    Journal,
+    Part,
+    Play,
+    Runner,
+    done,
+    in_turn,
+    linger,
+    play,
+    raw,
+    record,
+    says,
+    silent,
+)
+from tests.virtual_fleet import PATIENCE, SECOND, Dispatcher, Fleet, lines
+
+pytestmark = pytest.mark.anyio
+
+LATEST = 0.5  # s after its time: an answer that comes later counts as lost
+METHODS = ("safe", "keyed", "unsafe")
+DRAINING, GONE = 1, 2
+
+
+def faults(p: Play) -> int:
+    """Exceptions of ours that the node has met."""
+    return sum(count for (kind, _), count in p.node.dispatcher.counts.items() if kind == "fault")
+
+
+def once(method: str, number: int) -> str | None:
+    return f"{number:032x}" if method == "keyed" else None
+
+
+async def reset(stream: SocketStream) -> None:
+    linger(stream)
+    await anyio.aclose_forcefully(stream)
+
+
+# -- workers end, reset or forget connections that rest
+
+
+class Forgetful:
+    """A worker that serves, until it is told to forget its connections: what comes on one of them then is
+    reset, or gets no word, and never runs."""
+
+    def __init__(self, word: Part) -> None:
+        self.word = word
+        self.forgotten: list[SocketStream] = []
+        self.ran: Counter[str] = Counter()
+
+    async def __call__(self, runner: Runner, stream: SocketStream, told: dict[str, Any]) -> None:
+        if stream in self.forgotten:
+            await self.word(runner, stream, told)
+            return
+        self.ran[told["txn"]] += 1
+        await done(runner, stream, told)
+
+    async def rest_ends(self, how: str, runner: Runner) -> None:
+        for stream in runner.streams:
+            if how == "close":
+                await stream.aclose()
+            elif how == "reset":
+                await reset(stream)
+            else:
+                self.forgotten.append(stream)
+        runner.streams = []
+
+
+RESTS = {
+    "close": silent,
+    "reset": silent,
+    "forget and reset": raw(b"", reset=True),
+    "forget and say nothing": silent,
+}
+
+
+@pytest.mark.parametrize("method", METHODS)
+@pytest.mark.parametrize("how", RESTS)
+async def test_a_worker_that_ends_or_forgets_resting_connections_costs_at_most_the_first_request(
+    how: str, method: str, tmp_path: Path
+) -> None:
+    """Where the end can be seen none is lost; a forgotten connection costs one request, and no second run."""
+    worker = Forgetful(RESTS[how])
+    async with play(tmp_path, {"a": [worker]}) as p:
+        client = await p.client()
+        for number in (1, 2, 3):
+            assert await client.call(method, once=once(method, number)) == "satisfied"
+        await worker.rest_ends(how, p.runners["a"])
+        began = anyio.current_time()
+        first = await client.call(method, wait=600, once=once(method, 4))
+        assert anyio.current_time() - began < 0.6 + LATEST
+        if how in ("close", "reset"):
+            assert first == "satisfied"
+        elif method == "unsafe":
+            assert first == "error -32000"  # it may have run: no second attempt
+        for number in (5, 6, 7):
+            assert await client.call(method, once=once(method, number)) == "satisfied"
+        assert set(worker.ran.values()) == {1}
+        assert faults(p) == 0
+
+
+@pytest.mark.parametrize(("kind", "expected"), [("estimate", {200, 503}), ("notice", {502, 504})])
+async def test_a_worker_of_the_edge_that_forgets_a_resting_connection(kind: str, expected: set[int]) -> None:
+    """Reset at the next byte, so that it may have run: what may be repeated is served or rejected, all else
+    has failed after one attempt."""
+    forgotten: list[Any] = []
+
+    async def forgetful(runner: EdgeRunner, stream: SocketStream, message: http.Message) -> None:
+        if stream in forgotten:
+            await reset(stream)
+            return
+        rested.append(stream)
+        await satisfied(runner, stream, message)
+
+    rested: list[Any] = []
+    async with fleet({"a": [forgetful], "b": [forgetful]}) as f:
+        for _ in range(6):
+            assert (await f.call(kind))[0] == 200
+        forgotten += rested
+        status, _ = await f.call(kind, ident="crosses")
+        assert status in expected
+        assert kind == "estimate" or len([i for _, _, i in f.arrivals if i == "crosses"]) == 1
+        told = [(await f.call(kind))[0] for _ in range(6)]
+        assert told.count(200) >= 4, told  # the other worker's connection may be forgotten as well
+
+
+# -- attempts that fail at once
+
+FAILS: dict[str, tuple[Part, bool]] = {  # and whether it proves that nothing ran
+    "errors": (says("BROKE"), False),
+    "full": (says("WAIT", ""), True),
+    "misses": (says("LACK", ""), True),
+    "over": (says("PAST", ""), True),
+    "closes": (raw(b"", end=True), False),
+    "resets": (raw(b"", reset=True), False),
+    "noise": (raw(b"\xff\xfe\n"), False),
+}
+AT_ONCE = 20  # requests, in one write
+
+
+@pytest.mark.parametrize("hedged", [False, True])
+@pytest.mark.parametrize("how", FAILS)
+async def test_retries_and_hedged_requests_that_all_fail_at_once_end_in_one_answer_each(
+    how: str, hedged: bool, tmp_path: Path
+) -> None:
+    """Within the limit on attempts, and without a second run of what must not run twice."""
+    part, never_ran = FAILS[how]
+    allowed = SETTINGS["allowed"] | {"may-duplicate": hedged}
+    workers = {name: [in_turn(part)] for name in "abcd"}
+    async with play(tmp_path, workers, settings=SETTINGS | {"allowed": allowed}) as p:
+        for place, method in enumerate(METHODS):
+            asker = Asker(await p.client(), first=place * AT_ONCE)
+            p.group.start_soon(asker.read)
+            for number in range(AT_ONCE):
+                keyed = {"once": once(method, place * AT_ONCE + number + 1)} if method == "keyed" else {}
+                await asker.ask(method, wait=800, key=f"{number:016x}", **keyed)
+            await until(lambda asker=asker: len(asker.answers) >= AT_ONCE, within=3)  # type: ignore[misc]
+            assert asker.has_one_answer_each()
+            assert asker.words() <= {"turned back", "error -32000"}
+            assert max(asker.latencies()) < 0.8 + LATEST
+        attempts = Counter(line[-2:] for line in p.did())
+        assert max(attempts.values()) <= SETTINGS["allowed"]["attempts-cap"]
+        unsafe = {f"{2 * AT_ONCE + number + 1:02x}" for number in range(AT_ONCE)}
+        if not never_ran:
+            assert max((attempts[number] for number in unsafe), default=0) <= 1
+        assert faults(p) == 0
+        await until(lambda: not p.node.dispatcher._out and not p.node.dispatcher.held)
+
+
+# -- requests with very little time left
+
+LITTLE = (1, 2, 5, 10, 20)  # ms
+DROPPED_UNDER = 25  # ms that a worker needs left, or it drops the request without a word
+
+
+answers = in_turn(done)
+
+
+async def drops_late_ones(runner: Runner, stream: SocketStream, told: dict[str, Any]) -> None:
+    if told["props"]["ttl"] >= DROPPED_UNDER:
+        await answers(runner, stream, told)
+
+
+@pytest.mark.parametrize("method", METHODS)
+@pytest.mark.parametrize("left", LITTLE)
+async def test_requests_with_little_time_that_workers_drop_have_one_answer_each_as_have_all_others(
+    left: int, method: str, tmp_path: Path
+) -> None:
+    async with play(tmp_path, {"a": [drops_late_ones], "b": [drops_late_ones]}) as p:
+        hurried, usual = Asker(await p.client()), Asker(await p.client(), first=1000)
+        for asker in (hurried, usual):
+            p.group.start_soon(asker.read)
+        for number in range(30):
+            keyed = {"once": once(method, number + 1)} if method == "keyed" else {}
+            await hurried.ask(method, wait=left, key=f"{number % 3:016x}", **keyed)
+            if number % 3 == 0:
+                keyed = {"once": once(method, number + 1001)} if method == "keyed" else {}
+                await usual.ask(method, key=f"{number % 3:016x}", **keyed)
+            await anyio.sleep(0.01)
+        for asker in (hurried, usual):
+            await until(lambda asker=asker: len(asker.answers) >= len(asker.asked))  # type: ignore[misc]
+            assert asker.has_one_answer_each(), (asker.asked, asker.answers)
+        assert max(hurried.latencies()) < left / 1000 + LATEST
+        assert max(usual.latencies()) < 1.5 + LATEST
+        await until(lambda: not p.node.dispatcher._out)
+        assert faults(p) == 0
+
+
+@pytest.mark.parametrize("left", LITTLE)
+async def test_requests_to_the_edge_with_little_time_that_workers_drop_have_one_answer_each(
+    left: int,
+) -> None:
+    async def drops(runner: EdgeRunner, stream: SocketStream, message: http.Message) -> None:
+        if int(message.header(b"ce-timeleftms") or b"0") >= DROPPED_UNDER:
+            await satisfied(runner, stream, message)
+
+    async with fleet({"a": [drops], "b": [drops]}) as f:
+        for _ in range(10):
+            began = anyio.current_time()
+            status, _ = await f.call("notice", left=left)
+            assert status in (429, 502, 503, 504)
+            assert anyio.current_time() - began < left / 1000 + LATEST
+            assert (await f.call("notice"))[0] == 200
+
+
+# -- trouble after a long quiet time
+
+QUIET = 3600 * SECOND
+WORKERS, REPLACED = 10, 6
+
+
+def lose_half(fleet: Fleet) -> None:
+    fleet.lose(range(WORKERS // 2))
+
+
+def lose_all(fleet: Fleet) -> None:
+    fleet.lose(range(WORKERS))
+
+
+def drain_half(fleet: Fleet) -> None:
+    for dispatcher in fleet.dispatchers:
+        dispatcher.tell(lines(range(WORKERS // 2), io.State.DRAINING))
+
+
+def replace_six_in_ten(fleet: Fleet) -> None:
+    """As many as the bench replaces within some seconds; here at once."""
+    fleet.lose(range(REPLACED))
+    fleet.up |= set(range(100, 100 + REPLACED))
+    for dispatcher in fleet.dispatchers:
+        dispatcher.tell(lines(range(REPLACED), io.State.GONE))
+        dispatcher.tell(lines(range(100, 100 + REPLACED), since=fleet.now))
+
+
+TROUBLES: dict[str, tuple[Callable[[Fleet], None], bool]] = {  # and whether all can be served
+    "half of the workers lost": (lose_half, False),
+    "all workers lost": (lose_all, False),
+    "half of the workers drain": (drain_half, True),
+    "six in ten workers replaced": (replace_six_in_ten, True),
+}
+
+
+@pytest.mark.parametrize("known", [False, True], ids=["functions unknown", "functions known"])
+@pytest.mark.parametrize("trouble", TROUBLES)
+def test_trouble_that_begins_after_an_hour_of_quiet_leaves_no_request_unanswered(
+    trouble: str, known: bool
+) -> None:
+    """In virtual time. Nothing goes to a worker that was told as draining or gone, and once the workers are
+    well again all is served."""
+    happens, served = TROUBLES[trouble]
+    virtual = Fleet(range(WORKERS))
+    for seed in range(3):
+        dispatcher = Dispatcher(virtual, seed + 1)
+        dispatcher.tell(lines(range(WORKERS)), whole=True)
+        dispatcher.begin()
+    if known:
+        call_all(virtual, 20)
+    virtual.run_for(QUIET)
+    happens(virtual)
+    before = [len(d.attempts) for d in virtual.dispatchers]
+    finals = [d.finals.copy() for d in virtual.dispatchers]
+    call_all(virtual, 40)
+    virtual.run_for(2 * PATIENCE)
+    for dispatcher, sent, ended in zip(virtual.dispatchers, before, finals, strict=True):
+        assert (dispatcher.finals - ended).total() == 40
+        if served:
+            assert (dispatcher.finals - ended)["satisfied"] >= 36
+            gone = range(WORKERS // 2 if happens is drain_half else REPLACED)
+            assert not {attempt.mark for attempt in dispatcher.attempts[sent:]} & set(gone)
+    virtual.up |= set(range(WORKERS))
+    virtual.run_for(60 * SECOND)
+    for dispatcher in virtual.dispatchers:
+        dispatcher.finals.clear()
+    call_all(virtual, 20)
+    virtual.run_for(2 * PATIENCE)
+    for dispatcher in virtual.dispatchers:
+        assert dispatcher.finals.total() == 20
+        assert dispatcher.finals["satisfied"] >= 18
+
+
+def call_all(virtual: Fleet, count: int) -> None:
+    """So many calls at each dispatcher, over some functions, one every 50 ms."""
+    for number in range(count):
+        for dispatcher in virtual.dispatchers:
+            dispatcher.call(number % 5)
+        virtual.run_for(SECOND // 20)
+
+
+# -- discovery is out, and workers restart, drain and go meanwhile
+
+
+class FailingJournal(Journal):
+    """A journal service that can be out: it refuses connections, and has closed those that it had."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.running = anyio.CancelScope()
+
+    async def serve(self) -> None:
+        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=self.port)
+        self.port = listener.extra(SocketAttribute.local_port)
+        async with listener:
+            with anyio.CancelScope() as self.running:
+                await listener.serve(self.connected)
+
+    async def goes_out(self) -> None:
+        self.running.cancel()
+        for stream in self.streams:
+            with suppress(*BROKEN):
+                await stream.aclose()
+        self.streams = []
+
+
+OUTAGE = 2.5  # s
+LEFT = 500  # ms of each request
+
+
+async def end_process(runner: Runner) -> None:
+    """Its listener is closed, and its connections are reset."""
+    await runner.listener.aclose()
+    for stream in runner.streams:
+        with suppress(*BROKEN, AttributeError):
+            await reset(stream)
+    runner.streams = []
+
+
+@pytest.mark.parametrize("method", ["safe", "unsafe"])
+@pytest.mark.parametrize("stops", [False, True], ids=["stays", "stops as it returns"])
+async def test_an_outage_of_discovery_with_restarts_and_drains_costs_no_request_its_answer(
+    stops: bool, method: str, tmp_path: Path
+) -> None:
+    journal = FailingJournal()
+    async with play(tmp_path, {name: [in_turn(done)] for name in "abc"}, journal) as p:
+        await until(lambda: journal.streams)
+        asker = Asker(await p.client())
+        p.group.start_soon(asker.read)
+
+        over = anyio.Event()
+
+        async def ask() -> None:
+            while not asker.ended and not p.node.stopping and not over.is_set():
+                with suppress(*BROKEN):
+                    await asker.ask(method, wait=LEFT, key=f"{asker.caller.number % 7:016x}")
+                await anyio.sleep(0.02)
+
+        async with anyio.create_task_group() as group:
+            group.start_soon(ask)
+            await anyio.sleep(0.1)
+            await journal.goes_out()
+            await anyio.sleep(OUTAGE / 2)
+            a, b = p.runners["a"], p.runners["b"]
+            await end_process(b)
+            await end_process(a)
+            await p.runner("a", in_turn(done), port=a.port)
+            await p.runner("d", in_turn(done))
+            await anyio.sleep(OUTAGE / 2)
+            await journal.tell(
+                p.record("a", started=1),
+                record(ord("b"), b.port, GONE),
+                p.record("c", DRAINING),
+                p.record("d", started=1),
+            )
+            p.group.start_soon(journal.serve)
+            boxes = p.node.dispatcher.boxes
+            await until(lambda: not boxes["s-00000063"].up, within=4)
+            known = len(p.log)
+            if stops:
+                os.kill(os.getpid(), signal.SIGTERM)
+                await until(lambda: p.ended, within=5)
+            else:
+                await anyio.sleep(0.5)
+            over.set()
+        await until(lambda: len(asker.answers) >= len(asker.asked), within=3)
+        assert asker.has_one_answer_each()
+        assert max(asker.latencies()) < LEFT / 1000 + LATEST
+        assert not any(line[:4] in ("b DO", "c DO") for line in p.log[known:])
+        if not stops:
+            assert any(line[:4] in ("a DO", "d DO") for line in p.log[known:])
+        satisfied_share = [word for _, word, _ in asker.answers].count("satisfied") / len(asker.answers)
+        assert satisfied_share > 0.8
