--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -21,6 +21,7 @@
 
 from martenlead import interface as io
 from martenlead.events import http
+from martenlead.events.cloudevent import Event, write
 from support.fleet import Runner as EdgeRunner
 from support.fleet import fleet, satisfied, until
 from tests.nodes import (
@@ -40,6 +41,8 @@
     says,
     silent,
 )
+from tests.play import MS, ONCE
+from tests.play import Play as VirtualPlay
 from tests.virtual_fleet import PATIENCE, SECOND, Dispatcher, Fleet, lines
 
 pytestmark = pytest.mark.anyio
@@ -250,6 +253,59 @@
             assert (await f.call("notice"))[0] == 200
 
 
+HURRIED = 3  # in a row, each with 20 ms left, and each dropped
+
+
+def test_a_worker_that_drops_requests_with_little_time_stays_in_use() -> None:
+    """That it says nothing to them proves nothing of it: who comes next is sent there. In virtual time."""
+    play = VirtualPlay(runners="a")
+    play.served(12)
+    for number in range(HURRIED):
+        play.task(f"hurried {number}", offering=ONCE, patience=LITTLE[-1])
+        assert len(play.hand_offs) == 1
+        play.to(play.brain.now // MS + LITTLE[-1])
+        play.answer(io.Result.SILENT, io.Warmth.UNTOLD)
+        play.to(play.brain.now // MS + 5)
+    play.task("usual", offering=ONCE)
+    assert [play.names[sent.task] for sent in play.hand_offs] == ["usual"], play.lines
+
+
+# -- requests that cross the end of a resting connection
+
+
+def request(ident: str) -> bytes:
+    attributes: dict[str, Any] = {
+        "specversion": "1.0",
+        "id": ident,
+        "source": "/c",
+        "type": "estimate",
+        "model": "m",
+        "timeleftms": 1500,
+    }
+    headers, body = write(Event(attributes, b"{}", "application/json"))
+    return http.request(b"POST", b"/", b"edge", headers, body)
+
+
+@pytest.mark.parametrize("how", ["idle for long", "drain"])
+async def test_a_request_to_the_edge_that_lies_in_the_machine_as_its_connection_ends_is_answered(
+    how: str,
+) -> None:
+    """Its bytes have come whole before the edge decides to end the connection, and are not read yet."""
+    async with fleet() as f, await anyio.connect_tcp("127.0.0.1", f.port) as stream:
+        await stream.send(request("first"))
+        assert b" 200 " in (await stream.receive()).split(b"\r\n")[0]
+        await anyio.sleep(0.05)  # it rests
+        (own,) = f.door.server.connections
+        os.write(stream.extra(SocketAttribute.raw_socket).fileno(), request("crosses"))
+        if how == "drain":
+            f.door.drain()
+        else:
+            own.look(own.read + own.limits.idle + 1)
+        with anyio.fail_after(3):
+            answer = await stream.receive()
+        assert b" 200 " in answer.split(b"\r\n")[0]
+
+
 # -- trouble after a long quiet time
 
 QUIET = 3600 * SECOND
