--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,9 +13,10 @@
 from martenlead.edge.records import Box, Held, Known, Out, Wanted
 from martenlead.interface import Result, Warmth
 from martenlead.node import config, lines
-from martenlead.node.journal import Frames, age
+from martenlead.node.journal import Frames
 from martenlead.node.rpc import BODY
 from martenlead.node.runners import Way
+from martenlead.node.worker_age import WorkerAges
 from martenlead.runnerlink.heard import Heard
 from martenlead.runnerlink.roster import Line, List, News
 
@@ -163,6 +164,7 @@
         metered: Any = MeteredBorder(self.dispatcher.border, meter)
         self.dispatcher.use_border(metered)
         self.frames = Frames(told.places)
+        self.ages = WorkerAges()
         self.control = ControlCounts()
         self.armed = 1 << 62  # when the simulation runs the timers next
         self._known = told.known if known is None else known
@@ -175,7 +177,8 @@
         """Takes in the list of the configuration and starts the periodic work, as the program does."""
         with self.meter.measure(Activity.MEMBERSHIP):
             for news in self._known:
-                if self.source.list.told(age(news, self.clock())):
+                self.ages.date(news, self.clock())
+                if self.source.list.told(news):
                     self.dispatcher.news(news.runners or [], news.whole)
         self._known = []
         with self.meter.measure(Activity.TIMERS):
@@ -188,8 +191,10 @@
         with self.meter.measure(Activity.MEMBERSHIP):
             for news in self.frames.feed(data):
                 if news.version <= self.source.list.version or news.runners is None:
+                    self.ages.confirm(self.clock())
                     continue
-                if self.source.list.told(age(news, self.clock())):
+                self.ages.date(news, self.clock())
+                if self.source.list.told(news):
                     self.dispatcher.news(news.runners, news.whole)
 
     def timers(self) -> None:
--- a/martenlead/brain.py
+++ b/martenlead/brain.py
@@ -709,7 +709,7 @@
         elif result is io.Result.FULL:
             self.widen(runner, 2 * task.offering.soft_limit, task.offering.soft_limit)
             runner.fulls += 1
-        elif result in UNHEARD or (result is io.Result.SILENT and runner.heard < hand_off.sent):
+        elif result in UNHEARD or self.is_unexpected_silence(hand_off):
             runner.silent, runner.waiting = runner.silent + 1, self.now
             if model.home is runner and result in UNHEARD:
                 model.home = None
@@ -717,6 +717,12 @@
         if result is not io.Result.SATISFIED and not copy.out:
             copy.ordered = 0  # the load that they waited for failed, or never began
 
+    def is_unexpected_silence(self, hand_off: io.HandOff) -> bool:
+        """Whether a worker should have answered by now, and said nothing to anybody since the attempt. With
+        less time than half of the latency objective it may have dropped the request without a word."""
+        had_time = hand_off.patience >= hand_off.task.offering.soft_limit // 2
+        return had_time and hand_off.result is io.Result.SILENT and hand_off.runner.heard < hand_off.sent
+
     def judge(self, hand_off: io.HandOff, failed: bool) -> None:
         """Whose fault an error is: of one that fails at a second runner too, the task's."""
         task, runner = hand_off.task, hand_off.runner
