--- a/martenlead/node/runners.py
+++ b/martenlead/node/runners.py
@@ -208,7 +208,7 @@
         """Closes it; all that is open on it ends. The first call counts."""
         if self not in self.way.conns:
             return
-        self.way.conns.discard(self)
+        self.link.forget(self)
         transport, opened = self.transport, list(self.open.values())
         self.open.clear()
         if transport is not None:
@@ -238,6 +238,7 @@
         self.told, self.sockets, self.soft, self.clock = told, sockets, soft, clock
         self.dispatcher: Dispatcher
         self.ways: set[Way] = set()
+        self.conns: set[Conn] = set()  # to all runners: far fewer than the runners of a large fleet
         self._group: TaskGroup
         self._deferred: dict[Out, None] = {}  # attempts whose clients have bytes to be read first
         self._heap: list[tuple[int, int, Sent]] = []
@@ -257,13 +258,18 @@
     def sweep(self) -> None:
         """Closes what stood idle, well before the runner would: what is written as it closes may have run."""
         now = self.clock()
-        for way in list(self.ways):
-            for conn in list(way.conns):
-                old = way.left or conn.retired or now - conn.since > self.told.idle // 2
-                if old and not conn.open and conn.transport is not None:
-                    conn.end()
-            if way.left and not way.conns:
-                self.ways.discard(way)
+        for conn in list(self.conns):
+            old = conn.way.left or conn.retired or now - conn.since > self.told.idle // 2
+            if old and not conn.open and conn.transport is not None:
+                conn.end()
+
+    def forget(self, conn: Conn) -> None:
+        """It has ended; a runner that is gone is forgotten with the last connection to it."""
+        way = conn.way
+        self.conns.discard(conn)
+        way.conns.discard(conn)
+        if way.left and not way.conns:
+            self.ways.discard(way)
 
     def way(self, line: Line) -> Way:
         way = Way(line)
@@ -392,15 +398,15 @@
             return busy
         conn = Conn(self, way)
         way.conns.add(conn)
+        self.conns.add(conn)
         self._group.start_soon(self._connect, conn)
         return conn
 
     def _has_room(self) -> bool:
         """Whether one more connection may be made: at the bound, the one idle for longest gives way."""
-        if sum(way.open for way in self.ways) < self.sockets:
+        if len(self.conns) < self.sockets:
             return True
-        conns = (conn for way in self.ways for conn in way.conns)
-        idle = [conn for conn in conns if not conn.open and conn.transport is not None]
+        idle = [conn for conn in self.conns if not conn.open and conn.transport is not None]
         if idle:
             min(idle, key=lambda conn: conn.since).end()
         return bool(idle)
--- /dev/null
+++ b/tests/test_worker_connections.py
@@ -0,0 +1,44 @@
+"""Connections to workers: what keeping them costs where the list of workers is long."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+from martenlead.node.runners import Way
+from tests.nodes import done, play
+
+pytestmark = pytest.mark.anyio
+
+
+class Workers(set[Way]):
+    """The listed workers; nothing that is done for each request or each half second may look at all."""
+
+    def __iter__(self) -> Iterator[Way]:
+        raise AssertionError("all listed workers were looked at")
+
+
+async def test_a_new_connection_and_a_sweep_do_not_look_at_all_workers(
+    tmp_path: Path,
+) -> None:
+    async with play(tmp_path, {"a": [done], "b": [done]}) as p:
+        link = p.node.link
+        link.ways = Workers(link.ways)
+        client = await p.client()
+        assert await client.call("safe") == "satisfied"
+        assert len(link.conns) == 1
+        link.sweep()
+        assert len(link.conns) == 1
+
+
+async def test_a_worker_that_is_gone_is_forgotten_with_its_last_connection(tmp_path: Path) -> None:
+    async with play(tmp_path, {"a": [done]}) as p:
+        link = p.node.link
+        client = await p.client()
+        assert await client.call("safe") == "satisfied"
+        (way,) = link.ways
+        link.leave(way)
+        assert not link.conns
+        assert not link.ways
