--- a/martenlead/edge/door.py
+++ b/martenlead/edge/door.py
@@ -61,6 +61,7 @@
     async def handle(self, message: Message, now: int) -> Reply:
         """Cancelled when the client has left: its task is over then."""
         dispatcher = self.dispatcher
+        now = dispatcher.lag.earliest_arrival(now)
         if message.target.split(b"?")[0] != b"/":
             return problem(404, "No such path", "tasks are posted to /")
         if message.method != b"POST":
--- a/martenlead/edge/httplink.py
+++ b/martenlead/edge/httplink.py
@@ -110,7 +110,7 @@
         out.at.deadline = anyio.current_time() + left / 1e9
         try:
             with out.at:
-                exchange = await way.pool.exchange(self._request(out, way, left), sending)
+                exchange = await way.pool.exchange(lambda: self._request(out, way), sending)
         except Exception as error:  # the end is told all the same, with what may have run
             self.dispatcher.fault(error)
         finally:  # the module is owed one answer all the same
@@ -124,8 +124,10 @@
             self._off.discard(out)
             self.dispatcher.ended(out, told)
 
-    def _request(self, out: Out, way: Way, left: int) -> bytes:
+    def _request(self, out: Out, way: Way) -> bytes:
+        """Made as it leaves: the time left that it states does not count the wait for a connection."""
         content: Content = out.held.content
+        left = max(0, out.hand_off.sent + out.hand_off.patience - self.dispatcher.clock())
         if content.lines is None:
             content.lines = b"".join(b"%b: %b\r\n" % p for p in content.headers if p[0] not in RELAYED_ANEW)
         return (
--- a/martenlead/events/client.py
+++ b/martenlead/events/client.py
@@ -114,8 +114,9 @@
         self.strays = 0  # answers, or other bytes, that no request of ours asked for
         self._idle: list[_Connection] = []
 
-    async def exchange(self, data: bytes, sending: Sending | None = None) -> Exchange:
+    async def exchange(self, data: bytes | Callable[[], bytes], sending: Sending | None = None) -> Exchange:
         """Sends one request and waits for its answer, without an end of its own: the caller's scope sets it.
+        A request that states a time left is made by a call, once there is a connection.
 
         Cancelled, or ended by anything but a whole answer that keeps the connection, it closes the
         connection: no late answer can meet a later request.
@@ -177,7 +178,9 @@
                 await anyio.aclose_forcefully(stream)
             return Exchange(End.REFUSED, detail="reset as soon as it was made")
 
-    async def _exchange(self, connection: _Connection, data: bytes, sending: Sending) -> Exchange:
+    async def _exchange(
+        self, connection: _Connection, data: bytes | Callable[[], bytes], sending: Sending
+    ) -> Exchange:
         stream, reader = connection.stream, connection.reader
         begun = False
         try:
@@ -185,7 +188,7 @@
             if not sending.may_begin():
                 return Exchange(End.WITHHELD)
             sending.wrote = True
-            await stream.send(data)
+            await stream.send(data if isinstance(data, bytes) else data())
             while True:
                 part = await stream.receive()
                 begun = True
