--- a/martenlead/node/runners.py
+++ b/martenlead/node/runners.py
@@ -9,7 +9,10 @@
 once more whether it may still leave: by then its task may be over, or its runner told as draining or gone.
 
 A busy event loop learns late that a client has closed or cancelled. So each attempt asks its client's socket
-as its line would leave: where an end waits there it does not, where bytes wait they are read first.
+as its line would leave: where an end waits there it does not, where bytes wait they are read first, over as
+many turns of the loop as that takes: a cancel may lie behind any number of them.
+
+The time that a line states to its runner is what is left as the line is written, not as it was decided on.
 """
 
 from __future__ import annotations
@@ -38,6 +41,9 @@
 STALE = 32  # hand-offs given up on one connection whose answers may still come
 NEVER = 1 << 62  # ns
 SWEEP = 500_000_000  # ns between two looks for connections that stood idle
+MS = 1_000_000  # ns
+READING_TURN = 5_000_000  # ns of one turn of the loop for clients' bytes that attempts wait for
+READING_PAUSE = 0.001  # s between two such turns, for all else
 
 
 class Sent:
@@ -52,14 +58,15 @@
         held: Held | None,
         due: int,
         overdue: int,
-        line: bytes,
+        line: Callable[[int], bytes],
         told: Callable[[Heard], None],
         begin_by: int = NEVER,
     ) -> None:
-        """`held` is the task, None of an order; the first byte may not leave after `begin_by`, ns."""
+        """`held` is the task, None of an order; the first byte may not leave after `begin_by`, ns. `line`
+        makes what is written at a time, ns."""
         self.txn, self.due, self.overdue, self.told = txn, due, overdue, told
         self.box, self.held, self.begin_by = box, held, begin_by
-        self.line = line  # until it is written
+        self.line: Callable[[int], bytes] | None = line  # until it is written
         self.conn: Conn | None = None
         self.written = 0  # when
 
@@ -67,10 +74,11 @@
         """Why it may not leave any more, or nothing."""
         return why_late(self.held, self.box, self.begin_by, now)
 
-    def hear_client(self) -> None:
-        """What its client has sent since, be it the end, is read."""
-        if self.held is not None and self.held.client is not None:
-            self.held.client.read_pending()
+    def hear_client(self) -> bool:
+        """Reads what its client has sent since, be it the end; whether all of it was read."""
+        if self.held is None or self.held.final is not None or self.held.client is None:
+            return True
+        return self.held.client.read_pending()
 
 
 def why_late(held: Held | None, box: Box, begin_by: int, now: int) -> str:
@@ -98,8 +106,8 @@
     # -- the event loop's side
 
     def connection_made(self, transport: Any) -> None:
-        for sent in list(self.open.values()):
-            sent.hear_client()  # first: what follows from it may still be taken from this connection
+        # first: what follows from it may still be taken from this connection
+        unheard = [sent for sent in list(self.open.values()) if not sent.hear_client()]
         self.transport = transport
         if self not in self.way.conns:
             transport.abort()  # given up in the turn that it came up in: all that waited was told as unsent
@@ -107,16 +115,35 @@
         # each line goes to the machine as it is written, or the connection is full: none lies here and leaves
         # when its runner reads again, drained by then
         transport.set_write_buffer_limits(0)
-        now = self.heard = self.since = self.link.clock()
+        self.heard = self.since = self.link.clock()
+        self._write_waiting(unheard)
+
+    def _hear_and_write(self) -> None:
+        """Again, in a further turn, for lines whose clients had more unread than one turn reads."""
+        if self in self.way.conns:
+            self._write_waiting([sent for sent in list(self.open.values()) if not sent.hear_client()])
+
+    def _write_waiting(self, unheard: list[Sent]) -> None:
+        """Writes what waits, but for those whose clients have more to be read: these wait on."""
+        if self not in self.way.conns:
+            return
+        now = self.link.clock()
         late = []
+        waits = False
         for sent in list(self.open.values()):
+            if sent.line is None:
+                continue
             why = sent.late(now) or ("the runner does not read" if self.full else "")
-            if why:
+            if not why and sent in unheard:
+                waits = True
+            elif why:
                 del self.open[sent.txn]
                 late.append((sent, why))
             else:
                 self._write(sent, now)
         self._free(bool(self.open))
+        if waits:
+            asyncio.get_running_loop().call_later(0.001, self._hear_and_write)
         for sent, why in late:  # last: what they are told may bring the next hand-off, over this connection
             sent.told(Heard(Result.NOT_SENT, why=why))
 
@@ -158,15 +185,16 @@
             self._write(sent, self.link.clock())
 
     def _write(self, sent: Sent, now: int) -> None:
+        assert sent.line is not None
         sent.written = now
-        self.transport.write(sent.line)
-        sent.line = b""
+        self.transport.write(sent.line(now))
+        sent.line = None
 
     def take_back(self, sent: Sent) -> bool:
         """Gives it up; whether it may have run. A connection that has said nothing since it was written gets
         nothing new: the machine behind it may have vanished without a word."""
         self.open.pop(sent.txn, None)
-        if self.transport is None:
+        if sent.line is not None:  # never written
             self._free(bool(self.open))
             return False
         self.transport.write(lines.undo(sent.txn))
@@ -213,8 +241,8 @@
         self.open.clear()
         if transport is not None:
             transport.abort() if why else transport.close()
-        result = Result.UNREACHED if transport is None else Result.BROKEN
         for sent in opened:
+            result = Result.BROKEN if sent.line is None else Result.UNREACHED
             sent.told(Heard(result, why=why))
 
 
@@ -241,6 +269,7 @@
         self.conns: set[Conn] = set()  # to all runners: far fewer than the runners of a large fleet
         self._group: TaskGroup
         self._deferred: dict[Out, None] = {}  # attempts whose clients have bytes to be read first
+        self._reads_deferred = False  # `_send_deferred` is to be called
         self._heap: list[tuple[int, int, Sent]] = []
         self._count = 0
         self._timer: asyncio.TimerHandle | None = None
@@ -301,25 +330,37 @@
             self._attempt(out)
 
     def _defer(self, out: Out) -> None:
-        """To the next turn: in the middle of a decision, or of that client's own read, nothing is read."""
+        """To a further turn: in the middle of a decision, or of that client's own read, nothing is read."""
         self._deferred[out] = None
-        if len(self._deferred) == 1:
+        if not self._reads_deferred:
+            self._reads_deferred = True
             asyncio.get_running_loop().call_soon(self._send_deferred)
 
     def _send_deferred(self) -> None:
+        """Who has more to read than one turn allows waits on, behind the others, up to its request's time."""
+        self._reads_deferred = False
+        began = self.clock()
         for out in list(self._deferred):
-            if out.held.client is not None:
-                out.held.client.read_pending()
+            if self.clock() - began > READING_TURN:
+                break
+            client = out.held.client
+            is_read = client is None or client.read_pending()
             if out not in self._deferred:
-                continue  # called off by what was read
+                continue  # cancelled by what was read
             del self._deferred[out]
-            why = why_late(out.held, out.box, out.hand_off.begin_by, self.clock())
+            now = self.clock()
+            why = why_late(out.held, out.box, out.hand_off.begin_by, now)
+            if not why and now >= out.hand_off.sent + out.hand_off.patience:
+                why = "the time was over before its client was heard"
             if why:
                 self.dispatcher.ended(out, Heard(Result.NOT_SENT, why=why))
-            else:
+            elif is_read:
                 self._attempt(out)
-        if self._deferred:
-            asyncio.get_running_loop().call_soon(self._send_deferred)
+            else:
+                self._deferred[out] = None
+        if self._deferred and not self._reads_deferred:
+            self._reads_deferred = True
+            asyncio.get_running_loop().call_later(READING_PAUSE, self._send_deferred)
 
     def _attempt(self, out: Out) -> None:
         hand_off, call = out.hand_off, out.held.content
@@ -330,8 +371,11 @@
             self.dispatcher.ended(out, Heard(Result.NOT_SENT, why="the time was over before it was sent"))
             return
         overdue = now + self.soft.get(call.method, 0)
-        ttl = max(1, left // 1_000_000)
-        line = lines.do(call.id, call.method, call.key, ttl, call.once, call.blob)
+        until = min(now + left, out.held.task.give_up) if out.held.task is not None else now + left
+
+        def line(written: int) -> bytes:
+            ttl = max(1, (until - written) // MS)
+            return lines.do(call.id, call.method, call.key, ttl, call.once, call.blob)
 
         def told(heard: Heard) -> None:
             self.dispatcher.ended(out, heard)
@@ -357,7 +401,11 @@
         self._count += 1
         now = self.clock()
         txn, due = f"o{self._count}", now + self.told.order
-        self._send(Sent(txn, box, None, due, due, lines.pin(txn, known.name, copies), told), [])
+
+        def line(_written: int) -> bytes:
+            return lines.pin(txn, known.name, copies)
+
+        self._send(Sent(txn, box, None, due, due, line, told), [])
 
     def _send(self, sent: Sent, met: list[Any]) -> None:
         """`met` are the connections that the task was on before: a second answer that comes late there would
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -16,14 +16,18 @@
 import anyio
 import pytest
 
+from martenlead.edge.client import Pending
+from martenlead.edge.records import Final
 from martenlead.interface import Result
 from martenlead.node.runners import Conn
 from support.fleet import until
 from tests.apart import apart
-from tests.nodes import Caller, Part, Play, done, message, play, says, word
+from tests.nodes import Caller, Part, Play, done, message, play, says, silent, word
 
 pytestmark = pytest.mark.anyio
-LEAVES = ("abort", "half close", "close", "reset")
+LEAVES = ("abort", "abort behind much", "half close", "close", "reset")
+READ_SIZE = 1024  # bytes of one read in these tests
+BEHIND = 400  # messages before an abort: several times what one turn of the loop reads then
 full = says("WAIT", "")
 
 
@@ -32,6 +36,12 @@
     return "asyncio", {"use_uvloop": request.param}
 
 
+@pytest.fixture(autouse=True)
+def small_reads(monkeypatch: pytest.MonkeyPatch) -> None:
+    """So that a cancel may lie behind more than a turn reads, and all of it in the machine's buffers."""
+    monkeypatch.setattr("martenlead.node.door.READ", READ_SIZE)
+
+
 class Blocking(Caller):
     """A client whose calls are done when they return, without a turn of the event loop."""
 
@@ -47,6 +57,10 @@
             case "abort":
                 about = {"id": self.number}
                 self.put(message({"jsonrpc": "2.0", "method": "abort", "params": about}))
+            case "abort behind much":
+                unknown = message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 9999}})
+                self.put(unknown * BEHIND)
+                self.leave("abort")
             case "half close":
                 self.socket.shutdown(socket.SHUT_WR)
             case "close":
@@ -242,3 +256,44 @@
         assert [line[-2:] for line in p.did()] == ["bb", "cc", "dd"]
         for client in clients:
             client.socket.close()
+
+
+async def test_a_cancel_of_an_open_request_goes_before_what_is_taken_in_its_read(tmp_path: Path) -> None:
+    """Taking a request may bring further attempts of others that are due: not of one that is cancelled."""
+    async with play(tmp_path, {"a": [silent]}) as p:
+        client = await p.client()
+        await client.ask()
+        await until(p.did)
+        (own,) = p.node.door.clients
+        (first,) = own.open.values()
+        finals: list[Any] = []
+        real = p.node.dispatcher.take
+
+        def take(*args: Any, **more: Any) -> Any:
+            finals.append(first.final)
+            return real(*args, **more)
+
+        p.node.dispatcher.take = take  # type: ignore[method-assign]
+        about = {"id": 1}
+        cancel = message({"jsonrpc": "2.0", "method": "abort", "params": about})
+        own.data_received(client.task() + cancel)
+        assert finals == [Final.LEFT]
+
+
+async def test_a_client_that_never_stops_sending_costs_itself_its_time_and_others_nothing(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Its request is never sent, since a cancel may lie in what is unread: it is refused in its time."""
+    async with play(tmp_path) as p:
+        await warm(p)
+        client = await p.client()
+        await until(lambda: p.node.door.clients)
+        (own,) = p.node.door.clients
+        monkeypatch.setattr(own, "pending", lambda: Pending.BYTES)
+        monkeypatch.setattr(own, "read_pending", lambda: False)
+        started = anyio.current_time()
+        await client.ask(wait=400)
+        assert await (await p.client()).call(id="00000000000000bb") == "satisfied"
+        assert word(await client.answer()) == "turned back"
+        assert anyio.current_time() - started < 0.6
+        assert attempts(p) == [] and not p.node.link._deferred
--- /dev/null
+++ b/tests/test_deadline_passed_on.py
@@ -0,0 +1,153 @@
+"""The time that a worker is told is at most what the client has left, also where its request lay unread while
+the event loop was busy, or waited for a connection. For the node and for the edge."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+from pathlib import Path
+from typing import Any
+
+import anyio
+import pytest
+
+from martenlead.edge.event_loop_lag import UNREMARKABLE_WAIT, EventLoopLag
+from martenlead.events import http
+from martenlead.events.client import Pool
+from support.fleet import fleet, satisfied
+from tests.nodes import SETTINGS, Caller, done, play
+
+pytestmark = pytest.mark.anyio
+
+MS = 1_000_000
+BLOCKED = (
+    0.6  # s in which the event loop does nothing: more than the policy then sets aside by itself, and SLACK
+)
+SLACK = 150  # ms
+STEADY = 0.1  # s, in which the loop is on time
+WAIT = 1500  # ms
+ONE_ATTEMPT = "unsafe"  # a class whose attempt is given all the time that is left
+
+
+@pytest.fixture(params=[False, True], ids=["asyncio", "uvloop"])
+def anyio_backend(request: Any) -> Any:
+    return "asyncio", {"use_uvloop": request.param}
+
+
+@pytest.mark.parametrize("new", [False, True], ids=["open connection", "new connection"])
+async def test_the_node_counts_the_time_that_a_request_lay_unread(new: bool, tmp_path: Path) -> None:
+    stated: list[int] = []
+
+    async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
+        stated.append(told["props"]["ttl"])
+        await done(runner, stream, told)
+
+    async with play(tmp_path, {"a": [noting]}) as p:
+        caller = Caller(None)  # type: ignore[arg-type]
+        client = socket.create_connection(("127.0.0.1", p.port))
+        await anyio.sleep(STEADY)
+        if new:
+            client.close()
+            client = socket.create_connection(("127.0.0.1", p.port))
+        client.sendall(caller.task(ONE_ATTEMPT, wait=WAIT))
+        time.sleep(BLOCKED)  # the loop is busy, before it reads
+        with anyio.fail_after(5):
+            while not stated:
+                await anyio.sleep(0.002)
+        assert stated[0] <= WAIT - BLOCKED * 1000 + SLACK
+        client.close()
+
+
+async def test_the_node_counts_the_wait_for_a_connection(tmp_path: Path, monkeypatch: Any) -> None:
+    stated: list[int] = []
+
+    async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
+        stated.append(told["props"]["ttl"])
+        await done(runner, stream, told)
+
+    allowed = SETTINGS["allowed"] | {"connect-timeout": 1.0}
+    async with play(tmp_path, {"a": [noting]}, settings=SETTINGS | {"allowed": allowed}) as p:
+        client = await p.client()
+        real = p.node.link._connect
+
+        async def late(conn: Any) -> None:
+            await anyio.sleep(BLOCKED)
+            await real(conn)
+
+        monkeypatch.setattr(p.node.link, "_connect", late)
+        assert await client.call(wait=WAIT) == "satisfied"
+        assert stated[0] <= WAIT - BLOCKED * 1000 + 1
+
+
+async def test_the_edge_counts_the_time_that_a_request_lay_unread() -> None:
+    stated: list[int] = []
+
+    async def noting(runner: Any, stream: Any, message: Any) -> None:
+        stated.append(int(message.header(b"ce-timeleftms")))
+        await satisfied(runner, stream, message)
+
+    async with fleet({"a": [noting]}) as f:
+        client = socket.create_connection(("127.0.0.1", f.port))
+        await anyio.sleep(STEADY)
+        client.sendall(event(WAIT))
+        time.sleep(BLOCKED)
+        with anyio.fail_after(5):
+            while not stated:
+                await anyio.sleep(0.002)
+        assert stated[0] <= WAIT - BLOCKED * 1000 + SLACK
+        client.close()
+
+
+async def test_the_edge_counts_the_wait_for_a_connection(monkeypatch: Any) -> None:
+    stated: list[int] = []
+
+    async def noting(runner: Any, stream: Any, message: Any) -> None:
+        stated.append(int(message.header(b"ce-timeleftms")))
+        await satisfied(runner, stream, message)
+
+    async with fleet({"a": [noting]}) as f:
+        real = Pool._connect
+
+        async def late(pool: Pool) -> Any:
+            await anyio.sleep(BLOCKED)
+            return await real(pool)
+
+        client = socket.create_connection(("127.0.0.1", f.port))
+        monkeypatch.setattr(Pool, "_connect", late)
+        client.sendall(event(WAIT))
+        with anyio.fail_after(5):
+            while not stated:
+                await anyio.sleep(0.002)
+        assert stated[0] <= WAIT - BLOCKED * 1000 + 1
+        client.close()
+
+
+def event(left: int) -> bytes:
+    attributes = {"specversion": "1.0", "id": "t1", "source": "/c", "type": "notice", "model": "m"}
+    headers = [(b"ce-" + name.encode(), value.encode()) for name, value in attributes.items()]
+    headers.append((b"ce-timeleftms", str(left).encode()))
+    headers.append((b"content-type", b"application/json"))
+    return http.request(b"POST", b"/", b"edge", headers, b"{}")
+
+
+def test_the_earliest_arrival_is_the_sample_before_the_last_one_where_the_loop_stalled() -> None:
+    lag = EventLoopLag(lambda: 0, 0, lambda _: None)
+    assert lag.earliest_arrival(5 * MS) == 5 * MS  # nothing is known
+    lag._samples.extend([100 * MS, 110 * MS, 520 * MS, 530 * MS])
+    assert lag.earliest_arrival(112 * MS) == 112 * MS  # it was on time
+    assert lag.earliest_arrival(519 * MS) == 100 * MS  # sockets before timers: read before the sample
+    assert lag.earliest_arrival(521 * MS) == 110 * MS  # timers before sockets
+    assert lag.earliest_arrival(531 * MS) == 531 * MS
+    assert lag.earliest_arrival(520 * MS + UNREMARKABLE_WAIT) == 520 * MS + UNREMARKABLE_WAIT
+
+
+async def test_what_follows_a_full_read_may_have_come_with_it(tmp_path: Path, monkeypatch: Any) -> None:
+    async with play(tmp_path) as p:
+        await p.client()
+        while not p.node.door.clients:
+            await asyncio.sleep(0.002)
+        (own,) = p.node.door.clients
+        arrivals = [100, 900, 950, 990]
+        monkeypatch.setattr(p.node.dispatcher.lag, "earliest_arrival", lambda _: arrivals.pop(0))
+        assert [own._arrival(1000, size) for size in (262_144, 65_536, 10, 10)] == [100, 100, 100, 990]
