--- a/martenlead/system/__init__.py
+++ b/martenlead/system/__init__.py
@@ -1,1 +1,2 @@
-"""What every program needs of the operating system: its clocks and its listening sockets. No decisions."""
+"""What every program needs of the operating system: its clocks, its listening sockets, and files that are
+replaced as a whole. No decisions."""
