--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -15,13 +15,13 @@
 
 import msgspec
 
-from martenlead.brain import Brain
 from martenlead.config.edge import settings
 from martenlead.config.load import decode
-from martenlead.interface import ModelFacts, RunnerFacts, State
 from martenlead.lasting.disk import Folder
 from martenlead.lasting.knowledge import SECOND, Knowledge, asks, gathering, past
 from martenlead.lasting.store import Kind, Store
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import ModelFacts, RunnerFacts, State
 from support.fleet import OFFERINGS
 
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -11,11 +11,11 @@
 from benchmarks.scale.workers import Met
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.edge.records import Box, Held, Known, Out, Wanted
-from martenlead.interface import Result, Warmth
 from martenlead.node import config, lines
 from martenlead.node.journal import Frames, age
 from martenlead.node.rpc import BODY
 from martenlead.node.runners import Way
+from martenlead.policy.types import Result, Warmth
 from martenlead.runnerlink.heard import Heard
 from martenlead.runnerlink.roster import Line, List, News
 
--- a/martenlead/benchlink/settings.py
+++ b/martenlead/benchlink/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from martenlead.interface import Customer, Effect, Group, Offering, Settings
+from martenlead.policy.types import Customer, Effect, Group, Offering, Settings
 
 LONGEST = 1e9  # s: in ns it still has room in 64 bits
 Seconds = Annotated[float, Meta(ge=0, le=LONGEST)]
--- a/martenlead/benchlink/wire.py
+++ b/martenlead/benchlink/wire.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from martenlead.benchlink.settings import BadSettings, Profile, ns
-from martenlead.brain import Brain
-from martenlead.engine import Engine
-from martenlead.interface import (
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import (
     Action,
     Answer,
     AskRoster,
--- a/martenlead/capture/benchtape.py
+++ b/martenlead/capture/benchtape.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import Any, Protocol, TypeVar
 
-from martenlead.brain import Brain
 from martenlead.capture.store import Store, StoreSettings
 from martenlead.capture.tape import Tape
-from martenlead.engine import Engine
-from martenlead.interface import (
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import (
     Action,
     Answer,
     Customer,
--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -27,15 +27,16 @@
 import xxhash
 import zstandard
 
-from martenlead import brain as module
-from martenlead import candidates, interface
-from martenlead.brain import Brain
 from martenlead.capture.events import Input, Start
 from martenlead.capture.format import BadCapture
 from martenlead.capture.replay_state import ReplayState
 from martenlead.capture.tape import module_hash
-from martenlead.engine import Engine, Process
-from martenlead.interface import Result, Task, Wait
+from martenlead.policy import candidates
+from martenlead.policy import policy as module
+from martenlead.policy import types as interface
+from martenlead.policy.engine import Engine, Process
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import Result, Task, Wait
 
 MAGIC = b"mlcheckp\x01"
 
--- a/martenlead/capture/events.py
+++ b/martenlead/capture/events.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from martenlead.interface import (
+from martenlead.policy.types import (
     Customer,
     Effect,
     Group,
--- a/martenlead/capture/explain.py
+++ b/martenlead/capture/explain.py
@@ -10,7 +10,7 @@
 
 from martenlead.capture import events as ev
 from martenlead.capture.replay import Replayer, Unreplayable
-from martenlead.interface import Task
+from martenlead.policy.types import Task
 
 MS = 1_000_000
 LOST = "lost with its dispatcher"
--- a/martenlead/capture/replay.py
+++ b/martenlead/capture/replay.py
@@ -13,12 +13,12 @@
 from time import perf_counter
 from typing import Any
 
-from martenlead.brain import Brain
 from martenlead.capture import events as ev
 from martenlead.capture.checkpoint import Checkpoint, restore, save
 from martenlead.capture.tape import Tape
-from martenlead.engine import Engine
-from martenlead.interface import (
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import (
     Action,
     Answer,
     HandOff,
--- a/martenlead/capture/replay_state.py
+++ b/martenlead/capture/replay_state.py
@@ -9,11 +9,11 @@
 from collections import deque
 from typing import Any, Protocol
 
-from martenlead.brain import Brain
 from martenlead.capture.events import Event, Start
 from martenlead.capture.tape import Tape
-from martenlead.engine import Engine
-from martenlead.interface import Action, Order, Settings, Task
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import Action, Order, Settings, Task
 
 
 class ReplayState(Protocol):
--- a/martenlead/capture/tape.py
+++ b/martenlead/capture/tape.py
@@ -12,9 +12,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from martenlead import brain, candidates
 from martenlead.capture import events as ev
-from martenlead.interface import (
+from martenlead.policy import candidates
+from martenlead.policy import policy as brain
+from martenlead.policy.types import (
     Action,
     Answer,
     AskRoster,
--- a/martenlead/config/edge.py
+++ b/martenlead/config/edge.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from martenlead.config.load import BadConfig, decode, evaluate
-from martenlead.interface import Customer, Effect, Group, Offering, Settings
+from martenlead.policy.types import Customer, Effect, Group, Offering, Settings
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0)]
--- a/martenlead/edge/border.py
+++ b/martenlead/edge/border.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from martenlead.brain import Brain
-from martenlead.engine import Engine
-from martenlead.interface import (
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import (
     Action,
     Answer,
     Customer,
--- a/martenlead/edge/decision_log.py
+++ b/martenlead/edge/decision_log.py
@@ -7,7 +7,7 @@
 import structlog
 
 from martenlead.edge.records import Box, Held, Known, Out
-from martenlead.interface import Action, Order, Task
+from martenlead.policy.types import Action, Order, Task
 from martenlead.runnerlink.heard import Heard
 
 
--- a/martenlead/edge/dispatcher.py
+++ b/martenlead/edge/dispatcher.py
@@ -27,7 +27,7 @@
 from martenlead.edge.loads import Loads
 from martenlead.edge.membership import Membership
 from martenlead.edge.records import About, Box, Final, Held, Out, Wanted
-from martenlead.interface import (
+from martenlead.policy.types import (
     Action,
     Answer,
     AskRoster,
--- a/martenlead/edge/door.py
+++ b/martenlead/edge/door.py
@@ -23,7 +23,7 @@
 from martenlead.events.http import Headers, Limits, Message
 from martenlead.events.problem import problem
 from martenlead.events.server import Reply, Server, ServerLimits
-from martenlead.interface import Result, Task
+from martenlead.policy.types import Result, Task
 
 PASSED_ON = frozenset({b"content-type", b"traceparent", b"tracestate"})
 TITLES = {400: "Bad task", 404: "No such path", 405: "Only POST", 413: "Too large", 415: "Not an event"}
--- a/martenlead/edge/functions.py
+++ b/martenlead/edge/functions.py
@@ -6,7 +6,7 @@
 
 from martenlead.edge.decision_loop import DecisionLoop
 from martenlead.edge.records import Known
-from martenlead.interface import ModelFacts
+from martenlead.policy.types import ModelFacts
 
 MARK_BYTES = 64  # of a name, which make its number for the policy
 
--- a/martenlead/edge/httplink.py
+++ b/martenlead/edge/httplink.py
@@ -24,7 +24,7 @@
 from martenlead.edge.records import About, Box, Known, Out
 from martenlead.events import http
 from martenlead.events.client import Exchange, Pool, Sending
-from martenlead.interface import Result
+from martenlead.policy.types import Result
 from martenlead.runnerlink import orders, outcomes, roster
 from martenlead.runnerlink.follow import follow
 from martenlead.runnerlink.heard import Heard
--- a/martenlead/edge/loads.py
+++ b/martenlead/edge/loads.py
@@ -10,7 +10,7 @@
 from martenlead.edge.interfaces import Link
 from martenlead.edge.membership import Membership
 from martenlead.edge.records import Box, Known
-from martenlead.interface import Order, Result
+from martenlead.policy.types import Order, Result
 from martenlead.runnerlink.heard import Heard
 
 NS_PER_MS = 1e6
--- a/martenlead/edge/membership.py
+++ b/martenlead/edge/membership.py
@@ -15,7 +15,7 @@
 from martenlead.edge.decision_loop import DecisionLoop
 from martenlead.edge.interfaces import Link
 from martenlead.edge.records import Box
-from martenlead.interface import RunnerFacts, State
+from martenlead.policy.types import RunnerFacts, State
 from martenlead.runnerlink.roster import Line, List
 
 STATES = {"up": State.UP, "draining": State.DRAINING, "gone": State.GONE}
--- a/martenlead/edge/records.py
+++ b/martenlead/edge/records.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from martenlead.edge.client import ClientConnection
-from martenlead.interface import Customer, HandOff, Offering, RunnerFacts, Settings, State, Task
+from martenlead.policy.types import Customer, HandOff, Offering, RunnerFacts, Settings, State, Task
 from martenlead.runnerlink.roster import Line
 
 
--- a/martenlead/emulator/box.py
+++ b/martenlead/emulator/box.py
@@ -10,7 +10,7 @@
 from martenlead.emulator.messages import Sender, Sent, Told
 from martenlead.emulator.records import Records
 from martenlead.emulator.tally import Tally
-from martenlead.interface import Result, Warmth
+from martenlead.policy.types import Result, Warmth
 from martenlead.standins.crowding import Fall
 from martenlead.standins.settings import Fault, OfferingPart, RunnerPart, VaultPart
 from martenlead.standins.shelf import Copies, Place, Shelf
--- a/martenlead/emulator/edge.py
+++ b/martenlead/emulator/edge.py
@@ -15,7 +15,6 @@
 from martenlead.admission import gate
 from martenlead.admission.gate import End, Gate, Ticket
 from martenlead.admission.gate import State as At
-from martenlead.brain import Brain
 from martenlead.config import edge as config
 from martenlead.config.edge import ns, settings
 from martenlead.edge.border import Border, Both, Tape
@@ -25,7 +24,10 @@
 from martenlead.emulator.kernel import Signal, Steps
 from martenlead.emulator.messages import Exchange, Held, Sent, Told
 from martenlead.emulator.planned import PlannerFleet, links, looks
-from martenlead.interface import (
+from martenlead.lasting.knowledge import Knowledge, asks, drained, gather, past
+from martenlead.planner.edgeside import EdgeSide
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import (
     Action,
     Answer,
     CallOff,
@@ -39,8 +41,6 @@
     Task,
     TurnBack,
 )
-from martenlead.lasting.knowledge import Knowledge, asks, drained, gather, past
-from martenlead.planner.edgeside import EdgeSide
 from martenlead.runnerlink.roster import Line
 from martenlead.standins.demand import Call
 
--- a/martenlead/emulator/fleet.py
+++ b/martenlead/emulator/fleet.py
@@ -13,7 +13,6 @@
 
 import msgspec
 
-from martenlead.brain import Brain
 from martenlead.config.edge import Edge as EdgeSettings
 from martenlead.config.edge import check, ns
 from martenlead.days.audit import Audit
@@ -30,6 +29,7 @@
 from martenlead.emulator.policies import alike, find
 from martenlead.emulator.records import Records
 from martenlead.emulator.tally import Tally
+from martenlead.policy.policy import Brain
 from martenlead.runnerlink.roster import Line
 from martenlead.standins.crowding import Lines
 from martenlead.standins.demand import Call, Demand
--- a/martenlead/emulator/messages.py
+++ b/martenlead/emulator/messages.py
@@ -10,7 +10,7 @@
 
 from martenlead.admission.gate import Ticket
 from martenlead.emulator.kernel import Process, Signal
-from martenlead.interface import HandOff, Result, Task, Warmth
+from martenlead.policy.types import HandOff, Result, Task, Warmth
 from martenlead.standins.demand import Call, Try
 
 
--- a/martenlead/emulator/policies.py
+++ b/martenlead/emulator/policies.py
@@ -7,21 +7,25 @@
 
 from __future__ import annotations
 
+import io
 import re
 import subprocess
 import sys
+import tarfile
 from collections.abc import Callable, Iterator, Mapping
+from importlib import import_module
 from inspect import signature
 from pathlib import Path
-from types import ModuleType
+from tempfile import TemporaryDirectory
 from typing import Any, Protocol
 
-from martenlead import interface as io
-from martenlead.brain import Brain, Runner
-from martenlead.candidates import RANKED_WHOLE
 from martenlead.emulator.box import Runner as Worker
+from martenlead.policy import types
+from martenlead.policy.candidates import RANKED_WHOLE
+from martenlead.policy.policy import Brain, Runner
 from martenlead.standins.settings import OfferingPart
 
+PACKAGE = "martenlead/policy"
 TRIES = 8  # random picks before all runners are looked at
 BOUND = 1.25  # of the mean load: what consistent hashing with bounded loads lets a runner have
 
@@ -74,7 +78,7 @@
 
 
 class Baseline(Brain):
-    def __init__(self, settings: io.Settings, seed: int) -> None:
+    def __init__(self, settings: types.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         settings.orders = False
 
@@ -82,7 +86,7 @@
         """All runners, the model's first choice first."""
         return self.index.ranked(model.facts.mark)
 
-    def may(self, task: io.Task, runner: Runner, but: set[Runner]) -> bool:
+    def may(self, task: types.Task, runner: Runner, but: set[Runner]) -> bool:
         """What the rules let it have. Widths are the module's own decision, except at a cold runner."""
         return (
             runner not in but
@@ -92,7 +96,7 @@
             and (not self.cold(runner) or self.room(runner, task.spare))
         )
 
-    def some(self, task: io.Task, but: set[Runner]) -> Runner | None:
+    def some(self, task: types.Task, but: set[Runner]) -> Runner | None:
         runners = self.runners
         for _ in range(TRIES if runners else 0):
             runner = runners[int(self.pick() * len(runners))]
@@ -105,14 +109,14 @@
 class RandomChoice(Baseline):
     """Any runner."""
 
-    def place(self, task: io.Task, but: set[Runner]) -> Runner | None:
+    def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
         return self.some(task, but)
 
 
 class PowerOfTwo(Baseline):
     """Of two at random the one with fewer of this dispatcher's tasks."""
 
-    def place(self, task: io.Task, but: set[Runner]) -> Runner | None:
+    def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
         two = [r for r in (self.some(task, but), self.some(task, but)) if r is not None]
         return min(two, key=lambda r: r.out, default=None)
 
@@ -120,7 +124,7 @@
 class LeastOutstanding(Baseline):
     """The one with the fewest of this dispatcher's tasks; the first by chance of several."""
 
-    def place(self, task: io.Task, but: set[Runner]) -> Runner | None:
+    def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
         able = [r for r in self.runners if self.may(task, r, but)]
         least = min((r.out for r in able), default=0)
         best = [r for r in able if r.out == least]
@@ -131,7 +135,7 @@
     """Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016), on the order that the
     dispatchers share: the first that has no more than a quarter above the mean."""
 
-    def place(self, task: io.Task, but: set[Runner]) -> Runner | None:
+    def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
         out = sum(r.out for r in self.runners) + 1
         bound = BOUND * out / max(1, len(self.runners))
         order: list[Runner] = self.ranked(task.model)
@@ -145,11 +149,11 @@
     """One that sees every runner as it is: the one that would be done with the task first."""
 
     class Oracle(Baseline):
-        def place(self, task: io.Task, but: set[Runner]) -> Runner | None:
+        def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
             able = [r for r in self.runners if self.may(task, r, but)]
             return min(able, key=lambda r: self.takes(task, r), default=None)
 
-        def takes(self, task: io.Task, runner: Runner) -> float:
+        def takes(self, task: types.Task, runner: Runner) -> float:
             """s from now."""
             name = runner.facts.mark.to_bytes(200, "big").lstrip(b"\0").decode()
             there = fleet.runners[name]
@@ -194,21 +198,37 @@
 
 
 def module_at(commit: str) -> type[Brain]:
-    """The module's text at a commit or tag of this project's own history. Raises `ValueError`."""
+    """The policy's text at a commit or tag of this project's own history, with the types of today. Raises
+    `ValueError`, also for a commit before the policy was a package."""
     if not re.fullmatch(r"[A-Za-z0-9._/~^-]+", commit) or commit.startswith("-"):
         raise ValueError(f"{commit!r} is no name of a commit")
     root = Path(__file__).parent.parent.parent
-    told: Any = subprocess.run(
-        ["git", "show", f"{commit}:martenlead/brain.py"],
-        cwd=root,
-        capture_output=True,
-        text=True,
-        check=False,
+    told = subprocess.run(
+        ["git", "archive", "--format=tar", commit, PACKAGE], cwd=root, capture_output=True, check=False
     )
     if told.returncode:
-        raise ValueError(f"no module at {commit!r}: {told.stderr.strip()}")
-    module = ModuleType(f"martenlead_brain_{re.sub(r'[^A-Za-z0-9]', '_', commit)}")
-    sys.modules[module.__name__] = module
-    exec(compile(told.stdout, f"{commit}:brain.py", "exec"), module.__dict__)
-    found: type[Brain] = module.__dict__["Brain"]
+        raise ValueError(f"no module at {commit!r}: {told.stderr.decode().strip()}")
+    with TemporaryDirectory() as folder:
+        with tarfile.open(fileobj=io.BytesIO(told.stdout)) as archive:
+            archive.extractall(folder, filter="data")
+        return _imported_from(Path(folder) / PACKAGE)
+
+
+def _imported_from(folder: Path) -> type[Brain]:
+    """The policy class of another copy of the package, which the program's own is put back behind."""
+    own = {name: module for name, module in sys.modules.items() if name.startswith("martenlead.policy.")}
+    package = sys.modules["martenlead.policy"]
+    path, attributes = package.__path__, dict(vars(package))
+    for name in own.keys() - {"martenlead.policy.types"}:
+        del sys.modules[name]
+        delattr(package, name.rpartition(".")[2])
+    package.__path__ = [str(folder)]
+    try:
+        found: type[Brain] = import_module("martenlead.policy.policy").Brain
+    finally:
+        for name in [name for name in sys.modules if name.startswith("martenlead.policy.")]:
+            del sys.modules[name]
+        sys.modules.update(own)
+        vars(package).update(attributes)
+        package.__path__ = path
     return found
--- a/martenlead/lasting/knowledge.py
+++ b/martenlead/lasting/knowledge.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from martenlead import interface as io
-from martenlead.brain import Brain
+from martenlead.policy import types as io
+from martenlead.policy.policy import Brain
 
 SECOND = 1_000_000_000
 UNKNOWN_AGE = 24 * 3600 * SECOND
--- a/martenlead/node/lines.py
+++ b/martenlead/node/lines.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from martenlead.interface import Result, Warmth
 from martenlead.node.rpc import decoded
+from martenlead.policy.types import Result, Warmth
 
 LONGEST = 131_072  # bytes of a line
 
--- a/martenlead/node/runners.py
+++ b/martenlead/node/runners.py
@@ -26,11 +26,11 @@
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.edge.records import Box, Held, Known, Out
 from martenlead.edge.waits import within
-from martenlead.interface import Result, Warmth
 from martenlead.node import lines
 from martenlead.node.config import Conn as Told
 from martenlead.node.rpc import BODY, Call
 from martenlead.node.sockets import readable
+from martenlead.policy.types import Result, Warmth
 from martenlead.runnerlink.heard import Heard
 from martenlead.runnerlink.roster import Line
 
--- a/martenlead/planner/edgeside.py
+++ b/martenlead/planner/edgeside.py
@@ -13,15 +13,15 @@
 import structlog
 from anyio.abc import SocketStream
 
-from martenlead.brain import Brain
 from martenlead.capture import events as ev
 from martenlead.capture.tape import Tape, module_hash
 from martenlead.config.edge import Address, Edge, PlannerLink, ns
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.interface import Customer, ModelFacts, RunnerFacts, Settings
 from martenlead.planner import frames as fr
 from martenlead.planner.link import Broken, EdgeEnd, Limits
 from martenlead.planner.snapshot import take
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import Customer, ModelFacts, RunnerFacts, Settings
 
 LOOK = 50_000_000  # ns between two looks at who decides
 GONE = (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
--- a/martenlead/planner/mirror.py
+++ b/martenlead/planner/mirror.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from martenlead.brain import Brain
 from martenlead.capture import events as ev
-from martenlead.engine import Engine
-from martenlead.interface import Action, Answer, Order, Result, Warmth
 from martenlead.planner.snapshot import Restored
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import Action, Answer, Order, Result, Warmth
 
 DRIFT = 100e-6  # that two clocks may differ by, as a part: the least way is believed for so long
 
--- a/martenlead/planner/snapshot.py
+++ b/martenlead/planner/snapshot.py
@@ -11,9 +11,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from martenlead.brain import Brain, Histogram
 from martenlead.capture import events as ev
-from martenlead.interface import Customer, HandOff, Result, Settings, Task
+from martenlead.policy.policy import Brain, Histogram
+from martenlead.policy.types import Customer, HandOff, Result, Settings, Task
 
 NUMBERS = (int, float, bool)
 NOT_OURS = {"now", "roster_version", "order_made"}  # made anew by whoever reads
--- /dev/null
+++ b/martenlead/policy/__init__.py
@@ -0,0 +1,1 @@
+"""All decisions of a dispatcher, free of I/O; docs/design.md says what is decided and why."""
--- a/martenlead/engine.py
+++ b/martenlead/policy/engine.py
@@ -10,8 +10,8 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from martenlead.brain import Brain
-from martenlead.interface import Action, Answer, Order, Past, Result, Steps, Task, Wait
+from martenlead.policy.policy import Brain
+from martenlead.policy.types import Action, Answer, Order, Past, Result, Steps, Task, Wait
 
 
 class Process:
--- a/martenlead/brain.py
+++ b/martenlead/policy/policy.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any
 
-from martenlead import interface as io
-from martenlead.candidates import RANKED_WHOLE, CandidateIndex, Ranking
+from martenlead.policy import types as io
+from martenlead.policy.candidates import RANKED_WHOLE, CandidateIndex, Ranking
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/martenlead/runnerlink/heard.py
+++ b/martenlead/runnerlink/heard.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from martenlead.interface import Result, Warmth
+from martenlead.policy.types import Result, Warmth
 
 
 @dataclass(slots=True)
--- a/martenlead/runnerlink/outcomes.py
+++ b/martenlead/runnerlink/outcomes.py
@@ -8,7 +8,7 @@
 
 from martenlead.events.client import End, Exchange
 from martenlead.events.http import Message
-from martenlead.interface import Result, Warmth
+from martenlead.policy.types import Result, Warmth
 from martenlead.runnerlink.heard import Heard
 
 NEVER_RAN = (
--- a/support/pair.py
+++ b/support/pair.py
@@ -12,7 +12,10 @@
 from martenlead.config.load import decode
 from martenlead.edge.border import Border
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.interface import (
+from martenlead.planner import frames as fr
+from martenlead.planner.edgeside import EdgeSide
+from martenlead.planner.link import MS, Broken, PlannerEnd
+from martenlead.policy.types import (
     Answer,
     CallOff,
     HandOff,
@@ -25,9 +28,6 @@
     TurnBack,
     Warmth,
 )
-from martenlead.planner import frames as fr
-from martenlead.planner.edgeside import EdgeSide
-from martenlead.planner.link import MS, Broken, PlannerEnd
 
 OFFERINGS = [
     {"name": "estimate", "soft_limit_ms": 500, "hard_limit_ms": 3000, "effect": "idempotent"},
--- a/tests/play.py
+++ b/tests/play.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any
 
-from martenlead import interface as io
-from martenlead.brain import Brain
-from martenlead.engine import Engine
+from martenlead.policy import types as io
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Brain
 
 MS = 1_000_000
 CHECK = io.Offering(500 * MS, io.Effect.IDEMPOTENT, io.Group.ALL, 0)
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -12,9 +12,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from martenlead import interface as io
-from martenlead.brain import Brain, Runner
-from martenlead.candidates import CANDIDATES, LEAVES, RANKED_WHOLE, CandidateIndex, Ranking
+from martenlead.policy import types as io
+from martenlead.policy.candidates import CANDIDATES, LEAVES, RANKED_WHOLE, CandidateIndex, Ranking
+from martenlead.policy.policy import Brain, Runner
 from tests.play import SETTINGS
 
 FULL_SIZE = 7_700
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -21,7 +21,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martenlead.brain import Brain
 from martenlead.capture import events as ev
 from martenlead.capture import format as fm
 from martenlead.capture.checkpoint import Checkpoint, load
@@ -30,6 +29,7 @@
 from martenlead.capture.store import Busy, Store, StoreSettings, runs
 from martenlead.capture.tape import Tape
 from martenlead.cli.main import commands
+from martenlead.policy.policy import Brain
 from support.fleet import after, closes, draining, error, fleet, full, satisfied, silent
 from tests.play import SETTINGS
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -16,8 +16,8 @@
 import anyio
 import pytest
 
-from martenlead.interface import Result
 from martenlead.node.runners import Conn
+from martenlead.policy.types import Result
 from support.fleet import until
 from tests.apart import apart
 from tests.nodes import Caller, Part, Play, done, message, play, says, word
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,9 +19,9 @@
 from anyio.abc import SocketAttribute
 
 from martenlead.edge import waits
-from martenlead.interface import Result
 from martenlead.node import lines
 from martenlead.node.door import Client
+from martenlead.policy.types import Result
 from support.fleet import until
 from tests.nodes import (
     SETTINGS,
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -7,7 +7,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from martenlead.interface import Order
+from martenlead.policy.types import Order
 from support.fleet import fleet, satisfied, until
 
 pytestmark = pytest.mark.anyio
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,8 +10,8 @@
 import anyio
 import pytest
 
-from martenlead.interface import Result
 from martenlead.node import door
+from martenlead.policy.types import Result
 from support.fleet import until
 from tests.apart import DESCRIPTORS, apart, serve_at
 from tests.nodes import done, play, word
--- a/tests/test_membership_lists.py
+++ b/tests/test_membership_lists.py
@@ -9,7 +9,7 @@
 import pytest
 from msgspec.structs import replace
 
-from martenlead.interface import RunnerFacts, State
+from martenlead.policy.types import RunnerFacts, State
 from support.fleet import until
 from tests.nodes import Play, after, done, frame, play, silent, word
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,6 +1,6 @@
 """The ordinary path of the design, and the failures found on it."""
 
-from martenlead import interface as io
+from martenlead.policy import types as io
 from tests.play import MS, ONCE, POST, Play, check
 
 
--- a/tests/test_placement_at_scale.py
+++ b/tests/test_placement_at_scale.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-from martenlead import brain as module
-from martenlead import interface as io
-from martenlead.brain import CHECKED, Brain, Runner
-from martenlead.candidates import CANDIDATES, CandidateIndex, Ranking
 from martenlead.capture import events as ev
 from martenlead.capture.checkpoint import load
 from martenlead.capture.replay import Replayer, checkpoint_between, replay
 from martenlead.capture.tape import Tape
+from martenlead.policy import policy as module
+from martenlead.policy import types as io
+from martenlead.policy.candidates import CANDIDATES, CandidateIndex, Ranking
+from martenlead.policy.policy import CHECKED, Brain, Runner
 from tests.play import MS
 from tests.virtual_fleet import SECOND, Dispatcher, Fleet, line, lines
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -11,9 +11,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from martenlead.capture import events as ev
-from martenlead.interface import State
 from martenlead.planner import frames as fr
 from martenlead.planner.link import MS, Broken
+from martenlead.policy.types import State
 from support.pair import Pair
 
 
--- a/tests/test_rename_tool.py
+++ b/tests/test_rename_tool.py
@@ -30,14 +30,19 @@
 
 class Other:
     out = "mine"
+
+
+class Gone:
+    pass
 """,
     "martenlead/user.py": """\
 from martenlead import old as o
-from martenlead.old import LIMIT, Box, Other, Red
+from martenlead.old import LIMIT, Box, Gone, Other, Red
 
 
 def look(box: Box, other: Other, red: Red, unknown) -> str:
     out = Box(out=LIMIT, held=True)
+    assert Gone is not None
     red.add()
     box.held = o.LIMIT > out.out
     match box:
@@ -52,6 +57,7 @@
 [names."martenlead.part.new"]
 Box = "Worker"
 LIMIT = "MOST_BOXES"
+Gone = "martenlead.part.far.Away"
 
 [members."martenlead.part.new.Box"]
 out = "in_flight"
@@ -66,10 +72,12 @@
 USER = """\
 from martenlead.part import new as o
 from martenlead.part.new import MOST_BOXES, Worker, Other, Red
+from martenlead.part.far import Away
 
 
 def look(box: Worker, other: Other, red: Red, unknown) -> str:
     out = Worker(in_flight=MOST_BOXES, held=True)
+    assert Away is not None
     red.count_one()
     box.state.is_held = o.MOST_BOXES > out.in_flight
     match box:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martenlead import interface as io
+from martenlead.policy import types as io
 from tests.play import MS, ONCE, POST, Play, check
 
 
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from martenlead import interface as io
-from martenlead.brain import Copy, Histogram, Model, Runner
-from martenlead.candidates import Ranking
+from martenlead.policy import types as io
+from martenlead.policy.candidates import Ranking
+from martenlead.policy.policy import Copy, Histogram, Model, Runner
 from tests.play import MS
 from tests.virtual_fleet import SECOND, Dispatcher, Fleet, line, lines
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,8 +14,8 @@
 
 from martenlead.benchlink.settings import BadSettings, Profile
 from martenlead.benchlink.wire import Instance
-from martenlead.interface import State
 from martenlead.node import config
+from martenlead.policy.types import State
 from tests.nodes import SETTINGS
 
 GONE: Any = object()
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -18,9 +18,9 @@
 
 import pytest
 
-from martenlead import interface as io
-from martenlead.brain import Brain, Model
-from martenlead.engine import Engine
+from martenlead.policy import types as io
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Brain, Model
 from tests.play import CHECK, MS, SETTINGS
 
 SECOND = 1000 * MS
--- a/tests/test_withheld.py
+++ b/tests/test_withheld.py
@@ -5,8 +5,8 @@
 import anyio
 import pytest
 
-from martenlead import interface as io
 from martenlead.events.client import End, Pool, Sending
+from martenlead.policy import types as io
 from martenlead.runnerlink.outcomes import heard
 from tests.play import CHECK, MS, POST, SETTINGS, Play
 
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -13,8 +13,8 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from martenlead import interface as io
 from martenlead.edge.border import Border, Tape
+from martenlead.policy import types as io
 from tests.play import CHECK, MS, SETTINGS
 
 SECOND = 1000 * MS
--- a/tools/rename.py
+++ b/tools/rename.py
@@ -9,6 +9,7 @@
 
     [names."package.module"]              # classes, functions and constants defined at the top of a module
     OldName = "NewName"
+    Moved = "package.other.NewName"       # dotted: it has moved to another module
 
     [members."package.module.Class"]      # attributes and methods, seen on that class and its subclasses
     old = "new"
@@ -186,7 +187,20 @@
     return ""
 
 
-class MoveImports(cst.CSTTransformer):
+class OneImportALine(cst.CSTTransformer):
+    """Gives an import statement that became two a line of its own for each."""
+
+    def leave_SimpleStatementLine(
+        self, original_node: cst.SimpleStatementLine, updated_node: cst.SimpleStatementLine
+    ) -> cst.SimpleStatementLine | cst.FlattenSentinel[cst.SimpleStatementLine]:
+        if len(updated_node.body) == len(original_node.body):
+            return updated_node
+        first, *others = [one.with_changes(semicolon=cst.MaybeSentinel.DEFAULT) for one in updated_node.body]
+        lines = [updated_node.with_changes(body=[first])]
+        return cst.FlattenSentinel([*lines, *(cst.SimpleStatementLine([one]) for one in others)])
+
+
+class MoveImports(OneImportALine):
     """Import statements after moves of modules. `from package import module` takes the local name that the
     module had, so that the code below stays as it is."""
 
@@ -244,14 +258,15 @@
 # -- names and members
 
 
-class Rename(cst.CSTTransformer):
+class Rename(OneImportALine):
     """Renames of one file."""
 
     METADATA_DEPENDENCIES = (PositionProvider,)
 
     def __init__(self, path: Path, module: str, table: Table, types: Types) -> None:
         self.path, self.module, self.table, self.types = str(path.resolve()), module, table, types
-        self.local = dict(table.names.get(module, {}))  # names in this file, and what they become
+        own = table.names.get(module, {})
+        self.local = {old: new for old, new in own.items() if "." not in new}  # names in this file
         self.aliases: dict[str, str] = {}  # local names of modules
         self.classes: list[str] = []  # that we are in
         self.functions = 0  # that we are in
@@ -268,20 +283,27 @@
             local = alias.asname.name.value if alias.asname else name  # type: ignore[union-attr]
             self.aliases[str(local)] = f"{module}.{name}"
             if not alias.asname and name in self.table.names.get(module, {}):
-                self.local[str(name)] = self.table.names[module][str(name)]
+                self.local[str(name)] = self.table.names[module][str(name)].rpartition(".")[2]
         return False
 
-    def leave_ImportFrom(self, original_node: cst.ImportFrom, updated_node: cst.ImportFrom) -> cst.ImportFrom:
+    def leave_ImportFrom(
+        self, original_node: cst.ImportFrom, updated_node: cst.ImportFrom
+    ) -> cst.ImportFrom | cst.FlattenSentinel[cst.ImportFrom]:
         renames = self.table.names.get(dotted(updated_node.module), {})
-        if isinstance(updated_node.names, cst.ImportStar):
+        if isinstance(updated_node.names, cst.ImportStar) or not renames:
             return updated_node
-        names = [
-            alias.with_changes(name=cst.Name(renames[alias.name.value]))
-            if alias.name.value in renames
-            else alias
-            for alias in updated_node.names
-        ]
-        return updated_node.with_changes(names=names)
+        stay, elsewhere = [], []
+        for alias in updated_node.names:
+            module, _, new = renames.get(str(alias.name.value), str(alias.name.value)).rpartition(".")
+            one = alias.with_changes(name=cst.Name(new), comma=cst.MaybeSentinel.DEFAULT)
+            if module:
+                elsewhere.append(cst.ImportFrom(cst.parse_expression(module), [one]))
+            else:
+                stay.append(one)
+        if not elsewhere:
+            return updated_node.with_changes(names=stay)
+        kept = [updated_node.with_changes(names=stay, lpar=None, rpar=None)] if stay else []
+        return cst.FlattenSentinel([*kept, *elsewhere])
 
     # names
 
@@ -311,8 +333,9 @@
         old = original_node.attr.value
         whole = dotted(original_node.value)
         module = self.aliases.get(whole, whole)
-        if old in self.table.names.get(module, {}):
-            return updated_node.with_changes(attr=cst.Name(self.table.names[module][old]))
+        new_here = self.table.names.get(module, {}).get(old, ".")
+        if "." not in new_here:
+            return updated_node.with_changes(attr=cst.Name(new_here))
         position = self.get_metadata(PositionProvider, original_node).end
         classes = self.types.members.get((self.path, position.line, position.column), {UNKNOWN})
         new = self.new_name(old, classes)
