--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -20,39 +20,39 @@
 from martenlead.lasting.disk import Folder
 from martenlead.lasting.knowledge import SECOND, Knowledge, asks, gathering, past
 from martenlead.lasting.store import Kind, Store
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import ModelFacts, RunnerFacts, State
 from support.fleet import OFFERINGS
 
 
-def module(models: int) -> tuple[Brain, dict[Any, str], dict[Any, tuple[str, str, bool]]]:
+def module(models: int) -> tuple[Policy, dict[Any, str], dict[Any, tuple[str, str, bool]]]:
     from martenlead.config.edge import Edge
 
     told, _, _ = settings(decode({"roster": {"port": 1}, "offerings": OFFERINGS}, Edge, "bench"))
-    brain = Brain(told, 1)
-    brain.now = 1000 * SECOND
+    policy = Policy(told, 1)
+    policy.state.now_ns = 1000 * SECOND
     chance = Random(1)
-    runners = [brain.runner(RunnerFacts(n + 1, "z", 0, 4e4, 4.0, State.UP, 0)) for n in range(100)]
-    brain.roster([(r, r.facts) for r in runners], True)
+    runners = [policy.new_worker(RunnerFacts(n + 1, "z", 0, 4e4, 4.0, State.UP, 0)) for n in range(100)]
+    policy.update_workers([(r, r.facts) for r in runners], True)
     names = {}
     for n in range(models):
-        model = brain.model(ModelFacts(n + 1, 4, 3000.0))
+        model = policy.new_function(ModelFacts(n + 1, 4, 3000.0))
         names[model] = f"offering.{n:016x}"
-        model.tasks, model.first = 50, brain.now - 100 * SECOND
-        model.last = brain.now - chance.randrange(5 * SECOND)
-        model.seen, model.span = 20.0, 10 * SECOND
+        model.requests, model.first_request_ns = 50, policy.state.now_ns - 100 * SECOND
+        model.last_request_ns = policy.state.now_ns - chance.randrange(5 * SECOND)
+        model.rated_requests, model.rated_span_ns = 20.0, 10 * SECOND
         for _ in range(30):
             model.latency.add(chance.randrange(10_000_000, 900_000_000))
         for runner in chance.sample(runners, 3):
-            copy = brain.copy(model, runner)
-            copy.held = copy.stands = True
-            copy.touched = model.last
-    return brain, names, {r: (f"runner-{n}", "1", False) for n, r in enumerate(runners)}
+            copy = policy.state.replica(model, runner)
+            copy.is_held = copy.is_loaded = True
+            copy.last_used_ns = model.last_request_ns
+    return policy, names, {r: (f"runner-{n}", "1", False) for n, r in enumerate(runners)}
 
 
 def main() -> None:
     for count in (100, 1000, 10_000):
-        brain, names, boxes = module(count)
+        policy, names, boxes = module(count)
         gc.collect()
         gc.freeze()  # as the edge program does
         gc.set_threshold(20_000, 20, 50)
@@ -63,7 +63,7 @@
             gathered = written = longest = 0.0
             for n in range(5):
                 begun = time.perf_counter()
-                steps = gathering(brain, brain.now + n * SECOND, names, boxes, last)
+                steps = gathering(policy, policy.state.now_ns + n * SECOND, names, boxes, last)
                 while True:
                     slice_begun = time.perf_counter()
                     try:
@@ -73,7 +73,7 @@
                         break
                     finally:
                         longest = max(longest, time.perf_counter() - slice_begun)
-                last = brain.now + n * SECOND, told
+                last = policy.state.now_ns + n * SECOND, told
                 middle = time.perf_counter()
                 store.write(kind, told)
                 gathered += middle - begun
@@ -85,11 +85,11 @@
             state = again.read(kind)
             assert state is not None
             known = msgspec.convert(state.value, Knowledge)
-            fresh = Brain(brain.settings, 2)
-            fresh.now = brain.now
-            models = {m.name: fresh.model(ModelFacts(1, m.lanes, m.memory_mb)) for m in known.models}
-            runners = {name: (fresh.runner(r.facts), life) for r, (name, life, _) in boxes.items()}
-            fresh.remember(past(known, 5 * SECOND, models, runners, 0))
+            fresh = Policy(policy.settings, 2)
+            fresh.state.now_ns = policy.state.now_ns
+            models = {m.name: fresh.new_function(ModelFacts(1, m.lanes, m.memory_mb)) for m in known.models}
+            runners = {name: (fresh.new_worker(r.facts), life) for r, (name, life, _) in boxes.items()}
+            fresh.restore(past(known, 5 * SECOND, models, runners, 0))
             asked = len(asks(known, SECOND, 10 * SECOND, runners))
             started = time.perf_counter() - begun
         print(
--- a/martenlead/benchlink/wire.py
+++ b/martenlead/benchlink/wire.py
@@ -10,7 +10,7 @@
 
 from martenlead.benchlink.settings import BadSettings, Profile, ns
 from martenlead.policy.engine import Engine
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
     Answer,
@@ -66,9 +66,9 @@
         self.number = number
         self.out = out
         self.profile = Profile(event["profile-data"])
-        self.brain = Brain(self.profile.settings, event["seed"])
-        self.brain.now = now
-        self.engine = Engine(self.brain, self.act)
+        self.policy = Policy(self.profile.settings, event["seed"])
+        self.policy.state.now_ns = now
+        self.engine = Engine(self.policy, self.act)
         self.runners: dict[str, Any] = {}
         self.runner_ids: dict[Any, str] = {}
         self.models: dict[str, Any] = {}
@@ -83,13 +83,13 @@
     # -- events
 
     def hear(self, event: dict[str, Any], now: int) -> None:
-        self.brain.now = now
+        self.policy.state.now_ns = now
         handler = self.HANDLERS.get(text(event.get("msg")))
         if handler:
             handler(self, event, now)
 
     def settle(self, now: int) -> None:
-        self.brain.now = now
+        self.policy.state.now_ns = now
         self.engine.advance(now)
         due = self.engine.due()
         if due is not None and (self.armed is None or due < self.armed):
@@ -115,11 +115,11 @@
                 since=ns(number(line.get("online-since"))),
             )
             if name not in self.runners:
-                runner = self.brain.runner(facts)
+                runner = self.policy.new_worker(facts)
                 self.runners[name], self.runner_ids[runner] = runner, name
             news.append((self.runners[name], facts))
         if event.get("form") != "X":
-            self.brain.roster(news, event.get("form") in ("F", "C"))
+            self.policy.update_workers(news, event.get("form") in ("F", "C"))
         if not self.begun:
             self.begun = True
             self.engine.begin()
@@ -132,7 +132,7 @@
                 raise ValueError
             if name not in self.models:
                 lanes, memory = int(number(event.get("per-copy"))), number(event.get("ram-mb"))
-                model = self.brain.model(ModelFacts(int(name, 16), max(1, lanes), memory))
+                model = self.policy.new_function(ModelFacts(int(name, 16), max(1, lanes), memory))
                 self.models[name], self.model_ids[model] = model, name
         except ValueError:  # nobody can say where it may run, or until when
             self.say("finish-error", ref=ref)
--- a/martenlead/capture/benchtape.py
+++ b/martenlead/capture/benchtape.py
@@ -12,7 +12,7 @@
 from martenlead.capture.store import Store, StoreSettings
 from martenlead.capture.tape import Tape
 from martenlead.policy.engine import Engine
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
     Answer,
@@ -38,7 +38,7 @@
 class RecordableInstance(Protocol):
     """One dispatcher of the adapter, as the recorder needs it."""
 
-    brain: Brain
+    policy: Policy
     engine: Engine
     task_ids: dict[Task, str]
 
@@ -57,57 +57,54 @@
 
 
 class _Tapped:
-    """Stands for the instance's brain and engine, and writes down each call before it passes it on."""
+    """Stands for the instance's policy and engine, and writes down each call before it passes it on."""
 
     def __init__(self, instance: RecordableInstance, tape: Tape) -> None:
         self._instance, self._tape = instance, tape
-        self._brain, self._engine = instance.brain, instance.engine
+        self._policy, self._engine = instance.policy, instance.engine
+        self.state = self._policy.state  # the adapter sets its clock
         self._engine.outlet = self._outlet
 
     @property
-    def now(self) -> int:
-        return self._brain.now
-
-    @now.setter
-    def now(self, now: int) -> None:
-        self._brain.now = now
+    def _now(self) -> int:
+        return self.state.now_ns
 
     def _outlet(self, action: Action) -> None:
         self._tape.decided(action)
         self._instance.act(action)
 
-    def runner(self, facts: RunnerFacts) -> Any:
-        runner = self._brain.runner(facts)
-        self._tape.runner(self.now, runner, facts, f"{facts.mark:x}")
+    def new_worker(self, facts: RunnerFacts) -> Any:
+        runner = self._policy.new_worker(facts)
+        self._tape.runner(self._now, runner, facts, f"{facts.mark:x}")
         return runner
 
-    def model(self, facts: ModelFacts) -> Any:
-        model = self._brain.model(facts)
-        self._tape.model(self.now, model, facts, f"{facts.mark:x}")
+    def new_function(self, facts: ModelFacts) -> Any:
+        model = self._policy.new_function(facts)
+        self._tape.model(self._now, model, facts, f"{facts.mark:x}")
         return model
 
-    def roster(self, news: list[tuple[Any, RunnerFacts]], whole: bool) -> None:
-        self._tape.roster(self.now, news, whole)
-        self._brain.roster(news, whole)
+    def update_workers(self, news: list[tuple[Any, RunnerFacts]], whole: bool) -> None:
+        self._tape.roster(self._now, news, whole)
+        self._policy.update_workers(news, whole)
 
     def begin(self) -> None:
-        self._tape.begin(self.now)
+        self._tape.begin(self._now)
         self._engine.begin()
 
     def take(self, task: Task) -> None:
-        self._tape.take(self.now, task, self._instance.task_ids[task])
+        self._tape.take(self._now, task, self._instance.task_ids[task])
         self._engine.take(task)
 
     def answered(self, answer: Answer) -> None:
-        self._tape.answered(self.now, answer)
+        self._tape.answered(self._now, answer)
         self._engine.answered(answer)
 
     def ordered(self, order: Order, result: Result, copies: int) -> None:
-        self._tape.ordered(self.now, order, result, copies)
+        self._tape.ordered(self._now, order, result, copies)
         self._engine.ordered(order, result, copies)
 
     def closed(self, task: Task) -> None:
-        self._tape.closed(self.now, task, "closed")
+        self._tape.closed(self._now, task, "closed")
         self._engine.closed(task)
 
     def due(self) -> int | None:
@@ -144,7 +141,7 @@
         profile = instance.profile
         tape.start(now, profile.settings, event["seed"], list(profile.offerings), profile.customers)
         tapped: Any = _Tapped(instance, tape)
-        instance.brain = instance.engine = tapped
+        instance.policy = instance.engine = tapped
         return instance
 
     return make
--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -30,12 +30,12 @@
 from martenlead.capture.events import Input, Start
 from martenlead.capture.format import BadCapture
 from martenlead.capture.replay_state import ReplayState
-from martenlead.capture.tape import module_hash
-from martenlead.policy import candidates
-from martenlead.policy import policy as module
-from martenlead.policy import types as interface
+from martenlead.capture.tape import DECISION_MODULES, module_hash
+from martenlead.policy import types
+from martenlead.policy.attempts import Attempts
 from martenlead.policy.engine import Engine, Process
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
+from martenlead.policy.replica_scaling import ReplicaScaling
 from martenlead.policy.types import Result, Task, Wait
 
 MAGIC = b"mlcheckp\x01"
@@ -66,10 +66,10 @@
 
 def _stands() -> dict[int, str]:
     return {
-        _line_of(Brain.task, "io.Wait(min(last + s.tick, self.now + slow))"): "latest",
-        _line_of(Brain.task, "answer = yield io.Wait(last + s.tick)"): "all",
-        _line_of(Brain.checks, "io.Wait(self.now + int(self.pick() * FIRST_PERIOD))"): "first",
-        _line_of(Brain.checks, "io.Wait(self.now + period)"): "period",
+        _line_of(Attempts.handle, "Wait(min(last_ns + settings.tick, overdue_ns))"): "latest",
+        _line_of(Attempts.handle, "answer = yield Wait(last_ns + settings.tick)"): "all",
+        _line_of(ReplicaScaling.run, "Wait(state.now_ns + first)"): "first",
+        _line_of(ReplicaScaling.run, "Wait(state.now_ns + interval)"): "period",
     }
 
 
@@ -82,62 +82,72 @@
         raise CannotWrite(f"a generator stands at line {frame.f_lineno} of the module")
     local = frame.f_locals
     if stand in ("latest", "all"):
-        return {"stand": stand, "task": local["task"], "last": local["last"]}
-    return {"stand": stand, "born": local.get("born"), "last": local.get("last")}
-
-
-def _lead(brain: Brain, told: dict[str, Any]) -> Any:
-    """A generator at the wait at which that one stood. Leaves the module as it was."""
-    kept = dict(vars(brain))
-    tick = brain.settings.tick
+        return {"stand": stand, "task": local["request"], "last": local["last_ns"]}
+    return {"stand": stand, "born": local.get("begun_ns"), "last": local.get("last_ns")}
+
+
+def _lead(policy: Policy, told: dict[str, Any]) -> Any:
+    """A generator at the wait at which that one stood. Leaves the policy as it was."""
+    state = policy.state
+    parts: list[Any] = [
+        state,
+        state.traffic,
+        policy.scaling,
+        policy.tenant_shares,
+        policy.load_budget,
+        policy.placement,
+        policy.attempts,
+    ]
+    kept = [dict(vars(part)) for part in parts]
+    tick = policy.settings.tick
     try:
         if told["stand"] in ("latest", "all"):
-            return _lead_task(brain, told)
-        return _lead_checks(brain, told)
+            return _lead_task(policy, told)
+        return _lead_checks(policy, told)
     finally:
-        for name in set(vars(brain)) - set(kept):
-            delattr(brain, name)
-        vars(brain).update(kept)
-        brain.settings.tick = tick
+        for part, before in zip(parts, kept, strict=True):
+            for name in set(vars(part)) - set(before):
+                delattr(part, name)
+            vars(part).update(before)
+        policy.settings.tick = tick
 
 
-def _lead_task(brain: Brain, told: dict[str, Any]) -> Any:
+def _lead_task(policy: Policy, told: dict[str, Any]) -> Any:
     task: Task = told["task"]
     last = told["last"]
     hand_offs = list(task.hand_offs)
     results = [h.result for h in hand_offs]
-    credits = {id(h.runner): (h.runner, h.runner.credit) for h in hand_offs}
-    # one after the other is placed and handed off as it was; all before the latest count as ended
-    placed, handed = iter(hand_offs), iter(hand_offs)
-    vars(brain).update(
-        now=last - 1,
-        count=lambda _task: iter(()),
-        place=lambda _task, _but: next((h.runner for h in placed), None),
-        may_order=lambda *_: False,
-        hand_off=lambda _task, _runner, _last: _put(task, next(handed)),
+    budgets = {id(h.runner): (h.runner, h.runner.retry_budget) for h in hand_offs}
+    # one after the other is placed and begun as it was; all before the latest count as ended
+    placed, begun = iter(hand_offs), iter(hand_offs)
+    policy.state.now_ns = last - 1
+    vars(policy.placement)["choose_worker"] = lambda *_: next((h.runner for h in placed), None)
+    vars(policy.load_budget)["allows"] = lambda *_: False
+    vars(policy.attempts).update(
+        count_request=lambda _: iter(()), begin_attempt=lambda *_: _put(task, next(begun))
     )
-    brain.settings.tick = (task.give_up - last) // 3
-    brain.settings.hand_offs, limit = len(hand_offs) + (told["stand"] == "all"), brain.settings.hand_offs
+    policy.settings.tick = (task.give_up - last) // 3
+    policy.settings.hand_offs, limit = len(hand_offs) + (told["stand"] == "all"), policy.settings.hand_offs
     try:
         task.hand_offs = []
         for h in hand_offs[:-1] if told["stand"] == "latest" else hand_offs:
             h.result = Result.SILENT  # ended, and no error that would end the task
-        steps = brain.task(task)
+        steps = policy.handle_request(task)
         action = next(steps)
         while not isinstance(action, Wait):
             if told["stand"] == "all" and len(task.hand_offs) == len(hand_offs):
                 for h, result in zip(hand_offs, results, strict=True):
                     h.result = result
                 # the latest may be out: it is passed over as one that is waited for no more
-                vars(brain)["now"] = last + 1
+                policy.state.now_ns = last + 1
             action = steps.send(None)
     finally:
-        brain.settings.hand_offs = limit
+        policy.settings.hand_offs = limit
         task.hand_offs = hand_offs
         for h, result in zip(hand_offs, results, strict=True):
             h.result = result
-        for runner, credit in credits.values():
-            runner.credit = credit
+        for runner, budget in budgets.values():
+            runner.retry_budget = budget
     return steps
 
 
@@ -146,17 +156,19 @@
     return hand_off
 
 
-def _lead_checks(brain: Brain, told: dict[str, Any]) -> Any:
-    brain.pick = lambda: 0.0
-    steps = brain.checks()
+def _lead_checks(policy: Policy, told: dict[str, Any]) -> Any:
+    state = policy.state
+    state.random = lambda: 0.0
+    steps = policy.scaling.run()
     next(steps)
     if told["stand"] == "first":
         return steps
-    brain.models, brain.paced, brain.served, brain.unchecked = {}, {}, {}, deque()
-    brain.now = told["born"]
+    state.functions, state.paced_workers = {}, {}
+    policy.tenant_shares.requests_in_period, policy.scaling.unchecked = {}, deque()
+    state.now_ns = told["born"]
     steps.send(None)
     if told["last"] != told["born"]:
-        brain.now = told["last"]
+        state.now_ns = told["last"]
         steps.send(None)
     return steps
 
@@ -194,7 +206,7 @@
     def find_class(self, name: str, what: str) -> Any:
         if (name, what) in ALLOWED:
             return ALLOWED[name, what]
-        for known in (module, candidates, interface):
+        for known in (*DECISION_MODULES, types):
             found = getattr(known, what, None)
             if name == known.__name__ and isinstance(found, type) and found.__module__ == name:
                 return found
@@ -208,7 +220,7 @@
     engine = replayer.engine
     due = sorted((e for e in engine._due if Engine._waiting(e)), key=lambda e: e[:2])  # sorted, a heap again
     state = {
-        "brain": vars(replayer.brain),
+        "policy": vars(replayer.policy),
         "due": due,
         "count": engine._count,
         "replayer": {
@@ -227,25 +239,26 @@
         "tape": {name: value for name, value in vars(replayer._tape).items() if name not in ("sink", "edge")},
         "start": msgspec.msgpack.encode(replayer.start),
     }
-    with _without_replicas_of_workers(replayer.brain, replayer.runners):
+    with _without_replicas_of_workers(replayer.policy, replayer.runners):
         out = io.BytesIO()
         _Pickler(out, protocol=5).dump(state)
     return zstandard.ZstdCompressor(level=3).compress(out.getvalue())
 
 
 @contextmanager
-def _without_replicas_of_workers(brain: Brain, workers: Iterable[Any]) -> Iterator[None]:
+def _without_replicas_of_workers(policy: Policy, workers: Iterable[Any]) -> Iterator[None]:
     """Functions name the replicas at their workers. That workers name them too would join all objects to one
     graph, along which pickle recurses too deep; it is put back from the functions when it is read."""
-    known = {*workers, *brain.runners, *(worker for model in brain.models for worker in model.copies)}
-    replicas = {worker: worker.copies for worker in known}
+    listed, functions = policy.state.workers, policy.state.functions
+    known = {*workers, *listed, *(worker for function in functions for worker in function.replicas)}
+    replicas = {worker: worker.replicas for worker in known}
     try:
         for worker in known:
-            worker.copies = {}
+            worker.replicas = {}
         yield
     finally:
         for worker, copies in replicas.items():
-            worker.copies = copies
+            worker.replicas = copies
 
 
 def restore(replayer: ReplayState, checkpoint: Checkpoint) -> None:
@@ -254,14 +267,14 @@
         raise BadCapture("the checkpoint is of another version of the module")
     data = zstandard.ZstdDecompressor().decompress(checkpoint.state)
     state = _Unpickler(io.BytesIO(data)).load()
-    brain = Brain.__new__(Brain)
-    vars(brain).update(state["brain"])
-    for model in brain.models:
-        for worker, copy in model.copies.items():
-            worker.copies[model] = copy
-    replayer.brain = brain
-    replayer._settings = brain.settings
-    replayer.engine = engine = Engine(brain, replayer._outlet)
+    policy = Policy.__new__(Policy)
+    vars(policy).update(state["policy"])
+    for model in policy.state.functions:
+        for worker, copy in model.replicas.items():
+            worker.replicas[model] = copy
+    replayer.policy = policy
+    replayer._settings = policy.settings
+    replayer.engine = engine = Engine(policy, replayer._outlet)
     engine._count = state["count"]
     for name, value in state["replayer"].items():
         setattr(replayer, name, value)
@@ -272,7 +285,7 @@
     def process(stub: Any) -> Process:
         if stub.process is None:
             over = stub.told["stand"] == "over"
-            steps: Any = iter(()) if over else _lead(brain, stub.told)
+            steps: Any = iter(()) if over else _lead(policy, stub.told)
             stub.process = Process(steps)
             stub.process.alive, stub.process.turn = stub.alive, stub.turn
         found: Process = stub.process
--- a/martenlead/capture/explain.py
+++ b/martenlead/capture/explain.py
@@ -27,19 +27,19 @@
     numbers: set[int] = set()
 
     def say(text: str) -> None:
-        lines.append(f"{(replayer.brain.now - begun) / MS:12.3f} ms  {text}")
+        lines.append(f"{(replayer.policy.state.now_ns - begun) / MS:12.3f} ms  {text}")
 
     mine: set[Task] = set()
 
     def listen() -> None:
-        place = replayer.brain.place
+        place = replayer.policy.placement.choose_worker
 
-        def told(task: Task, but: set[Any]) -> Any:
-            if task in mine:
-                lines.extend(f"{'':17}{line}" for line in _known(replayer, task))
-            return place(task, but)
+        def told(request: Task, excluded: set[Any]) -> Any:
+            if request in mine:
+                lines.extend(f"{'':17}{line}" for line in _known(replayer, request))
+            return place(request, excluded)
 
-        replayer.brain.place = told  # type: ignore[method-assign]
+        replayer.policy.placement.choose_worker = told  # type: ignore[method-assign]
 
     for event in events:
         if isinstance(event, ev.Start):
@@ -49,7 +49,7 @@
         number = ev.task_of(event)
         if isinstance(event, ev.Input):
             if number in numbers:
-                replayer.brain.now = event.t
+                replayer.policy.state.now_ns = event.t
                 say(_said(replayer, event))
             try:
                 if isinstance(event, ev.Take) and event.task in numbers:
@@ -115,31 +115,33 @@
 
 def _known(replayer: Replayer, task: Task) -> list[str]:
     """A line a runner, with every reason why it may not take the task now."""
-    brain, lines = replayer.brain, []
-    for runner in brain.runners:
-        copy = task.model.copies.get(runner)
+    policy, lines = replayer.policy, []
+    for runner in policy.state.workers:
+        copy = task.model.replicas.get(runner)
         why = []
-        if not brain.may_go(runner):
+        if not policy.state.accepts_work(runner):
             why.append(runner.facts.state.value)
-        elif brain.quiet(runner):
+        elif policy.outliers.is_silent(runner):
             why.append("quiet")
-        if brain.cold(runner):
+        if policy.slow_start.is_warming_up(runner):
             why.append("cold")
-        if runner.next > brain.now:
+        if runner.next_attempt_ns > policy.state.now_ns:
             why.append("its next task is not due")
-        if runner.running >= max(1.0, runner.width):
+        if runner.warm_in_flight >= max(1.0, runner.concurrency_limit):
             why.append("full")
-        if task.hand_offs and runner.credit < 1:
+        if task.hand_offs and runner.retry_budget < 1:
             why.append("no credit")
-        if not brain.may_repeat(task, runner):
+        if not policy.repeats.may_send(task, runner):
             why.append("a repeat may not go there")
         held = ""
         if copy is not None:
-            held = "held" if copy.held else "stands" if brain.warm(copy) else "loads" if copy.ordered else ""
+            loads = "loads" if copy.load_requested_ns else ""
+            held = "held" if copy.is_held else "stands" if policy.state.is_warm(copy) else loads
         home = ", home" * (task.model.home is runner)
         lines.append(
-            f"{replayer.names[runner]}: copy {held or 'none'}{home}; {runner.running} running of "
-            f"{runner.width:.1f}, pace {brain.pace(runner):.2f}, credit {runner.credit:.1f}"
+            f"{replayer.names[runner]}: copy {held or 'none'}{home}; {runner.warm_in_flight} running of "
+            f"{runner.concurrency_limit:.1f}, pace {policy.placement.pace(runner):.2f}, "
+            f"credit {runner.retry_budget:.1f}"
             f"{'; ' + ', '.join(why) if why else ''}"
         )
     return lines
--- a/martenlead/capture/replay.py
+++ b/martenlead/capture/replay.py
@@ -17,7 +17,7 @@
 from martenlead.capture.checkpoint import Checkpoint, restore, save
 from martenlead.capture.tape import Tape
 from martenlead.policy.engine import Engine
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
     Answer,
@@ -73,7 +73,7 @@
         self.change = change or (lambda settings: settings)
         self.made: deque[ev.Event] = deque()
         self.start: ev.Start | None = None
-        self.brain: Brain
+        self.policy: Policy
         self.engine: Engine
         self.runners: list[Any] = []
         self.models: list[Any] = []
@@ -110,21 +110,21 @@
         if self.start is None:
             raise Unreplayable("it does not begin with a start: the segments before are gone")
         if isinstance(event, ev.Input):
-            self.brain.now = event.t
+            self.policy.state.now_ns = event.t
             self._input(event)
 
     def _begin(self, event: ev.Start) -> None:
         self.start = event
         self._settings = self.change(ev.settings_of(event.settings))
         self._customers = ev.customers_of(event)
-        self.brain = Brain(self._settings, event.seed)
-        self.brain.now = event.t
-        self.engine = Engine(self.brain, self._outlet)
+        self.policy = Policy(self._settings, event.seed)
+        self.policy.state.now_ns = event.t
+        self.engine = Engine(self.policy, self._outlet)
         customers = dict(zip((name for name, _ in event.customers), self._customers, strict=True))
         self._tape.start(event.t, self._settings, event.seed, event.offerings, customers)
 
     def _input(self, event: ev.Input) -> None:
-        brain, engine, tape, t = self.brain, self.engine, self._tape, event.t
+        policy, engine, tape, t = self.policy, self.engine, self._tape, event.t
         match event:
             case ev.Begin():
                 engine.begin()
@@ -132,17 +132,17 @@
                 self._settings.tick = tick
             case ev.NewRunner(name=name, facts=packed):
                 facts = ev.facts_of(packed)
-                runner = brain.runner(facts)
+                runner = policy.new_worker(facts)
                 self.runners.append(runner)
                 self.names[runner] = name
                 tape.runner(t, runner, facts, name)
             case ev.NewModel(name=name):
-                model = brain.model(ev.model_facts(event))
+                model = policy.new_function(ev.model_facts(event))
                 self.models.append(model)
                 self.names[model] = name
                 tape.model(t, model, ev.model_facts(event), name)
             case ev.Roster(whole=whole, lines=lines):
-                brain.roster([(self.runners[n], ev.facts_of(facts)) for n, facts in lines], whole)
+                policy.update_workers([(self.runners[n], ev.facts_of(facts)) for n, facts in lines], whole)
             case ev.Take():
                 task = Task(
                     self.models[event.model],
--- a/martenlead/capture/replay_state.py
+++ b/martenlead/capture/replay_state.py
@@ -12,7 +12,7 @@
 from martenlead.capture.events import Event, Start
 from martenlead.capture.tape import Tape
 from martenlead.policy.engine import Engine
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import Action, Order, Settings, Task
 
 
@@ -24,7 +24,7 @@
 
     made: deque[Event]  # decisions that have not been compared yet
     start: Start | None
-    brain: Brain
+    policy: Policy
     engine: Engine
     runners: list[Any]
     models: list[Any]
--- a/martenlead/capture/tape.py
+++ b/martenlead/capture/tape.py
@@ -13,8 +13,24 @@
 from typing import Any
 
 from martenlead.capture import events as ev
-from martenlead.policy import candidates
-from martenlead.policy import policy as brain
+from martenlead.policy import (
+    attempts,
+    candidates,
+    concurrency,
+    earlier_run,
+    latency,
+    load_budget,
+    outliers,
+    placement,
+    policy,
+    repeats,
+    replica_scaling,
+    results,
+    retry_budget,
+    slow_start,
+    state,
+    tenant_shares,
+)
 from martenlead.policy.types import (
     Action,
     Answer,
@@ -34,10 +50,29 @@
 )
 
 PROGRAM = "0.2.0"
+DECISION_MODULES = (
+    attempts,
+    candidates,
+    concurrency,
+    earlier_run,
+    latency,
+    load_budget,
+    outliers,
+    placement,
+    policy,
+    repeats,
+    replica_scaling,
+    results,
+    retry_budget,
+    slow_start,
+    state,
+    tenant_shares,
+)
 
 
 def module_hash() -> str:
-    source = inspect.getsource(brain) + inspect.getsource(candidates)
+    """Of the text of all modules that decide."""
+    source = "".join(inspect.getsource(module) for module in DECISION_MODULES)
     return hashlib.sha256(source.encode()).hexdigest()[:16]
 
 
--- a/martenlead/edge/border.py
+++ b/martenlead/edge/border.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from martenlead.policy.engine import Engine
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
     Answer,
@@ -79,7 +79,7 @@
         outlet: Callable[[Action], None],
         tape: Tape | None = None,
         names: tuple[list[str], dict[str, Customer]] = ([], {}),
-        policy: type[Brain] = Brain,
+        policy: type[Policy] = Policy,
     ) -> None:
         """`names` are the offerings' and customers', for the tape; `policy` is the module but in
         comparisons."""
@@ -87,8 +87,8 @@
         self._clock = clock
         self._tape = tape
         self._outlet = outlet
-        self._brain = policy(settings, seed)
-        self._engine = Engine(self._brain, outlet if tape is None else self._decided)
+        self._policy = policy(settings, seed)
+        self._engine = Engine(self._policy, outlet if tape is None else self._decided)
         now = self._now()
         if tape is not None:
             tape.start(now, settings, seed, *names)
@@ -99,8 +99,8 @@
         self._outlet(action)
 
     def _now(self) -> int:
-        now = max(self._clock(), self._brain.now)  # a clock that steps back stands still here
-        self._brain.now = now
+        now = max(self._clock(), self._policy.state.now_ns)  # a clock that steps back stands still here
+        self._policy.state.now_ns = now
         return now
 
     def begin(self) -> None:
@@ -117,14 +117,14 @@
 
     def runner(self, facts: RunnerFacts, name: str) -> Any:
         now = self._now()
-        runner = self._brain.runner(facts)
+        runner = self._policy.new_worker(facts)
         if self._tape is not None:
             self._tape.runner(now, runner, facts, name)
         return runner
 
     def model(self, facts: ModelFacts, name: str) -> Any:
         now = self._now()
-        model = self._brain.model(facts)
+        model = self._policy.new_function(facts)
         if self._tape is not None:
             self._tape.model(now, model, facts, name)
         return model
@@ -133,7 +133,7 @@
         now = self._now()
         if self._tape is not None:
             self._tape.roster(now, news, whole)
-        self._brain.roster(news, whole)
+        self._policy.update_workers(news, whole)
 
     def take(
         self,
@@ -215,12 +215,12 @@
             self._tape.remembered(now, past)
         self._engine.remember(past)
 
-    def look(self, read: Callable[[Brain, int], Any]) -> Any:
+    def look(self, read: Callable[[Policy, int], Any]) -> Any:
         """Gives the module's state to whoever reads it and changes nothing of it, with the time."""
-        return read(self._brain, self._now())
+        return read(self._policy, self._now())
 
     def may_turn_back(self, task: Task) -> bool:
-        return self._brain.may_turn_back(task)
+        return self._policy.repeats.may_reject(task)
 
     def due(self) -> int | None:
         return self._engine.due()
--- a/martenlead/edge/keeper.py
+++ b/martenlead/edge/keeper.py
@@ -114,7 +114,7 @@
             m.name: dispatcher.known(m.name, m.lanes, m.memory_mb).model
             for m in known.models[: max(0, most - len(dispatcher.models))]
         }
-        settings = dispatcher.border.look(lambda brain, _: brain.settings)
+        settings = dispatcher.border.look(lambda policy, _: policy.settings)
         dispatcher.border.remember(kn.past(known, age, models, runners, settings.ration_window))
         for name in kn.drained(known, runners):
             dispatcher.drains(dispatcher.boxes[name])
@@ -143,7 +143,7 @@
         }
         names = {model: known.name for model, known in dispatcher.by_model.items()}
         before = self.last
-        steps = dispatcher.border.look(lambda brain, now: kn.gathering(brain, now, names, boxes, before))
+        steps = dispatcher.border.look(lambda policy, now: kn.gathering(policy, now, names, boxes, before))
         while True:
             try:
                 next(steps)
--- a/martenlead/emulator/edge.py
+++ b/martenlead/emulator/edge.py
@@ -26,7 +26,7 @@
 from martenlead.emulator.planned import PlannerFleet, links, looks
 from martenlead.lasting.knowledge import Knowledge, asks, drained, gather, past
 from martenlead.planner.edgeside import EdgeSide
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
     Answer,
@@ -96,7 +96,7 @@
 
 
 class Edge:
-    def __init__(self, fleet: DispatcherFleet, number: int, about: config.Edge, policy: type[Brain]) -> None:
+    def __init__(self, fleet: DispatcherFleet, number: int, about: config.Edge, policy: type[Policy]) -> None:
         self.fleet, self.kernel, self.number, self.about = fleet, fleet.kernel, number, about
         self.policy = policy
         self.name = about.name
@@ -161,8 +161,8 @@
             if life == self.life:
                 self.knowledge = self.kernel.now, self.border.look(self._gather)
 
-    def _gather(self, brain: Brain, now: int) -> Knowledge:
-        return gather(brain, now, self.names, self._lives(), self.knowledge)
+    def _gather(self, policy: Policy, now: int) -> Knowledge:
+        return gather(policy, now, self.names, self._lives(), self.knowledge)
 
     def _lives(self) -> dict[Any, tuple[str, str, bool]]:
         return {
@@ -175,7 +175,7 @@
         elapsed = self.kernel.now - saved
         runners = {box.line.id: (box.runner, box.line.start) for box in self.boxes.values()}
         models = {m.name: self._model(m.name, m.lanes, m.memory_mb) for m in told.models}
-        settings_ = self.border.look(lambda brain, _: brain.settings)
+        settings_ = self.border.look(lambda policy, _: policy.settings)
         self.border.remember(past(told, elapsed, models, runners, settings_.ration_window))
         for name in drained(told, runners):
             self._drains(self.boxes[name])
--- a/martenlead/emulator/fleet.py
+++ b/martenlead/emulator/fleet.py
@@ -29,7 +29,7 @@
 from martenlead.emulator.policies import alike, find
 from martenlead.emulator.records import Records
 from martenlead.emulator.tally import Tally
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.runnerlink.roster import Line
 from martenlead.standins.crowding import Lines
 from martenlead.standins.demand import Call, Demand
@@ -109,7 +109,7 @@
     ) -> None:
         """With `lasting` dispatchers keep what they know over their lives. `policy` as policies.py names
         them. Raises `ValueError` for one that is none."""
-        brain: type[Brain] = alike(find(policy)(self))
+        policy_type: type[Policy] = alike(find(policy)(self))
         self.made, self.lasting = made, lasting or made.day.lasting
         self.kernel = Kernel()
         self.kernel.now = BEGIN
@@ -146,7 +146,7 @@
                 told = {**told, "planner": {"at": at, **made.day.planners.link}}
             told = {**told, "roster": {"port": 1, **told.get("roster", {})}}
             about = check(msgspec.convert(told, EdgeSettings), f"edge {n}")
-            self.edges.append(Edge(self, n, about, brain))
+            self.edges.append(Edge(self, n, about, policy_type))
         self._cues(faults)
 
     # -- small services
--- a/martenlead/emulator/policies.py
+++ b/martenlead/emulator/policies.py
@@ -14,15 +14,16 @@
 import tarfile
 from collections.abc import Callable, Iterator, Mapping
 from importlib import import_module
-from inspect import signature
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any, Protocol
 
-from martenlead.emulator.box import Runner as Worker
+from martenlead.emulator.box import Runner
 from martenlead.policy import types
 from martenlead.policy.candidates import RANKED_WHOLE
-from martenlead.policy.policy import Brain, Runner
+from martenlead.policy.placement import Placement
+from martenlead.policy.policy import Policy
+from martenlead.policy.state import Worker
 from martenlead.standins.settings import OfferingPart
 
 PACKAGE = "martenlead/policy"
@@ -33,7 +34,7 @@
 class ObservedFleet(Protocol):
     """The fleet, as the policy that sees everything looks at it."""
 
-    runners: dict[str, Worker]
+    runners: dict[str, Runner]
 
     @property
     def names(self) -> Mapping[Any, str]:
@@ -43,149 +44,169 @@
         """The request class of a function."""
 
 
-def alike(policy: type[Brain]) -> type[Brain]:
-    """The same decisions, with less work where many dispatchers are in one process: the shared order of a
-    model's runners follows from its mark and the roster alone, so whoever needs it first sorts it for all."""
-    if "replicas" not in signature(policy.shared_order).parameters:
-        return policy  # an earlier text, which ranks for itself
+def alike(policy: type[Policy]) -> type[Policy]:
+    """The same decisions, with less work where many dispatchers are in one process.
+
+    The shared order of a function's workers follows from its mark and the list alone, so whoever needs it
+    first sorts it for all.
+    """
     orders: dict[tuple[int, int], list[int]] = {}
     rosters: dict[tuple[tuple[int, float], ...], int] = {}
 
-    class Alike(policy):  # type: ignore[misc, valid-type]
+    class AlikePlacement(policy.placement_type):  # type: ignore[misc, name-defined]
         ranked_version = -1
         roster_number = -1
 
-        def ranked(self, model: Any) -> list[Any]:
-            index = self.index
+        def ranked(self, function: Any) -> list[Any]:
+            index = self.state.index
             if self.ranked_version != index.version:
-                facts = tuple((r.facts.mark, r.facts.weight) for r in self.runners)
+                facts = tuple((w.facts.mark, w.facts.weight) for w in self.state.workers)
                 self.roster_number = rosters.setdefault(facts, len(rosters))
-                self.by_mark = {r.facts.mark: r for r in self.runners}
+                self.by_mark = {w.facts.mark: w for w in self.state.workers}
                 self.ranked_version = index.version
-            key = model.facts.mark, self.roster_number
+            key = function.facts.mark, self.roster_number
             if key not in orders:
-                orders[key] = [r.facts.mark for r in index.ranked(model.facts.mark)]
+                orders[key] = [w.facts.mark for w in index.ranked(function.facts.mark)]
             return [self.by_mark[mark] for mark in orders[key]]
 
-        def shared_order(self, model: Any, replicas: int) -> Iterator[Any]:
-            ranking = model.ranking
-            if len(self.runners) <= RANKED_WHOLE and ranking.version != self.index.version:
-                ranking.found, ranking.version = self.ranked(model), self.index.version
-            order: Iterator[Any] = super().shared_order(model, replicas)
+        def candidates(self, function: Any, replicas: int = 0) -> Iterator[Any]:
+            ranking, index = function.ranking, self.state.index
+            if len(self.state.workers) <= RANKED_WHOLE and ranking.version != index.version:
+                ranking.found, ranking.version = self.ranked(function), index.version
+            order: Iterator[Any] = super().candidates(function, replicas)
             return order
 
+    class Alike(policy):  # type: ignore[misc, valid-type]
+        placement_type = AlikePlacement
+
     return Alike
 
 
-class Baseline(Brain):
-    def __init__(self, settings: types.Settings, seed: int) -> None:
-        super().__init__(settings, seed)
-        settings.orders = False
+class BaselinePlacement(Placement):
+    """The guards of the rules and the care for each request, without the choice among the workers."""
 
-    def ranked(self, model: Any) -> list[Any]:
-        """All runners, the model's first choice first."""
-        return self.index.ranked(model.facts.mark)
+    def ranked(self, function: Any) -> list[Any]:
+        """All workers, the function's first choice first."""
+        return self.state.index.ranked(function.facts.mark)
 
-    def may(self, task: types.Task, runner: Runner, but: set[Runner]) -> bool:
-        """What the rules let it have. Widths are the module's own decision, except at a cold runner."""
+    def may(self, request: types.Task, worker: Worker, excluded: set[Worker]) -> bool:
+        """What the rules let it have. Limits are the policy's own decision, except at a warming worker."""
         return (
-            runner not in but
-            and self.usable(runner)
-            and (runner.credit >= 1 or not task.hand_offs)
-            and self.may_repeat(task, runner)
-            and (not self.cold(runner) or self.room(runner, task.spare))
+            worker not in excluded
+            and self.outliers.is_usable(worker)
+            and (worker.retry_budget >= 1 or not request.hand_offs)
+            and self.repeats.may_send(request, worker)
+            and (
+                not self.slow_start.is_warming_up(worker) or self.concurrency.has_room(worker, request.spare)
+            )
         )
 
-    def some(self, task: types.Task, but: set[Runner]) -> Runner | None:
-        runners = self.runners
-        for _ in range(TRIES if runners else 0):
-            runner = runners[int(self.pick() * len(runners))]
-            if self.may(task, runner, but):
-                return runner
-        able = [r for r in runners if self.may(task, r, but)]
-        return able[int(self.pick() * len(able))] if able else None
+    def some(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+        workers = self.state.workers
+        for _ in range(TRIES if workers else 0):
+            worker = workers[int(self.state.random() * len(workers))]
+            if self.may(request, worker, excluded):
+                return worker
+        able = [w for w in workers if self.may(request, w, excluded)]
+        return able[int(self.state.random() * len(able))] if able else None
+
 
+class RandomChoice(BaselinePlacement):
+    """Any worker."""
 
-class RandomChoice(Baseline):
-    """Any runner."""
+    def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+        return self.some(request, excluded)
 
-    def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
-        return self.some(task, but)
 
+class PowerOfTwo(BaselinePlacement):
+    """Of two at random the one with fewer of this dispatcher's requests."""
 
-class PowerOfTwo(Baseline):
-    """Of two at random the one with fewer of this dispatcher's tasks."""
+    def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+        two = [w for w in (self.some(request, excluded), self.some(request, excluded)) if w is not None]
+        return min(two, key=lambda w: w.in_flight, default=None)
 
-    def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
-        two = [r for r in (self.some(task, but), self.some(task, but)) if r is not None]
-        return min(two, key=lambda r: r.out, default=None)
 
+class LeastOutstanding(BaselinePlacement):
+    """The one with the fewest of this dispatcher's requests; the first by chance of several."""
 
-class LeastOutstanding(Baseline):
-    """The one with the fewest of this dispatcher's tasks; the first by chance of several."""
+    def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+        able = [w for w in self.state.workers if self.may(request, w, excluded)]
+        least = min((w.in_flight for w in able), default=0)
+        best = [w for w in able if w.in_flight == least]
+        return best[int(self.state.random() * len(best))] if best else None
 
-    def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
-        able = [r for r in self.runners if self.may(task, r, but)]
-        least = min((r.out for r in able), default=0)
-        best = [r for r in able if r.out == least]
-        return best[int(self.pick() * len(best))] if best else None
 
+class BoundedHash(BaselinePlacement):
+    """Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016).
 
-class BoundedHash(Baseline):
-    """Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016), on the order that the
-    dispatchers share: the first that has no more than a quarter above the mean."""
+    On the order that the dispatchers share: the first that has no more than a quarter above the mean.
+    """
 
-    def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
-        out = sum(r.out for r in self.runners) + 1
-        bound = BOUND * out / max(1, len(self.runners))
-        order: list[Runner] = self.ranked(task.model)
-        for runner in order:
-            if runner.out + 1 <= max(1.0, bound) and self.may(task, runner, but):
-                return runner
-        return next((r for r in order if self.may(task, r, but)), None)
+    def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+        in_flight = sum(w.in_flight for w in self.state.workers) + 1
+        bound = BOUND * in_flight / max(1, len(self.state.workers))
+        order: list[Worker] = self.ranked(request.model)
+        for worker in order:
+            if worker.in_flight + 1 <= max(1.0, bound) and self.may(request, worker, excluded):
+                return worker
+        return next((w for w in order if self.may(request, w, excluded)), None)
 
 
-def oracle(fleet: ObservedFleet) -> type[Brain]:
-    """One that sees every runner as it is: the one that would be done with the task first."""
+def oracle(fleet: ObservedFleet) -> type[Policy]:
+    """One that sees every worker as it is: the one that would be done with the request first."""
 
-    class Oracle(Baseline):
-        def place(self, task: types.Task, but: set[Runner]) -> Runner | None:
-            able = [r for r in self.runners if self.may(task, r, but)]
-            return min(able, key=lambda r: self.takes(task, r), default=None)
+    class OraclePlacement(BaselinePlacement):
+        def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+            able = [w for w in self.state.workers if self.may(request, w, excluded)]
+            return min(able, key=lambda w: self.takes(request, w), default=None)
 
-        def takes(self, task: types.Task, runner: Runner) -> float:
+        def takes(self, request: types.Task, worker: Worker) -> float:
             """s from now."""
-            name = runner.facts.mark.to_bytes(200, "big").lstrip(b"\0").decode()
+            name = worker.facts.mark.to_bytes(200, "big").lstrip(b"\0").decode()
             there = fleet.runners[name]
             if not there.up or there.draining:
                 return 1e9
             part = there.part
-            copies = there.copies.get(fleet.names[task.model])
-            work = task.cost or 0.1
+            copies = there.copies.get(fleet.names[request.model])
+            work = request.cost or 0.1
             speed = part.speed * there.capacity() / there.slow
             beside = there.running + there.waiting + 1
             takes = work * max(1.0, beside / part.cores) / speed
             if copies is None or not (copies.standing or copies.loading):
-                return takes + fleet.offering_of(fleet.names[task.model]).load_ms / 1000 * (1 + there.loads)
+                load_ms = fleet.offering_of(fleet.names[request.model]).load_ms
+                return takes + load_ms / 1000 * (1 + there.loads)
             if not copies.standing:
                 takes += fleet.offering_of(copies.model).load_ms / 2000
             behind = len(copies.waiting) + max(0, copies.running + 1 - copies.lanes * max(1, copies.standing))
             return takes + behind * takes / max(1, copies.lanes)
 
-    return Oracle
+    return baseline(OraclePlacement)
+
+
+def baseline(placement: type[BaselinePlacement]) -> type[Policy]:
+    """The policy with another placement, and without load requests ahead of requests."""
+
+    class Baseline(Policy):
+        placement_type = placement
+
+        def __init__(self, settings: types.Settings, seed: int) -> None:
+            super().__init__(settings, seed)
+            settings.orders = False
+
+    return Baseline
 
 
-NAMED: dict[str, type[Brain]] = {
-    "module": Brain,
-    "random": RandomChoice,
-    "two": PowerOfTwo,
-    "least": LeastOutstanding,
-    "hash": BoundedHash,
+NAMED: dict[str, type[Policy]] = {
+    "module": Policy,
+    "random": baseline(RandomChoice),
+    "two": baseline(PowerOfTwo),
+    "least": baseline(LeastOutstanding),
+    "hash": baseline(BoundedHash),
 }
 NAMES = (*NAMED, "oracle", "module@COMMIT")
 
 
-def find(name: str) -> Callable[[ObservedFleet], type[Brain]]:
+def find(name: str) -> Callable[[ObservedFleet], type[Policy]]:
     """Raises `ValueError`."""
     if name == "oracle":
         return oracle
@@ -197,7 +218,7 @@
     return lambda _: NAMED[name]
 
 
-def module_at(commit: str) -> type[Brain]:
+def module_at(commit: str) -> type[Policy]:
     """The policy's text at a commit or tag of this project's own history, with the types of today. Raises
     `ValueError`, also for a commit before the policy was a package."""
     if not re.fullmatch(r"[A-Za-z0-9._/~^-]+", commit) or commit.startswith("-"):
@@ -214,7 +235,7 @@
         return _imported_from(Path(folder) / PACKAGE)
 
 
-def _imported_from(folder: Path) -> type[Brain]:
+def _imported_from(folder: Path) -> type[Policy]:
     """The policy class of another copy of the package, which the program's own is put back behind."""
     own = {name: module for name, module in sys.modules.items() if name.startswith("martenlead.policy.")}
     package = sys.modules["martenlead.policy"]
@@ -224,7 +245,9 @@
         delattr(package, name.rpartition(".")[2])
     package.__path__ = [str(folder)]
     try:
-        found: type[Brain] = import_module("martenlead.policy.policy").Brain
+        found: type[Policy] = import_module("martenlead.policy.policy").Policy
+    except (ImportError, AttributeError) as error:
+        raise ValueError(f"the policy there is not one for the types of today: {error}") from None
     finally:
         for name in [name for name in sys.modules if name.startswith("martenlead.policy.")]:
             del sys.modules[name]
--- a/martenlead/lasting/knowledge.py
+++ b/martenlead/lasting/knowledge.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from martenlead.policy import types as io
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 
 SECOND = 1_000_000_000
 UNKNOWN_AGE = 24 * 3600 * SECOND
@@ -71,14 +71,14 @@
 
 
 def gather(
-    brain: Brain,
+    policy: Policy,
     now: int,
     names: dict[Any, str],
     boxes: dict[Any, tuple[str, str, bool]],
     before: tuple[int, Knowledge] | None = None,
 ) -> Knowledge:
     """All of `gathering` in one go."""
-    steps = gathering(brain, now, names, boxes, before)
+    steps = gathering(policy, now, names, boxes, before)
     while True:
         try:
             next(steps)
@@ -88,7 +88,7 @@
 
 
 def gathering(
-    brain: Brain,
+    policy: Policy,
     now: int,
     names: dict[Any, str],
     boxes: dict[Any, tuple[str, str, bool]],
@@ -97,39 +97,54 @@
     """Reads the module and changes nothing, some models at a time: ten thousand at once would hold up an
     event loop for as long as some tasks have. `names` are the models', `boxes` tells of each runner its
     name, its life, and whether it said that it drains; `before` is what was gathered last, and when."""
-    keep = brain.settings.keep
-    models = sorted(brain.models, key=lambda m: (-m.last, m.facts.mark))[:MOST_MODELS]
+    keep = policy.settings.keep
+    models = sorted(policy.state.functions, key=lambda m: (-m.last_request_ns, m.facts.mark))[:MOST_MODELS]
     known = []
     for number, model in enumerate(models):
         if number % SLICE == SLICE - 1:
             yield
-        if model.tasks < 1 and not model.copies:
+        if model.requests < 1 and not model.replicas:
             continue
         copies = [
-            KnownCopy(*boxes[c.runner][:2], max(0, now - c.touched))
-            for c in model.copies.values()
-            if c.held and c.stands and c.runner in boxes and now - c.touched < keep
+            KnownCopy(*boxes[c.worker][:2], max(0, now - c.last_used_ns))
+            for c in model.replicas.values()
+            if c.is_held and c.is_loaded and c.worker in boxes and now - c.last_used_ns < keep
         ]
-        gap = (model.last - model.first) // (model.tasks - 1) if model.tasks > 1 else 0
+        gap = (
+            (model.last_request_ns - model.first_request_ns) // (model.requests - 1)
+            if model.requests > 1
+            else 0
+        )
         known.append(
             KnownModel(
                 names[model],
                 model.facts.lanes,
                 model.facts.memory,
                 [round(n, 3) for n in model.latency.bins] if model.latency.total else [],
-                model.latency.sum,
-                model.seen + model.counts[1],
-                model.span,
+                model.latency.sum_ns,
+                model.rated_requests + model.new_requests[1],
+                model.rated_span_ns,
                 gap,
-                max(0, now - model.last),
+                max(0, now - model.last_request_ns),
                 copies,
             )
         )
-    runners = [KnownRunner(*boxes[r][:2], r.width, boxes[r][2]) for r in brain.runners if r in boxes]
+    runners = [
+        KnownRunner(*boxes[r][:2], r.concurrency_limit, boxes[r][2])
+        for r in policy.state.workers
+        if r in boxes
+    ]
     yield
-    window = brain.settings.ration_window
-    orders = [now - t for t in brain.orders if now - t < window]
-    told = Knowledge(brain.rate, brain.asked, known, runners, orders, dict(USUAL))
+    window = policy.settings.ration_window
+    orders = [now - t for t in policy.load_budget.load_times_ns if now - t < window]
+    told = Knowledge(
+        policy.state.traffic.succeeded_per_second,
+        policy.state.traffic.new_requests_per_second,
+        known,
+        runners,
+        orders,
+        dict(USUAL),
+    )
     if before is not None:
         told.change = changes(before, (now, told))
     return told
--- a/martenlead/planner/edgeside.py
+++ b/martenlead/planner/edgeside.py
@@ -20,7 +20,7 @@
 from martenlead.planner import frames as fr
 from martenlead.planner.link import Broken, EdgeEnd, Limits
 from martenlead.planner.snapshot import take
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import Customer, ModelFacts, RunnerFacts, Settings
 
 LOOK = 50_000_000  # ns between two looks at who decides
@@ -58,11 +58,11 @@
         self.names[1][model] = name
         super().model(t, model, facts, name)
 
-    def state(self, brain: Brain, _now: int) -> tuple[dict[str, Any], set[int]]:
+    def state(self, policy: Policy, _now: int) -> tuple[dict[str, Any], set[int]]:
         """All that the module knows, and which models are in it."""
         assert self.started is not None
         told = take(
-            brain, self.started, self.runners, self.models, self.tasks, self.customers, self.names, self.most
+            policy, self.started, self.runners, self.models, self.tasks, self.customers, self.names, self.most
         )
         return told, {model[0] for model in told["models"]}
 
--- a/martenlead/planner/mirror.py
+++ b/martenlead/planner/mirror.py
@@ -1,10 +1,11 @@
 """The module at the planner: told all that the edge's module is told, and asked for the half that plans.
 
 The edge's instance decides where each task goes and counts what was ordered; this one decides which copies
-are held. Both are the same module, called as it is: a task is counted here (`Brain.count`, which runs the
-check at once above Rmax), its hand-offs are entered as the edge made them (`Brain.hand_off`), answers are
-heard (`Brain.heard`) and the periodic check runs (`Brain.checks`). No task is placed here. Free of I/O; the
-clock is the edge's, as far as it is known here. Times are ns.
+are held. Both are the same policy, called as it is: a task is counted here (`Attempts.count_request`, which
+runs the check at once above Rmax), its hand-offs are entered as the edge made them
+(`Attempts.begin_attempt`), their results are recorded (`Policy.record_result`) and the periodic check runs
+(`ReplicaScaling.run`). No task is placed here. Free of I/O; the clock is the edge's, as far as it is known
+here. Times are ns.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from martenlead.capture import events as ev
 from martenlead.planner.snapshot import Restored
 from martenlead.policy.engine import Engine
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import Action, Answer, Order, Result, Warmth
 
 DRIFT = 100e-6  # that two clocks may differ by, as a part: the least way is believed for so long
@@ -68,11 +69,11 @@
             self.all = Restored(state, now)
         except (KeyError, ValueError, TypeError, IndexError, AttributeError) as error:
             raise Lost(f"the state can not be read: {type(error).__name__} {error}") from None
-        self.brain: Brain = self.all.brain
-        self.engine = Engine(self.brain, self._outlet)
+        self.policy: Policy = self.all.policy
+        self.engine = Engine(self.policy, self._outlet)
         self._numbers_of = {runner: n for n, runner in self.all.runners.items()}
         self._models_of = {model: n for n, model in self.all.models.items()}
-        self._held = self._holds(self.brain.models)
+        self._held = self._holds(self.policy.state.functions)
         self.engine.begin()
 
     def _outlet(self, action: Action) -> None:
@@ -86,13 +87,13 @@
         return {
             (self._numbers_of[runner], self._models_of[model])
             for model in models
-            for runner, copy in model.copies.items()
-            if copy.held
+            for runner, copy in model.replicas.items()
+            if copy.is_held
         }
 
     def _note_held(self, models: Iterable[Any] | None = None) -> None:
         """What has changed of what is held, of these models or of all."""
-        now = self._holds(self.brain.models if models is None else models)
+        now = self._holds(self.policy.state.functions if models is None else models)
         before = self._held
         if models is not None:
             numbers = {self._models_of[model] for model in models}
@@ -110,13 +111,13 @@
         try:
             for event in events:
                 if isinstance(event, ev.Input):
-                    self.brain.now = max(self.brain.now, event.t)
+                    self.policy.state.now_ns = max(self.policy.state.now_ns, event.t)
                 self._one(event)
         except (KeyError, ValueError, IndexError, AttributeError) as error:
             raise Lost(f"{type(event).__name__}: {type(error).__name__} {error}") from None
 
     def _one(self, event: ev.Any_) -> None:
-        brain, all_ = self.brain, self.all
+        policy, all_ = self.policy, self.all
         carried, self._carried = self._carried, None
         if carried is not None and not isinstance(event, ev.Ordered):
             self._refused(carried)
@@ -133,14 +134,16 @@
                     event.cost,
                 )
                 orders = 0
-                for action in brain.count(task):
+                for action in policy.attempts.count_request(task):
                     self._outlet(action)
                     orders += 1
                 if orders:
                     self._note_held([task.model])
             case ev.HandedOff():
                 task = all_.tasks[event.task]
-                brain.hand_off(task, all_.runners[event.runner], brain.now + event.patience)
+                policy.attempts.begin_attempt(
+                    task, all_.runners[event.runner], policy.state.now_ns + event.patience
+                )
             case ev.Answered():
                 found = all_.tasks.get(event.task)
                 if found is None or event.hand_off >= len(found.hand_offs):
@@ -148,7 +151,7 @@
                 hand_off = found.hand_offs[event.hand_off]
                 if hand_off.result is None:
                     result, warmth = Result(event.result), Warmth(event.warmth)
-                    brain.heard(Answer(hand_off, result, event.final, warmth, event.lag))
+                    policy.record_result(Answer(hand_off, result, event.final, warmth, event.lag))
                 if found.process == "closed" and all(h.result is not None for h in found.hand_offs):
                     del all_.tasks[event.task]
             case ev.Closed():
@@ -159,14 +162,14 @@
                         del all_.tasks[event.task]
             case ev.NewRunner():
                 facts = ev.facts_of(event.facts)
-                runner = all_.runners[event.runner] = brain.runner(facts)
+                runner = all_.runners[event.runner] = policy.new_worker(facts)
                 all_.names[runner] = event.name
                 self._numbers_of[runner] = event.runner
             case ev.NewModel():
                 if event.model not in all_.models:
                     self._models_of[all_.model(event)] = event.model
             case ev.Roster(whole=whole, lines=lines):
-                brain.roster([(all_.runners[n], ev.facts_of(facts)) for n, facts in lines], whole)
+                policy.update_workers([(all_.runners[n], ev.facts_of(facts)) for n, facts in lines], whole)
                 self._note_held()
             case ev.Tick(tick=tick):
                 all_.settings.tick = tick
@@ -177,7 +180,7 @@
             case ev.OrderEnded(order=number, result=result, copies=copies):
                 order = self._given.pop(number, None)
                 if order is not None:
-                    brain.ordered(order, Result(result), copies)
+                    policy.record_load_end(order, Result(result), copies)
                     self._note_held([order.model])
             case ev.Recalled(result=result, copies=copies, touched=touched):
                 told = all_.runners[event.runner], all_.models[event.model]
@@ -189,16 +192,16 @@
     def _ordered(self, event: ev.Ordered, carried: int | None) -> None:
         order = self.orders.pop(carried, None) if carried is not None else None
         if order is None:  # the edge's own, or of a planner before this one: it counts all the same
-            copy = self.brain.copy(self.all.models[event.model], self.all.runners[event.runner])
-            order = self.brain.order(copy)
+            copy = self.policy.state.replica(self.all.models[event.model], self.all.runners[event.runner])
+            order = self.policy.scaling.request_load(copy)
         self._given[event.order] = order
 
     def _refused(self, number: int) -> None:
         """The edge's ration, or its word on a drain, is ahead of what is known here."""
         order = self.orders.pop(number, None)
         if order is not None:
-            stands = self.brain.copy(order.model, order.runner).stands
-            self.brain.ordered(order, Result.FULL, int(stands))
+            stands = self.policy.state.replica(order.model, order.runner).is_loaded
+            self.policy.record_load_end(order, Result.FULL, int(stands))
             self._note_held([order.model])
 
     # -- time
@@ -207,10 +210,10 @@
         return self.engine.due()
 
     def advance(self, now: int) -> None:
-        self.brain.now = max(self.brain.now, now)
+        self.policy.state.now_ns = max(self.policy.state.now_ns, now)
         due = self.engine.due()
-        if due is not None and due <= self.brain.now:
-            self.engine.advance(self.brain.now)
+        if due is not None and due <= self.policy.state.now_ns:
+            self.engine.advance(self.policy.state.now_ns)
             self._note_held()
 
     def resumed(self) -> None:
@@ -232,8 +235,8 @@
         found = []
         for runner, model in sorted(self._held):
             r, m = self.all.runners[runner], self.all.models[model]
-            copy = m.copies[r]
-            used = self.brain.now - copy.touched
+            copy = m.replicas[r]
+            used = self.policy.state.now_ns - copy.last_used_ns
             found.append((self.all.names[r], self.all.names[m], m.facts.lanes, m.facts.memory, used))
         return found
 
--- a/martenlead/planner/snapshot.py
+++ b/martenlead/planner/snapshot.py
@@ -12,38 +12,103 @@
 from typing import Any
 
 from martenlead.capture import events as ev
-from martenlead.policy.policy import Brain, Histogram
+from martenlead.policy.latency import LatencyHistogram
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import Customer, HandOff, Result, Settings, Task
 
 NUMBERS = (int, float, bool)
-NOT_OURS = {"now", "roster_version", "order_made"}  # made anew by whoever reads
-
-
-def fields_of(thing: Any) -> dict[str, Any]:
-    """Numbers, histograms and rows of numbers of an object."""
+NOT_OURS = {"now_ns"}  # made anew by whoever reads
+
+
+# the wire's names of fields, where they are others than here; docs/protocol-plan.md
+WORKER_NAMES = {
+    "is_listed": "listed",
+    "in_flight": "out",
+    "warm_in_flight": "running",
+    "concurrency_limit": "width",
+    "retry_budget": "credit",
+    "refused_in_a_row": "fulls",
+    "unanswered_in_a_row": "silent",
+    "late_share": "late",
+    "last_error_ns": "failed_last",
+    "last_heard_ns": "heard",
+    "limit_cut_ns": "widened",
+    "overdue_since_ns": "waiting",
+    "next_attempt_ns": "next",
+    "ramp_start_ns": "ramp",
+    "latency_ratio": "ratio",
+}
+FUNCTION_NAMES = {
+    "first_request_ns": "first",
+    "last_request_ns": "last",
+    "requests": "tasks",
+    "second_start_ns": "second",
+    "new_requests": "counts",
+    "rated_requests": "seen",
+    "rated_span_ns": "span",
+    "mean_cost": "cost",
+    "capacity_per_second": "most",
+    "replicas_added": "added",
+}
+REPLICA_NAMES = {
+    "in_flight": "out",
+    "is_held": "held",
+    "is_loaded": "stands",
+    "last_used_ns": "touched",
+    "load_failed_ns": "refused",
+    "load_requested_ns": "ordered",
+}
+POLICY_NAMES = {
+    "highest_weight": "weight",
+    "warm_in_flight": "running",
+    "check_period_ns": "period",
+    "shortest_objective_ns": "soft",
+    "succeeded_per_second": "rate",
+    "best_succeeded_per_second": "best",
+    "new_requests_per_second": "asked",
+    "equivalent_dispatchers": "peers",
+    "succeeded_in_period": "satisfied",
+    "new_requests_in_period": "first_tries",
+    "all_functions": "latency",
+    "last_period_ns": "span",
+    "request_times_ns": "taken",
+    "load_times_ns": "orders",
+}
+
+
+def parts_of(policy: Policy) -> list[Any]:
+    """The objects of a policy whose fields are the wire's fields of one."""
+    state = policy.state
+    return [state, state.traffic, state.latencies, policy.scaling, policy.load_budget]
+
+
+def fields_of(thing: Any, names: Mapping[str, str]) -> dict[str, Any]:
+    """Numbers, histograms and rows of numbers of an object, by the wire's names."""
     told: dict[str, Any] = {}
     for name, value in vars(thing).items():
         if name in NOT_OURS:
             continue
+        wire = names.get(name, name)
         if isinstance(value, NUMBERS):
-            told[name] = value
-        elif isinstance(value, Histogram):
-            told[name] = {"bins": value.bins, "total": value.total, "sum": value.sum}
+            told[wire] = value
+        elif isinstance(value, LatencyHistogram):
+            told[wire] = {"bins": value.bins, "total": value.total, "sum": value.sum_ns}
         elif isinstance(value, (list, deque)) and all(isinstance(v, NUMBERS) for v in value) and value:
-            told[name] = list(value)
+            told[wire] = list(value)
     return told
 
 
-def put_fields(thing: Any, told: Mapping[str, Any]) -> None:
+def put_fields(thing: Any, told: Mapping[str, Any], names: Mapping[str, str]) -> None:
     """The other way round; what does not fit is passed over."""
-    for name, value in told.items():
-        here = getattr(thing, name, None)
-        if here is None or name in NOT_OURS:
+    for name, here in list(vars(thing).items()):
+        wire = names.get(name, name)
+        if name in NOT_OURS or wire not in told:
             continue
-        if isinstance(here, Histogram):
+        value = told[wire]
+        if isinstance(here, LatencyHistogram):
             if isinstance(value, dict) and len(value.get("bins", ())) == len(here.bins):
                 here.bins = [float(n) for n in value["bins"]]
-                here.total, here.sum = float(value["total"]), float(value["sum"])
+                here.total, here.sum_ns = float(value["total"]), float(value["sum"])
         elif isinstance(here, deque):
             if isinstance(value, list):
                 here.clear()
@@ -56,7 +121,7 @@
 
 
 def take(
-    brain: Brain,
+    policy: Policy,
     start: ev.Start,
     runners: Mapping[Any, int],
     models: Mapping[Any, int],
@@ -67,22 +132,27 @@
 ) -> dict[str, Any]:
     """All that `Restored` needs; `names` are the runners' and the models'. Reads and changes nothing. Of the
     models `most` are written: those with copies that are held, and then those that were asked for most."""
-    lively = [m for m in brain.models if m.copies or m.counts[1] or m.seen >= 1]
+    lively = [m for m in policy.state.functions if m.replicas or m.new_requests[1] or m.rated_requests >= 1]
     if len(lively) > most:
         out = {t.model for t in tasks}
-        weight = {m: (any(c.held for c in m.copies.values()), m in out, m.seen + m.counts[1]) for m in lively}
+        weight = {
+            f: (any(r.is_held for r in f.replicas.values()), f in out, f.rated_requests + f.new_requests[1])
+            for f in lively
+        }
         lively = sorted(lively, key=weight.__getitem__, reverse=True)[:most]
     written = set(lively)
-    offerings = {id(o): n for n, o in enumerate(brain.settings.offerings)}
+    own = [fields_of(part, POLICY_NAMES) for part in parts_of(policy)]
+    offerings = {id(o): n for n, o in enumerate(policy.settings.offerings)}
     return {
-        "settings": {**start.settings, "tick": brain.settings.tick},  # as stated: who plans now is no matter
+        "settings": {**start.settings, "tick": policy.settings.tick},  # as stated: who plans now is no matter
         "seed": start.seed,
         "customers": start.customers,
-        "brain": fields_of(brain),
-        "served": [[customers[c], n] for c, n in brain.served.items()],
-        "rates": [[customers[c], n] for c, n in brain.rates.items()],
+        "brain": {name: value for part in own for name, value in part.items()},
+        "served": [[customers[c], n] for c, n in policy.tenant_shares.requests_in_period.items()],
+        "rates": [[customers[c], n] for c, n in policy.tenant_shares.requests_per_second.items()],
         "runners": [
-            [n, names[0][r], ev.pack_facts(r.facts), r.listed, fields_of(r)] for r, n in runners.items()
+            [n, names[0][r], ev.pack_facts(r.facts), r.is_listed, fields_of(r, WORKER_NAMES)]
+            for r, n in runners.items()
         ],
         "models": [
             [
@@ -91,9 +161,9 @@
                 f"{m.facts.mark:x}",
                 m.facts.lanes,
                 m.facts.memory,
-                fields_of(m),
+                fields_of(m, FUNCTION_NAMES),
                 runners[m.home] if m.home is not None else -1,
-                [[runners[r], fields_of(c)] for r, c in m.copies.items()],
+                [[runners[r], fields_of(c, REPLICA_NAMES)] for r, c in m.replicas.items()],
             ]
             for m in lively
         ],
@@ -124,8 +194,8 @@
     def __init__(self, state: Mapping[str, Any], now: int, settings: Settings | None = None) -> None:
         """Raises KeyError, ValueError, TypeError or IndexError for what no edge writes."""
         self.settings = settings or ev.settings_of(state["settings"])
-        self.brain = brain = Brain(self.settings, int(state["seed"]))
-        brain.now = now
+        self.policy = policy = Policy(self.settings, int(state["seed"]))
+        policy.state.now_ns = now
         self.customers = [Customer(float(quota)) for _, quota in state["customers"]]
         self.runners: dict[int, Any] = {}
         self.models: dict[int, Any] = {}
@@ -134,22 +204,25 @@
         listed, facts = [], {}
         for number, name, packed, on, _ in state["runners"]:
             facts[number] = ev.facts_of(ev.Facts(*packed) if isinstance(packed, list) else packed)
-            runner = self.runners[number] = brain.runner(facts[number])
+            runner = self.runners[number] = policy.new_worker(facts[number])
             self.names[runner] = name
             if on:
                 listed.append((runner, facts[number]))
-        brain.roster(listed, True)
+        policy.update_workers(listed, True)
         for number, _, _, _, told in state["runners"]:
-            put_fields(self.runners[number], {k: v for k, v in told.items() if k not in ("listed", "part")})
+            known = {k: v for k, v in told.items() if k not in ("listed", "part")}
+            put_fields(self.runners[number], known, WORKER_NAMES)
         for number, name, mark, lanes, memory, told, home, copies in state["models"]:
             model = self.model(ev.NewModel(now, number, name, mark, lanes, memory))
-            put_fields(model, told)
+            put_fields(model, told, FUNCTION_NAMES)
             model.home = self.runners[home] if home >= 0 else None
             for at, fields in copies:
-                put_fields(brain.copy(model, self.runners[at]), fields)
-        put_fields(brain, {k: v for k, v in state["brain"].items() if k not in ("memory", "period", "soft")})
-        brain.served = {self.customers[n]: tasks for n, tasks in state["served"]}
-        brain.rates = {self.customers[n]: rate for n, rate in state["rates"]}
+                put_fields(policy.state.replica(model, self.runners[at]), fields, REPLICA_NAMES)
+        own = {k: v for k, v in state["brain"].items() if k not in ("memory", "period", "soft")}
+        for part in parts_of(policy):
+            put_fields(part, own, POLICY_NAMES)
+        policy.tenant_shares.requests_in_period = {self.customers[n]: tasks for n, tasks in state["served"]}
+        policy.tenant_shares.requests_per_second = {self.customers[n]: rate for n, rate in state["rates"]}
         for number, m, offering, customer, give_up, again, cost, hand_offs in state["tasks"]:
             task = self.task(number, m, offering, customer, give_up, again, cost)
             for at, patience, sent, expected, result in hand_offs:
@@ -157,7 +230,7 @@
                 task.hand_offs.append(HandOff(task, self.runners[at], patience, sent, expected, done))
 
     def model(self, event: ev.NewModel) -> Any:
-        model = self.models[event.model] = self.brain.model(ev.model_facts(event))
+        model = self.models[event.model] = self.policy.new_function(ev.model_facts(event))
         self.names[model] = event.name
         return model
 
--- /dev/null
+++ b/martenlead/policy/attempts.py
@@ -0,0 +1,181 @@
+"""One request from its arrival to its final response: attempts, retries and hedging.
+
+Rule 1, one final response in time: whatever becomes of its attempts, `Attempts.handle` ends before the
+deadline with a success, a rejection or a failure. Rule 2, no effect twice, is asked of repeats.py before
+each attempt. The retries are docs/design.md's "Further hand-offs".
+"""
+
+from __future__ import annotations
+
+import math
+
+from martenlead.policy import retry_budget
+from martenlead.policy.concurrency import ConcurrencyLimits
+from martenlead.policy.latency import SECOND
+from martenlead.policy.load_budget import LoadBudget
+from martenlead.policy.placement import Placement
+from martenlead.policy.replica_scaling import ReplicaScaling
+from martenlead.policy.state import Function, State, Worker
+from martenlead.policy.tenant_shares import TenantShares
+from martenlead.policy.types import Action, CallOff, HandOff, Result, Scrap, Steps, Task, TurnBack, Wait
+
+ERRORS_LIMIT = 2  # workers where a request ended in an error: it would at the others too
+DEADLINE_MARGIN_TICKS = 3  # a final response has to be out, and not only decided, by the deadline
+OVERDUE_QUANTILE, OVERDUE_TIMES = 0.95, 3  # twice was too soon where a dispatcher seldom hears a worker
+COST_REQUESTS = 60  # that the mean cost of a function's requests is taken from at most
+BURST_DEVIATIONS = 2  # that a one-second rate is above Rmax by, before it is more than chance
+
+
+class Attempts:
+    """Takes requests, and has an attempt made where one may be made."""
+
+    def __init__(
+        self,
+        state: State,
+        placement: Placement,
+        scaling: ReplicaScaling,
+        load_budget: LoadBudget,
+        concurrency: ConcurrencyLimits,
+        tenant_shares: TenantShares,
+    ) -> None:
+        self.state = state
+        self.placement = placement
+        self.repeats = placement.repeats
+        self.scaling = scaling
+        self.load_budget = load_budget
+        self.concurrency = concurrency
+        self.tenant_shares = tenant_shares
+
+    # -- a request from end to end
+
+    def handle(self, request: Task) -> Steps:
+        """Attempts until one succeeds or nothing is left to do, then the final response."""
+        state, settings = self.state, self.state.settings
+        yield from self.count_request(request)
+        last_ns = request.give_up - DEADLINE_MARGIN_TICKS * settings.tick
+        tried: set[Worker] = set()
+        while (worker := self._next_worker(request, tried, last_ns)) is not None:
+            if request.hand_offs:
+                retry_budget.spend_retry(worker)
+            tried.add(worker)
+            if not settings.loads_on_miss:
+                yield from self._load_first(request.model, worker)
+            attempt = self.begin_attempt(request, worker, last_ns)
+            yield attempt
+            while attempt.result is None and state.now_ns <= last_ns:  # never waits on past the deadline
+                overdue_ns = state.now_ns + self._patience_ns(request)
+                answer = yield Wait(min(last_ns + settings.tick, overdue_ns))
+                if answer is not None and answer.final:
+                    return
+                if answer is None and self._is_lost(attempt):
+                    if settings.twice_out:
+                        break
+                    if settings.call_off:
+                        yield CallOff(attempt)
+        while any(a.result is None for a in request.hand_offs):
+            answer = yield Wait(last_ns + settings.tick)
+            if answer is None or answer.final:
+                break
+        if not any(a.result is Result.SATISFIED for a in request.hand_offs):
+            yield self._give_up(request)
+
+    def _next_worker(self, request: Task, tried: set[Worker], last_ns: int) -> Worker | None:
+        """None where no further attempt is to be made."""
+        attempts = request.hand_offs
+        if self.state.now_ns >= last_ns or len(attempts) >= self.state.settings.hand_offs:
+            return None
+        if sum(a.result is Result.ERROR for a in attempts) >= ERRORS_LIMIT:
+            return None
+        worker = self.placement.choose_worker(request, tried)
+        if worker is None and attempts and attempts[-1].result is Result.ERROR:
+            worker = self.placement.choose_worker(request, set())  # nobody else may: the same, once more
+        return worker
+
+    def _load_first(self, function: Function, worker: Worker) -> Steps:
+        """Asks for the replica, at workers that do not load on a miss."""
+        replica = self.state.replica(function, worker)
+        is_there = self.state.is_warm(replica) or replica.load_requested_ns
+        if not is_there and self.load_budget.allows(worker):
+            yield self.scaling.request_load(replica)
+
+    def _patience_ns(self, request: Task) -> int:
+        """How long an attempt may take before it is asked whether it is lost."""
+        usual_ns: int = request.model.latency.quantile(OVERDUE_QUANTILE)
+        return max(request.offering.soft_limit // 2, OVERDUE_TIMES * usual_ns)
+
+    def _is_lost(self, attempt: HandOff) -> bool:
+        """Whether an overdue attempt is one for a retry: its worker has not said a word since."""
+        is_quiet = attempt.expected and attempt.runner.last_heard_ns < attempt.sent
+        return bool(is_quiet) and len(attempt.task.hand_offs) < self.state.settings.hand_offs
+
+    def _give_up(self, request: Task) -> TurnBack | Scrap:
+        if not self.repeats.may_reject(request):
+            return Scrap(request)
+        return TurnBack(request, min(self.state.settings.turn_back_wait, request.offering.soft_limit // 2))
+
+    # -- its parts
+
+    def count_request(self, request: Task) -> Steps:
+        """Counts it in all rates.
+
+        A rate above Rmax runs the check at once.
+        """
+        state, function = self.state, request.model
+        self.load_budget.record_request()
+        state.note_request(function)
+        function.requests += 1
+        function.mean_cost += (request.cost - function.mean_cost) / min(function.requests, COST_REQUESTS)
+        function.last_request_ns = state.now_ns
+        request.spare = request.again or self.tenant_shares.is_over(request.customer)
+        if request.customer:
+            self.tenant_shares.record_request(request.customer)
+        if state.now_ns - function.second_start_ns > SECOND:
+            function.new_requests[0], function.second_start_ns = 0, state.now_ns
+        if not request.spare:
+            function.new_requests = [count + 1 for count in function.new_requests]
+            state.traffic.new_requests_in_period += 1
+        if self._is_burst(function):
+            yield from self.scaling.check(function, function.new_requests[0], SECOND)
+
+    def _is_burst(self, function: Function) -> bool:
+        """Whether this second's requests are above Rmax by more than chance, or nothing is held yet."""
+        if function.requests <= 1:
+            return False
+        count = function.new_requests[0]
+        sure = count - BURST_DEVIATIONS * math.sqrt(count)
+        capacity = function.capacity_per_second
+        return not capacity or sure * self.state.traffic.equivalent_dispatchers > capacity
+
+    def begin_attempt(self, request: Task, worker: Worker, last_ns: int) -> HandOff:
+        """Counts an attempt as in flight.
+
+        It has to end by `last_ns`.
+        """
+        state, function = self.state, request.model
+        replica = state.replica(function, worker)
+        worker.in_flight += 1
+        replica.in_flight += 1
+        if worker.in_flight == 1:
+            worker.overdue_since_ns = state.now_ns
+        self.concurrency.record_attempt(worker)
+        by_ns = self.repeats.begin_by_ns(request)
+        is_warm = int(state.is_warm(replica))
+        attempt = HandOff(request, worker, last_ns - state.now_ns, state.now_ns, is_warm, begin_by=by_ns)
+        if not replica.is_loaded and not replica.load_requested_ns:
+            replica.load_requested_ns = state.now_ns
+        worker.warm_in_flight += attempt.expected
+        state.warm_in_flight += attempt.expected
+        request.hand_offs.append(attempt)
+        return attempt
+
+    def close(self, request: Task, is_cancelled: bool) -> list[Action]:
+        """A request that is over leaves nothing waiting.
+
+        Where its client left with its one attempt in flight, that may end: a worker goes on with most of
+        what is cancelled, and would be taken for free meanwhile.
+        """
+        if is_cancelled and request.hand_offs:
+            self.load_budget.withdraw_request(request.hand_offs[0].sent)
+        if is_cancelled or not self.state.settings.call_off:
+            return []
+        return [CallOff(attempt) for attempt in request.hand_offs if attempt.result is None]
--- a/martenlead/policy/engine.py
+++ b/martenlead/policy/engine.py
@@ -10,7 +10,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from martenlead.policy.types import Action, Answer, Order, Past, Result, Steps, Task, Wait
 
 
@@ -26,63 +26,63 @@
 
 
 class Engine:
-    def __init__(self, brain: Brain, outlet: Callable[[Action], None]) -> None:
-        self.brain = brain
+    def __init__(self, policy: Policy, outlet: Callable[[Action], None]) -> None:
+        self.policy = policy
         self.outlet = outlet
         self._due: list[tuple[int, int, Process, int]] = []
         self._count = 0
 
     def begin(self) -> None:
-        for steps in self.brain.background():
+        for steps in self.policy.background():
             self._resume(Process(steps), None)
 
     def take(self, task: Task) -> None:
-        task.process = Process(self.brain.task(task))
+        task.process = Process(self.policy.handle_request(task))
         self._resume(task.process, None)
 
     def answered(self, answer: Answer) -> None:
-        self.brain.heard(answer)
+        self.policy.record_result(answer)
         self._resume(answer.hand_off.task.process, answer)
 
     def ordered(self, order: Order, result: Result, copies: int) -> None:
-        self.brain.ordered(order, result, copies)
+        self.policy.record_load_end(order, result, copies)
 
     def room(self, task: Task) -> Any:
         """The runner that the module would hand this task to now, None where there is none. It is asked as a
         task asks it, and nothing is begun."""
-        return self.brain.place(task, set())
+        return self.policy.placement.choose_worker(task, set())
 
     def hold(self, runner: Any, model: Any, held: bool) -> None:
         """What another instance of the module decided for this one: whether a copy is held."""
-        self.brain.copy(model, runner).held = held
+        self.policy.state.replica(model, runner).is_held = held
 
     def carry(self, runner: Any, model: Any) -> Order | None:
         """An order that another instance of the module decided on. Whether it may be given is asked of this
         one, which counts all orders whoever decided on them: None where it may not."""
-        if not self.brain.may_order(runner):
+        if not self.policy.load_budget.allows(runner):
             return None
-        copy = self.brain.copy(model, runner)
-        copy.held = True
-        order = self.brain.order(copy)
+        copy = self.policy.state.replica(model, runner)
+        copy.is_held = True
+        order = self.policy.scaling.request_load(copy)
         self.outlet(order)
         return order
 
     def remember(self, past: Past) -> None:
-        self.brain.remember(past)
+        self.policy.restore(past)
 
     def recall(self, runner: Any, model: Any, result: Result, copies: int, touched: int) -> None:
         """The answer to an ask for a copy that was held before this instance began."""
-        self.brain.ordered(Order(runner, model, 0), result, copies)
-        copy = self.brain.copy(model, runner)
-        if copy.stands:
-            copy.held, copy.touched = True, max(copy.touched, touched)
+        self.policy.record_load_end(Order(runner, model, 0), result, copies)
+        copy = self.policy.state.replica(model, runner)
+        if copy.is_loaded:
+            copy.is_held, copy.last_used_ns = True, max(copy.last_used_ns, touched)
 
     def closed(self, task: Task) -> None:
         left = task.process.alive  # before the module was done with it
         if left:
             task.process.alive = False
             task.process.steps.close()
-        for action in self.brain.closed(task, left):
+        for action in self.policy.close_request(task, left):
             self.outlet(action)
 
     def due(self) -> int | None:
--- /dev/null
+++ b/martenlead/policy/placement.py
@@ -0,0 +1,144 @@
+"""Placement: the worker for an attempt, and the worker for a new replica.
+
+The design's rule for requests: where the function was last seen warm while own requests there are fewer
+than lanes, else the less busy of two random holders, else the next of the shared order (docs/design.md,
+"Kept"; the paper leaves the routing open). Each departure from it stands in docs/design.md, "Changed".
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from martenlead.policy import retry_budget
+from martenlead.policy.candidates import RANKED_WHOLE
+from martenlead.policy.concurrency import ConcurrencyLimits
+from martenlead.policy.outliers import Outliers
+from martenlead.policy.repeats import RepeatGuard
+from martenlead.policy.slow_start import SlowStart
+from martenlead.policy.state import Function, Replica, State, Worker
+from martenlead.policy.types import Result, Task
+
+REPLICA_CHOICES = 6  # workers of the shared order, of all dispatchers together, for a new replica
+CROWDED_PACE = 1.3  # times the usual latency: more than its own variance makes of it
+CROWDED_PARTS = 2  # of an even part of all requests in flight
+
+
+class Placement:
+    """Chooses workers, by all that is known of them."""
+
+    def __init__(
+        self,
+        state: State,
+        outliers: Outliers,
+        slow_start: SlowStart,
+        concurrency: ConcurrencyLimits,
+        repeats: RepeatGuard,
+    ) -> None:
+        self.state = state
+        self.outliers = outliers
+        self.slow_start = slow_start
+        self.concurrency = concurrency
+        self.repeats = repeats
+
+    # -- for an attempt
+
+    def choose_worker(self, request: Task, excluded: set[Worker]) -> Worker | None:
+        """None where no worker may have the request now.
+
+        Draws from chance, and begins nothing.
+        """
+        function: Function = request.model
+        known = self._known_holders(request, function)
+        fitting = [r for r in known if r.worker not in excluded and self.fits(request, r.worker)]
+        warm = [r for r in fitting if self.state.is_warm(r)]
+        warm = [r for r in warm if r.is_held] or warm  # what no load request holds may lapse
+        for replica in warm:
+            is_free_home = replica.worker is function.home and replica.in_flight < function.facts.lanes
+            if is_free_home and not self.is_crowded(replica.worker):
+                return replica.worker
+        holders = [r for r in warm if not self.is_crowded(r.worker)] or warm or fitting
+        if holders:
+            two = [holders[int(self.state.random() * len(holders))] for _ in range(2)]
+            return min(two, key=lambda r: self.busyness(r.worker)).worker
+        return self._next_candidate(request, excluded, len(known))
+
+    def _known_holders(self, request: Task, function: Function) -> list[Replica]:
+        """Where the function is warm or being loaded, less the workers that answered with an error."""
+        state, outliers = self.state, self.outliers
+        known = [
+            replica
+            for replica in function.replicas.values()
+            if (state.is_warm(replica) or replica.load_requested_ns) and outliers.is_usable(replica.worker)
+        ]
+        erring = [a.runner for a in request.hand_offs if a.result is Result.ERROR]  # not for lack of room
+        return [
+            replica
+            for replica in known
+            if replica.worker not in erring and not outliers.is_failing(replica.worker, request.offering)
+        ]
+
+    def _next_candidate(self, request: Task, excluded: set[Worker], holders: int) -> Worker | None:
+        is_short_list = len(self.state.workers) <= RANKED_WHOLE
+        for worker in self.candidates(request.model, holders):
+            if holders and is_short_list and not self.slow_start.is_warming_up(worker):
+                continue  # a load would push out what others need; one just started holds nothing yet
+            if worker not in excluded and self.fits(request, worker):
+                return worker
+        return None
+
+    def fits(self, request: Task, worker: Worker) -> bool:
+        """Whether this worker may have the request now."""
+        return (
+            self.outliers.is_usable(worker)
+            and not self.outliers.is_failing(worker, request.offering)
+            and (retry_budget.allows_retry(worker) or not request.hand_offs)
+            and self.concurrency.has_room(worker, request.spare)
+            and self.repeats.may_send(request, worker)
+        )
+
+    def busyness(self, worker: Worker) -> float:
+        """Of two workers the one with less of it is chosen."""
+        return self.state.latencies.pace(worker.latency_ratio) * (1 + worker.warm_in_flight)
+
+    def is_crowded(self, worker: Worker) -> bool:
+        """Whether it takes much longer than usual, or has far more in flight than its part."""
+        if self.state.latencies.pace(worker.latency_ratio) > CROWDED_PACE:
+            return True
+        part = CROWDED_PARTS * self.state.warm_in_flight / len(self.state.workers)
+        return worker.warm_in_flight > CROWDED_PARTS + part
+
+    def pace(self, worker: Worker) -> float:
+        """How many times longer than usual it takes."""
+        return self.state.latencies.pace(worker.latency_ratio)
+
+    # -- for a new replica
+
+    def candidates(self, function: Function, replicas: int = 0) -> Iterator[Worker]:
+        """The workers of the function's shared order, which all dispatchers have alike."""
+        return function.ranking.candidates(self.state.index, replicas)
+
+    def choose_worker_for_replica(self, function: Function) -> Worker | None:
+        """The least busy of the next few workers in the shared order, or one that has it loaded already.
+
+        A few dispatchers see alike and choose alike; of many each sees little, so that only the plain next
+        worker brings their replicas together.
+        """
+        state, free = self.state, list[Worker]()
+        choices = max(1, REPLICA_CHOICES // state.settings.front_ends)
+        for worker in self.candidates(function, len(function.replicas)):
+            replica = function.replicas.get(worker)
+            if len(free) >= choices:
+                break
+            if not self._may_hold(worker):
+                continue
+            if replica and state.is_warm(replica) and not replica.is_held and not self.is_crowded(worker):
+                return worker  # what is loaded already costs no load
+            retry_ns = replica.load_failed_ns + state.settings.keep // 2 if replica else 0
+            if replica is None or not (replica.is_held or state.now_ns < retry_ns):
+                free.append(worker)
+        return min(free, key=self.busyness, default=None)
+
+    def _may_hold(self, worker: Worker) -> bool:
+        if not self.outliers.is_usable(worker) or self.slow_start.is_warming_up(worker):
+            return False
+        return not self.outliers.is_failing(worker)
--- /dev/null
+++ b/martenlead/policy/results.py
@@ -0,0 +1,90 @@
+"""What the end of an attempt teaches: of its worker, its replica and its function.
+
+Each result goes to the modules whose matter it is; what all of them believe in stands in state.py.
+"""
+
+from __future__ import annotations
+
+from martenlead.policy import retry_budget
+from martenlead.policy.concurrency import ConcurrencyLimits
+from martenlead.policy.latency import USUAL_RATIO
+from martenlead.policy.outliers import NOT_REACHED, WORKER_ERRORS, Outliers
+from martenlead.policy.state import Replica, State
+from martenlead.policy.types import Answer, HandOff, Result, Warmth
+
+WORDS = frozenset({Result.SATISFIED, Result.ERROR, Result.FULL, Result.MISSING})
+JUDGED = frozenset({Result.SATISFIED, *WORKER_ERRORS})
+LATE_AT_HOME = 2  # times the usual latency: from there on a home worker is left
+REFUSED_LATENESS = 2  # latency objectives that a refused attempt counts as
+
+
+class Results:
+    """Takes the end of every attempt, also of requests that are over."""
+
+    def __init__(self, state: State, outliers: Outliers, concurrency: ConcurrencyLimits) -> None:
+        self.state, self.outliers, self.concurrency = state, outliers, concurrency
+
+    def record(self, answer: Answer) -> None:
+        """Takes one end of an attempt."""
+        attempt, result = answer.hand_off, answer.result
+        worker = attempt.runner
+        replica = self._end_attempt(attempt, result)
+        if result in WORDS:
+            self.outliers.record_word(worker)
+        if result in JUDGED and answer.warmth is not Warmth.LOAD_FAILED:
+            self.outliers.record_response(attempt, result in WORKER_ERRORS)
+        if result is Result.SATISFIED:
+            self._record_success(answer, replica)
+        elif result is Result.MISSING:
+            replica.is_loaded = False
+        elif result is Result.FULL:
+            objective_ns = attempt.task.offering.soft_limit
+            self.concurrency.record_latency(worker, REFUSED_LATENESS * objective_ns, objective_ns)
+            worker.refused_in_a_row += 1
+        elif result in NOT_REACHED or (result is Result.SILENT and worker.last_heard_ns < attempt.sent):
+            self.outliers.record_silence(worker)
+            if replica.function.home is worker and result in NOT_REACHED:
+                replica.function.home = None
+        if result is not Result.SATISFIED and not replica.in_flight:
+            replica.load_requested_ns = 0  # the load that they waited for failed, or never began
+
+    def _end_attempt(self, attempt: HandOff, result: Result) -> Replica:
+        """Counts it as in flight no more."""
+        worker = attempt.runner
+        replica = self.state.replica(attempt.task.model, worker)
+        attempt.result = result
+        worker.in_flight -= 1
+        worker.warm_in_flight -= attempt.expected
+        self.state.warm_in_flight -= attempt.expected
+        replica.in_flight -= 1
+        return replica
+
+    def _record_success(self, answer: Answer, replica: Replica) -> None:
+        state, worker, function = self.state, replica.worker, replica.function
+        state.traffic.succeeded_in_period += 1
+        worker.refused_in_a_row = 0
+        retry_budget.earn(worker)
+        if function.home is None or not state.is_warm(function.replicas[function.home]):
+            function.home = worker
+        replica.last_used_ns = max(replica.last_used_ns, state.now_ns)
+        replica.load_requested_ns, replica.is_loaded = 0, True
+        tells_warm = state.settings.tells_warm
+        if answer.warmth is Warmth.WARM if tells_warm else bool(answer.hand_off.expected):
+            self._record_warm_run(answer, replica)
+        elif not tells_warm:
+            function.latency.add(answer.lag)
+
+    def _record_warm_run(self, answer: Answer, replica: Replica) -> None:
+        state, worker, function = self.state, replica.worker, replica.function
+        request, latency_ns = answer.hand_off.task, answer.lag
+        usual_ns = state.latencies.warm_run_ns(function.latency)
+        if request.cost and function.mean_cost:
+            usual_ns = int(usual_ns * request.cost / function.mean_cost)
+        if usual_ns:
+            worker.latency_ratio.add(USUAL_RATIO * latency_ns // usual_ns)
+            state.paced_workers[worker] = None
+        if latency_ns > LATE_AT_HOME * usual_ns and function.home is worker:
+            function.home = None  # of many dispatchers, each moves on by what it meets itself
+        for histogram in (replica.latency, function.latency, state.latencies.all_functions):
+            histogram.add(latency_ns)
+        self.concurrency.record_latency(worker, latency_ns, request.offering.soft_limit)
--- a/support/pair.py
+++ b/support/pair.py
@@ -247,29 +247,29 @@
         keep = ns(self.edge.models.keep_ms)
         for runner, number in self.side.tape.runners.items():
             other = mirror.all.runners[number]
-            for name in ("out", "running", "fulls", "listed"):
+            for name in ("in_flight", "warm_in_flight", "refused_in_a_row", "is_listed"):
                 if getattr(runner, name) != getattr(other, name):
                     found.append(f"r{number}.{name}: {getattr(runner, name)}, {getattr(other, name)}")
         for model, number in self.side.tape.models.items():
             other = mirror.all.models.get(number)
             if other is None:
-                if model.copies:
+                if model.replicas:
                     found.append(f"m{number} unknown")
                 continue
-            if model.tasks != other.tasks:
-                found.append(f"m{number}.tasks: {model.tasks}, {other.tasks}")
-            for runner, copy in model.copies.items():
-                there = other.copies.get(mirror.all.runners[self.side.tape.runners[runner]])
+            if model.requests != other.requests:
+                found.append(f"m{number}.tasks: {model.requests}, {other.requests}")
+            for runner, copy in model.replicas.items():
+                there = other.replicas.get(mirror.all.runners[self.side.tape.runners[runner]])
                 where = f"m{number} at r{self.side.tape.runners[runner]}"
                 if there is None:
                     found.append(f"{where} unknown")
                     continue
-                if copy.out != there.out or abs(copy.latency.total - there.latency.total) > 1e-6:
-                    found.append(f"{where}: {copy.out}, {there.out} out; {copy.latency.total}")
-                if copy.held != there.held:
-                    found.append(f"{where}: held {copy.held}, {there.held}")
-                if copy.stands != there.stands and copy.touched + keep // 2 > self.now:
-                    found.append(f"{where}: stands {copy.stands}, {there.stands}")
+                if copy.in_flight != there.in_flight or abs(copy.latency.total - there.latency.total) > 1e-6:
+                    found.append(f"{where}: {copy.in_flight}, {there.in_flight} out; {copy.latency.total}")
+                if copy.is_held != there.is_held:
+                    found.append(f"{where}: held {copy.is_held}, {there.is_held}")
+                if copy.is_loaded != there.is_loaded and copy.last_used_ns + keep // 2 > self.now:
+                    found.append(f"{where}: stands {copy.is_loaded}, {there.is_loaded}")
         return found
 
     def settled(self) -> list[str]:
--- a/tests/play.py
+++ b/tests/play.py
@@ -8,7 +8,7 @@
 
 from martenlead.policy import types as io
 from martenlead.policy.engine import Engine
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 
 MS = 1_000_000
 CHECK = io.Offering(500 * MS, io.Effect.IDEMPOTENT, io.Group.ALL, 0)
@@ -46,12 +46,12 @@
 class Play:
     def __init__(self, runners: str = "abc", seed: int = 7, **changes: Any) -> None:
         self.lines: list[str] = []
-        self.brain = Brain(replace(SETTINGS, **changes), seed)
-        self.engine = Engine(self.brain, self.out)
+        self.policy = Policy(replace(SETTINGS, **changes), seed)
+        self.engine = Engine(self.policy, self.out)
         self.names: dict[Any, str] = {}
         self.hand_offs: list[io.HandOff] = []
         self.orders: list[io.Order] = []
-        self.runners = {name: self.brain.runner(self.facts(name)) for name in runners}
+        self.runners = {name: self.policy.new_worker(self.facts(name)) for name in runners}
         self.names |= {runner: name for name, runner in self.runners.items()}
         self.models: dict[str, Any] = {}
         self.list_all()
@@ -62,14 +62,14 @@
         return io.RunnerFacts(ord(name), zone, 0, 50_000.0, 1.0, state, since * MS)
 
     def list_all(self) -> None:
-        self.brain.roster([(r, r.facts) for r in self.runners.values()], True)
+        self.policy.update_workers([(r, r.facts) for r in self.runners.values()], True)
 
     def list_one(self, name: str, state: io.State = io.State.UP, since: int = 0) -> None:
         self.say(f"listed {name} {state.value}")
-        self.brain.roster([(self.runners[name], self.facts(name, state, since))], False)
+        self.policy.update_workers([(self.runners[name], self.facts(name, state, since))], False)
 
     def say(self, text: str) -> None:
-        self.lines.append(f"{self.brain.now // MS:6} {text}")
+        self.lines.append(f"{self.policy.state.now_ns // MS:6} {text}")
 
     def out(self, action: io.Action) -> None:
         match action:
@@ -90,9 +90,9 @@
         self, name: str, model: str = "m", offering: io.Offering = CHECK, patience: int = 4000, **more: Any
     ) -> Any:
         if model not in self.models:
-            self.models[model] = self.brain.model(io.ModelFacts(ord(model), 2, 3000.0))
+            self.models[model] = self.policy.new_function(io.ModelFacts(ord(model), 2, 3000.0))
             self.names[self.models[model]] = model
-        give_up = self.brain.now + patience * MS
+        give_up = self.policy.state.now_ns + patience * MS
         task = io.Task(
             self.models[model], offering, more.get("customer"), give_up, more.get("again", False), 0.0
         )
@@ -105,7 +105,7 @@
     ) -> None:
         hand_off = self.hand_offs.pop(which)
         self.say(f"{self.names[hand_off.task]} {result.value} at {self.names[hand_off.runner]}")
-        lag = self.brain.now - hand_off.sent
+        lag = self.policy.state.now_ns - hand_off.sent
         final = result is io.Result.SATISFIED
         self.engine.answered(io.Answer(hand_off, result, final, warmth, lag))
         if final:
@@ -122,13 +122,13 @@
     def to(self, ms: int) -> None:
         """Moves the clock, stopping wherever something is due."""
         while (due := self.engine.due()) is not None and due <= ms * MS:
-            self.brain.now = max(self.brain.now, due)
-            self.engine.advance(self.brain.now)
-        self.brain.now = ms * MS
+            self.policy.state.now_ns = max(self.policy.state.now_ns, due)
+            self.engine.advance(self.policy.state.now_ns)
+        self.policy.state.now_ns = ms * MS
 
     def wide(self) -> None:
         for runner in self.runners.values():
-            runner.width = 4.0
+            runner.concurrency_limit = 4.0
 
     def served(self, times: int, model: str = "m", every: int = 50) -> None:
         """Warm answers in plenty, left out of the trace."""
@@ -136,7 +136,7 @@
         for _ in range(times):
             self.task("-", model)
             self.stands()
-            self.to(self.brain.now // MS + every)
+            self.to(self.policy.state.now_ns // MS + every)
             self.answer()
         del self.lines[kept:]
 
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -14,7 +14,8 @@
 
 from martenlead.policy import types as io
 from martenlead.policy.candidates import CANDIDATES, LEAVES, RANKED_WHOLE, CandidateIndex, Ranking
-from martenlead.policy.policy import Brain, Runner
+from martenlead.policy.policy import Policy
+from martenlead.policy.state import Worker
 from tests.play import SETTINGS
 
 FULL_SIZE = 7_700
@@ -26,18 +27,18 @@
     return io.RunnerFacts(mark, f"zone-{mark % 10}", 0, 50_000.0, weight, state, 0)
 
 
-def worker(mark: int, weight: float = 1.0) -> Runner:
-    return Runner(facts(mark, weight), 0, 1.0)
+def worker(mark: int, weight: float = 1.0) -> Worker:
+    return Worker(facts(mark, weight), 0, 1.0)
 
 
-def index_of(workers: Iterable[Runner]) -> CandidateIndex:
+def index_of(workers: Iterable[Worker]) -> CandidateIndex:
     index = CandidateIndex()
     for one in workers:
         index.add(one)
     return index
 
 
-def fleet(size: int) -> list[Runner]:
+def fleet(size: int) -> list[Worker]:
     return [worker(mark) for mark in Random(size).sample(range(1 << 40), size)]
 
 
@@ -72,12 +73,12 @@
 # -- the same list, whatever led to it
 
 
-def told(brain: Brain, known: dict[int, Runner], lines: list[io.RunnerFacts], whole: bool = False) -> None:
+def told(policy: Policy, known: dict[int, Worker], lines: list[io.RunnerFacts], whole: bool = False) -> None:
     """News of workers by their marks, as a door tells it."""
     for line in lines:
         if line.mark not in known:
-            known[line.mark] = brain.runner(line)
-    brain.roster([(known[line.mark], line) for line in lines], whole)
+            known[line.mark] = policy.new_worker(line)
+    policy.update_workers([(known[line.mark], line) for line in lines], whole)
 
 
 @given(SEEDS)
@@ -88,9 +89,9 @@
     chance = Random(seed)
     weights = {mark: chance.choice((0.25, 1.0, 2.0, 8.0)) for mark in chance.sample(range(1 << 40), 400)}
     last = [facts(mark, weight) for mark, weight in weights.items()]
-    once, often = Brain(SETTINGS, 1), Brain(SETTINGS, 2)
+    once, often = Policy(SETTINGS, 1), Policy(SETTINGS, 2)
     told(once, {}, last, whole=True)
-    known: dict[int, Runner] = {}
+    known: dict[int, Worker] = {}
     for _ in range(6):
         some = chance.sample(last, 150)
         lines = [facts(line.mark, chance.random() + 0.1, chance.choice(list(io.State))) for line in some]
@@ -100,11 +101,15 @@
         told(often, known, lines, whole=chance.random() < 0.3)
     for line in chance.sample(last, 400):
         told(often, known, [line])
-    assert [r.facts.mark for r in often.runners] == [r.facts.mark for r in once.runners] == sorted(weights)
-    assert often.index.weight == once.index.weight
-    assert often.index.memory == pytest.approx(once.index.memory)
+    assert (
+        [r.facts.mark for r in often.state.workers]
+        == [r.facts.mark for r in once.state.workers]
+        == sorted(weights)
+    )
+    assert often.state.index.weight == once.state.index.weight
+    assert often.state.index.memory == pytest.approx(once.state.index.memory)
     for function in range(40):
-        assert marks(often.index, function, 5) == marks(once.index, function, 5)
+        assert marks(often.state.index, function, 5) == marks(once.state.index, function, 5)
 
 
 def test_the_candidates_do_not_depend_on_what_was_asked_before() -> None:
@@ -119,7 +124,7 @@
 class FewLeaves(CandidateIndex):
     """Many workers in each leaf, as at fleets of tens of thousands."""
 
-    def _leaf(self, worker: Runner) -> int:
+    def _leaf(self, worker: Worker) -> int:
         return LEAVES + worker.facts.mark % 16
 
 
@@ -142,20 +147,20 @@
 
 
 def test_a_version_changes_with_the_list_alone() -> None:
-    brain, known = Brain(SETTINGS, 1), dict[int, Runner]()
+    policy, known = Policy(SETTINGS, 1), dict[int, Worker]()
     lines = [facts(mark, 1.0 + mark % 3) for mark in range(300)]
-    told(brain, known, lines, whole=True)
-    version = brain.index.version
-    told(brain, known, list(reversed(lines)), whole=True)
-    told(brain, known, lines[:7] * 3)
-    told(brain, known, [facts(5, lines[5].weight, io.State.DRAINING), facts(10**6, 1.0, io.State.GONE)])
-    assert brain.index.version == version
+    told(policy, known, lines, whole=True)
+    version = policy.state.index.version
+    told(policy, known, list(reversed(lines)), whole=True)
+    told(policy, known, lines[:7] * 3)
+    told(policy, known, [facts(5, lines[5].weight, io.State.DRAINING), facts(10**6, 1.0, io.State.GONE)])
+    assert policy.state.index.version == version
     versions = [version]
     for line in (facts(5, 8.0), facts(6, 1.0, io.State.GONE), facts(6), facts(301)):
-        told(brain, known, [line])
-        versions.append(brain.index.version)
-        told(brain, known, [line])
-        assert brain.index.version == versions[-1]
+        told(policy, known, [line])
+        versions.append(policy.state.index.version)
+        told(policy, known, [line])
+        assert policy.state.index.version == versions[-1]
     assert len(set(versions)) == len(versions)
 
 
@@ -299,7 +304,7 @@
 class OneLeaf(CandidateIndex):
     """The worst that the hash of ids can do."""
 
-    def _leaf(self, worker: Runner) -> int:
+    def _leaf(self, worker: Worker) -> int:
         return LEAVES + 17
 
 
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -29,7 +29,7 @@
 from martenlead.capture.store import Busy, Store, StoreSettings, runs
 from martenlead.capture.tape import Tape
 from martenlead.cli.main import commands
-from martenlead.policy.policy import Brain
+from martenlead.policy.policy import Policy
 from support.fleet import after, closes, draining, error, fleet, full, satisfied, silent
 from tests.play import SETTINGS
 
@@ -68,16 +68,17 @@
 
 async def test_nothing_reaches_the_module_around_the_border(monkeypatch: pytest.MonkeyPatch) -> None:
     calls: Counter[str] = Counter()
-    inputs = {"heard": ev.Answered, "ordered": ev.OrderEnded, "roster": ev.Roster, "closed": ev.Closed}
-    inputs |= {"task": ev.Take, "runner": ev.NewRunner, "model": ev.NewModel}
+    inputs = {"record_result": ev.Answered, "record_load_end": ev.OrderEnded, "update_workers": ev.Roster}
+    inputs |= {"close_request": ev.Closed, "handle_request": ev.Take}
+    inputs |= {"new_worker": ev.NewRunner, "new_function": ev.NewModel}
     for name in inputs:
-        plain = getattr(Brain, name)
+        plain = getattr(Policy, name)
 
-        def counted(self: Brain, *args: Any, _plain: Any = plain, _name: str = name) -> Any:
+        def counted(self: Policy, *args: Any, _plain: Any = plain, _name: str = name) -> Any:
             calls[_name] += 1
             return _plain(self, *args)
 
-        monkeypatch.setattr(Brain, name, counted)
+        monkeypatch.setattr(Policy, name, counted)
     events = await played()
     written = Counter(type(event) for event in events)
     assert {name: calls[name] for name in inputs} == {name: written[kind] for name, kind in inputs.items()}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,6 +11,7 @@
 import signal
 import socket
 import time
+from collections import deque
 from pathlib import Path
 from typing import Any
 
@@ -190,7 +191,7 @@
     async with play(tmp_path, {"a": [silent], "b": [silent]}) as p:
         client = await p.client()
         for box in p.node.dispatcher.boxes.values():
-            box.runner.width = 100.0
+            box.runner.concurrency_limit = 100.0
         for n in range(100):
             await client.ask(wait=1900)
             if n < 32:  # one by one, so that none is taken back in its own read
@@ -208,7 +209,7 @@
     async with play(tmp_path) as p:
         client = await p.client()
         for box in p.node.dispatcher.boxes.values():
-            box.runner.width = 100.0
+            box.runner.concurrency_limit = 100.0
         told = []
         for _ in range(5):
             for _ in range(20):
@@ -458,7 +459,7 @@
         await p.journal.tell(p.record("a", state=2), record(ord("b"), at))
         await until(lambda: "s-00000062" in p.node.dispatcher.boxes)
         box = p.node.dispatcher.boxes["s-00000062"]
-        box.runner.width = 100.0
+        box.runner.concurrency_limit = 100.0
         client = await p.client()
         for _ in range(2):
             await client.ask("unsafe", blob="QUFB" * 5000, wait=1900)
@@ -791,6 +792,10 @@
         assert [len(p.did()) for p in (one, two)] == [1, 1]
         assert [len(p.node.door.spent) for p in (one, two)] == [1, 1]
         assert one.node.dispatcher.hard != two.node.dispatcher.hard
-        found = [vars(p.node.dispatcher.border._brain) for p in (one, two)]
-        shared = [n for n, v in found[0].items() if isinstance(v, dict | list) and v is found[1][n]]
-        assert shared == []
+        policies = [p.node.dispatcher.border._policy for p in (one, two)]
+        for part in (None, "state", "scaling", "tenant_shares", "load_budget", "placement", "attempts"):
+            found = [vars(policy if part is None else getattr(policy, part)) for policy in policies]
+            shared = [
+                n for n, v in found[0].items() if isinstance(v, dict | list | deque) and v is found[1][n]
+            ]
+            assert shared == []
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -291,7 +291,7 @@
     customers = [{"name": "portal", "quota_per_s": 0.001}, {"name": "desk", "quota_per_s": 1000}]
     never = says(503, (b"martenlead-never-ran", b"1"))
     async with fleet({"a": [never], "b": [never]}, customers=customers, over_share=0.2) as f:
-        f.dispatcher.border._brain.rates[f.dispatcher.customers["portal"]] = 50.0
+        f.dispatcher.border._policy.tenant_shares.requests_per_second[f.dispatcher.customers["portal"]] = 50.0
         statuses = {name: (await f.call(customer=name))[0] for name in ("portal", "desk")}
         assert statuses == {"portal": 429, "desk": 503}
         status, told = await f.call(customer="nobody")
@@ -313,7 +313,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(call)
             await until(lambda: f.arrivals)
-            monkeypatch.setattr(f.dispatcher.border._brain, "may_turn_back", fails)
+            monkeypatch.setattr(f.dispatcher.border._policy.repeats, "may_reject", fails)
             monkeypatch.setattr(f.dispatcher.border, "may_turn_back", lambda _task: False)
         assert [(status, answer["final"]) for status, answer in told] == [(504, "scrapped")]
         assert f.dispatcher.counts["fault", "ZeroDivisionError"] == 1
@@ -419,7 +419,7 @@
         def fails(*_: object) -> None:
             raise ZeroDivisionError
 
-        monkeypatch.setattr(f.dispatcher.border._brain, "place", fails)
+        monkeypatch.setattr(f.dispatcher.border._policy.placement, "choose_worker", fails)
         status, told = await f.call("notice")
         assert (status, told["final"], f.arrivals) == (503, "turned back", [])
         assert not f.dispatcher.held
--- a/tests/test_function_bound.py
+++ b/tests/test_function_bound.py
@@ -22,4 +22,4 @@
         for number in range(REQUESTS):
             await client.call(key=f"{number:016x}")
         assert len(p.node.dispatcher.models) == FUNCTIONS
-        assert len(p.node.dispatcher.border._brain.models) <= FUNCTIONS
+        assert len(p.node.dispatcher.border._policy.state.functions) <= FUNCTIONS
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -216,7 +216,7 @@
         told = [await client.call(id="00000000000000aa") for _ in range(18)]
         assert told == ["turned back", *["error -32602"] * 17]
         assert await client.answer() is None
-        assert len(p.node.dispatcher.border._brain.taken) == 1
+        assert len(p.node.dispatcher.border._policy.load_budget.request_times_ns) == 1
         p.node.door.tasks = 3  # as many as may be held are remembered
         assert [await (await p.client()).call(id=f"{n:016x}") for n in range(5)] == ["turned back"] * 5
         assert list(p.node.door.spent) == [f"{n:016x}" for n in range(2, 5)]
@@ -248,10 +248,10 @@
             "no runner may take it now",
             *["too much is open"] * 168,
         ]
-        assert len(p.node.dispatcher.border._brain.taken) == 32
+        assert len(p.node.dispatcher.border._policy.load_budget.request_times_ns) == 32
         await until(lambda: not own.counts(p.node.dispatcher.clock()))  # until its answers must have come
         assert await client.call() == "turned back"
-        assert len(p.node.dispatcher.border._brain.taken) == 33
+        assert len(p.node.dispatcher.border._policy.load_budget.request_times_ns) == 33
 
 
 async def test_silent_connections_end_and_cost_no_one_a_place(tmp_path: Path) -> None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -67,28 +67,29 @@
     play.task("slow")
     play.to(3000)
     play.answer(warmth=io.Warmth.UNTOLD)
-    play.say(f"run latency {play.brain.run_latency(play.models['m'].latency) // MS}")
+    play.say(f"run latency {play.policy.state.latencies.warm_run_ns(play.models['m'].latency) // MS}")
     check(play, "quartile")
 
 
 def test_a_late_runner_narrows_and_tasks_over_a_share_go_first() -> None:
     customer = io.Customer(1.0)
     play = Play(runners="a")
-    play.brain.rates[customer] = 1e9
+    play.policy.tenant_shares.requests_per_second[customer] = 1e9
     play.served(1)
     for n in range(9):
         play.task(f"own{n}")
     play.task("over", customer=customer)
     for _ in range(9):
-        play.to(play.brain.now // MS + 700)
+        play.to(play.policy.state.now_ns // MS + 700)
         play.answer(which=0)
-    play.say(f"width {play.runners['a'].width:.1f}")
+    play.say(f"width {play.runners['a'].concurrency_limit:.1f}")
     check(play, "share")
 
 
 def believed(play: Play) -> None:
-    copies = play.models["m"].copies.values()
-    play.say(f"believed in: {' '.join(play.names[c.runner] for c in copies if play.brain.warm(c)) or 'none'}")
+    copies = play.models["m"].replicas.values()
+    warm = [play.names[c.worker] for c in copies if play.policy.state.is_warm(c)]
+    play.say(f"believed in: {' '.join(warm) or 'none'}")
 
 
 def test_belief_ends_with_the_keep_alive() -> None:
@@ -115,24 +116,25 @@
         play = Play(front_ends=50, quota=quota)
         play.wide()
         play.served(60)
-        play.say(f"a quota of {quota:.0f}: counts as one of {play.brain.peers:.0f}")
+        one_of = play.policy.state.traffic.equivalent_dispatchers
+        play.say(f"a quota of {quota:.0f}: counts as one of {one_of:.0f}")
         check(play, f"peers_{quota:.0f}")
 
 
 def test_repeats_and_tasks_over_a_share_do_not_swell_the_rate() -> None:
     customer = io.Customer(1.0)
     play = Play()
-    play.brain.rates[customer] = 1e9
+    play.policy.tenant_shares.requests_per_second[customer] = 1e9
     for n in range(4):
         play.task(f"over{n}", customer=customer)
     play.task("own")
-    play.say(f"counted in R: {play.models['m'].counts[1]}")
+    play.say(f"counted in R: {play.models['m'].new_requests[1]}")
     check(play, "not_in_rate")
 
 
 def test_repeats_leave_a_runner_that_narrows() -> None:
     play = Play(runners="a")
-    play.runners["a"].width = 4.0
+    play.runners["a"].concurrency_limit = 4.0
     play.task("repeat", again=True)
     play.task("fresh")
     check(play, "repeats")
@@ -163,7 +165,7 @@
         play.to(20 * n + 2)
         answer()
         play.to(20 * n + 20)
-    play.runners["b"].listed = play.runners["c"].listed = False  # nobody else is there
+    play.runners["b"].is_listed = play.runners["c"].is_listed = False  # nobody else is there
     for ms in (170, 1400, 1410):
         play.to(ms)
         play.task(f"at {ms}", offering=ONCE)
@@ -176,14 +178,14 @@
     play = Play()
     play.wide()
     for runner in play.runners.values():
-        runner.credit = 10.0
+        runner.retry_budget = 10.0
     for n in range(6):
         play.task(f"t{n}")
         play.stands()
         while play.hand_offs:
             play.answer(io.Result.ERROR)
         play.to(1000 * n + 100)
-    assert all(max(r.failed.values(), default=0) < 0.2 for r in play.runners.values())
+    assert all(max(r.error_shares.values(), default=0) < 0.2 for r in play.runners.values())
     assert all(sum(f" t{n} -> " in line for line in play.lines) == 2 for n in range(6))
 
 
@@ -191,31 +193,31 @@
     play = Play()
     play.served(5, "x")
     play.served(5, "m")
-    first = play.brain.runners[0]
+    first = play.policy.state.workers[0]
     for name in "abc":
         play.list_one(name, io.State.GONE)
     play.to(8000)
-    assert all(not model.copies and model.home is None for model in play.brain.models)
+    assert all(not model.replicas and model.home is None for model in play.policy.state.functions)
     for name in "abc":
         play.list_one(name)
     play.to(200_000)
-    assert not play.brain.models
+    assert not play.policy.state.functions
     play.task("t1", "x")
     play.stands()
-    assert list(play.brain.models) == [play.models["x"]]
-    assert first in play.brain.runners
+    assert list(play.policy.state.functions) == [play.models["x"]]
+    assert first in play.policy.state.workers
 
 
 def test_an_error_goes_to_the_same_runner_once_more_where_no_other_may_have_it() -> None:
     play = Play(runners="ade")  # one in the east, two in the west
     play.wide()
-    play.runners["d"].listed = play.runners["e"].listed = False
+    play.runners["d"].is_listed = play.runners["e"].is_listed = False
     play.task("warms", offering=POST)
     play.stands()
     play.answer()
-    play.runners["d"].listed = play.runners["e"].listed = True
+    play.runners["d"].is_listed = play.runners["e"].is_listed = True
     for runner in play.runners.values():
-        runner.credit = 10.0
+        runner.retry_budget = 10.0
     play.task("twice", offering=POST)
     for _ in range(2):
         play.answer(io.Result.ERROR)
@@ -242,4 +244,4 @@
         play.answer(io.Result.ERROR)
         play.to(n)
     assert {line[-1] for line in play.lines if "->" in line} == {"a"}
-    assert not play.brain.fails(play.runners["a"])
+    assert not play.policy.outliers.is_failing(play.runners["a"])
--- a/tests/test_placement_at_scale.py
+++ b/tests/test_placement_at_scale.py
@@ -16,10 +16,12 @@
 from martenlead.capture.checkpoint import load
 from martenlead.capture.replay import Replayer, checkpoint_between, replay
 from martenlead.capture.tape import Tape
-from martenlead.policy import policy as module
+from martenlead.policy import replica_scaling
 from martenlead.policy import types as io
 from martenlead.policy.candidates import CANDIDATES, CandidateIndex, Ranking
-from martenlead.policy.policy import CHECKED, Brain, Runner
+from martenlead.policy.policy import Policy
+from martenlead.policy.replica_scaling import SLICE_FUNCTIONS
+from martenlead.policy.state import State, Worker
 from tests.play import MS
 from tests.virtual_fleet import SECOND, Dispatcher, Fleet, line, lines
 
@@ -51,17 +53,17 @@
 def all_ended(dispatcher: Dispatcher) -> None:
     """Each request has its one final response, and nothing counts as out."""
     assert sum(dispatcher.finals.values()) == len(dispatcher.calls)
-    assert dispatcher.brain.running == 0
-    assert all(worker.out == worker.running == 0 for worker in dispatcher.workers.values())
+    assert dispatcher.policy.state.warm_in_flight == 0
+    assert all(worker.in_flight == worker.warm_in_flight == 0 for worker in dispatcher.workers.values())
 
 
-def consistent(brain: Brain) -> None:
+def consistent(policy: Policy) -> None:
     """The list is sorted with no worker twice, and functions and workers know the same replicas."""
-    marks = [worker.facts.mark for worker in brain.runners]
+    marks = [worker.facts.mark for worker in policy.state.workers]
     assert marks == sorted(set(marks))
-    assert all(worker.listed for worker in brain.runners)
-    of_functions = {copy for model in brain.models for copy in model.copies.values()}
-    of_workers = {copy for worker in brain.runners for copy in worker.copies.values()}
+    assert all(worker.is_listed for worker in policy.state.workers)
+    of_functions = {copy for model in policy.state.functions for copy in model.replicas.values()}
+    of_workers = {copy for worker in policy.state.workers for copy in worker.replicas.values()}
     assert of_workers <= of_functions
 
 
@@ -114,7 +116,7 @@
     assert all(found == chosen[0] for found in chosen)
     for dispatcher in dispatchers:
         all_ended(dispatcher)
-        consistent(dispatcher.brain)
+        consistent(dispatcher.policy)
 
 
 @pytest.mark.parametrize(("missing", "agreed"), [(1, 0.98), (10, 0.95), (50, 0.80)])
@@ -126,8 +128,8 @@
     other.tell(lines(range(1000 - missing)), whole=True)
     chosen: list[dict[int, int | None]] = []
     for dispatcher in (one, other):
-        brain, functions = dispatcher.brain, [dispatcher.function(n) for n in range(300)]
-        chosen.append({f.facts.mark: next(brain.shared_order(f, 0)).facts.mark for f in functions})
+        policy, functions = dispatcher.policy, [dispatcher.function(n) for n in range(300)]
+        chosen.append({f.facts.mark: next(policy.placement.candidates(f, 0)).facts.mark for f in functions})
     assert agreement(*chosen) >= agreed
     other.tell(lines(range(1000 - missing, 1000)))
     called = [first_workers(fleet, dispatcher, range(50)) for dispatcher in (one, other)]
@@ -167,7 +169,7 @@
         fleet.run_for(300 * MS)
     assert len(again) > 5
     all_ended(dispatcher)
-    consistent(dispatcher.brain)
+    consistent(dispatcher.policy)
 
 
 def test_a_zone_that_returns_cold_is_not_pushed_over_by_all_dispatchers_together() -> None:
@@ -178,7 +180,7 @@
     fleet, dispatchers = fleet_of(300, 10)
     chance, zone, index = Random(4), set(range(0, 300, 10)), CandidateIndex()
     for fact in lines(range(300)):
-        index.add(Runner(fact, 0, 1.0))
+        index.add(Worker(fact, 0, 1.0))
     new = (f for f in count(10_000) if next(Ranking(f).candidates(index, 0)).facts.mark in zone)
 
     def traffic(seconds: int) -> None:
@@ -236,20 +238,20 @@
             gone = {fact.mark for fact in chance.sample(told, 5)}
             dispatcher.tell([line(mark) for mark in range(320) if mark not in gone], whole=True)
         elif kind < 0.36:
-            marks = {worker.facts.mark for worker in dispatcher.brain.runners}
-            version = dispatcher.brain.index.version
+            marks = {worker.facts.mark for worker in dispatcher.policy.state.workers}
+            version = dispatcher.policy.state.index.version
             dispatcher.tell([dispatcher.workers[mark].facts for mark in sorted(marks)], whole=True)
-            assert dispatcher.brain.index.version == version
+            assert dispatcher.policy.state.index.version == version
         elif kind < 0.4:
             fleet.lose([chance.randrange(320)])
         elif kind < 0.45:
             fleet.up |= set(range(320))
-        consistent(dispatcher.brain)
+        consistent(dispatcher.policy)
         fleet.run_for(chance.randrange(60) * MS)
     dispatcher.tell(lines(range(320)), whole=True)
     fleet.run_for(10 * SECOND)
     all_ended(dispatcher)
-    assert [worker.facts.mark for worker in dispatcher.brain.runners] == list(range(320))
+    assert [worker.facts.mark for worker in dispatcher.policy.state.workers] == list(range(320))
     assert dispatcher.finals["satisfied"] > 300
 
 
@@ -287,7 +289,7 @@
         dispatcher.call(100_000 + n)
         fleet.run_for(10 * MS)
     model = dispatcher.functions[hot]
-    held = {copy.runner.facts.mark for copy in model.copies.values() if copy.held}
+    held = {copy.worker.facts.mark for copy in model.replicas.values() if copy.is_held}
     assert len(held) > 2 * CANDIDATES
     late = Counter(a.mark for a in dispatcher.attempts[-400:] if a.function == hot)
     assert len(late) > CANDIDATES
@@ -322,10 +324,10 @@
         for function in range(10_000, 10_050):
             dispatcher.call(function)
             fleet.run_for(5 * MS)
-    brain = dispatcher.brain
+    policy = dispatcher.policy
     assert len(gone) == 1200
-    assert len(brain.paced) > 30
-    known = len(brain.models)
+    assert len(policy.state.paced_workers) > 30
+    known = len(policy.state.functions)
     assert known > 2000
     fleet.run_for(10 * SECOND)
     gone += [weakref.ref(model) for model in dispatcher.functions.values()]
@@ -333,12 +335,12 @@
     dispatcher.attempts.clear()
     dispatcher.ended_tasks.clear()
     fleet.run_for(400 * SECOND)
-    assert not brain.models
-    assert not brain.unchecked
-    assert not brain.paced
-    assert all(not worker.copies for worker in brain.runners)
-    listed = {worker.facts.mark for worker in brain.runners}
-    assert {w.facts.mark for leaf in brain.index._leaves.values() for w in leaf} == listed
+    assert not policy.state.functions
+    assert not policy.scaling.unchecked
+    assert not policy.state.paced_workers
+    assert all(not worker.replicas for worker in policy.state.workers)
+    listed = {worker.facts.mark for worker in policy.state.workers}
+    assert {w.facts.mark for leaf in policy.state.index._leaves.values() for w in leaf} == listed
     assert len(listed) == 350
     gc.collect()
     assert not [ref for ref in gone if ref() is not None]
@@ -350,7 +352,7 @@
     dispatcher.call(5)
     fleet.run_for(400 * SECOND)
     function = dispatcher.functions[5]
-    assert function not in dispatcher.brain.models
+    assert function not in dispatcher.policy.state.functions
     for mark in range(1000, 1050):
         dispatcher.tell([line(mark)])
         dispatcher.border.hold(dispatcher.workers[mark], function, True)
@@ -358,7 +360,7 @@
         dispatcher.border.hold(dispatcher.workers[mark], function, False)
         dispatcher.tell([line(mark, io.State.GONE)])
     fleet.run_for(100 * SECOND)
-    assert not [runner for runner in function.copies if not runner.listed]
+    assert not [runner for runner in function.replicas if not runner.is_listed]
 
 
 def test_functions_that_were_asked_about_and_never_called_leave_no_state() -> None:
@@ -367,7 +369,7 @@
     for number in range(100):
         dispatcher.border.room(dispatcher.function(number), dispatcher.settings.offerings[0], False, 0.0)
     fleet.run_for(1000 * SECOND)
-    assert not dispatcher.brain.models
+    assert not dispatcher.policy.state.functions
 
 
 # -- the check, some functions at a time
@@ -378,18 +380,18 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, fleet: Fleet) -> None:
         self.noted: list[tuple[int, int]] = []
-        plain = Brain.tidy
+        plain = State.forget_unused
 
-        def tidy(brain: Brain, model: Any) -> None:
-            self.noted.append((fleet.now, model.facts.mark))
-            plain(brain, model)
+        def forget_unused(state: State, function: Any) -> None:
+            self.noted.append((fleet.now, function.facts.mark))
+            plain(state, function)
 
-        monkeypatch.setattr(Brain, "tidy", tidy)
+        monkeypatch.setattr(State, "forget_unused", forget_unused)
 
 
 def between_slices(fleet: Fleet, dispatcher: Dispatcher) -> None:
     """Runs until some functions of a period are checked and others are not."""
-    while not dispatcher.brain.unchecked:
+    while not dispatcher.policy.scaling.unchecked:
         due = dispatcher.border.due()
         assert due is not None
         fleet.run(due)
@@ -412,7 +414,7 @@
     steps.noted.clear()
     for _ in range(3):
         begun = len(steps.noted)
-        fleet.run_for(dispatcher.brain.period + 10 * MS)
+        fleet.run_for(dispatcher.policy.state.check_period_ns + 10 * MS)
         period = steps.noted[begun:]
         assert sorted(mark for _, mark in period) == list(range(300))
         assert set(Counter(at for at, _ in period).values()) == {64, 300 % 64}
@@ -426,7 +428,7 @@
     now = fleet.now
     for function in (0, 299, 1000):
         assert dispatcher.call(function) is not None
-    assert dispatcher.brain.unchecked
+    assert dispatcher.policy.scaling.unchecked
     assert {a.at for a in dispatcher.attempts[-3:]} == {now}
     fleet.run_for(10 * SECOND)
     all_ended(dispatcher)
@@ -439,8 +441,8 @@
             dispatcher.call(function)
             fleet.run_for(2 * MS)
     between_slices(fleet, dispatcher)
-    waiting = list(dispatcher.brain.unchecked)
-    going = {copy.runner.facts.mark for model in waiting for copy in model.copies.values()}
+    waiting = list(dispatcher.policy.scaling.unchecked)
+    going = {copy.worker.facts.mark for model in waiting for copy in model.replicas.values()}
     assert len(going) > 50
     fleet.lose(going)
     dispatcher.tell(lines(sorted(going), io.State.GONE))
@@ -451,27 +453,28 @@
     assert not going & {mark for _, _, mark in dispatcher.loads[begun[0] :]}
     assert not going & {attempt.mark for attempt in dispatcher.attempts[begun[1] :]}
     all_ended(dispatcher)
-    consistent(dispatcher.brain)
+    consistent(dispatcher.policy)
     assert all(
-        model.copies.keys() <= set(dispatcher.brain.runners) for model in dispatcher.functions.values()
+        model.replicas.keys() <= set(dispatcher.policy.state.workers)
+        for model in dispatcher.functions.values()
     )
 
 
 def test_functions_that_fade_in_one_slice_and_are_called_before_the_next_are_checked_again() -> None:
     fleet, dispatcher = known_functions(300)
-    brain = dispatcher.brain
-    while len(brain.models) == 300:
+    policy = dispatcher.policy
+    while len(policy.state.functions) == 300:
         between_slices(fleet, dispatcher)
         fleet.run_for(MS)
-    faded = [model for model in dispatcher.functions.values() if model not in brain.models]
-    assert brain.unchecked
-    assert not any(model.copies for model in faded)
+    faded = [model for model in dispatcher.functions.values() if model not in policy.state.functions]
+    assert policy.scaling.unchecked
+    assert not any(model.replicas for model in faded)
     for model in faded:
         assert dispatcher.call(model.facts.mark) is not None
-    assert all(model in brain.models for model in faded)
+    assert all(model in policy.state.functions for model in faded)
     fleet.run_for(1000 * SECOND)  # a replica of two calls is held for six of the gaps between them
     all_ended(dispatcher)
-    assert not brain.models
+    assert not policy.state.functions
 
 
 def test_up_to_64_functions_are_decided_as_in_one_step(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -479,15 +482,15 @@
         fleet, (dispatcher,) = fleet_of(400, 1, **BUDGET)
         chance = Random(8)
         for n in range(600):
-            dispatcher.call(int(CHECKED * chance.random() ** 2))
+            dispatcher.call(int(SLICE_FUNCTIONS * chance.random() ** 2))
             if n == 300:
                 dispatcher.tell(lines(range(40), io.State.GONE))
             fleet.run_for(15 * MS)
-        assert len(dispatcher.functions) == CHECKED
+        assert len(dispatcher.functions) == SLICE_FUNCTIONS
         return [(a.at, a.function, a.mark) for a in dispatcher.attempts] + dispatcher.loads
 
     some = decisions()
-    monkeypatch.setattr(module, "CHECKED", 10**9)
+    monkeypatch.setattr(replica_scaling, "SLICE_FUNCTIONS", 10**9)
     assert decisions() == some
     assert len(some) > 600
 
@@ -509,7 +512,7 @@
     replayer, found = Replayer(), []
     for place, event in enumerate(events):
         if isinstance(event, ev.Input):
-            if replayer.start is not None and replayer.brain.unchecked:
+            if replayer.start is not None and replayer.policy.scaling.unchecked:
                 found.append(place)
             replayer.feed(event)
             replayer.made.clear()
@@ -548,9 +551,9 @@
     holder = dispatcher.call(0)
     fleet.run_for(SECOND)
     assert holder is not None
-    dispatcher.workers[holder].next = fleet.now + SECOND  # this dispatcher's share of it is used up
+    dispatcher.workers[holder].next_attempt_ns = fleet.now + SECOND  # its share is used up
     following = dispatcher.call(0)
-    ranked = [w.facts.mark for w in dispatcher.brain.shared_order(dispatcher.functions[0])]
+    ranked = [w.facts.mark for w in dispatcher.policy.placement.candidates(dispatcher.functions[0])]
     assert ranked[0] == holder
     assert following == (ranked[1] if goes_on else None)
 
@@ -560,7 +563,7 @@
     dispatcher.call(0)
     fleet.run_for(SECOND)
     for worker in dispatcher.workers.values():
-        worker.next = fleet.now + SECOND
+        worker.next_attempt_ns = fleet.now + SECOND
     finals = dispatcher.finals.copy()
     assert dispatcher.call(0) is None
     assert sum((dispatcher.finals - finals).values()) == 1
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -244,7 +244,7 @@
         assert mirror is not None
         window = pair.now - 5000 * MS
         before = [t for t in pair.ordered if t > window]
-        assert len([t for t in mirror.brain.orders if t > window]) >= len(before)
+        assert len([t for t in mirror.policy.load_budget.load_times_ns if t > window]) >= len(before)
     given = len(pair.ordered)
     pair.run(300)
     assert len(pair.ordered) - given <= 4  # renewals that fall due, no second load of what is held
@@ -329,7 +329,7 @@
     assert pair.settled() == []
     assert pair.side.counts["orders"] > 3
     assert pair.planner.mirror is not None
-    assert abs(pair.planner.mirror.brain.now - pair.now) < 20 * MS
+    assert abs(pair.planner.mirror.policy.state.now_ns - pair.now) < 20 * MS
 
 
 @pytest.mark.parametrize(("edge", "planner"), [(1, 2), (2, 1), (1, 1)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -27,7 +27,7 @@
         play.task(f"{offering.effect.value} {result.value}", offering=offering)
         play.answer(result)
         if play.hand_offs:
-            play.to(play.brain.now // 1_000_000 + 10)
+            play.to(play.policy.state.now_ns // 1_000_000 + 10)
             play.answer()
     check(play, "no_effect_twice")
 
@@ -37,9 +37,9 @@
         play = Play(twice_out=twice)
         play.served(12)
         for runner in play.runners.values():
-            runner.credit = 5.0
-            play.brain.copy(play.models["m"], runner).stands = True
-            play.brain.copy(play.models["m"], runner).touched = play.brain.now
+            runner.retry_budget = 5.0
+            play.policy.state.replica(play.models["m"], runner).is_loaded = True
+            play.policy.state.replica(play.models["m"], runner).last_used_ns = play.policy.state.now_ns
         play.task("t")
         play.to(2500)
         if not twice:
@@ -50,7 +50,7 @@
 def test_a_further_hand_off_needs_credit() -> None:
     play = Play()
     for runner in play.runners.values():
-        runner.credit = 0.0
+        runner.retry_budget = 0.0
     play.task("t")
     play.stands()
     play.to(50)
@@ -121,7 +121,7 @@
         play.to(ms)
         play.task(f"t{ms}", patience=50)
         if play.hand_offs and not first:
-            first.append(play.brain.now)
+            first.append(play.policy.state.now_ns)
     play.lines = [f"first at {first[0] // MS} ms"]
     check(play, "cold_begun")
 
@@ -145,8 +145,8 @@
     """It holds nothing that a load would push out; at any other runner one would."""
     play = Play(runners="abc", front_ends=2, orders=False)
     play.served(60)
-    holder = next(iter(c.runner for c in play.models["m"].copies.values() if c.stands))
-    holder.width, holder.running = 1.0, 1
+    holder = next(iter(c.worker for c in play.models["m"].replicas.values() if c.is_loaded))
+    holder.concurrency_limit, holder.warm_in_flight = 1.0, 1
     play.task("t1", patience=200)
     new = "abc"[("abc".index(play.names[holder]) + 1) % 3]
     play.list_one(new, since=2500)
@@ -183,34 +183,47 @@
     """Given to a runner that is cut off they come six seconds late, also the one that is answered then: with
     the next two, four in a window."""
     play = Play(ration_window=10_000 * MS, ration_free=2, ration_share=0.0)
-    runner, models = play.runners["a"], [play.brain.model(io.ModelFacts(n, 2, 3000.0)) for n in range(2)]
-    first, second = (play.brain.order(play.brain.copy(model, runner)) for model in models)
+    runner, models = (
+        play.runners["a"],
+        [play.policy.new_function(io.ModelFacts(n, 2, 3000.0)) for n in range(2)],
+    )
+    first, second = (
+        play.policy.scaling.request_load(play.policy.state.replica(model, runner)) for model in models
+    )
     play.to(6000)
-    play.brain.ordered(first, io.Result.SATISFIED, 1)  # as it came up, and the copy stood already
+    play.policy.record_load_end(first, io.Result.SATISFIED, 1)  # as it came up, and the copy stood already
     play.to(6500)
-    play.brain.ordered(second, io.Result.SILENT, 0)  # may have arrived only now
+    play.policy.record_load_end(second, io.Result.SILENT, 0)  # may have arrived only now
     for time in (10_100, 16_000):
         play.to(time)
-        assert not play.brain.may_order(runner)
+        assert not play.policy.load_budget.allows(runner)
     play.to(16_100)
-    assert [play.brain.may_order(runner) for _ in range(2)] == [True, True]
-    play.brain.order(play.brain.copy(models[0], runner))
-    assert not play.brain.may_order(runner)
+    assert [play.policy.load_budget.allows(runner) for _ in range(2)] == [True, True]
+    play.policy.scaling.request_load(play.policy.state.replica(models[0], runner))
+    assert not play.policy.load_budget.allows(runner)
     play.to(16_600)
-    assert play.brain.may_order(runner)
+    assert play.policy.load_budget.allows(runner)
     play.to(26_300)  # one whose end is never told counts for two windows, not for good
-    play.brain.order(play.brain.copy(models[1], runner))
-    assert not play.brain.may_order(runner)
+    play.policy.scaling.request_load(play.policy.state.replica(models[1], runner))
+    assert not play.policy.load_budget.allows(runner)
     play.to(36_200)
-    assert (play.brain.may_order(runner), len(play.brain.going)) == (True, 1)
+    assert (play.policy.load_budget.allows(runner), len(play.policy.load_budget.loads_in_flight)) == (True, 1)
 
 
 def test_without_a_ration_nothing_is_kept_to_count_by() -> None:
     play = Play()
     for n in range(50):
-        play.brain.order(play.brain.copy(play.brain.model(io.ModelFacts(n, 2, 3000.0)), play.runners["a"]))
+        play.policy.scaling.request_load(
+            play.policy.state.replica(
+                play.policy.new_function(io.ModelFacts(n, 2, 3000.0)), play.runners["a"]
+            )
+        )
         play.task(f"t{n}")
-    assert (len(play.brain.orders), len(play.brain.going), len(play.brain.taken)) == (0, 0, 1)
+    assert (
+        len(play.policy.load_budget.load_times_ns),
+        len(play.policy.load_budget.loads_in_flight),
+        len(play.policy.load_budget.request_times_ns),
+    ) == (0, 0, 1)
 
 
 def test_tasks_that_were_taken_back_make_no_room_for_orders() -> None:
@@ -221,12 +234,18 @@
         if play.hand_offs:
             play.engine.closed(task)
             play.answer()
-    assert (len(play.brain.taken), play.brain.may_order(play.runners["a"])) == (0, False)
+    assert (
+        len(play.policy.load_budget.request_times_ns),
+        play.policy.load_budget.allows(play.runners["a"]),
+    ) == (0, False)
     for n in range(4):
         play.to(500 + 50 * n)
         play.task(f"u{n}")
         play.answer()
-    assert (len(play.brain.taken), play.brain.may_order(play.runners["a"])) == (4, True)
+    assert (
+        len(play.policy.load_budget.request_times_ns),
+        play.policy.load_budget.allows(play.runners["a"]),
+    ) == (4, True)
 
 
 def test_an_order_may_arrive_as_late_as_a_connection_comes_up() -> None:
@@ -235,9 +254,9 @@
     for n in range(2):
         play.task(f"t{n}")
     play.to(8900)
-    assert play.brain.may_order(play.runners["a"])
+    assert play.policy.load_budget.allows(play.runners["a"])
     play.to(9100)
-    assert not play.brain.may_order(play.runners["a"])
+    assert not play.policy.load_budget.allows(play.runners["a"])
 
 
 def test_left_by_the_client() -> None:
@@ -336,7 +355,7 @@
         play.to(20_000 + 500 * n)
         before = len(play.orders)
         play.task(f"t{n}", "mnop"[n % 4])
-        given += [play.brain.now // MS] * (len(play.orders) - before)
+        given += [play.policy.state.now_ns // MS] * (len(play.orders) - before)
         hand_off = play.hand_offs[-1]
         where = f"{play.names[hand_off.task.model]} at {play.names[hand_off.runner]}"
         loads[where] = loads.get(where, 0) + 1
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -18,7 +18,8 @@
 
 from martenlead.policy import types as io
 from martenlead.policy.candidates import Ranking
-from martenlead.policy.policy import Copy, Histogram, Model, Runner
+from martenlead.policy.latency import LatencyHistogram
+from martenlead.policy.state import Function, Replica, Worker
 from tests.play import MS
 from tests.virtual_fleet import SECOND, Dispatcher, Fleet, line, lines
 
@@ -132,7 +133,7 @@
             stack += [*value.keys(), *value.values()]
         elif isinstance(value, list | tuple | set | deque):
             stack += value
-        elif isinstance(value, Runner | Model | Copy | Histogram | Ranking):
+        elif isinstance(value, Worker | Function | Replica | LatencyHistogram | Ranking):
             stack.append(vars(value))
     return total
 
@@ -144,7 +145,7 @@
         for function in range(AMONG):
             dispatcher.call(function)
             fleet.run_for(260 * MS)
-        costs[workers] = bytes_of(*dispatcher.functions.values(), without=(Runner,)) / AMONG
+        costs[workers] = bytes_of(*dispatcher.functions.values(), without=(Worker,)) / AMONG
     assert_no_more_than_logarithmic(costs)
     assert max(costs.values()) < 8_000
 
@@ -175,7 +176,7 @@
     end = fleet.now + 3 * SECOND
     while (due := dispatcher.border.due()) is not None and due < end:
         fleet.now = max(fleet.now, due)
-        (others if dispatcher.brain.unchecked else begins).append(calls(dispatcher.border.advance))
+        (others if dispatcher.policy.scaling.unchecked else begins).append(calls(dispatcher.border.advance))
     return begins, others
 
 
@@ -195,8 +196,16 @@
     """For each function, all that the module keeps, workers included."""
     costs: dict[int, float] = {}
     for functions in FUNCTIONS:
-        brain = dispatcher_of(300, functions)[1].brain
-        costs[functions] = bytes_of(brain.models, brain.runners, brain.paced, brain.unchecked) / functions
+        policy = dispatcher_of(300, functions)[1].policy
+        costs[functions] = (
+            bytes_of(
+                policy.state.functions,
+                policy.state.workers,
+                policy.state.paced_workers,
+                policy.scaling.unchecked,
+            )
+            / functions
+        )
     assert_no_more_than_logarithmic(costs)
     assert max(costs.values()) < 8_000
 
@@ -210,12 +219,12 @@
     """Those inside lists, which no call shows."""
     compared = 0
 
-    def same(one: Runner, other: object) -> bool:
+    def same(one: Worker, other: object) -> bool:
         nonlocal compared
         compared += 1
         return one is other
 
-    monkeypatch.setattr(Runner, "__eq__", same)
+    monkeypatch.setattr(Worker, "__eq__", same)
     costs: dict[int, float] = {}
     for workers in WORKERS:
         _, dispatcher = dispatcher_of(workers)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,6 +1,6 @@
 """Slow start of cold workers: what the independent dispatchers of a fleet send to one of them together.
 
-Each dispatcher is an engine with a brain of its own; none knows of the others. All run on one virtual clock.
+Each dispatcher is an engine with a policy of its own; none knows of the others. All run on one virtual clock.
 The budget of a worker for a window is N requests, N being `fall_multiple` times the capacity it has then;
 chance is allowed 2 * sqrt(N) + 2 more.
 """
@@ -20,7 +20,8 @@
 
 from martenlead.policy import types as io
 from martenlead.policy.engine import Engine
-from martenlead.policy.policy import Brain, Model
+from martenlead.policy.policy import Policy
+from martenlead.policy.state import Function
 from tests.play import CHECK, MS, SETTINGS
 
 SECOND = 1000 * MS
@@ -40,14 +41,17 @@
 @cache
 def hot_functions(listed: tuple[tuple[int, float], ...], cold: frozenset[int]) -> list[int]:
     """Functions that have a cold worker first in their shared order."""
-    brain = Brain(SETTINGS, 0)
+    policy = Policy(SETTINGS, 0)
     facts = [io.RunnerFacts(mark, "east", 0, 50_000.0, weight, io.State.UP, 0) for mark, weight in listed]
-    brain.roster([(brain.runner(f), f) for f in facts], True)
+    policy.update_workers([(policy.new_worker(f), f) for f in facts], True)
     hot: list[int] = []
     function = FUNCTIONS
     while len(hot) < HOT_FUNCTIONS:
         function += 1
-        if next(brain.shared_order(Model(io.ModelFacts(function, 4, 300.0), 0))).facts.mark in cold:
+        if (
+            next(policy.placement.candidates(Function(io.ModelFacts(function, 4, 300.0), 0))).facts.mark
+            in cold
+        ):
             hot.append(function)
     return hot
 
@@ -178,18 +182,18 @@
         self.fleet = fleet
         self.alive = True
         settings = replace(SETTINGS, front_ends=fleet.size, orders=False, cold=COLD)
-        self.brain = Brain(settings, fleet.chance.randrange(1 << 30))
-        self.brain.now = fleet.now
-        self.engine = Engine(self.brain, self.out)
+        self.policy = Policy(settings, fleet.chance.randrange(1 << 30))
+        self.policy.state.now_ns = fleet.now
+        self.engine = Engine(self.policy, self.out)
         self.functions: dict[int, Any] = {}
-        self.workers = {mark: self.brain.runner(facts) for mark, facts in fleet.listed.items()}
+        self.workers = {mark: self.policy.new_worker(facts) for mark, facts in fleet.listed.items()}
         self.list_workers(list(fleet.listed))
         self.engine.begin()
         self.wake()
 
     def list_workers(self, marks: list[int]) -> None:
-        self.brain.now = self.fleet.now
-        self.brain.roster([(self.workers[mark], self.fleet.listed[mark]) for mark in marks], False)
+        self.policy.state.now_ns = self.fleet.now
+        self.policy.update_workers([(self.workers[mark], self.fleet.listed[mark]) for mark in marks], False)
 
     def wake(self) -> None:
         due = self.engine.due()
@@ -198,14 +202,14 @@
 
     def advance(self) -> None:
         if self.alive:
-            self.brain.now = self.fleet.now
+            self.policy.state.now_ns = self.fleet.now
             self.engine.advance(self.fleet.now)
             self.wake()
 
     def request(self, function: int) -> None:
         if function not in self.functions:
-            self.functions[function] = self.brain.model(io.ModelFacts(function, 4, 300.0))
-        self.brain.now = self.fleet.now
+            self.functions[function] = self.policy.new_function(io.ModelFacts(function, 4, 300.0))
+        self.policy.state.now_ns = self.fleet.now
         give_up = self.fleet.now + 2 * SECOND
         self.engine.take(io.Task(self.functions[function], CHECK, None, give_up, False, 0.0))
 
@@ -218,7 +222,7 @@
     def answer(self, attempt: io.HandOff) -> None:
         if not self.alive:
             return
-        self.brain.now = self.fleet.now
+        self.policy.state.now_ns = self.fleet.now
         warmth = io.Warmth.WARM if attempt.expected else io.Warmth.BEGAN
         self.engine.answered(io.Answer(attempt, io.Result.SATISFIED, True, warmth, LATENCY))
         self.engine.closed(attempt.task)
--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,119 @@
+"""What was stored or sent by the commit before the policy became a package is read as it was meant.
+
+Captures of that time are replayed in test_capture.py.
+"""
+
+from __future__ import annotations
+
+import shutil
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from martenlead.edge.keeper import KNOWLEDGE
+from martenlead.emulator.policies import _imported_from
+from martenlead.lasting.disk import Folder
+from martenlead.lasting.knowledge import SECOND, Knowledge, gather, past
+from martenlead.lasting.store import Store
+from martenlead.planner.snapshot import Restored
+from martenlead.policy.policy import Policy
+from support.pair import Pair
+from tests.play import MS, Play
+from tests.test_planner import busy
+
+STORED = Path(__file__).parent / "stored"
+
+
+def stored_snapshot() -> dict[str, Any]:
+    found: dict[str, Any] = msgspec.msgpack.decode((STORED / "planner-state.msgpack").read_bytes())
+    return found
+
+
+def stored_knowledge(folder: Path) -> Knowledge:
+    shutil.copytree(STORED / "edge-state", folder)
+    store = Store(Folder(folder), "here", lambda: 1_000)
+    state = store.read(KNOWLEDGE)
+    store.close()
+    assert state is not None
+    return msgspec.convert(state.value, Knowledge)
+
+
+def test_a_planner_restores_the_snapshot_of_an_earlier_edge() -> None:
+    told = stored_snapshot()
+    restored = Restored(told, 7 * SECOND)
+    state, own = restored.policy.state, told["brain"]
+    assert state.traffic.succeeded_per_second == own["rate"] > 0
+    assert state.traffic.best_succeeded_per_second == own["best"] > 0
+    assert state.traffic.new_requests_per_second == own["asked"] > 0
+    assert state.latencies.all_functions.sum_ns == own["latency"]["sum"] > 0
+    assert list(restored.policy.load_budget.request_times_ns) == own["taken"]
+    assert list(restored.policy.load_budget.load_times_ns) == own["orders"]
+    for number, _, _, _, fields in told["runners"]:
+        worker = restored.runners[number]
+        assert worker.is_listed
+        assert worker.concurrency_limit == fields["width"]
+        assert (worker.in_flight, worker.retry_budget) == (fields["out"], fields["credit"])
+        assert (worker.last_heard_ns, worker.next_attempt_ns) == (fields["heard"], fields["next"])
+        assert worker.latency_ratio.bins == fields["ratio"]["bins"]
+    held = 0
+    for number, _, _, _, _, fields, _, replicas in told["models"]:
+        function = restored.models[number]
+        assert (function.requests, function.new_requests) == (fields["tasks"], fields["counts"])
+        assert (function.rated_requests, function.capacity_per_second) == (fields["seen"], fields["most"])
+        for at, its in replicas:
+            replica = function.replicas[restored.runners[at]]
+            assert (replica.is_held, replica.is_loaded) == (its["held"], its["stands"])
+            assert (replica.last_used_ns, replica.load_requested_ns) == (its["touched"], its["ordered"])
+            held += replica.is_held
+    assert held > 2
+
+
+def test_the_snapshot_of_an_edge_has_the_form_of_the_earlier_one() -> None:
+    pair = Pair()
+    busy(pair, 1000)
+    state, _ = pair.side._state()
+    now, then = msgspec.msgpack.decode(msgspec.msgpack.encode(state)), stored_snapshot()
+    assert now.keys() == then.keys()
+    assert now["brain"].keys() == then["brain"].keys()
+    assert now["runners"][0][-1].keys() == then["runners"][0][-1].keys()
+    assert now["models"][0][5].keys() == then["models"][0][5].keys()
+    assert now["models"][0][7][0][1].keys() == then["models"][0][7][0][1].keys()
+
+
+def test_an_edge_takes_up_the_state_folder_of_an_earlier_one(tmp_path: Path) -> None:
+    known = stored_knowledge(tmp_path / "edge")
+    assert [m.name for m in known.models] == ["n", "m"]
+    play = Play(ration_window=10_000 * MS, ration_free=8, ration_share=0.3)
+    play.task("t1", "m")
+    play.task("t2", "n")
+    lives = {name: (worker, "1") for name, worker in play.runners.items()}
+    play.policy.restore(past(known, 0, play.models, lives, 10_000 * MS))
+    assert play.policy.state.traffic.succeeded_per_second == known.rate == 21.0
+    assert play.policy.state.traffic.new_requests_per_second == known.asked == 22.0
+    assert len(play.policy.load_budget.load_times_ns) >= len(known.orders) == 4
+    assert play.models["n"].latency.total == pytest.approx(3.0)
+    assert play.models["m"].rated_requests == 10.0
+
+
+def test_the_same_play_is_gathered_as_the_state_folder_has_it(tmp_path: Path) -> None:
+    play = Play(ration_window=10_000 * MS, ration_free=8, ration_share=0.3)
+    for name in "mn":
+        play.served(20, name)
+    names = {play.models[name]: name for name in play.models}
+    lives = {worker: (name, "1", name == "c") for name, worker in play.runners.items()}
+    gathered = gather(play.policy, play.policy.state.now_ns, names, lives)
+    assert gathered == stored_knowledge(tmp_path / "edge")
+
+
+def test_the_policy_of_another_copy_of_the_package_is_imported_beside_the_own(tmp_path: Path) -> None:
+    shutil.copytree(Path(__file__).parent.parent / "martenlead" / "policy", tmp_path / "policy")
+    other = _imported_from(tmp_path / "policy")
+    assert other is not Policy
+    assert other.__name__ == "Policy"
+    assert Play().policy.__class__ is Policy
+    assert vars(other(Play().policy.settings, 1).state)["now_ns"] == 0
+    (tmp_path / "policy" / "policy.py").write_text("class Brain:\n    pass\n")
+    with pytest.raises(ValueError, match="not one for the types of today"):
+        _imported_from(tmp_path / "policy")
--- a/tests/test_withheld.py
+++ b/tests/test_withheld.py
@@ -44,7 +44,7 @@
     first = play.hand_offs[0]
     task, give_up = first.task, first.task.give_up
     assert first.begin_by == give_up  # nothing may have run before it
-    play.to(play.brain.now // MS + 10)
+    play.to(play.policy.state.now_ns // MS + 10)
     play.answer(io.Result.BROKEN)
     repeats = play.hand_offs
     assert len(repeats) == 1 and repeats[0].task is task
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -43,7 +43,7 @@
         self.settings = replace(SETTINGS, **changes)
         names = (["check", "post", "once"], dict[str, io.Customer]())
         self.border = Border(self.settings, seed, lambda: fleet.now, self._outlet, tape, names)
-        self.brain = self.border.look(lambda brain, _: brain)
+        self.policy = self.border.look(lambda policy, _: policy)
         self.workers: dict[int, Any] = {}
         self.functions: dict[int, Any] = {}
         self.attempts: list[Attempt] = []
