--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -21,7 +21,7 @@
 from martenlead.lasting.knowledge import SECOND, Knowledge, asks, gathering, past
 from martenlead.lasting.store import Kind, Store
 from martenlead.policy.policy import Policy
-from martenlead.policy.types import ModelFacts, RunnerFacts, State
+from martenlead.policy.types import FunctionFacts, WorkerFacts, WorkerState
 from support.fleet import OFFERINGS
 
 
@@ -32,11 +32,11 @@
     policy = Policy(told, 1)
     policy.state.now_ns = 1000 * SECOND
     chance = Random(1)
-    runners = [policy.new_worker(RunnerFacts(n + 1, "z", 0, 4e4, 4.0, State.UP, 0)) for n in range(100)]
+    runners = [policy.new_worker(WorkerFacts(n + 1, "z", 0, 4e4, 4.0, WorkerState.UP, 0)) for n in range(100)]
     policy.update_workers([(r, r.facts) for r in runners], True)
     names = {}
     for n in range(models):
-        model = policy.new_function(ModelFacts(n + 1, 4, 3000.0))
+        model = policy.new_function(FunctionFacts(n + 1, 4, 3000.0))
         names[model] = f"offering.{n:016x}"
         model.requests, model.first_request_ns = 50, policy.state.now_ns - 100 * SECOND
         model.last_request_ns = policy.state.now_ns - chance.randrange(5 * SECOND)
@@ -87,7 +87,9 @@
             known = msgspec.convert(state.value, Knowledge)
             fresh = Policy(policy.settings, 2)
             fresh.state.now_ns = policy.state.now_ns
-            models = {m.name: fresh.new_function(ModelFacts(1, m.lanes, m.memory_mb)) for m in known.models}
+            models = {
+                m.name: fresh.new_function(FunctionFacts(1, m.lanes, m.memory_mb)) for m in known.models
+            }
             runners = {name: (fresh.new_worker(r.facts), life) for r, (name, life, _) in boxes.items()}
             fresh.restore(past(known, 5 * SECOND, models, runners, 0))
             asked = len(asks(known, SECOND, 10 * SECOND, runners))
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -104,12 +104,12 @@
     def hand_off(self, out: Out) -> None:
         hand_off, call = out.hand_off, out.held.content
         known = out.held.wanted.model
-        ttl = max(1, hand_off.patience // 1_000_000)
+        ttl = max(1, hand_off.timeout_ns // 1_000_000)
         line = lines.do(call.id, discovery.REQUEST_CLASS, known, ttl, None, BODY_BASE64)
         self.counts.attempts += 1
         self.counts.attempt_bytes += len(line)
         sent = SentAttempt(
-            out, worker_number(out.box.line.id), call.function, self.clock() + hand_off.patience
+            out, worker_number(out.box.line.id), call.function, self.clock() + hand_off.timeout_ns
         )
         out.at = sent
         self.attempts.append(sent)
@@ -121,7 +121,7 @@
         sent.open = False
         self.counts.cancels += 1
         lines.undo(out.held.content.id)
-        self.dispatcher.ended(out, Heard(Result.CALLED_OFF, why="called off"))
+        self.dispatcher.ended(out, Heard(Result.CANCELLED, why="called off"))
 
     def order(self, box: Box, known: Known, copies: int, told: Callable[[Heard], None]) -> None:
         self.counts.loads += 1
@@ -220,7 +220,7 @@
             word = lines.read(line, BODY)
             heard = Heard(
                 lines.RESULTS[word.word],
-                lines.WARMTH.get(word.why, Warmth.UNTOLD),
+                lines.WARMTH.get(word.why, Warmth.UNKNOWN),
                 content=word.raw,
                 why=word.word,
                 copies=word.copies,
@@ -233,7 +233,7 @@
         if sent.open:
             sent.open = False
             with self.meter.measure(Activity.SERVING):
-                self.dispatcher.ended(sent.out, Heard(Result.SILENT, why="no answer in time"))
+                self.dispatcher.ended(sent.out, Heard(Result.NO_RESPONSE, why="no answer in time"))
 
     def loaded(self, sent: SentLoad, line: bytes) -> None:
         """The answer to a load request arrives."""
--- a/martenlead/benchlink/settings.py
+++ b/martenlead/benchlink/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from martenlead.policy.types import Customer, Effect, Group, Offering, Settings
+from martenlead.policy.types import DeduplicationScope, Effect, RequestClass, Settings, Tenant
 
 LONGEST = 1e9  # s: in ns it still has room in 64 bits
 Seconds = Annotated[float, Meta(ge=0, le=LONGEST)]
@@ -18,8 +18,8 @@
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 EFFECTS = {
     "read_like": Effect.IDEMPOTENT,
-    "idempotency_key": Effect.DEDUPLICATED,
-    "non_idempotent": Effect.UNREPEATABLE,
+    "idempotency_key": Effect.WITH_IDEMPOTENCY_KEY,
+    "non_idempotent": Effect.NON_IDEMPOTENT,
 }
 
 
@@ -117,17 +117,17 @@
         if memory and len(memory) != len(self.kinds):
             raise BadSettings(f"{len(self.kinds)} kinds of machine, and the memory of {len(memory)}")
         self.offerings = {
-            c.name: Offering(
-                soft_limit=ns(c.on_time),
+            c.name: RequestClass(
+                latency_objective_ns=ns(c.on_time),
                 effect=EFFECTS[c.effect],
-                group=Group(c.group or "all"),
-                window=ns(c.dedup_window or 0),
+                deduplication_scope=DeduplicationScope(c.group or "all"),
+                idempotency_window_ns=ns(c.dedup_window or 0),
             )
             for c in read.classes
         }
         self.hard = {c.name: ns(c.give_up) for c in read.classes if c.give_up}
         self.order_limit = family.order_limit
-        self.customers = {o.name: Customer(o.quota_per_s) for o in read.orgs or []}
+        self.customers = {o.name: Tenant(o.quota_per_s) for o in read.orgs or []}
         self.memory = dict(zip(self.kinds, memory, strict=False))
         self.silent_weights = (read.weights or "silent") == "silent"
         self.settings = Settings(
@@ -148,7 +148,7 @@
             cold_from=rules.cold_from,
             cold=ns(rules.cold),
             fall_multiple=rules.fall_multiple,
-            quota=sum(c.quota for c in self.customers.values()) or math.inf,
+            quota=sum(c.rate_limit_per_second for c in self.customers.values()) or math.inf,
             over_share=1.0 if read.over_share_worth is None else read.over_share_worth,
             memory_price=family.memory_price or 0.0,
             late_revenue=min(c.late_value or 0.0 for c in read.classes),
--- a/martenlead/benchlink/wire.py
+++ b/martenlead/benchlink/wire.py
@@ -13,34 +13,34 @@
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
-    Answer,
-    AskRoster,
-    CallOff,
-    HandOff,
-    ModelFacts,
-    Order,
+    Attempt,
+    AttemptResult,
+    Cancel,
+    Fail,
+    FunctionFacts,
+    ListWorkers,
+    LoadRequest,
+    Reject,
+    Request,
     Result,
-    RunnerFacts,
-    Scrap,
-    State,
-    Task,
-    TurnBack,
     Warmth,
+    WorkerFacts,
+    WorkerState,
 )
 
 RESULTS = {
-    "served": Result.SATISFIED,
+    "served": Result.SUCCEEDED,
     "server_error": Result.ERROR,
-    "turned_away": Result.FULL,
-    "no_answer": Result.SILENT,
-    "no_connection": Result.UNREACHED,
-    "connection_lost": Result.BROKEN,
-    "called_off": Result.CALLED_OFF,
+    "turned_away": Result.AT_CAPACITY,
+    "no_answer": Result.NO_RESPONSE,
+    "no_connection": Result.UNREACHABLE,
+    "connection_lost": Result.CONNECTION_LOST,
+    "called_off": Result.CANCELLED,
     "not_sent": Result.NOT_SENT,
-    "not_stored": Result.MISSING,
+    "not_stored": Result.FUNCTION_MISSING,
 }
-WARMTH = {1: Warmth.WARM, 2: Warmth.BEGAN, 3: Warmth.WAITED, 4: Warmth.LOAD_FAILED}
-STATES = {"U": State.UP, "L": State.DRAINING, "D": State.GONE}
+WARMTH = {1: Warmth.WARM, 2: Warmth.STARTED_LOAD, 3: Warmth.AWAITED_LOAD, 4: Warmth.LOAD_FAILED}
+STATES = {"U": WorkerState.UP, "L": WorkerState.DRAINING, "D": WorkerState.GONE}
 CHECK = "check"
 MOST = 1e15  # of any figure in an event: beyond, a time in ns may have no end
 
@@ -73,10 +73,10 @@
         self.runner_ids: dict[Any, str] = {}
         self.models: dict[str, Any] = {}
         self.model_ids: dict[Any, str] = {}
-        self.tasks: dict[str, Task] = {}
-        self.task_ids: dict[Task, str] = {}
-        self.open: dict[tuple[str, int], HandOff] = {}
-        self.orders: dict[tuple[str, str], list[Order]] = {}
+        self.tasks: dict[str, Request] = {}
+        self.task_ids: dict[Request, str] = {}
+        self.open: dict[tuple[str, int], Attempt] = {}
+        self.orders: dict[tuple[str, str], list[LoadRequest]] = {}
         self.begun = False
         self.armed: int | None = None
 
@@ -103,16 +103,16 @@
                 continue
             kind = text(line.get("machine"))
             memory = self.profile.memory.get(kind, 1.0)
-            facts = RunnerFacts(
+            facts = WorkerFacts(
                 mark=msgspec_mark(name),
                 zone=text(line.get("campus")),
                 cell=int(number(line.get("cluster"))),
-                memory=memory,
+                memory_mb=memory,
                 weight=memory if self.profile.silent_weights else number(line.get("heft", 1.0)),
                 state=STATES.get(
-                    text(line.get("status", "U")), State.DRAINING
+                    text(line.get("status", "U")), WorkerState.DRAINING
                 ),  # unknown: no proof that it is up
-                since=ns(number(line.get("online-since"))),
+                started_ns=ns(number(line.get("online-since"))),
             )
             if name not in self.runners:
                 runner = self.policy.new_worker(facts)
@@ -132,17 +132,17 @@
                 raise ValueError
             if name not in self.models:
                 lanes, memory = int(number(event.get("per-copy"))), number(event.get("ram-mb"))
-                model = self.policy.new_function(ModelFacts(int(name, 16), max(1, lanes), memory))
+                model = self.policy.new_function(FunctionFacts(int(name, 16), max(1, lanes), memory))
                 self.models[name], self.model_ids[model] = model, name
         except ValueError:  # nobody can say where it may run, or until when
             self.say("finish-error", ref=ref)
             return
-        task = Task(
-            model=self.models[name],
-            offering=offering,
-            customer=self.profile.customers.get(text(event.get("client-group"))),
-            give_up=ns(give_up),
-            again=bool(event.get("retry")),
+        task = Request(
+            function=self.models[name],
+            request_class=offering,
+            tenant=self.profile.customers.get(text(event.get("client-group"))),
+            deadline_ns=ns(give_up),
+            is_retry=bool(event.get("retry")),
             cost=number(event.get("cost")),
         )
         self.tasks[ref], self.task_ids[task] = task, ref
@@ -154,10 +154,10 @@
         if hand_off is None:
             return
         final = bool(event.get("terminal"))
-        warmth = WARMTH.get(int(number(event.get("note"))) % 8, Warmth.UNTOLD)
+        warmth = WARMTH.get(int(number(event.get("note"))) % 8, Warmth.UNKNOWN)
         # a word that is not known proves nothing: it may have run
         result = RESULTS.get(text(event.get("reason")), Result.ERROR)
-        self.engine.answered(Answer(hand_off, result, final, warmth, ns(number(event.get("lag")))))
+        self.engine.answered(AttemptResult(hand_off, result, final, warmth, ns(number(event.get("lag")))))
         if final:
             self.drop(ref)
 
@@ -193,28 +193,28 @@
 
     def act(self, action: Action) -> None:
         match action:
-            case HandOff(task=task, runner=runner, patience=patience):
+            case Attempt(request=task, worker=runner, timeout_ns=patience):
                 ref = self.task_ids[task]
-                self.open[ref, len(task.hand_offs) - 1] = action
+                self.open[ref, len(task.attempts) - 1] = action
                 self.say("issue", ref=ref, runner=self.runner_ids[runner], within=patience / 1e9)
-            case TurnBack(task=task, wait=wait):
+            case Reject(request=task, retry_after_ns=wait):
                 self.say("say-no", ref=self.task_ids[task], wait=wait / 1e9)
                 self.forget(task)
-            case Scrap(task=task):
+            case Fail(request=task):
                 self.say("finish-error", ref=self.task_ids[task])
                 self.forget(task)
-            case CallOff(hand_off=hand_off):
+            case Cancel(attempt=hand_off):
                 for (ref, hop), open_one in self.open.items():
                     if open_one is hand_off:
                         self.say("stop-attempt", ref=ref, hop=hop)
-            case Order(runner=runner, model=model, copies=copies):
+            case LoadRequest(worker=runner, function=model, replicas=copies):
                 names = self.runner_ids[runner], self.model_ids[model]
                 self.orders.setdefault(names, []).append(action)
                 self.say("load", runner=names[0], fn=names[1], number=copies)
-            case AskRoster():
+            case ListWorkers():
                 self.say("stream-changes", want=True)
 
-    def forget(self, task: Task) -> None:
+    def forget(self, task: Request) -> None:
         self.tasks.pop(self.task_ids.pop(task), None)
 
     def say(self, word: str, **fields: Any) -> None:
--- a/martenlead/capture/benchtape.py
+++ b/martenlead/capture/benchtape.py
@@ -15,15 +15,15 @@
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
-    Answer,
-    Customer,
-    ModelFacts,
-    Offering,
-    Order,
+    AttemptResult,
+    FunctionFacts,
+    LoadRequest,
+    Request,
+    RequestClass,
     Result,
-    RunnerFacts,
     Settings,
-    Task,
+    Tenant,
+    WorkerFacts,
 )
 
 
@@ -31,8 +31,8 @@
     """The decoded settings of a dispatcher. Request classes and tenants are by name, in their order."""
 
     settings: Settings
-    offerings: dict[str, Offering]
-    customers: dict[str, Customer]
+    offerings: dict[str, RequestClass]
+    customers: dict[str, Tenant]
 
 
 class RecordableInstance(Protocol):
@@ -40,7 +40,7 @@
 
     policy: Policy
     engine: Engine
-    task_ids: dict[Task, str]
+    task_ids: dict[Request, str]
 
     @property
     def profile(self) -> DispatcherProfile:
@@ -73,17 +73,17 @@
         self._tape.decided(action)
         self._instance.act(action)
 
-    def new_worker(self, facts: RunnerFacts) -> Any:
+    def new_worker(self, facts: WorkerFacts) -> Any:
         runner = self._policy.new_worker(facts)
         self._tape.runner(self._now, runner, facts, f"{facts.mark:x}")
         return runner
 
-    def new_function(self, facts: ModelFacts) -> Any:
+    def new_function(self, facts: FunctionFacts) -> Any:
         model = self._policy.new_function(facts)
         self._tape.model(self._now, model, facts, f"{facts.mark:x}")
         return model
 
-    def update_workers(self, news: list[tuple[Any, RunnerFacts]], whole: bool) -> None:
+    def update_workers(self, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
         self._tape.roster(self._now, news, whole)
         self._policy.update_workers(news, whole)
 
@@ -91,19 +91,19 @@
         self._tape.begin(self._now)
         self._engine.begin()
 
-    def take(self, task: Task) -> None:
+    def take(self, task: Request) -> None:
         self._tape.take(self._now, task, self._instance.task_ids[task])
         self._engine.take(task)
 
-    def answered(self, answer: Answer) -> None:
+    def answered(self, answer: AttemptResult) -> None:
         self._tape.answered(self._now, answer)
         self._engine.answered(answer)
 
-    def ordered(self, order: Order, result: Result, copies: int) -> None:
+    def ordered(self, order: LoadRequest, result: Result, copies: int) -> None:
         self._tape.ordered(self._now, order, result, copies)
         self._engine.ordered(order, result, copies)
 
-    def closed(self, task: Task) -> None:
+    def closed(self, task: Request) -> None:
         self._tape.closed(self._now, task, "closed")
         self._engine.closed(task)
 
--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -36,7 +36,7 @@
 from martenlead.policy.engine import Engine, Process
 from martenlead.policy.policy import Policy
 from martenlead.policy.replica_scaling import ReplicaScaling
-from martenlead.policy.types import Result, Task, Wait
+from martenlead.policy.types import Request, Result, Wait
 
 MAGIC = b"mlcheckp\x01"
 
@@ -113,29 +113,29 @@
 
 
 def _lead_task(policy: Policy, told: dict[str, Any]) -> Any:
-    task: Task = told["task"]
+    task: Request = told["task"]
     last = told["last"]
-    hand_offs = list(task.hand_offs)
+    hand_offs = list(task.attempts)
     results = [h.result for h in hand_offs]
-    budgets = {id(h.runner): (h.runner, h.runner.retry_budget) for h in hand_offs}
+    budgets = {id(h.worker): (h.worker, h.worker.retry_budget) for h in hand_offs}
     # one after the other is placed and begun as it was; all before the latest count as ended
     placed, begun = iter(hand_offs), iter(hand_offs)
     policy.state.now_ns = last - 1
-    vars(policy.placement)["choose_worker"] = lambda *_: next((h.runner for h in placed), None)
+    vars(policy.placement)["choose_worker"] = lambda *_: next((h.worker for h in placed), None)
     vars(policy.load_budget)["allows"] = lambda *_: False
     vars(policy.attempts).update(
         count_request=lambda _: iter(()), begin_attempt=lambda *_: _put(task, next(begun))
     )
-    policy.settings.tick = (task.give_up - last) // 3
+    policy.settings.tick = (task.deadline_ns - last) // 3
     policy.settings.hand_offs, limit = len(hand_offs) + (told["stand"] == "all"), policy.settings.hand_offs
     try:
-        task.hand_offs = []
+        task.attempts = []
         for h in hand_offs[:-1] if told["stand"] == "latest" else hand_offs:
-            h.result = Result.SILENT  # ended, and no error that would end the task
+            h.result = Result.NO_RESPONSE  # ended, and no error that would end the task
         steps = policy.handle_request(task)
         action = next(steps)
         while not isinstance(action, Wait):
-            if told["stand"] == "all" and len(task.hand_offs) == len(hand_offs):
+            if told["stand"] == "all" and len(task.attempts) == len(hand_offs):
                 for h, result in zip(hand_offs, results, strict=True):
                     h.result = result
                 # the latest may be out: it is passed over as one that is waited for no more
@@ -143,7 +143,7 @@
             action = steps.send(None)
     finally:
         policy.settings.hand_offs = limit
-        task.hand_offs = hand_offs
+        task.attempts = hand_offs
         for h, result in zip(hand_offs, results, strict=True):
             h.result = result
         for runner, budget in budgets.values():
@@ -151,8 +151,8 @@
     return steps
 
 
-def _put(task: Task, hand_off: Any) -> Any:
-    task.hand_offs.append(hand_off)
+def _put(task: Request, hand_off: Any) -> Any:
+    task.attempts.append(hand_off)
     return hand_off
 
 
--- a/martenlead/capture/events.py
+++ b/martenlead/capture/events.py
@@ -14,14 +14,14 @@
 import msgspec
 
 from martenlead.policy.types import (
-    Customer,
+    DeduplicationScope,
     Effect,
-    Group,
-    ModelFacts,
-    Offering,
-    RunnerFacts,
+    FunctionFacts,
+    RequestClass,
     Settings,
-    State,
+    Tenant,
+    WorkerFacts,
+    WorkerState,
 )
 
 
@@ -248,31 +248,34 @@
     return getattr(event, "task", None)
 
 
-def pack_facts(facts: RunnerFacts) -> Facts:
+def pack_facts(facts: WorkerFacts) -> Facts:
     return Facts(
         f"{facts.mark:x}",
         facts.zone,
         facts.cell,
-        facts.memory,
+        facts.memory_mb,
         facts.weight,
         facts.state.value,
-        facts.since,
+        facts.started_ns,
     )
 
 
-def facts_of(packed: Facts) -> RunnerFacts:
+def facts_of(packed: Facts) -> WorkerFacts:
     p = packed
-    return RunnerFacts(int(p.mark, 16), p.zone, p.cell, p.memory, p.weight, State(p.state), p.since)
+    return WorkerFacts(int(p.mark, 16), p.zone, p.cell, p.memory, p.weight, WorkerState(p.state), p.since)
 
 
-def model_facts(event: NewModel) -> ModelFacts:
-    return ModelFacts(int(event.mark, 16), event.lanes, event.memory)
+def model_facts(event: NewModel) -> FunctionFacts:
+    return FunctionFacts(int(event.mark, 16), event.lanes, event.memory)
 
 
 def pack_settings(settings: Settings) -> dict[str, Any]:
     """All fields; offerings as lists of theirs, infinity as text, since not every format has it."""
     told = {f.name: getattr(settings, f.name) for f in fields(settings)}
-    told["offerings"] = [[o.soft_limit, o.effect.value, o.group.value, o.window] for o in settings.offerings]
+    told["offerings"] = [
+        [o.latency_objective_ns, o.effect.value, o.deduplication_scope.value, o.idempotency_window_ns]
+        for o in settings.offerings
+    ]
     told["quota"] = str(settings.quota)
     return told
 
@@ -281,9 +284,12 @@
     """A field that this version does not have is passed over; one that the writer did not have is absent."""
     known = {field.name for field in fields(Settings)}
     told = {name: value for name, value in told.items() if name in known}
-    offerings = [Offering(soft, Effect(kind), Group(group), w) for soft, kind, group, w in told["offerings"]]
+    offerings = [
+        RequestClass(soft, Effect(kind), DeduplicationScope(group), w)
+        for soft, kind, group, w in told["offerings"]
+    ]
     return Settings(**{**told, "offerings": offerings, "quota": float(told["quota"])})
 
 
-def customers_of(start: Start) -> list[Customer]:
-    return [Customer(quota) for _, quota in start.customers]
+def customers_of(start: Start) -> list[Tenant]:
+    return [Tenant(quota) for _, quota in start.customers]
--- a/martenlead/capture/explain.py
+++ b/martenlead/capture/explain.py
@@ -10,7 +10,7 @@
 
 from martenlead.capture import events as ev
 from martenlead.capture.replay import Replayer, Unreplayable
-from martenlead.policy.types import Task
+from martenlead.policy.types import Request
 
 MS = 1_000_000
 LOST = "lost with its dispatcher"
@@ -29,12 +29,12 @@
     def say(text: str) -> None:
         lines.append(f"{(replayer.policy.state.now_ns - begun) / MS:12.3f} ms  {text}")
 
-    mine: set[Task] = set()
+    mine: set[Request] = set()
 
     def listen() -> None:
         place = replayer.policy.placement.choose_worker
 
-        def told(request: Task, excluded: set[Any]) -> Any:
+        def told(request: Request, excluded: set[Any]) -> Any:
             if request in mine:
                 lines.extend(f"{'':17}{line}" for line in _known(replayer, request))
             return place(request, excluded)
@@ -71,12 +71,12 @@
     return event.name, event.name.rpartition(" ")[2], str(event.task)
 
 
-def _feed_and_mark(replayer: Replayer, event: ev.Take, mine: set[Task]) -> None:
+def _feed_and_mark(replayer: Replayer, event: ev.Take, mine: set[Request]) -> None:
     """The module decides while it takes the task: it has to be known as ours before that."""
     number = event.task
 
-    class Marking(dict[int, Task]):
-        def __setitem__(self, key: int, task: Task) -> None:
+    class Marking(dict[int, Request]):
+        def __setitem__(self, key: int, task: Request) -> None:
             if key == number:
                 mine.add(task)
             super().__setitem__(key, task)
@@ -113,11 +113,11 @@
     return type(event).__name__
 
 
-def _known(replayer: Replayer, task: Task) -> list[str]:
+def _known(replayer: Replayer, task: Request) -> list[str]:
     """A line a runner, with every reason why it may not take the task now."""
     policy, lines = replayer.policy, []
     for runner in policy.state.workers:
-        copy = task.model.replicas.get(runner)
+        copy = task.function.replicas.get(runner)
         why = []
         if not policy.state.accepts_work(runner):
             why.append(runner.facts.state.value)
@@ -129,7 +129,7 @@
             why.append("its next task is not due")
         if runner.warm_in_flight >= max(1.0, runner.concurrency_limit):
             why.append("full")
-        if task.hand_offs and runner.retry_budget < 1:
+        if task.attempts and runner.retry_budget < 1:
             why.append("no credit")
         if not policy.repeats.may_send(task, runner):
             why.append("a repeat may not go there")
@@ -137,7 +137,7 @@
         if copy is not None:
             loads = "loads" if copy.load_requested_ns else ""
             held = "held" if copy.is_held else "stands" if policy.state.is_warm(copy) else loads
-        home = ", home" * (task.model.home is runner)
+        home = ", home" * (task.function.home is runner)
         lines.append(
             f"{replayer.names[runner]}: copy {held or 'none'}{home}; {runner.warm_in_flight} running of "
             f"{runner.concurrency_limit:.1f}, pace {policy.placement.pace(runner):.2f}, "
--- a/martenlead/capture/replay.py
+++ b/martenlead/capture/replay.py
@@ -20,15 +20,15 @@
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
-    Answer,
-    HandOff,
-    Order,
-    Past,
-    PastModel,
-    PastRunner,
+    Attempt,
+    AttemptResult,
+    EarlierFunction,
+    EarlierRun,
+    EarlierWorker,
+    LoadRequest,
+    Request,
     Result,
     Settings,
-    Task,
     Warmth,
 )
 
@@ -77,8 +77,8 @@
         self.engine: Engine
         self.runners: list[Any] = []
         self.models: list[Any] = []
-        self.tasks: dict[int, Task] = {}
-        self.orders: dict[int, Order] = {}
+        self.tasks: dict[int, Request] = {}
+        self.orders: dict[int, LoadRequest] = {}
         self.names: dict[Any, str] = {}
         self._tape = Tape(self._sink, "")
         self._settings: Settings
@@ -91,7 +91,7 @@
             self.made.append(event)
 
     def _outlet(self, action: Action) -> None:
-        if isinstance(action, Order):
+        if isinstance(action, LoadRequest):
             self._made_orders += 1
             self.orders[self._made_orders] = action
         self._tape.decided(action)
@@ -144,7 +144,7 @@
             case ev.Roster(whole=whole, lines=lines):
                 policy.update_workers([(self.runners[n], ev.facts_of(facts)) for n, facts in lines], whole)
             case ev.Take():
-                task = Task(
+                task = Request(
                     self.models[event.model],
                     self._settings.offerings[event.offering],
                     None if event.customer < 0 else self._customers[event.customer],
@@ -179,15 +179,15 @@
                 engine.recall(*told, Result(result), copies, touched)
             case ev.Room(model=model, offering=offering, spare=spare, cost=cost):
                 kind = self._settings.offerings[offering]
-                engine.room(Task(self.models[model], kind, None, t, False, cost, spare=spare))
+                engine.room(Request(self.models[model], kind, None, t, False, cost, is_deferrable=spare))
             case ev.Remembered():
                 engine.remember(
-                    Past(
+                    EarlierRun(
                         event.rate,
                         event.asked,
                         event.worth,
-                        [PastModel(self.models[m], *about) for m, *about in event.models],
-                        [PastRunner(self.runners[r], *about) for r, *about in event.runners],
+                        [EarlierFunction(self.models[m], *about) for m, *about in event.models],
+                        [EarlierWorker(self.runners[r], *about) for r, *about in event.runners],
                         event.orders,
                     )
                 )
@@ -196,18 +196,18 @@
 
     def _answered(self, event: ev.Answered) -> None:
         task = self.tasks.get(event.task)
-        if task is None or event.hand_off >= len(task.hand_offs):
+        if task is None or event.hand_off >= len(task.attempts):
             return  # of a hand-off that this run never made: only where settings or the module differ
-        hand_off: HandOff = task.hand_offs[event.hand_off]
+        hand_off: Attempt = task.attempts[event.hand_off]
         if hand_off.result is not None:
             return
-        answer = Answer(hand_off, Result(event.result), event.final, Warmth(event.warmth), event.lag)
+        answer = AttemptResult(hand_off, Result(event.result), event.final, Warmth(event.warmth), event.lag)
         self._tape.answered(event.t, answer)
         self.engine.answered(answer)
         self._over(event.task, task)
 
-    def _over(self, number: int, task: Task) -> None:
-        if number in self._closed and all(h.result is not None for h in task.hand_offs):
+    def _over(self, number: int, task: Request) -> None:
+        if number in self._closed and all(h.result is not None for h in task.attempts):
             self._closed.discard(number)
             self.tasks.pop(number, None)
             self.names.pop(task, None)
--- a/martenlead/capture/replay_state.py
+++ b/martenlead/capture/replay_state.py
@@ -13,7 +13,7 @@
 from martenlead.capture.tape import Tape
 from martenlead.policy.engine import Engine
 from martenlead.policy.policy import Policy
-from martenlead.policy.types import Action, Order, Settings, Task
+from martenlead.policy.types import Action, LoadRequest, Request, Settings
 
 
 class ReplayState(Protocol):
@@ -28,8 +28,8 @@
     engine: Engine
     runners: list[Any]
     models: list[Any]
-    tasks: dict[int, Task]
-    orders: dict[int, Order]
+    tasks: dict[int, Request]
+    orders: dict[int, LoadRequest]
     names: dict[Any, str]
     _tape: Tape
     _settings: Settings
--- a/martenlead/capture/tape.py
+++ b/martenlead/capture/tape.py
@@ -33,20 +33,20 @@
 )
 from martenlead.policy.types import (
     Action,
-    Answer,
-    AskRoster,
-    CallOff,
-    Customer,
-    HandOff,
-    ModelFacts,
-    Order,
-    Past,
+    Attempt,
+    AttemptResult,
+    Cancel,
+    EarlierRun,
+    Fail,
+    FunctionFacts,
+    ListWorkers,
+    LoadRequest,
+    Reject,
+    Request,
     Result,
-    RunnerFacts,
-    Scrap,
     Settings,
-    Task,
-    TurnBack,
+    Tenant,
+    WorkerFacts,
 )
 
 PROGRAM = "0.2.0"
@@ -81,21 +81,21 @@
         self.sink, self.edge = sink, edge
         self._runners: dict[Any, int] = {}
         self._models: dict[Any, int] = {}
-        self._tasks: dict[Task, int] = {}
-        self._orders: dict[Order, int] = {}
+        self._tasks: dict[Request, int] = {}
+        self._orders: dict[LoadRequest, int] = {}
         self._offerings: dict[Any, int] = {}
         self._customers: dict[Any, int] = {}
-        self._over: set[Task] = set()  # closed, with hand-offs whose answers are still to come
+        self._over: set[Request] = set()  # closed, with hand-offs whose answers are still to come
         self._count = self._ordered = 0
 
     # -- inputs
 
     def start(
-        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Customer]
+        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Tenant]
     ) -> None:
         self._offerings = {o: n for n, o in enumerate(settings.offerings)}
         self._customers = {c: n for n, c in enumerate(customers.values())}
-        told = [(name, c.quota) for name, c in customers.items()]
+        told = [(name, c.rate_limit_per_second) for name, c in customers.items()]
         packed = ev.pack_settings(settings)
         python = platform.python_version()
         self.sink(
@@ -108,40 +108,42 @@
     def tick(self, t: int, tick: int) -> None:
         self.sink(ev.Tick(t, tick))
 
-    def runner(self, t: int, runner: Any, facts: RunnerFacts, name: str) -> None:
+    def runner(self, t: int, runner: Any, facts: WorkerFacts, name: str) -> None:
         number = self._runners[runner] = len(self._runners)
         self.sink(ev.NewRunner(t, number, name, ev.pack_facts(facts)))
 
-    def model(self, t: int, model: Any, facts: ModelFacts, name: str) -> None:
+    def model(self, t: int, model: Any, facts: FunctionFacts, name: str) -> None:
         number = self._models[model] = len(self._models)
-        self.sink(ev.NewModel(t, number, name, f"{facts.mark:x}", facts.lanes, facts.memory))
+        self.sink(ev.NewModel(t, number, name, f"{facts.mark:x}", facts.lanes, facts.memory_mb))
 
-    def roster(self, t: int, news: list[tuple[Any, RunnerFacts]], whole: bool) -> None:
+    def roster(self, t: int, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
         self.sink(ev.Roster(t, whole, [(self._runners[r], ev.pack_facts(facts)) for r, facts in news]))
 
-    def take(self, t: int, task: Task, name: str) -> None:
+    def take(self, t: int, task: Request, name: str) -> None:
         self._count += 1
         number = self._tasks[task] = self._count
-        customer = -1 if task.customer is None else self._customers[task.customer]
-        model, offering = self._models[task.model], self._offerings[task.offering]
-        self.sink(ev.Take(t, number, name, model, offering, customer, task.give_up, task.again, task.cost))
+        customer = -1 if task.tenant is None else self._customers[task.tenant]
+        model, offering = self._models[task.function], self._offerings[task.request_class]
+        self.sink(
+            ev.Take(t, number, name, model, offering, customer, task.deadline_ns, task.is_retry, task.cost)
+        )
 
-    def answered(self, t: int, answer: Answer) -> None:
-        task = answer.hand_off.task
+    def answered(self, t: int, answer: AttemptResult) -> None:
+        task = answer.attempt.request
         number = self._tasks[task]
-        at = task.hand_offs.index(answer.hand_off)
+        at = task.attempts.index(answer.attempt)
         result, warmth = answer.result.value, answer.warmth.value
-        self.sink(ev.Answered(t, number, at, result, answer.final, warmth, answer.lag))
-        if task in self._over and sum(h.result is None for h in task.hand_offs) == 1:  # this one
+        self.sink(ev.Answered(t, number, at, result, answer.is_final, warmth, answer.latency_ns))
+        if task in self._over and sum(h.result is None for h in task.attempts) == 1:  # this one
             self._over.discard(task)
             del self._tasks[task]
 
-    def ordered(self, t: int, order: Order, result: Result, copies: int) -> None:
+    def ordered(self, t: int, order: LoadRequest, result: Result, copies: int) -> None:
         self.sink(ev.OrderEnded(t, self._orders.pop(order), result.value, copies))
 
-    def closed(self, t: int, task: Task, final: str) -> None:
+    def closed(self, t: int, task: Request, final: str) -> None:
         self.sink(ev.Closed(t, self._tasks[task], final))
-        if any(h.result is None for h in task.hand_offs):
+        if any(h.result is None for h in task.attempts):
             self._over.add(task)
         else:
             del self._tasks[task]
@@ -162,27 +164,34 @@
         told = self._runners[runner], self._models[model]
         self.sink(ev.Recalled(t, *told, result.value, copies, touched))
 
-    def room(self, t: int, task: Task) -> None:
-        model, offering = self._models[task.model], self._offerings[task.offering]
-        self.sink(ev.Room(t, model, offering, task.spare, task.cost))
+    def room(self, t: int, task: Request) -> None:
+        model, offering = self._models[task.function], self._offerings[task.request_class]
+        self.sink(ev.Room(t, model, offering, task.is_deferrable, task.cost))
 
-    def remembered(self, t: int, past: Past) -> None:
+    def remembered(self, t: int, past: EarlierRun) -> None:
         models = [
             [
-                self._models[m.model],
+                self._models[m.function],
                 m.bins,
-                m.lag,
-                m.latency_worth,
-                m.tasks,
-                m.span,
-                m.gap,
-                m.idle,
-                m.demand_worth,
+                m.latency_sum_ns,
+                m.latency_weight,
+                m.requests,
+                m.span_ns,
+                m.mean_gap_ns,
+                m.idle_ns,
+                m.demand_weight,
             ]
-            for m in past.models
+            for m in past.functions
         ]
-        runners = [[self._runners[r.runner], r.width, r.worth] for r in past.runners]
-        told = past.rate, past.asked, past.worth, models, runners, past.orders
+        runners = [[self._runners[r.worker], r.concurrency_limit, r.weight] for r in past.workers]
+        told = (
+            past.succeeded_per_second,
+            past.new_requests_per_second,
+            past.weight,
+            models,
+            runners,
+            past.load_ages_ns,
+        )
         self.sink(ev.Remembered(t, *told))
 
     # -- the numbers that stand for objects
@@ -196,7 +205,7 @@
         return self._models
 
     @property
-    def tasks(self) -> dict[Task, int]:
+    def tasks(self) -> dict[Request, int]:
         return self._tasks
 
     @property
@@ -207,19 +216,19 @@
 
     def decided(self, action: Action) -> None:
         match action:
-            case HandOff(task=task, runner=runner, patience=patience):
-                at = len(task.hand_offs) - 1
+            case Attempt(request=task, worker=runner, timeout_ns=patience):
+                at = len(task.attempts) - 1
                 self.sink(ev.HandedOff(self._tasks[task], at, self._runners[runner], patience))
-            case TurnBack(task=task, wait=wait):
+            case Reject(request=task, retry_after_ns=wait):
                 self.sink(ev.TurnedBack(self._tasks[task], wait))
-            case Scrap(task=task):
+            case Fail(request=task):
                 self.sink(ev.Scrapped(self._tasks[task]))
-            case CallOff(hand_off=hand_off):
-                task = hand_off.task
-                self.sink(ev.CalledOff(self._tasks[task], task.hand_offs.index(hand_off)))
-            case Order(runner=runner, model=model, copies=copies):
+            case Cancel(attempt=hand_off):
+                task = hand_off.request
+                self.sink(ev.CalledOff(self._tasks[task], task.attempts.index(hand_off)))
+            case LoadRequest(worker=runner, function=model, replicas=copies):
                 self._ordered += 1
                 number = self._orders[action] = self._ordered
                 self.sink(ev.Ordered(number, self._runners[runner], self._models[model], copies))
-            case AskRoster():
+            case ListWorkers():
                 self.sink(ev.Asked())
--- a/martenlead/config/edge.py
+++ b/martenlead/config/edge.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from martenlead.config.load import BadConfig, decode, evaluate
-from martenlead.policy.types import Customer, Effect, Group, Offering, Settings
+from martenlead.policy.types import DeduplicationScope, Effect, RequestClass, Settings, Tenant
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0)]
@@ -209,13 +209,15 @@
     return round(ms * 1e6)
 
 
-def settings(edge: Edge) -> tuple[Settings, dict[str, Offering], dict[str, Customer]]:
+def settings(edge: Edge) -> tuple[Settings, dict[str, RequestClass], dict[str, Tenant]]:
     """The module's settings, and the objects that offerings' and customers' names stand for."""
     offerings = {
-        o.name: Offering(ns(o.soft_limit_ms), Effect(o.effect), Group(o.group), ns(o.window_ms))
+        o.name: RequestClass(
+            ns(o.soft_limit_ms), Effect(o.effect), DeduplicationScope(o.group), ns(o.window_ms)
+        )
         for o in edge.offerings
     }
-    customers = {c.name: Customer(c.quota_per_s) for c in edge.customers}
+    customers = {c.name: Tenant(c.quota_per_s) for c in edge.customers}
     allowed, models, cold = edge.allowed, edge.models, edge.cold
     ration = models.ration
     return (
@@ -238,7 +240,7 @@
             cold=ns(cold.time_ms),
             fall_multiple=cold.fall_multiple,
             over_share=edge.over_share,
-            quota=sum(c.quota for c in customers.values()) or math.inf,
+            quota=sum(c.rate_limit_per_second for c in customers.values()) or math.inf,
             memory_price=models.memory_price,
             late_revenue=min(o.late_revenue for o in edge.offerings),
             fetch_price=models.fetch_price,
--- a/martenlead/edge/border.py
+++ b/martenlead/edge/border.py
@@ -13,16 +13,16 @@
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
-    Answer,
-    Customer,
-    ModelFacts,
-    Offering,
-    Order,
-    Past,
+    AttemptResult,
+    EarlierRun,
+    FunctionFacts,
+    LoadRequest,
+    Request,
+    RequestClass,
     Result,
-    RunnerFacts,
     Settings,
-    Task,
+    Tenant,
+    WorkerFacts,
 )
 
 
@@ -30,26 +30,26 @@
     """Whoever writes down what passes; told before the module is. Times are ns."""
 
     def start(
-        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Customer]
+        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Tenant]
     ) -> None: ...
     def begin(self, t: int) -> None: ...
     def tick(self, t: int, tick: int) -> None: ...
-    def runner(self, t: int, runner: Any, facts: RunnerFacts, name: str) -> None: ...
-    def model(self, t: int, model: Any, facts: ModelFacts, name: str) -> None: ...
-    def roster(self, t: int, news: list[tuple[Any, RunnerFacts]], whole: bool) -> None: ...
-    def take(self, t: int, task: Task, name: str) -> None: ...
-    def answered(self, t: int, answer: Answer) -> None: ...
-    def ordered(self, t: int, order: Order, result: Result, copies: int) -> None: ...
-    def closed(self, t: int, task: Task, final: str) -> None: ...
+    def runner(self, t: int, runner: Any, facts: WorkerFacts, name: str) -> None: ...
+    def model(self, t: int, model: Any, facts: FunctionFacts, name: str) -> None: ...
+    def roster(self, t: int, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None: ...
+    def take(self, t: int, task: Request, name: str) -> None: ...
+    def answered(self, t: int, answer: AttemptResult) -> None: ...
+    def ordered(self, t: int, order: LoadRequest, result: Result, copies: int) -> None: ...
+    def closed(self, t: int, task: Request, final: str) -> None: ...
     def advance(self, t: int) -> None: ...
     def hold(self, t: int, runner: Any, model: Any, held: bool) -> None: ...
     def carry(self, t: int, plan: int, runner: Any, model: Any) -> None: ...
     def plans(self, t: int, on: bool) -> None: ...
-    def room(self, t: int, task: Task) -> None: ...
+    def room(self, t: int, task: Request) -> None: ...
     def recalled(
         self, t: int, runner: Any, model: Any, result: Result, copies: int, touched: int
     ) -> None: ...
-    def remembered(self, t: int, past: Past) -> None: ...
+    def remembered(self, t: int, past: EarlierRun) -> None: ...
     def decided(self, action: Action) -> None: ...
 
 
@@ -78,7 +78,7 @@
         clock: Callable[[], int],
         outlet: Callable[[Action], None],
         tape: Tape | None = None,
-        names: tuple[list[str], dict[str, Customer]] = ([], {}),
+        names: tuple[list[str], dict[str, Tenant]] = ([], {}),
         policy: type[Policy] = Policy,
     ) -> None:
         """`names` are the offerings' and customers', for the tape; `policy` is the module but in
@@ -115,21 +115,21 @@
             self._tape.tick(self._now(), tick)
         self._settings.tick = tick
 
-    def runner(self, facts: RunnerFacts, name: str) -> Any:
+    def runner(self, facts: WorkerFacts, name: str) -> Any:
         now = self._now()
         runner = self._policy.new_worker(facts)
         if self._tape is not None:
             self._tape.runner(now, runner, facts, name)
         return runner
 
-    def model(self, facts: ModelFacts, name: str) -> Any:
+    def model(self, facts: FunctionFacts, name: str) -> Any:
         now = self._now()
         model = self._policy.new_function(facts)
         if self._tape is not None:
             self._tape.model(now, model, facts, name)
         return model
 
-    def roster(self, news: list[tuple[Any, RunnerFacts]], whole: bool) -> None:
+    def roster(self, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
         now = self._now()
         if self._tape is not None:
             self._tape.roster(now, news, whole)
@@ -138,44 +138,44 @@
     def take(
         self,
         model: Any,
-        offering: Offering,
-        customer: Customer | None,
+        offering: RequestClass,
+        customer: Tenant | None,
         give_up: int,
         again: bool,
         cost: float,
-        known: Callable[[Task], None],
+        known: Callable[[Request], None],
         name: str = "",
     ) -> None:
         """`known` gets the task before the module does anything for it."""
         now = self._now()
-        task = Task(model, offering, customer, give_up, again, cost)
+        task = Request(model, offering, customer, give_up, again, cost)
         known(task)
         if self._tape is not None:
             self._tape.take(now, task, name)
         self._engine.take(task)
 
-    def answered(self, answer: Answer) -> None:
+    def answered(self, answer: AttemptResult) -> None:
         now = self._now()
         if self._tape is not None:
             self._tape.answered(now, answer)
         self._engine.answered(answer)
 
-    def ordered(self, order: Order, result: Result, copies: int) -> None:
+    def ordered(self, order: LoadRequest, result: Result, copies: int) -> None:
         now = self._now()
         if self._tape is not None:
             self._tape.ordered(now, order, result, copies)
         self._engine.ordered(order, result, copies)
 
-    def closed(self, task: Task, final: str) -> None:
+    def closed(self, task: Request, final: str) -> None:
         now = self._now()
         if self._tape is not None:
             self._tape.closed(now, task, final)
         self._engine.closed(task)
 
-    def room(self, model: Any, offering: Offering, spare: bool, cost: float) -> Any:
+    def room(self, model: Any, offering: RequestClass, spare: bool, cost: float) -> Any:
         """The runner that a task like this would be handed to now, or None; nothing is begun."""
         now = self._now()
-        task = Task(model, offering, None, now, False, cost, spare=spare)
+        task = Request(model, offering, None, now, False, cost, is_deferrable=spare)
         if self._tape is not None:
             self._tape.room(now, task)
         return self._engine.room(task)
@@ -188,7 +188,7 @@
             self._tape.hold(now, runner, model, held)
         self._engine.hold(runner, model, held)
 
-    def carry(self, plan: int, runner: Any, model: Any) -> Order | None:
+    def carry(self, plan: int, runner: Any, model: Any) -> LoadRequest | None:
         """None where the order may not be given: the ration of all orders is counted here."""
         now = self._now()
         if self._tape is not None:
@@ -208,7 +208,7 @@
             self._tape.recalled(now, runner, model, result, copies, touched)
         self._engine.recall(runner, model, result, copies, touched)
 
-    def remember(self, past: Past) -> None:
+    def remember(self, past: EarlierRun) -> None:
         """What was kept of an earlier life, once, before tasks are taken."""
         now = self._now()
         if self._tape is not None:
@@ -219,7 +219,7 @@
         """Gives the module's state to whoever reads it and changes nothing of it, with the time."""
         return read(self._policy, self._now())
 
-    def may_turn_back(self, task: Task) -> bool:
+    def may_turn_back(self, task: Request) -> bool:
         return self._policy.repeats.may_reject(task)
 
     def due(self) -> int | None:
--- a/martenlead/edge/dispatcher.py
+++ b/martenlead/edge/dispatcher.py
@@ -29,15 +29,15 @@
 from martenlead.edge.records import About, Box, Final, Held, Out, Wanted
 from martenlead.policy.types import (
     Action,
-    Answer,
-    AskRoster,
-    CallOff,
-    HandOff,
-    Order,
+    Attempt,
+    AttemptResult,
+    Cancel,
+    Fail,
+    ListWorkers,
+    LoadRequest,
+    Reject,
+    Request,
     Result,
-    Scrap,
-    Task,
-    TurnBack,
     Wait,
 )
 from martenlead.runnerlink.heard import Heard
@@ -75,11 +75,11 @@
         self.functions = Functions(self.loop, about.models)
         self.models, self.by_model = self.functions.by_name, self.functions.by_model
         self.known = self.functions.known
-        self.held: dict[Task, Held] = {}
+        self.held: dict[Request, Held] = {}
         self.bytes = 0
         self.list = source.list
         self.closest: int | None = None  # least time left at a final answer, ns
-        self._out: dict[HandOff, Out] = {}
+        self._out: dict[Attempt, Out] = {}
         self._decision_log: DecisionLog | None = None
         if about.decisions:
             self._decision_log = DecisionLog(about.name, self.by_runner, self.by_model, self.held)
@@ -116,7 +116,7 @@
             await anyio.sleep(FAULT_CHECK_SECONDS)
             late = self.clock() + self.lag.tick
             for task, held in list(self.held.items()):
-                if late > task.give_up and held.final is None:
+                if late > task.deadline_ns and held.final is None:
                     held.why = "a fault of the dispatcher"
                     held.end(Final.TURNED_BACK if self.border.may_turn_back(task) else Final.SCRAPPED)
             self._rearm()
@@ -152,7 +152,7 @@
         left = limit if wanted.left is None else min(wanted.left, limit)
         give_up = arrived + left - self.margin
 
-        def note(task: Task) -> None:
+        def note(task: Request) -> None:
             held.task = task
             self.held[task] = held
             self.bytes += size
@@ -164,7 +164,7 @@
         self._decide(
             self.border.take, known.model, offering, customer, give_up, again, wanted.cost, note, wanted.mark
         )
-        if self.loop.faults > faults and (held.task is None or not held.task.hand_offs):
+        if self.loop.faults > faults and (held.task is None or not held.task.attempts):
             held.why = "a fault of the dispatcher"  # nothing was sent: no need to wait for `_guard`
             held.end(Final.TURNED_BACK)
         return held
@@ -194,37 +194,37 @@
         if task is None or self.held.pop(task, None) is None:
             return
         self.bytes -= held.size
-        known = self.by_model.get(task.model)
+        known = self.by_model.get(task.function)
         if known is not None:
             known.open -= 1
         if held.final is not None:
             self.counts["final", held.final.value] += 1
             if held.final is not Final.LEFT:
-                left = task.give_up - self.clock()
+                left = task.deadline_ns - self.clock()
                 self.closest = left if self.closest is None else min(self.closest, left)
         self._decide(self.border.closed, task, held.final.value if held.final else "")
 
     def _outlet(self, action: Action) -> None:
         """Carries out one decision. Nothing here calls the policy back: it is in the middle of deciding."""
         match action:
-            case HandOff(task=task, runner=runner):
+            case Attempt(request=task, worker=runner):
                 box = self.by_runner[runner]
-                out = self._out[action] = Out(action, self.held[task], box, len(task.hand_offs) - 1)
+                out = self._out[action] = Out(action, self.held[task], box, len(task.attempts) - 1)
                 box.out += 1
                 self.link.hand_off(out)
-            case TurnBack(task=task, wait=wait):
+            case Reject(request=task, retry_after_ns=wait):
                 held = self.held[task]
                 held.wait = wait
                 held.end(Final.TURNED_BACK)
-            case Scrap(task=task):
+            case Fail(request=task):
                 self.held[task].end(Final.SCRAPPED)
-            case CallOff(hand_off=hand_off):
+            case Cancel(attempt=hand_off):
                 found = self._out.get(hand_off)
                 if found is not None:
                     self.link.call_off(found)
-            case Order():
+            case LoadRequest():
                 self.loads.send(action)
-            case AskRoster() | Wait():
+            case ListWorkers() | Wait():
                 pass  # the roster is pushed; the engine keeps the waits
         if self._decision_log is not None:
             self._decision_log.decided(action)
@@ -248,13 +248,13 @@
             self.counts["load failed", told.failure] += 1
         if held.final is None:
             held.why = told.why
-        first = told.result is Result.SATISFIED and held.final is None
+        first = told.result is Result.SUCCEEDED and held.final is None
         final = first or held.final is not None
         if first:
             held.answer = told.content
             held.end(Final.SATISFIED)
-        lag = max(0, now - hand_off.sent)
-        self._decide(self.border.answered, Answer(hand_off, told.result, final, told.warmth, lag))
+        lag = max(0, now - hand_off.sent_ns)
+        self._decide(self.border.answered, AttemptResult(hand_off, told.result, final, told.warmth, lag))
         self.membership.forget(box)
         if self._decision_log is not None:
             self._decision_log.attempt_ended(out, told)
--- a/martenlead/edge/door.py
+++ b/martenlead/edge/door.py
@@ -23,7 +23,7 @@
 from martenlead.events.http import Headers, Limits, Message
 from martenlead.events.problem import problem
 from martenlead.events.server import Reply, Server, ServerLimits
-from martenlead.policy.types import Result, Task
+from martenlead.policy.types import Request, Result
 
 PASSED_ON = frozenset({b"content-type", b"traceparent", b"tracestate"})
 TITLES = {400: "Bad task", 404: "No such path", 405: "Only POST", 413: "Too large", 415: "Not an event"}
@@ -131,7 +131,7 @@
             hash(event.mark),
             asked.cost,
             size,
-            now + dispatcher.offerings[asked.offering].soft_limit,
+            now + dispatcher.offerings[asked.offering].latency_objective_ns,
             now + (limit if asked.left is None else min(asked.left, limit)) - dispatcher.margin,
             asked.again,
             (asked.lanes, asked.memory_mb),
@@ -222,15 +222,15 @@
                 if name.startswith(b"ce-") or name in PASSED_ON
             ]
             return Reply(200, headers, held.answer.body)
-        results = [h.result for h in task.hand_offs] if task else []
+        results = [h.result for h in task.attempts] if task else []
         told: dict[str, Any] = {"hand_offs": len(results)}
         if held.final is Final.TURNED_BACK:
-            over = task is not None and task.spare and not task.again
+            over = task is not None and task.is_deferrable and not task.is_retry
             why = held.why or ("over the customer's share" if over else "no runner may take it now")
             return problem(
                 429 if over else 503, "Turned back", why, wait_ns=held.wait, final="turned back", **told
             )
-        late = any(r in (None, Result.SILENT, Result.CALLED_OFF) for r in results)
+        late = any(r in (None, Result.NO_RESPONSE, Result.CANCELLED) for r in results)
         why = held.why or "no runner had an answer"
         return problem(504 if late else 502, "Scrapped", why, final="scrapped", **told)
 
@@ -239,14 +239,14 @@
         return problem(500, "A fault of ours", "the dispatcher failed on this task", final="scrapped")
 
 
-def end_of(final: str, task: Task | None, why: str) -> End:
+def end_of(final: str, task: Request | None, why: str) -> End:
     """What became of a task that was let in, for the gate. What is over its customer's share is the
     module's to turn back, with its own wait, and no appointment of the door's."""
     if final == Final.SATISFIED.value:
         return End.SATISFIED
-    if final == Final.TURNED_BACK.value and task is not None and not task.spare:
+    if final == Final.TURNED_BACK.value and task is not None and not task.is_deferrable:
         # sent nowhere, or turned away wherever it was sent
-        full = all(h.result is Result.FULL for h in task.hand_offs)
+        full = all(h.result is Result.AT_CAPACITY for h in task.attempts)
         return End.NO_ROOM if full and why in ("", "turned away") else End.OTHER
     return End.OTHER
 
--- a/martenlead/edge/functions.py
+++ b/martenlead/edge/functions.py
@@ -6,7 +6,7 @@
 
 from martenlead.edge.decision_loop import DecisionLoop
 from martenlead.edge.records import Known
-from martenlead.policy.types import ModelFacts
+from martenlead.policy.types import FunctionFacts
 
 MARK_BYTES = 64  # of a name, which make its number for the policy
 
@@ -29,7 +29,7 @@
         known = self.by_name.pop(name, None)
         if known is None:
             mark = int.from_bytes(name.encode()[:MARK_BYTES], "big")
-            model = self._loop.border.model(ModelFacts(mark, lanes, memory_mb), name)
+            model = self._loop.border.model(FunctionFacts(mark, lanes, memory_mb), name)
             known = Known(name, model, lanes, memory_mb)
             self.by_model[model] = known
             if self.is_full:
--- a/martenlead/edge/httplink.py
+++ b/martenlead/edge/httplink.py
@@ -98,9 +98,9 @@
     async def _carry(self, out: Out) -> None:
         """One hand-off from its decision to its end. Whatever happens on the socket, there is exactly one."""
         hand_off, way, clock = out.hand_off, out.box.way, self.dispatcher.clock
-        sending = Sending(lambda: clock() <= hand_off.begin_by)
+        sending = Sending(lambda: clock() <= hand_off.begin_by_ns)
         exchange: Exchange | None = None
-        left = hand_off.sent + hand_off.patience - clock()
+        left = hand_off.sent_ns + hand_off.timeout_ns - clock()
         if left <= 0:
             heard = Heard(Result.NOT_SENT, why="the time was over before it was sent")
             self.dispatcher.ended(out, heard)
@@ -117,7 +117,7 @@
                 if exchange.message is not None:
                     told.report = orders.report(exchange.message.header(outcomes.REPORT))
             else:
-                off = out in self._off or clock() < hand_off.sent + hand_off.patience
+                off = out in self._off or clock() < hand_off.sent_ns + hand_off.timeout_ns
                 told = outcomes.without_answer(called_off=off, wrote=sending.wrote)
             self._off.discard(out)
             self.dispatcher.ended(out, told)
@@ -148,7 +148,7 @@
     async def _order(self, box: Box, known: Known, copies: int, told: Callable[[Heard], None]) -> None:
         way = box.way
         data = orders.load(way.host, self.agent, known.name, copies, known.memory_mb, known.lanes)
-        heard = Heard(Result.SILENT, why="no answer")
+        heard = Heard(Result.NO_RESPONSE, why="no answer")
         try:
             with anyio.move_on_after(self.edge.models.order_limit_ms / 1000):
                 exchange = await way.pool.exchange(data)
--- a/martenlead/edge/loads.py
+++ b/martenlead/edge/loads.py
@@ -10,7 +10,7 @@
 from martenlead.edge.interfaces import Link
 from martenlead.edge.membership import Membership
 from martenlead.edge.records import Box, Known
-from martenlead.policy.types import Order, Result
+from martenlead.policy.types import LoadRequest, Result
 from martenlead.runnerlink.heard import Heard
 
 NS_PER_MS = 1e6
@@ -30,9 +30,12 @@
         self._link, self._loop, self._membership, self._functions = link, loop, membership, functions
         self._log = log
 
-    def send(self, order: Order) -> None:
+    def send(self, order: LoadRequest) -> None:
         """Carries out a decision of the policy, in whose middle this is called."""
-        box, known = self._membership.by_runner.get(order.runner), self._functions.by_model.get(order.model)
+        box, known = (
+            self._membership.by_runner.get(order.worker),
+            self._functions.by_model.get(order.function),
+        )
         if box is None or known is None:  # either was forgotten since
             self._loop.later(self._loop.decide, self._loop.border.ordered, order, Result.NOT_SENT, 0)
             return
@@ -41,9 +44,9 @@
         def told(heard: Heard) -> None:
             self._loop.later(self._ended, order, box, heard)
 
-        self._link.order(box, known, order.copies, told)
+        self._link.order(box, known, order.replicas, told)
 
-    def _ended(self, order: Order, box: Box, heard: Heard) -> None:
+    def _ended(self, order: LoadRequest, box: Box, heard: Heard) -> None:
         box.out -= 1
         if heard.drains:
             self._membership.drains(box)
--- a/martenlead/edge/membership.py
+++ b/martenlead/edge/membership.py
@@ -15,10 +15,10 @@
 from martenlead.edge.decision_loop import DecisionLoop
 from martenlead.edge.interfaces import Link
 from martenlead.edge.records import Box
-from martenlead.policy.types import RunnerFacts, State
+from martenlead.policy.types import WorkerFacts, WorkerState
 from martenlead.runnerlink.roster import Line, List
 
-STATES = {"up": State.UP, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"up": WorkerState.UP, "draining": WorkerState.DRAINING, "gone": WorkerState.GONE}
 LOGGED_EACH = 64  # workers in one piece of news that get a log line each; of more, one line tells how many
 UNKNOWN_WEIGHT = 1.0  # of a worker that tells neither weight nor memory
 
@@ -45,12 +45,12 @@
         differs reaches the policy: all of a long one would hold up the event loop."""
         first = not self.boxes
         logged = not first and len(told) <= LOGGED_EACH
-        news: list[tuple[Any, RunnerFacts]] = []
+        news: list[tuple[Any, WorkerFacts]] = []
         gone: list[Box] = []
         if whole and not first:
             listed = {line.id for line in told}
             gone = [box for name, box in self.boxes.items() if name not in listed]
-            news = [(box.runner, box.facts(State.GONE, box.since, UNKNOWN_WEIGHT)) for box in gone]
+            news = [(box.runner, box.facts(WorkerState.GONE, box.since, UNKNOWN_WEIGHT)) for box in gone]
         for line in told:
             box = None if self._is_known(line) else self._box_of(line)
             if box is None:
@@ -97,13 +97,13 @@
             box.way = self.link.way(line)
         return box
 
-    def _facts(self, box: Box, line: Line) -> RunnerFacts:
+    def _facts(self, box: Box, line: Line) -> WorkerFacts:
         if not box.runner or line.start != box.started:
             box.since = 0 if line.age_ms is None else max(1, self.loop.clock() - round(line.age_ms * 1e6))
             box.started = line.start
         state = STATES[line.state]
-        if state is State.UP and box.drains and box.drains == line.start:
-            state = State.DRAINING  # its own word is newer than the source's until it has started anew
+        if state is WorkerState.UP and box.drains and box.drains == line.start:
+            state = WorkerState.DRAINING  # its own word is newer than the source's until it has started anew
         return box.facts(state, box.since, line.weight or line.memory_mb or UNKNOWN_WEIGHT)
 
     def forget(self, box: Box) -> None:
@@ -118,7 +118,9 @@
         if box.drains == box.line.start and box.drains:
             return
         box.drains = box.line.start
-        facts = box.facts(State.DRAINING, box.since, box.line.weight or box.line.memory_mb or UNKNOWN_WEIGHT)
+        facts = box.facts(
+            WorkerState.DRAINING, box.since, box.line.weight or box.line.memory_mb or UNKNOWN_WEIGHT
+        )
         if box.line.id in self.members.lines:
             self.loop.decide(self.loop.border.roster, [(box.runner, facts)], False)
             self.log.info("drains by its own word", runner=box.line.id)
--- a/martenlead/edge/records.py
+++ b/martenlead/edge/records.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from martenlead.edge.client import ClientConnection
-from martenlead.policy.types import Customer, HandOff, Offering, RunnerFacts, Settings, State, Task
+from martenlead.policy.types import Attempt, Request, RequestClass, Settings, Tenant, WorkerFacts, WorkerState
 from martenlead.runnerlink.roster import Line
 
 
@@ -72,7 +72,7 @@
         self.wanted, self.arrived = wanted, arrived
         self.client = client
         self.content, self.size = content, size
-        self.task: Task | None = None
+        self.task: Request | None = None
         self.final: Final | None = None
         self.answer: Any = None
         self.wait = 0
@@ -105,12 +105,12 @@
     @property
     def up(self) -> bool:
         """Neither drained nor gone, as far as it was told: what has waited to be sent there may leave."""
-        return not self.gone and self.runner.facts.state is State.UP
+        return not self.gone and self.runner.facts.state is WorkerState.UP
 
-    def facts(self, state: State, since: int, weight: float) -> RunnerFacts:
+    def facts(self, state: WorkerState, since: int, weight: float) -> WorkerFacts:
         line = self.line
         mark = int.from_bytes(line.id.encode(), "big")
-        return RunnerFacts(mark, line.zone, line.cell, line.memory_mb or 1.0, weight, state, since)
+        return WorkerFacts(mark, line.zone, line.cell, line.memory_mb or 1.0, weight, state, since)
 
 
 class Known:
@@ -128,7 +128,7 @@
 
     __slots__ = ("at", "box", "hand_off", "held", "number")
 
-    def __init__(self, hand_off: HandOff, held: Held, box: Box, number: int) -> None:
+    def __init__(self, hand_off: Attempt, held: Held, box: Box, number: int) -> None:
         self.hand_off, self.held, self.box, self.number = hand_off, held, box, number
         self.at: Any = None
 
@@ -141,8 +141,8 @@
     name: str
     seed: int
     settings: Settings
-    offerings: dict[str, Offering]
-    customers: dict[str, Customer]
+    offerings: dict[str, RequestClass]
+    customers: dict[str, Tenant]
     hard: dict[str, int]
     margin: int
     models: int
--- a/martenlead/emulator/box.py
+++ b/martenlead/emulator/box.py
@@ -16,7 +16,7 @@
 from martenlead.standins.shelf import Copies, Place, Shelf
 
 LOAD_NS = 30_000_000_000
-WARMTH = {b"warm": Warmth.WARM, b"began": Warmth.BEGAN, b"waited": Warmth.WAITED}
+WARMTH = {b"warm": Warmth.WARM, b"began": Warmth.STARTED_LOAD, b"waited": Warmth.AWAITED_LOAD}
 
 
 class VaultFleet(Protocol):
@@ -123,7 +123,7 @@
 
     def arrives(self, sent: Sent) -> None:
         if not self.up:
-            self.fleet.back(sent, Told(Result.UNREACHED, why="refused"))
+            self.fleet.back(sent, Told(Result.UNREACHABLE, why="refused"))
             return
         if not sent.open:
             return
@@ -145,14 +145,14 @@
         self.reports.append((now, report))
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.report_delay:
             self.reports.popleft()
-        warmth = WARMTH.get(copy, Warmth.UNTOLD) if self.part.tells_warm else Warmth.UNTOLD
+        warmth = WARMTH.get(copy, Warmth.UNKNOWN) if self.part.tells_warm else Warmth.UNKNOWN
         return Told(result, warmth, self.draining, why, self.reports[0][1])
 
     def _refuse(self, sent: Sent, status: int, why: str, way: int, copy: bytes = b"") -> None:
         self.record("refused", why=why, way=way)
-        told = self._told(Result.FULL if status == 503 else Result.MISSING, why=why)
+        told = self._told(Result.AT_CAPACITY if status == 503 else Result.FUNCTION_MISSING, why=why)
         if copy:
-            told.warmth = Warmth.LOAD_FAILED if self.part.tells_warm else Warmth.UNTOLD
+            told.warmth = Warmth.LOAD_FAILED if self.part.tells_warm else Warmth.UNKNOWN
         self._answer(sent, told)
 
     def _task(self, sent: Sent, life: int) -> Steps:
@@ -193,7 +193,7 @@
                     record("repeat", way=way)
                     record("answered", way=way)
                     over = True
-                    self._answer(sent, self._told(Result.SATISFIED, b"warm"))
+                    self._answer(sent, self._told(Result.SUCCEEDED, b"warm"))
                     return
             copies, copy, refused = self.enter(
                 held.call.model, offering, float(int(offering.memory_mb)), offering.lanes
@@ -230,7 +230,7 @@
             record("answered", way=way)
             over = True
             garbage = self.garbage and self.chance.random() < self.garbage
-            told = self._told(Result.BROKEN if garbage else Result.SATISFIED, copy)
+            told = self._told(Result.CONNECTION_LOST if garbage else Result.SUCCEEDED, copy)
             self._answer(sent, told)
         finally:
             if not over:
@@ -306,7 +306,7 @@
         drains."""
         kernel = self.kernel
         if not self.up:
-            return Result.UNREACHED, 0, False
+            return Result.UNREACHABLE, 0, False
         if kernel.now < self.deaf_until:
             yield LOAD_NS * 100
         while kernel.now < self.paused_until:
@@ -314,27 +314,27 @@
         self.record("order", runner=self.name, edge=edge.name, model=model, copies=count)
         copies = self.copies.get(model)
         if not count:
-            return Result.SATISFIED, copies.standing if copies else 0, self.draining
+            return Result.SUCCEEDED, copies.standing if copies else 0, self.draining
         if self.draining:
-            return Result.FULL, copies.standing if copies else 0, True
+            return Result.AT_CAPACITY, copies.standing if copies else 0, True
         if copies is None:
             copies = self.known(model, self.fleet.offering_of(model), memory, lanes)
         copies.touched = kernel.now
         failed, life = copies.failed, self.life
         while copies.standing + copies.loading < count:
             if not self.load(copies):
-                return Result.FULL, copies.standing, self.draining
+                return Result.AT_CAPACITY, copies.standing, self.draining
         until = kernel.now + LOAD_NS
         while (
             copies.standing < count and copies.failed == failed and life == self.life and kernel.now < until
         ):
             yield self.changed.setdefault(copies, Signal()), until - kernel.now
         if life != self.life:
-            return Result.BROKEN, 0, False
+            return Result.CONNECTION_LOST, 0, False
         if copies.standing >= count:
-            return Result.SATISFIED, copies.standing, self.draining
+            return Result.SUCCEEDED, copies.standing, self.draining
         no_room = copies.failed != failed and copies.why == "no-room"
-        return Result.FULL if no_room else Result.ERROR, copies.standing, self.draining
+        return Result.AT_CAPACITY if no_room else Result.ERROR, copies.standing, self.draining
 
     # -- life and faults
 
@@ -362,7 +362,7 @@
         for sent in list(self.open):
             if sent.at is not None:
                 self.kernel.cancel(sent.at)
-            self._answer(sent, Told(Result.BROKEN, why="closed"))
+            self._answer(sent, Told(Result.CONNECTION_LOST, why="closed"))
         for changed in self.changed.values():
             self.kernel.come(changed)
         self.changed.clear()
--- a/martenlead/emulator/edge.py
+++ b/martenlead/emulator/edge.py
@@ -29,22 +29,22 @@
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
-    Answer,
-    CallOff,
-    HandOff,
-    ModelFacts,
-    Order,
+    Attempt,
+    AttemptResult,
+    Cancel,
+    Fail,
+    FunctionFacts,
+    LoadRequest,
+    Reject,
+    Request,
     Result,
-    RunnerFacts,
-    Scrap,
-    State,
-    Task,
-    TurnBack,
+    WorkerFacts,
+    WorkerState,
 )
 from martenlead.runnerlink.roster import Line
 from martenlead.standins.demand import Call
 
-STATES = {"up": State.UP, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"up": WorkerState.UP, "draining": WorkerState.DRAINING, "gone": WorkerState.GONE}
 NEVER = 1 << 62
 KEEP = 1_000_000_000  # ns between two savings of what is known
 ASK_WITHIN = 250_000_000  # ns after a start in which copies are asked for
@@ -88,11 +88,11 @@
         self.drains = ""
         self.out = 0
 
-    def facts(self, state: State) -> RunnerFacts:
+    def facts(self, state: WorkerState) -> WorkerFacts:
         line = self.line
         mark = int.from_bytes(line.id.encode(), "big")
         weight = line.weight or line.memory_mb or 1.0
-        return RunnerFacts(mark, line.zone, line.cell, line.memory_mb or 1.0, weight, state, self.since)
+        return WorkerFacts(mark, line.zone, line.cell, line.memory_mb or 1.0, weight, state, self.since)
 
 
 class Edge:
@@ -130,9 +130,9 @@
         self.by_runner: dict[Any, Box] = {}
         self.models: dict[str, Any] = {}
         self.names: dict[Any, str] = {}
-        self.held: dict[Task, Held] = {}
-        self.out: dict[HandOff, Sent] = {}
-        self.off: set[HandOff] = set()
+        self.held: dict[Request, Held] = {}
+        self.out: dict[Attempt, Sent] = {}
+        self.off: set[Attempt] = set()
         self._until = NEVER
         self.gate: Gate | None = None
         self.waiting: dict[Ticket, Exchange] = {}
@@ -234,8 +234,8 @@
             if line.state != "gone":
                 box.line = line
             state = STATES[line.state]
-            if state is State.UP and box.drains and box.drains == line.start:
-                state = State.DRAINING
+            if state is WorkerState.UP and box.drains and box.drains == line.start:
+                state = WorkerState.DRAINING
             facts = box.facts(state)
             if box.runner is None:
                 box.runner = self.border.runner(facts, line.id)
@@ -256,7 +256,7 @@
         if box.drains == box.line.start and box.drains:
             return
         box.drains = box.line.start
-        self.border.roster([(box.runner, box.facts(State.DRAINING))], False)
+        self.border.roster([(box.runner, box.facts(WorkerState.DRAINING))], False)
 
     # -- the door
 
@@ -308,7 +308,7 @@
             call.number,
             int(call.cost_ms) / 1000,
             14,
-            self.kernel.now + self.offerings[offering].soft_limit,
+            self.kernel.now + self.offerings[offering].latency_objective_ns,
             self._give_up(x),
             call.again,
             (call.offering.lanes, float(int(call.offering.memory_mb))),
@@ -374,7 +374,7 @@
         model = self.models.get(name)
         if model is None:
             mark = int.from_bytes(name.encode()[:64], "big")
-            model = self.models[name] = self.border.model(ModelFacts(mark, lanes, memory), name)
+            model = self.models[name] = self.border.model(FunctionFacts(mark, lanes, memory), name)
             self.names[model] = self.fleet.names[model] = name
         return model
 
@@ -383,7 +383,7 @@
         held = x.held = Held(x, ticket)
         model = self._model(call.model, offering.lanes, float(int(offering.memory_mb)))
 
-        def note(task: Task) -> None:
+        def note(task: Request) -> None:
             held.task = task
             self.held[task] = held
 
@@ -437,32 +437,32 @@
     def _outlet(self, action: Action) -> None:
         """Nothing here calls the module back: it is in the middle of deciding."""
         match action:
-            case HandOff(task=task):
+            case Attempt(request=task):
                 self.kernel.soon(self._carry, self.life, self.held[task], action)
-            case TurnBack(task=task, wait=wait):
+            case Reject(request=task, retry_after_ns=wait):
                 held = self.held[task]
                 held.wait = wait
                 self._end(held, "turned back")
-            case Scrap(task=task):
+            case Fail(request=task):
                 self._end(self.held[task], "scrapped")
-            case CallOff(hand_off=hand_off):
+            case Cancel(attempt=hand_off):
                 sent = self.out.get(hand_off)
                 if sent is not None:
                     self._close(sent)
-                    self.kernel.soon(self._heard, self.life, sent, Told(Result.CALLED_OFF, why="called off"))
+                    self.kernel.soon(self._heard, self.life, sent, Told(Result.CANCELLED, why="called off"))
                 elif hand_off.result is None:
                     self.off.add(hand_off)
-            case Order():
+            case LoadRequest():
                 self.kernel.spawn(self._order(action, self.life))
 
     # -- hand-offs and orders
 
-    def _carry(self, life: int, held: Held, hand_off: HandOff) -> None:
+    def _carry(self, life: int, held: Held, hand_off: Attempt) -> None:
         if life != self.life:
             return
-        box = self.by_runner[hand_off.runner]
-        left = hand_off.sent + hand_off.patience - self.kernel.now
-        number = hand_off.task.hand_offs.index(hand_off)
+        box = self.by_runner[hand_off.worker]
+        left = hand_off.sent_ns + hand_off.timeout_ns - self.kernel.now
+        number = hand_off.request.attempts.index(hand_off)
         sent = Sent(self, life, hand_off, held, number, left)
         if hand_off in self.off or left <= 0 or box.out >= self.about.limits.runner_connections:
             self.off.discard(hand_off)
@@ -476,11 +476,11 @@
     def _patience(self, sent: Sent) -> None:
         if sent.open and sent.life == self.life:
             self._close(sent)
-            self._heard(sent.life, sent, Told(Result.SILENT, why="no answer in time"))
+            self._heard(sent.life, sent, Told(Result.NO_RESPONSE, why="no answer in time"))
 
     def _close(self, sent: Sent) -> None:
         sent.open = False
-        at = self.by_runner[sent.hand_off.runner].at
+        at = self.by_runner[sent.hand_off.worker].at
         self.kernel.after(self.fleet.runner_way, at.cut, sent)
 
     def back(self, sent: Sent, told: Told) -> None:
@@ -492,20 +492,20 @@
         if life != self.life:
             return
         hand_off, held = sent.hand_off, sent.held
-        box = self.by_runner[hand_off.runner]
+        box = self.by_runner[hand_off.worker]
         if self.out.pop(hand_off, None) is not None:
             box.out -= 1
         if told.drains:
             self._drains(box)
         self.counts["hand-off", told.result.value] += 1
         if not held.final:
-            held.why = "turned away" if told.result is Result.FULL else told.why or told.result.value
-        first = told.result is Result.SATISFIED and not held.final
+            held.why = "turned away" if told.result is Result.AT_CAPACITY else told.why or told.result.value
+        first = told.result is Result.SUCCEEDED and not held.final
         final = first or bool(held.final)
         if first:
             self._end(held, "satisfied")
-        lag = max(0, self.kernel.now - hand_off.sent)
-        self.border.answered(Answer(hand_off, told.result, final, told.warmth, lag))
+        lag = max(0, self.kernel.now - hand_off.sent_ns)
+        self.border.answered(AttemptResult(hand_off, told.result, final, told.warmth, lag))
         self._rearm()
 
     def fault(self, error: Exception) -> None:
@@ -525,22 +525,22 @@
     def _ask(self, box: Box, model: Any, touched: int, life: int) -> Steps:
         facts = model.facts
         yield self.fleet.runner_way
-        asked = yield from box.at.ordered(self, self.names[model], 0, facts.memory, facts.lanes)
+        asked = yield from box.at.ordered(self, self.names[model], 0, facts.memory_mb, facts.lanes)
         yield self.fleet.runner_way
         if life == self.life:
             self.border.recalled(box.runner, model, asked[0], asked[1], touched)
             self._rearm()
 
-    def _order(self, order: Order, life: int) -> Steps:
-        box, name = self.by_runner[order.runner], self.names[order.model]
-        memory, lanes = order.model.facts.memory, order.model.facts.lanes
+    def _order(self, order: LoadRequest, life: int) -> Steps:
+        box, name = self.by_runner[order.worker], self.names[order.function]
+        memory, lanes = order.function.facts.memory_mb, order.function.facts.lanes
         fleet = self.fleet
         yield fleet.runner_way
         done = Signal()
         told: list[tuple[Result, int, bool]] = []
 
         def steps() -> Steps:
-            told.append((yield from box.at.ordered(self, name, order.copies, memory, lanes)))
+            told.append((yield from box.at.ordered(self, name, order.replicas, memory, lanes)))
             yield fleet.runner_way
             self.kernel.come(done)
 
@@ -548,7 +548,7 @@
         if (yield done, ns(self.about.models.order_limit_ms)):
             result, copies, drains = told[0]
         else:
-            result, copies, drains = Result.SILENT, 0, False
+            result, copies, drains = Result.NO_RESPONSE, 0, False
             self.kernel.cancel(asked)
         if life != self.life:
             return
--- a/martenlead/emulator/messages.py
+++ b/martenlead/emulator/messages.py
@@ -10,7 +10,7 @@
 
 from martenlead.admission.gate import Ticket
 from martenlead.emulator.kernel import Process, Signal
-from martenlead.policy.types import HandOff, Result, Task, Warmth
+from martenlead.policy.types import Attempt, Request, Result, Warmth
 from martenlead.standins.demand import Call, Try
 
 
@@ -39,7 +39,7 @@
         self.exchange, self.ticket = exchange, ticket
         self.call = exchange.call
         self.id, self.name = str(exchange.call.number), exchange.told.name
-        self.task: Task | None = None
+        self.task: Request | None = None
         self.final = ""
         self.wait = 0
         self.why = ""
@@ -60,7 +60,7 @@
 
     edge: Sender
     life: int  # of the edge
-    hand_off: HandOff
+    hand_off: Attempt
     held: Held
     number: int
     left: int
@@ -74,7 +74,7 @@
     """What a runner answers."""
 
     result: Result
-    warmth: Warmth = Warmth.UNTOLD
+    warmth: Warmth = Warmth.UNKNOWN
     drains: bool = False
     why: str = ""
     report: dict[str, float] = field(default_factory=dict)
--- a/martenlead/emulator/policies.py
+++ b/martenlead/emulator/policies.py
@@ -89,19 +89,20 @@
         """All workers, the function's first choice first."""
         return self.state.index.ranked(function.facts.mark)
 
-    def may(self, request: types.Task, worker: Worker, excluded: set[Worker]) -> bool:
+    def may(self, request: types.Request, worker: Worker, excluded: set[Worker]) -> bool:
         """What the rules let it have. Limits are the policy's own decision, except at a warming worker."""
         return (
             worker not in excluded
             and self.outliers.is_usable(worker)
-            and (worker.retry_budget >= 1 or not request.hand_offs)
+            and (worker.retry_budget >= 1 or not request.attempts)
             and self.repeats.may_send(request, worker)
             and (
-                not self.slow_start.is_warming_up(worker) or self.concurrency.has_room(worker, request.spare)
+                not self.slow_start.is_warming_up(worker)
+                or self.concurrency.has_room(worker, request.is_deferrable)
             )
         )
 
-    def some(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+    def some(self, request: types.Request, excluded: set[Worker]) -> Worker | None:
         workers = self.state.workers
         for _ in range(TRIES if workers else 0):
             worker = workers[int(self.state.random() * len(workers))]
@@ -114,14 +115,14 @@
 class RandomChoice(BaselinePlacement):
     """Any worker."""
 
-    def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+    def choose_worker(self, request: types.Request, excluded: set[Worker]) -> Worker | None:
         return self.some(request, excluded)
 
 
 class PowerOfTwo(BaselinePlacement):
     """Of two at random the one with fewer of this dispatcher's requests."""
 
-    def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+    def choose_worker(self, request: types.Request, excluded: set[Worker]) -> Worker | None:
         two = [w for w in (self.some(request, excluded), self.some(request, excluded)) if w is not None]
         return min(two, key=lambda w: w.in_flight, default=None)
 
@@ -129,7 +130,7 @@
 class LeastOutstanding(BaselinePlacement):
     """The one with the fewest of this dispatcher's requests; the first by chance of several."""
 
-    def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+    def choose_worker(self, request: types.Request, excluded: set[Worker]) -> Worker | None:
         able = [w for w in self.state.workers if self.may(request, w, excluded)]
         least = min((w.in_flight for w in able), default=0)
         best = [w for w in able if w.in_flight == least]
@@ -142,10 +143,10 @@
     On the order that the dispatchers share: the first that has no more than a quarter above the mean.
     """
 
-    def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+    def choose_worker(self, request: types.Request, excluded: set[Worker]) -> Worker | None:
         in_flight = sum(w.in_flight for w in self.state.workers) + 1
         bound = BOUND * in_flight / max(1, len(self.state.workers))
-        order: list[Worker] = self.ranked(request.model)
+        order: list[Worker] = self.ranked(request.function)
         for worker in order:
             if worker.in_flight + 1 <= max(1.0, bound) and self.may(request, worker, excluded):
                 return worker
@@ -156,24 +157,24 @@
     """One that sees every worker as it is: the one that would be done with the request first."""
 
     class OraclePlacement(BaselinePlacement):
-        def choose_worker(self, request: types.Task, excluded: set[Worker]) -> Worker | None:
+        def choose_worker(self, request: types.Request, excluded: set[Worker]) -> Worker | None:
             able = [w for w in self.state.workers if self.may(request, w, excluded)]
             return min(able, key=lambda w: self.takes(request, w), default=None)
 
-        def takes(self, request: types.Task, worker: Worker) -> float:
+        def takes(self, request: types.Request, worker: Worker) -> float:
             """s from now."""
             name = worker.facts.mark.to_bytes(200, "big").lstrip(b"\0").decode()
             there = fleet.runners[name]
             if not there.up or there.draining:
                 return 1e9
             part = there.part
-            copies = there.copies.get(fleet.names[request.model])
+            copies = there.copies.get(fleet.names[request.function])
             work = request.cost or 0.1
             speed = part.speed * there.capacity() / there.slow
             beside = there.running + there.waiting + 1
             takes = work * max(1.0, beside / part.cores) / speed
             if copies is None or not (copies.standing or copies.loading):
-                load_ms = fleet.offering_of(fleet.names[request.model]).load_ms
+                load_ms = fleet.offering_of(fleet.names[request.function]).load_ms
                 return takes + load_ms / 1000 * (1 + there.loads)
             if not copies.standing:
                 takes += fleet.offering_of(copies.model).load_ms / 2000
--- a/martenlead/lasting/knowledge.py
+++ b/martenlead/lasting/knowledge.py
@@ -119,7 +119,7 @@
             KnownModel(
                 names[model],
                 model.facts.lanes,
-                model.facts.memory,
+                model.facts.memory_mb,
                 [round(n, 3) for n in model.latency.bins] if model.latency.total else [],
                 model.latency.sum_ns,
                 model.rated_requests + model.new_requests[1],
@@ -193,15 +193,15 @@
 
 def past(
     told: Knowledge, age_ns: int, models: dict[str, Any], runners: dict[str, tuple[Any, str]], window: int
-) -> io.Past:
+) -> io.EarlierRun:
     """For the module: `models` and `runners` are its objects by name, with the runners' present lives."""
     of = {kind: worth(told.change.get(kind, usual), age_ns) for kind, usual in USUAL.items()}
-    return io.Past(
-        rate=told.rate,
-        asked=told.asked,
-        worth=of["demand"],
-        models=[
-            io.PastModel(
+    return io.EarlierRun(
+        succeeded_per_second=told.rate,
+        new_requests_per_second=told.asked,
+        weight=of["demand"],
+        functions=[
+            io.EarlierFunction(
                 models[m.name],
                 m.bins,
                 m.lag,
@@ -215,12 +215,12 @@
             for m in told.models
             if m.name in models
         ],
-        runners=[
-            io.PastRunner(runners[r.name][0], r.width, of["width"])
+        workers=[
+            io.EarlierWorker(runners[r.name][0], r.width, of["width"])
             for r in told.runners
             if r.name in runners and runners[r.name][1] == r.start
         ],
-        orders=[a + age_ns for a in told.orders if a + age_ns < window],
+        load_ages_ns=[a + age_ns for a in told.orders if a + age_ns < window],
     )
 
 
--- a/martenlead/node/door.py
+++ b/martenlead/node/door.py
@@ -272,8 +272,8 @@
         for number, held in client.open.items():
             if about in (number, held.wanted.id):
                 del client.open[number]
-                if held.task is not None and held.task.hand_offs:
-                    client.counted.append(now + held.task.offering.soft_limit)
+                if held.task is not None and held.task.attempts:
+                    client.counted.append(now + held.task.request_class.latency_objective_ns)
                 self.leave(held)
                 return
 
--- a/martenlead/node/lines.py
+++ b/martenlead/node/lines.py
@@ -12,12 +12,12 @@
 LONGEST = 131_072  # bytes of a line
 
 RESULTS = {
-    "DONE": Result.SATISFIED,
-    "LACK": Result.MISSING,
-    "WAIT": Result.FULL,
+    "DONE": Result.SUCCEEDED,
+    "LACK": Result.FUNCTION_MISSING,
+    "WAIT": Result.AT_CAPACITY,
     "BROKE": Result.ERROR,
     # its time was over before it was begun, which proves that it did not run and that the runner is alive
-    "PAST": Result.FULL,
+    "PAST": Result.AT_CAPACITY,
 }
 """Answer words. Ends without one: a connection that never came up is UNREACHED and a line that was never
 written NOT_SENT, both of which prove that nothing ran; a connection that ended or brought what cannot be read
@@ -25,8 +25,8 @@
 
 WARMTH = {
     "resident": Warmth.WARM,
-    "booted": Warmth.BEGAN,
-    "rode": Warmth.WAITED,
+    "booted": Warmth.STARTED_LOAD,
+    "rode": Warmth.AWAITED_LOAD,
     "boot_error": Warmth.LOAD_FAILED,
 }
 
--- a/martenlead/node/runners.py
+++ b/martenlead/node/runners.py
@@ -189,8 +189,8 @@
             self.stale.discard(word.txn)
             return  # nobody waits for it any more, or nobody ever asked
         result = lines.RESULTS.get(word.word, Result.ERROR)
-        warmth = lines.WARMTH.get(word.why, Warmth.UNTOLD)
-        content = word.raw if result is Result.SATISFIED else None
+        warmth = lines.WARMTH.get(word.why, Warmth.UNKNOWN)
+        content = word.raw if result is Result.SUCCEEDED else None
         self._free(bool(self.open))
         sent.told(Heard(result, warmth, content=content, why=word.word, copies=word.copies))
 
@@ -213,7 +213,7 @@
         self.open.clear()
         if transport is not None:
             transport.abort() if why else transport.close()
-        result = Result.UNREACHED if transport is None else Result.BROKEN
+        result = Result.UNREACHABLE if transport is None else Result.CONNECTION_LOST
         for sent in opened:
             sent.told(Heard(result, why=why))
 
@@ -307,7 +307,7 @@
             if out not in self._deferred:
                 continue  # called off by what was read
             del self._deferred[out]
-            why = why_late(out.held, out.box, out.hand_off.begin_by, self.clock())
+            why = why_late(out.held, out.box, out.hand_off.begin_by_ns, self.clock())
             if why:
                 self.dispatcher.ended(out, Heard(Result.NOT_SENT, why=why))
             else:
@@ -319,7 +319,7 @@
         hand_off, call = out.hand_off, out.held.content
         assert isinstance(call, Call)
         now = self.clock()
-        left = hand_off.patience + hand_off.sent - now
+        left = hand_off.timeout_ns + hand_off.sent_ns - now
         if left <= 0:
             self.dispatcher.ended(out, Heard(Result.NOT_SENT, why="the time was over before it was sent"))
             return
@@ -330,7 +330,7 @@
         def told(heard: Heard) -> None:
             self.dispatcher.ended(out, heard)
 
-        begin_by = hand_off.begin_by
+        begin_by = hand_off.begin_by_ns
         sent = out.at = Sent(call.id, out.box, out.held, now + left, overdue, line, told, begin_by)
         self._send(sent, call.met)
 
@@ -344,7 +344,7 @@
         if sent is None or conn is None or conn.open.get(sent.txn) is not sent:
             return  # its end is on its way
         ran = conn.take_back(sent)
-        result = Result.CALLED_OFF if ran else Result.NOT_SENT
+        result = Result.CANCELLED if ran else Result.NOT_SENT
         sent.told(Heard(result, why="called off"))
 
     def order(self, box: Box, known: Known, copies: int, told: Callable[[Heard], None]) -> None:
@@ -444,5 +444,5 @@
             if self._waits(sent):
                 assert sent.conn is not None
                 ran = sent.conn.take_back(sent)
-                sent.told(Heard(Result.SILENT if ran else Result.UNREACHED, why="no answer in time"))
+                sent.told(Heard(Result.NO_RESPONSE if ran else Result.UNREACHABLE, why="no answer in time"))
         self._arm()
--- a/martenlead/node/serve.py
+++ b/martenlead/node/serve.py
@@ -54,7 +54,7 @@
         self.told = told = config.read(path)
         now = clock()
         sockets = max(16, told.limits.sockets - OWN)
-        soft = {name: o.soft_limit for name, o in told.about.offerings.items()}
+        soft = {name: o.latency_objective_ns for name, o in told.about.offerings.items()}
         self.link = RunnerLink(told.conn, sockets // 2, soft, now)
         self.source = JournalSource(told.about.name, told.journal, told.known, told.places)
         self.dispatcher = Dispatcher(told.about, self.link, self.source, now)
--- a/martenlead/planner/edgeside.py
+++ b/martenlead/planner/edgeside.py
@@ -21,7 +21,7 @@
 from martenlead.planner.link import Broken, EdgeEnd, Limits
 from martenlead.planner.snapshot import take
 from martenlead.policy.policy import Policy
-from martenlead.policy.types import Customer, ModelFacts, RunnerFacts, Settings
+from martenlead.policy.types import FunctionFacts, Settings, Tenant, WorkerFacts
 
 LOOK = 50_000_000  # ns between two looks at who decides
 GONE = (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
@@ -39,7 +39,7 @@
         self.started: ev.Start | None = None
 
     def start(
-        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Customer]
+        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Tenant]
     ) -> None:
         found: list[Any] = []
         sink = self.sink
@@ -48,12 +48,12 @@
         self.sink = sink
         (self.started,) = found
 
-    def runner(self, t: int, runner: Any, facts: RunnerFacts, name: str) -> None:
+    def runner(self, t: int, runner: Any, facts: WorkerFacts, name: str) -> None:
         self.by_number[0].append(runner)
         self.names[0][runner] = name
         super().runner(t, runner, facts, name)
 
-    def model(self, t: int, model: Any, facts: ModelFacts, name: str) -> None:
+    def model(self, t: int, model: Any, facts: FunctionFacts, name: str) -> None:
         self.by_number[1].append(model)
         self.names[1][model] = name
         super().model(t, model, facts, name)
--- a/martenlead/planner/mirror.py
+++ b/martenlead/planner/mirror.py
@@ -18,7 +18,7 @@
 from martenlead.planner.snapshot import Restored
 from martenlead.policy.engine import Engine
 from martenlead.policy.policy import Policy
-from martenlead.policy.types import Action, Answer, Order, Result, Warmth
+from martenlead.policy.types import Action, AttemptResult, LoadRequest, Result, Warmth
 
 DRIFT = 100e-6  # that two clocks may differ by, as a part: the least way is believed for so long
 
@@ -61,8 +61,8 @@
         """`numbers` gives a new number to each order."""
         self.numbers = numbers
         self.decided = Decided()
-        self.orders: dict[int, Order] = {}  # own, by number, until they have ended
-        self._given: dict[int, Order] = {}  # by the edge's number
+        self.orders: dict[int, LoadRequest] = {}  # own, by number, until they have ended
+        self._given: dict[int, LoadRequest] = {}  # by the edge's number
         self._carried: int | None = None  # the own order that the edge has just taken up
         self.tasks_seen = 0
         try:
@@ -77,10 +77,10 @@
         self.engine.begin()
 
     def _outlet(self, action: Action) -> None:
-        if isinstance(action, Order):
+        if isinstance(action, LoadRequest):
             number = self.numbers()
             self.orders[number] = action
-            told = number, self._numbers_of[action.runner], self._models_of[action.model]
+            told = number, self._numbers_of[action.worker], self._models_of[action.function]
             self.decided.orders.append(told)
 
     def _holds(self, models: Iterable[Any]) -> set[tuple[int, int]]:
@@ -138,7 +138,7 @@
                     self._outlet(action)
                     orders += 1
                 if orders:
-                    self._note_held([task.model])
+                    self._note_held([task.function])
             case ev.HandedOff():
                 task = all_.tasks[event.task]
                 policy.attempts.begin_attempt(
@@ -146,19 +146,19 @@
                 )
             case ev.Answered():
                 found = all_.tasks.get(event.task)
-                if found is None or event.hand_off >= len(found.hand_offs):
+                if found is None or event.hand_off >= len(found.attempts):
                     return  # of a task that was over when the state was written
-                hand_off = found.hand_offs[event.hand_off]
+                hand_off = found.attempts[event.hand_off]
                 if hand_off.result is None:
                     result, warmth = Result(event.result), Warmth(event.warmth)
-                    policy.record_result(Answer(hand_off, result, event.final, warmth, event.lag))
-                if found.process == "closed" and all(h.result is not None for h in found.hand_offs):
+                    policy.record_result(AttemptResult(hand_off, result, event.final, warmth, event.lag))
+                if found.process == "closed" and all(h.result is not None for h in found.attempts):
                     del all_.tasks[event.task]
             case ev.Closed():
                 found = all_.tasks.get(event.task)
                 if found is not None:
                     found.process = "closed"
-                    if all(h.result is not None for h in found.hand_offs):
+                    if all(h.result is not None for h in found.attempts):
                         del all_.tasks[event.task]
             case ev.NewRunner():
                 facts = ev.facts_of(event.facts)
@@ -181,7 +181,7 @@
                 order = self._given.pop(number, None)
                 if order is not None:
                     policy.record_load_end(order, Result(result), copies)
-                    self._note_held([order.model])
+                    self._note_held([order.function])
             case ev.Recalled(result=result, copies=copies, touched=touched):
                 told = all_.runners[event.runner], all_.models[event.model]
                 self.engine.recall(*told, Result(result), copies, touched)
@@ -200,9 +200,9 @@
         """The edge's ration, or its word on a drain, is ahead of what is known here."""
         order = self.orders.pop(number, None)
         if order is not None:
-            stands = self.policy.state.replica(order.model, order.runner).is_loaded
-            self.policy.record_load_end(order, Result.FULL, int(stands))
-            self._note_held([order.model])
+            stands = self.policy.state.replica(order.function, order.worker).is_loaded
+            self.policy.record_load_end(order, Result.AT_CAPACITY, int(stands))
+            self._note_held([order.function])
 
     # -- time
 
@@ -237,7 +237,7 @@
             r, m = self.all.runners[runner], self.all.models[model]
             copy = m.replicas[r]
             used = self.policy.state.now_ns - copy.last_used_ns
-            found.append((self.all.names[r], self.all.names[m], m.facts.lanes, m.facts.memory, used))
+            found.append((self.all.names[r], self.all.names[m], m.facts.lanes, m.facts.memory_mb, used))
         return found
 
 
--- a/martenlead/planner/snapshot.py
+++ b/martenlead/planner/snapshot.py
@@ -14,7 +14,7 @@
 from martenlead.capture import events as ev
 from martenlead.policy.latency import LatencyHistogram
 from martenlead.policy.policy import Policy
-from martenlead.policy.types import Customer, HandOff, Result, Settings, Task
+from martenlead.policy.types import Attempt, Request, Result, Settings, Tenant
 
 NUMBERS = (int, float, bool)
 NOT_OURS = {"now_ns"}  # made anew by whoever reads
@@ -125,8 +125,8 @@
     start: ev.Start,
     runners: Mapping[Any, int],
     models: Mapping[Any, int],
-    tasks: Mapping[Task, int],
-    customers: Mapping[Customer, int],
+    tasks: Mapping[Request, int],
+    customers: Mapping[Tenant, int],
     names: tuple[Mapping[Any, str], Mapping[Any, str]],
     most: int = 1 << 30,
 ) -> dict[str, Any]:
@@ -134,7 +134,7 @@
     models `most` are written: those with copies that are held, and then those that were asked for most."""
     lively = [m for m in policy.state.functions if m.replicas or m.new_requests[1] or m.rated_requests >= 1]
     if len(lively) > most:
-        out = {t.model for t in tasks}
+        out = {t.function for t in tasks}
         weight = {
             f: (any(r.is_held for r in f.replicas.values()), f in out, f.rated_requests + f.new_requests[1])
             for f in lively
@@ -160,7 +160,7 @@
                 names[1][m],
                 f"{m.facts.mark:x}",
                 m.facts.lanes,
-                m.facts.memory,
+                m.facts.memory_mb,
                 fields_of(m, FUNCTION_NAMES),
                 runners[m.home] if m.home is not None else -1,
                 [[runners[r], fields_of(c, REPLICA_NAMES)] for r, c in m.replicas.items()],
@@ -170,21 +170,24 @@
         "tasks": [
             [
                 n,
-                models[t.model],
-                offerings[id(t.offering)],
-                customers[t.customer] if t.customer is not None else -1,
-                t.give_up,
-                t.again,
+                models[t.function],
+                offerings[id(t.request_class)],
+                customers[t.tenant] if t.tenant is not None else -1,
+                t.deadline_ns,
+                t.is_retry,
                 t.cost,
-                [[runners[h.runner], h.patience, h.sent, h.expected, _result(h)] for h in t.hand_offs],
+                [
+                    [runners[h.worker], h.timeout_ns, h.sent_ns, h.expects_warm, _result(h)]
+                    for h in t.attempts
+                ],
             ]
             for t, n in tasks.items()
-            if t.model in written and any(h.result is None for h in t.hand_offs)
+            if t.function in written and any(h.result is None for h in t.attempts)
         ],
     }
 
 
-def _result(hand_off: HandOff) -> str:
+def _result(hand_off: Attempt) -> str:
     return hand_off.result.value if hand_off.result is not None else ""
 
 
@@ -196,10 +199,10 @@
         self.settings = settings or ev.settings_of(state["settings"])
         self.policy = policy = Policy(self.settings, int(state["seed"]))
         policy.state.now_ns = now
-        self.customers = [Customer(float(quota)) for _, quota in state["customers"]]
+        self.customers = [Tenant(float(quota)) for _, quota in state["customers"]]
         self.runners: dict[int, Any] = {}
         self.models: dict[int, Any] = {}
-        self.tasks: dict[int, Task] = {}
+        self.tasks: dict[int, Request] = {}
         self.names: dict[Any, str] = {}
         listed, facts = [], {}
         for number, name, packed, on, _ in state["runners"]:
@@ -227,7 +230,7 @@
             task = self.task(number, m, offering, customer, give_up, again, cost)
             for at, patience, sent, expected, result in hand_offs:
                 done = Result(result) if result else None
-                task.hand_offs.append(HandOff(task, self.runners[at], patience, sent, expected, done))
+                task.attempts.append(Attempt(task, self.runners[at], patience, sent, expected, done))
 
     def model(self, event: ev.NewModel) -> Any:
         model = self.models[event.model] = self.policy.new_function(ev.model_facts(event))
@@ -236,8 +239,8 @@
 
     def task(
         self, number: int, model: int, offering: int, customer: int, give_up: int, again: bool, cost: float
-    ) -> Task:
+    ) -> Request:
         who = self.customers[customer] if customer >= 0 else None
-        task = Task(self.models[model], self.settings.offerings[offering], who, give_up, again, cost)
+        task = Request(self.models[model], self.settings.offerings[offering], who, give_up, again, cost)
         self.tasks[number] = task
         return task
--- a/martenlead/policy/attempts.py
+++ b/martenlead/policy/attempts.py
@@ -17,7 +17,18 @@
 from martenlead.policy.replica_scaling import ReplicaScaling
 from martenlead.policy.state import Function, State, Worker
 from martenlead.policy.tenant_shares import TenantShares
-from martenlead.policy.types import Action, CallOff, HandOff, Result, Scrap, Steps, Task, TurnBack, Wait
+from martenlead.policy.types import (
+    Action,
+    Attempt,
+    AttemptResult,
+    Cancel,
+    Fail,
+    Reject,
+    Request,
+    Result,
+    Steps,
+    Wait,
+)
 
 ERRORS_LIMIT = 2  # workers where a request ended in an error: it would at the others too
 DEADLINE_MARGIN_TICKS = 3  # a final response has to be out, and not only decided, by the deadline
@@ -48,40 +59,40 @@
 
     # -- a request from end to end
 
-    def handle(self, request: Task) -> Steps:
+    def handle(self, request: Request) -> Steps:
         """Attempts until one succeeds or nothing is left to do, then the final response."""
         state, settings = self.state, self.state.settings
         yield from self.count_request(request)
-        last_ns = request.give_up - DEADLINE_MARGIN_TICKS * settings.tick
+        last_ns = request.deadline_ns - DEADLINE_MARGIN_TICKS * settings.tick
         tried: set[Worker] = set()
         while (worker := self._next_worker(request, tried, last_ns)) is not None:
-            if request.hand_offs:
+            if request.attempts:
                 retry_budget.spend_retry(worker)
             tried.add(worker)
             if not settings.loads_on_miss:
-                yield from self._load_first(request.model, worker)
+                yield from self._load_first(request.function, worker)
             attempt = self.begin_attempt(request, worker, last_ns)
             yield attempt
             while attempt.result is None and state.now_ns <= last_ns:  # never waits on past the deadline
                 overdue_ns = state.now_ns + self._patience_ns(request)
-                answer = yield Wait(min(last_ns + settings.tick, overdue_ns))
-                if answer is not None and answer.final:
+                answer: AttemptResult | None = yield Wait(min(last_ns + settings.tick, overdue_ns))
+                if answer is not None and answer.is_final:
                     return
                 if answer is None and self._is_lost(attempt):
                     if settings.twice_out:
                         break
                     if settings.call_off:
-                        yield CallOff(attempt)
-        while any(a.result is None for a in request.hand_offs):
+                        yield Cancel(attempt)
+        while any(a.result is None for a in request.attempts):
             answer = yield Wait(last_ns + settings.tick)
-            if answer is None or answer.final:
+            if answer is None or answer.is_final:
                 break
-        if not any(a.result is Result.SATISFIED for a in request.hand_offs):
+        if not any(a.result is Result.SUCCEEDED for a in request.attempts):
             yield self._give_up(request)
 
-    def _next_worker(self, request: Task, tried: set[Worker], last_ns: int) -> Worker | None:
+    def _next_worker(self, request: Request, tried: set[Worker], last_ns: int) -> Worker | None:
         """None where no further attempt is to be made."""
-        attempts = request.hand_offs
+        attempts = request.attempts
         if self.state.now_ns >= last_ns or len(attempts) >= self.state.settings.hand_offs:
             return None
         if sum(a.result is Result.ERROR for a in attempts) >= ERRORS_LIMIT:
@@ -98,40 +109,42 @@
         if not is_there and self.load_budget.allows(worker):
             yield self.scaling.request_load(replica)
 
-    def _patience_ns(self, request: Task) -> int:
+    def _patience_ns(self, request: Request) -> int:
         """How long an attempt may take before it is asked whether it is lost."""
-        usual_ns: int = request.model.latency.quantile(OVERDUE_QUANTILE)
-        return max(request.offering.soft_limit // 2, OVERDUE_TIMES * usual_ns)
+        usual_ns: int = request.function.latency.quantile(OVERDUE_QUANTILE)
+        return max(request.request_class.latency_objective_ns // 2, OVERDUE_TIMES * usual_ns)
 
-    def _is_lost(self, attempt: HandOff) -> bool:
+    def _is_lost(self, attempt: Attempt) -> bool:
         """Whether an overdue attempt is one for a retry: its worker has not said a word since."""
-        is_quiet = attempt.expected and attempt.runner.last_heard_ns < attempt.sent
-        return bool(is_quiet) and len(attempt.task.hand_offs) < self.state.settings.hand_offs
+        is_quiet = attempt.expects_warm and attempt.worker.last_heard_ns < attempt.sent_ns
+        return bool(is_quiet) and len(attempt.request.attempts) < self.state.settings.hand_offs
 
-    def _give_up(self, request: Task) -> TurnBack | Scrap:
+    def _give_up(self, request: Request) -> Reject | Fail:
         if not self.repeats.may_reject(request):
-            return Scrap(request)
-        return TurnBack(request, min(self.state.settings.turn_back_wait, request.offering.soft_limit // 2))
+            return Fail(request)
+        return Reject(
+            request, min(self.state.settings.turn_back_wait, request.request_class.latency_objective_ns // 2)
+        )
 
     # -- its parts
 
-    def count_request(self, request: Task) -> Steps:
+    def count_request(self, request: Request) -> Steps:
         """Counts it in all rates.
 
         A rate above Rmax runs the check at once.
         """
-        state, function = self.state, request.model
+        state, function = self.state, request.function
         self.load_budget.record_request()
         state.note_request(function)
         function.requests += 1
         function.mean_cost += (request.cost - function.mean_cost) / min(function.requests, COST_REQUESTS)
         function.last_request_ns = state.now_ns
-        request.spare = request.again or self.tenant_shares.is_over(request.customer)
-        if request.customer:
-            self.tenant_shares.record_request(request.customer)
+        request.is_deferrable = request.is_retry or self.tenant_shares.is_over(request.tenant)
+        if request.tenant:
+            self.tenant_shares.record_request(request.tenant)
         if state.now_ns - function.second_start_ns > SECOND:
             function.new_requests[0], function.second_start_ns = 0, state.now_ns
-        if not request.spare:
+        if not request.is_deferrable:
             function.new_requests = [count + 1 for count in function.new_requests]
             state.traffic.new_requests_in_period += 1
         if self._is_burst(function):
@@ -146,12 +159,12 @@
         capacity = function.capacity_per_second
         return not capacity or sure * self.state.traffic.equivalent_dispatchers > capacity
 
-    def begin_attempt(self, request: Task, worker: Worker, last_ns: int) -> HandOff:
+    def begin_attempt(self, request: Request, worker: Worker, last_ns: int) -> Attempt:
         """Counts an attempt as in flight.
 
         It has to end by `last_ns`.
         """
-        state, function = self.state, request.model
+        state, function = self.state, request.function
         replica = state.replica(function, worker)
         worker.in_flight += 1
         replica.in_flight += 1
@@ -160,22 +173,22 @@
         self.concurrency.record_attempt(worker)
         by_ns = self.repeats.begin_by_ns(request)
         is_warm = int(state.is_warm(replica))
-        attempt = HandOff(request, worker, last_ns - state.now_ns, state.now_ns, is_warm, begin_by=by_ns)
+        attempt = Attempt(request, worker, last_ns - state.now_ns, state.now_ns, is_warm, begin_by_ns=by_ns)
         if not replica.is_loaded and not replica.load_requested_ns:
             replica.load_requested_ns = state.now_ns
-        worker.warm_in_flight += attempt.expected
-        state.warm_in_flight += attempt.expected
-        request.hand_offs.append(attempt)
+        worker.warm_in_flight += attempt.expects_warm
+        state.warm_in_flight += attempt.expects_warm
+        request.attempts.append(attempt)
         return attempt
 
-    def close(self, request: Task, is_cancelled: bool) -> list[Action]:
+    def close(self, request: Request, is_cancelled: bool) -> list[Action]:
         """A request that is over leaves nothing waiting.
 
         Where its client left with its one attempt in flight, that may end: a worker goes on with most of
         what is cancelled, and would be taken for free meanwhile.
         """
-        if is_cancelled and request.hand_offs:
-            self.load_budget.withdraw_request(request.hand_offs[0].sent)
+        if is_cancelled and request.attempts:
+            self.load_budget.withdraw_request(request.attempts[0].sent_ns)
         if is_cancelled or not self.state.settings.call_off:
             return []
-        return [CallOff(attempt) for attempt in request.hand_offs if attempt.result is None]
+        return [Cancel(attempt) for attempt in request.attempts if attempt.result is None]
--- a/martenlead/policy/candidates.py
+++ b/martenlead/policy/candidates.py
@@ -48,13 +48,13 @@
     def add(self, worker: Any) -> None:
         insort(self.workers, worker, key=lambda w: w.facts.mark)
         self._leaves.setdefault(self._leaf(worker), []).append(worker)
-        self._changed(worker, worker.facts.memory)
+        self._changed(worker, worker.facts.memory_mb)
 
     def remove(self, worker: Any) -> None:
         at = bisect_left(self.workers, worker.facts.mark, key=lambda w: w.facts.mark)
         del self.workers[self.workers.index(worker, at)]
         self._leaves[self._leaf(worker)].remove(worker)
-        self._changed(worker, -worker.facts.memory)
+        self._changed(worker, -worker.facts.memory_mb)
 
     def _leaf(self, worker: Any) -> int:
         return LEAVES + digest(worker.facts.mark) % LEAVES
--- a/martenlead/policy/earlier_run.py
+++ b/martenlead/policy/earlier_run.py
@@ -8,29 +8,31 @@
 
 from martenlead.policy.load_budget import LoadBudget
 from martenlead.policy.state import Function, State
-from martenlead.policy.types import Past, PastModel
+from martenlead.policy.types import EarlierFunction, EarlierRun
 
 
-def restore(state: State, load_budget: LoadBudget, past: Past) -> None:
+def restore(state: State, load_budget: LoadBudget, past: EarlierRun) -> None:
     """Once, before the first request."""
     traffic = state.traffic
-    traffic.succeeded_per_second = max(traffic.succeeded_per_second, past.rate * past.worth)
-    traffic.new_requests_per_second = max(traffic.new_requests_per_second, past.asked * past.worth)
-    given = sorted((state.now_ns - age for age in past.orders), reverse=True)
+    traffic.succeeded_per_second = max(traffic.succeeded_per_second, past.succeeded_per_second * past.weight)
+    traffic.new_requests_per_second = max(
+        traffic.new_requests_per_second, past.new_requests_per_second * past.weight
+    )
+    given = sorted((state.now_ns - age for age in past.load_ages_ns), reverse=True)
     load_budget.load_times_ns.extendleft(given)
-    for known in past.models:
+    for known in past.functions:
         _restore_function(state, known)
-    for one in past.runners:
+    for one in past.workers:
         # a worker that was slow then is found slow again; one that is not must not be starved for it
-        wider = max(0.0, one.width - one.runner.concurrency_limit)
-        one.runner.concurrency_limit += wider * one.worth
+        wider = max(0.0, one.concurrency_limit - one.worker.concurrency_limit)
+        one.worker.concurrency_limit += wider * one.weight
 
 
-def _restore_function(state: State, known: PastModel) -> None:
-    function: Function = known.model
-    function.latency.blend(known.bins, known.lag, known.latency_worth)
-    function.rated_requests += known.tasks * known.demand_worth
-    function.rated_span_ns += int(known.span * known.demand_worth)
-    if known.gap and not function.requests:
-        function.requests, function.last_request_ns = 2, state.now_ns - known.idle
-        function.first_request_ns = function.last_request_ns - known.gap
+def _restore_function(state: State, known: EarlierFunction) -> None:
+    function: Function = known.function
+    function.latency.blend(known.bins, known.latency_sum_ns, known.latency_weight)
+    function.rated_requests += known.requests * known.demand_weight
+    function.rated_span_ns += int(known.span_ns * known.demand_weight)
+    if known.mean_gap_ns and not function.requests:
+        function.requests, function.last_request_ns = 2, state.now_ns - known.idle_ns
+        function.first_request_ns = function.last_request_ns - known.mean_gap_ns
--- a/martenlead/policy/engine.py
+++ b/martenlead/policy/engine.py
@@ -11,7 +11,16 @@
 from typing import Any
 
 from martenlead.policy.policy import Policy
-from martenlead.policy.types import Action, Answer, Order, Past, Result, Steps, Task, Wait
+from martenlead.policy.types import (
+    Action,
+    AttemptResult,
+    EarlierRun,
+    LoadRequest,
+    Request,
+    Result,
+    Steps,
+    Wait,
+)
 
 
 class Process:
@@ -36,18 +45,18 @@
         for steps in self.policy.background():
             self._resume(Process(steps), None)
 
-    def take(self, task: Task) -> None:
+    def take(self, task: Request) -> None:
         task.process = Process(self.policy.handle_request(task))
         self._resume(task.process, None)
 
-    def answered(self, answer: Answer) -> None:
+    def answered(self, answer: AttemptResult) -> None:
         self.policy.record_result(answer)
-        self._resume(answer.hand_off.task.process, answer)
+        self._resume(answer.attempt.request.process, answer)
 
-    def ordered(self, order: Order, result: Result, copies: int) -> None:
+    def ordered(self, order: LoadRequest, result: Result, copies: int) -> None:
         self.policy.record_load_end(order, result, copies)
 
-    def room(self, task: Task) -> Any:
+    def room(self, task: Request) -> Any:
         """The runner that the module would hand this task to now, None where there is none. It is asked as a
         task asks it, and nothing is begun."""
         return self.policy.placement.choose_worker(task, set())
@@ -56,7 +65,7 @@
         """What another instance of the module decided for this one: whether a copy is held."""
         self.policy.state.replica(model, runner).is_held = held
 
-    def carry(self, runner: Any, model: Any) -> Order | None:
+    def carry(self, runner: Any, model: Any) -> LoadRequest | None:
         """An order that another instance of the module decided on. Whether it may be given is asked of this
         one, which counts all orders whoever decided on them: None where it may not."""
         if not self.policy.load_budget.allows(runner):
@@ -67,17 +76,17 @@
         self.outlet(order)
         return order
 
-    def remember(self, past: Past) -> None:
+    def remember(self, past: EarlierRun) -> None:
         self.policy.restore(past)
 
     def recall(self, runner: Any, model: Any, result: Result, copies: int, touched: int) -> None:
         """The answer to an ask for a copy that was held before this instance began."""
-        self.policy.record_load_end(Order(runner, model, 0), result, copies)
+        self.policy.record_load_end(LoadRequest(runner, model, 0), result, copies)
         copy = self.policy.state.replica(model, runner)
         if copy.is_loaded:
             copy.is_held, copy.last_used_ns = True, max(copy.last_used_ns, touched)
 
-    def closed(self, task: Task) -> None:
+    def closed(self, task: Request) -> None:
         left = task.process.alive  # before the module was done with it
         if left:
             task.process.alive = False
@@ -100,7 +109,7 @@
     def _waiting(entry: tuple[int, int, Process, int]) -> bool:
         return entry[2].alive and entry[2].turn == entry[3]
 
-    def _resume(self, process: Process, value: Answer | None) -> None:
+    def _resume(self, process: Process, value: AttemptResult | None) -> None:
         if not process.alive:
             return
         process.turn += 1
@@ -113,4 +122,4 @@
             process.alive = False
             return
         self._count += 1
-        heappush(self._due, (action.until, self._count, process, process.turn))
+        heappush(self._due, (action.until_ns, self._count, process, process.turn))
--- a/martenlead/policy/load_budget.py
+++ b/martenlead/policy/load_budget.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 from martenlead.policy.state import State, Worker
-from martenlead.policy.types import Order
+from martenlead.policy.types import LoadRequest
 
 NEW_REPLICAS_SHARE = 0.4  # of the budget: renewals need the rest, and the artifact store its peace
 
@@ -21,7 +21,7 @@
         self.state = state
         self.request_times_ns: deque[int] = deque()
         self.load_times_ns: deque[int] = deque()  # when given, or arrived at the latest
-        self.loads_in_flight: dict[Order, int] = {}  # since when: they may arrive at any time
+        self.loads_in_flight: dict[LoadRequest, int] = {}  # since when: they may arrive at any time
 
     def allows(self, worker: Worker, share: float = 1.0) -> bool:
         """Whether a load request may go to this worker now, within that share of the budget and by rule 3."""
@@ -58,13 +58,13 @@
         if taken_ns in self.request_times_ns:
             self.request_times_ns.remove(taken_ns)
 
-    def record_load(self, load: Order) -> None:
+    def record_load(self, load: LoadRequest) -> None:
         """A load request is given."""
         if self.state.settings.ration_window:
             self.loads_in_flight[load] = self.state.now_ns
             self.load_times_ns.append(self.state.now_ns)
 
-    def record_load_end(self, load: Order) -> None:
+    def record_load_end(self, load: LoadRequest) -> None:
         """A load request has ended.
 
         Answered or not, it may have arrived as late as now: its worker was cut off.
--- a/martenlead/policy/outliers.py
+++ b/martenlead/policy/outliers.py
@@ -8,10 +8,10 @@
 
 from martenlead.policy.latency import MILLISECOND, SECOND
 from martenlead.policy.state import State, Worker
-from martenlead.policy.types import HandOff, Offering, Result
+from martenlead.policy.types import Attempt, RequestClass, Result
 
-WORKER_ERRORS = frozenset({Result.ERROR, Result.BROKEN})  # the worker's fault, or else the request's
-NOT_REACHED = frozenset({Result.UNREACHED, Result.BROKEN})
+WORKER_ERRORS = frozenset({Result.ERROR, Result.CONNECTION_LOST})  # the worker's fault, or else the request's
+NOT_REACHED = frozenset({Result.UNREACHABLE, Result.CONNECTION_LOST})
 UNANSWERED_LIMIT = 2  # attempts in a row without any word: one may be lost by chance
 TRIAL_INTERVAL = SECOND  # between two attempts at an ejected worker
 SILENT_OBJECTIVES = 2  # latency objectives without any word, with attempts in flight
@@ -41,7 +41,7 @@
         quiet_ns = now - max(worker.last_heard_ns, worker.overdue_since_ns)
         return worker.in_flight > 0 and quiet_ns > SILENT_OBJECTIVES * self.state.shortest_objective_ns
 
-    def is_failing(self, worker: Worker, request_class: Offering | None = None) -> bool:
+    def is_failing(self, worker: Worker, request_class: RequestClass | None = None) -> bool:
         """Whether too many responses, of this class or of any, were errors.
 
         What fails at once stands idle and looks the least busy, so that it would draw ever more requests.
@@ -61,16 +61,16 @@
         worker.unanswered_in_a_row += 1
         worker.overdue_since_ns = self.state.now_ns
 
-    def record_response(self, attempt: HandOff, is_error: bool) -> None:
+    def record_response(self, attempt: Attempt, is_error: bool) -> None:
         """Notes whose fault an error is: of a request that fails at a second worker too, the request's."""
-        request, worker = attempt.task, attempt.runner
-        earlier = [a for a in request.hand_offs if a.result in WORKER_ERRORS and a is not attempt]
-        share = worker.error_shares.get(request.offering, 0.0)
+        request, worker = attempt.request, attempt.worker
+        earlier = [a for a in request.attempts if a.result in WORKER_ERRORS and a is not attempt]
+        share = worker.error_shares.get(request.request_class, 0.0)
         if is_error and not earlier and self.state.now_ns < worker.last_error_ns + SAME_MOMENT:
             return  # a client that sends what nobody can use sends much of it
         if not is_error or not earlier:
-            worker.error_shares[request.offering] = share + (is_error - share) * ERROR_WEIGHT
+            worker.error_shares[request.request_class] = share + (is_error - share) * ERROR_WEIGHT
             worker.last_error_ns = self.state.now_ns if is_error else worker.last_error_ns
-        elif len(earlier) == 1 and earlier[0].runner is not worker:
-            first = earlier[0].runner.error_shares
-            first[request.offering] = max(0.0, first.get(request.offering, 0.0) - ERROR_WEIGHT)
+        elif len(earlier) == 1 and earlier[0].worker is not worker:
+            first = earlier[0].worker.error_shares
+            first[request.request_class] = max(0.0, first.get(request.request_class, 0.0) - ERROR_WEIGHT)
--- a/martenlead/policy/placement.py
+++ b/martenlead/policy/placement.py
@@ -16,7 +16,7 @@
 from martenlead.policy.repeats import RepeatGuard
 from martenlead.policy.slow_start import SlowStart
 from martenlead.policy.state import Function, Replica, State, Worker
-from martenlead.policy.types import Result, Task
+from martenlead.policy.types import Request, Result
 
 REPLICA_CHOICES = 6  # workers of the shared order, of all dispatchers together, for a new replica
 CROWDED_PACE = 1.3  # times the usual latency: more than its own variance makes of it
@@ -42,12 +42,12 @@
 
     # -- for an attempt
 
-    def choose_worker(self, request: Task, excluded: set[Worker]) -> Worker | None:
+    def choose_worker(self, request: Request, excluded: set[Worker]) -> Worker | None:
         """None where no worker may have the request now.
 
         Draws from chance, and begins nothing.
         """
-        function: Function = request.model
+        function: Function = request.function
         known = self._known_holders(request, function)
         fitting = [r for r in known if r.worker not in excluded and self.fits(request, r.worker)]
         warm = [r for r in fitting if self.state.is_warm(r)]
@@ -62,7 +62,7 @@
             return min(two, key=lambda r: self.busyness(r.worker)).worker
         return self._next_candidate(request, excluded, len(known))
 
-    def _known_holders(self, request: Task, function: Function) -> list[Replica]:
+    def _known_holders(self, request: Request, function: Function) -> list[Replica]:
         """Where the function is warm or being loaded, less the workers that answered with an error."""
         state, outliers = self.state, self.outliers
         known = [
@@ -70,29 +70,29 @@
             for replica in function.replicas.values()
             if (state.is_warm(replica) or replica.load_requested_ns) and outliers.is_usable(replica.worker)
         ]
-        erring = [a.runner for a in request.hand_offs if a.result is Result.ERROR]  # not for lack of room
+        erring = [a.worker for a in request.attempts if a.result is Result.ERROR]  # not for lack of room
         return [
             replica
             for replica in known
-            if replica.worker not in erring and not outliers.is_failing(replica.worker, request.offering)
+            if replica.worker not in erring and not outliers.is_failing(replica.worker, request.request_class)
         ]
 
-    def _next_candidate(self, request: Task, excluded: set[Worker], holders: int) -> Worker | None:
+    def _next_candidate(self, request: Request, excluded: set[Worker], holders: int) -> Worker | None:
         is_short_list = len(self.state.workers) <= RANKED_WHOLE
-        for worker in self.candidates(request.model, holders):
+        for worker in self.candidates(request.function, holders):
             if holders and is_short_list and not self.slow_start.is_warming_up(worker):
                 continue  # a load would push out what others need; one just started holds nothing yet
             if worker not in excluded and self.fits(request, worker):
                 return worker
         return None
 
-    def fits(self, request: Task, worker: Worker) -> bool:
+    def fits(self, request: Request, worker: Worker) -> bool:
         """Whether this worker may have the request now."""
         return (
             self.outliers.is_usable(worker)
-            and not self.outliers.is_failing(worker, request.offering)
-            and (retry_budget.allows_retry(worker) or not request.hand_offs)
-            and self.concurrency.has_room(worker, request.spare)
+            and not self.outliers.is_failing(worker, request.request_class)
+            and (retry_budget.allows_retry(worker) or not request.attempts)
+            and self.concurrency.has_room(worker, request.is_deferrable)
             and self.repeats.may_send(request, worker)
         )
 
--- a/martenlead/policy/policy.py
+++ b/martenlead/policy/policy.py
@@ -38,17 +38,17 @@
 from martenlead.policy.tenant_shares import TenantShares
 from martenlead.policy.types import (
     Action,
-    Answer,
-    AskRoster,
-    ModelFacts,
-    Order,
-    Past,
+    AttemptResult,
+    EarlierRun,
+    FunctionFacts,
+    ListWorkers,
+    LoadRequest,
+    Request,
     Result,
-    RunnerFacts,
     Settings,
     Steps,
-    Task,
     Wait,
+    WorkerFacts,
 )
 
 
@@ -83,39 +83,39 @@
 
     def _ask_for_workers(self) -> Steps:
         while True:
-            yield AskRoster()
+            yield ListWorkers()
             yield Wait(self.state.now_ns + self.settings.roster_every)
 
     # -- events
 
-    def new_worker(self, facts: RunnerFacts) -> Worker:
+    def new_worker(self, facts: WorkerFacts) -> Worker:
         """An object for a worker's id."""
         return self.state.new_worker(facts)
 
-    def new_function(self, facts: ModelFacts) -> Function:
+    def new_function(self, facts: FunctionFacts) -> Function:
         """An object for a function's id."""
         return self.state.new_function(facts)
 
-    def update_workers(self, news: Iterable[tuple[Any, RunnerFacts]], is_snapshot: bool) -> None:
+    def update_workers(self, news: Iterable[tuple[Any, WorkerFacts]], is_snapshot: bool) -> None:
         """What discovery says of some workers, or with a snapshot of all."""
         self.state.update_workers(news, is_snapshot)
 
-    def handle_request(self, request: Task) -> Steps:
+    def handle_request(self, request: Request) -> Steps:
         """A request from its arrival to its final response."""
         return self.attempts.handle(request)
 
-    def record_result(self, answer: Answer) -> None:
+    def record_result(self, answer: AttemptResult) -> None:
         """The end of an attempt, also of one whose request is over."""
         self.results.record(answer)
 
-    def record_load_end(self, load: Order, result: Result, replicas: int) -> None:
+    def record_load_end(self, load: LoadRequest, result: Result, replicas: int) -> None:
         """The end of a load request, and how many replicas are loaded there now."""
         self.scaling.record_load_end(load, result, replicas)
 
-    def close_request(self, request: Task, is_cancelled: bool) -> list[Action]:
+    def close_request(self, request: Request, is_cancelled: bool) -> list[Action]:
         """A request is over, or its client has left: what is still to be done for it."""
         return self.attempts.close(request, is_cancelled)
 
-    def restore(self, past: Past) -> None:
+    def restore(self, past: EarlierRun) -> None:
         """What an earlier run of this dispatcher had learnt."""
         restore(self.state, self.load_budget, past)
--- a/martenlead/policy/repeats.py
+++ b/martenlead/policy/repeats.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from martenlead.policy.state import State, Worker
-from martenlead.policy.types import NEVER_RAN, Effect, Group, HandOff, Task
+from martenlead.policy.types import NEVER_RAN, Attempt, DeduplicationScope, Effect, Request
 
 WINDOW_MARGIN_TICKS = 4  # a repeat has to begin, and not only to leave, inside the idempotency window
 
@@ -17,40 +17,49 @@
     def __init__(self, state: State) -> None:
         self.state = state
 
-    def may_send(self, request: Task, worker: Worker) -> bool:
+    def may_send(self, request: Request, worker: Worker) -> bool:
         """Whether an attempt there causes no effect twice, and no forbidden second one in flight."""
-        may_have_run = [a for a in request.hand_offs if a.result not in NEVER_RAN]
+        may_have_run = [a for a in request.attempts if a.result not in NEVER_RAN]
         if not self.state.settings.twice_out and any(a.result is None for a in may_have_run):
             return False
-        request_class = request.offering
+        request_class = request.request_class
         if not may_have_run or request_class.effect is Effect.IDEMPOTENT:
             return True
-        if self.state.now_ns >= self.begin_by_ns(request) or request_class.effect is Effect.UNREPEATABLE:
+        if self.state.now_ns >= self.begin_by_ns(request) or request_class.effect is Effect.NON_IDEMPOTENT:
             return False
-        first, other = may_have_run[0].runner.facts, worker.facts
-        is_same = first.zone == other.zone and (first.cell == other.cell or request_class.group is Group.ZONE)
-        return is_same or request_class.group is Group.ALL
+        first, other = may_have_run[0].worker.facts, worker.facts
+        is_same = first.zone == other.zone and (
+            first.cell == other.cell or request_class.deduplication_scope is DeduplicationScope.ZONE
+        )
+        return is_same or request_class.deduplication_scope is DeduplicationScope.ALL
 
-    def begin_by_ns(self, request: Task) -> int:
+    def begin_by_ns(self, request: Request) -> int:
         """Until when an attempt may begin.
 
         A repeat of what may have run is dropped as one inside its idempotency window only.
         """
-        if request.offering.effect is Effect.IDEMPOTENT:
-            return request.give_up
+        if request.request_class.effect is Effect.IDEMPOTENT:
+            return request.deadline_ns
         first = first_that_may_have_run(request)
         if first is None:
-            return request.give_up
-        return first.sent + request.offering.window - WINDOW_MARGIN_TICKS * self.state.settings.tick
+            return request.deadline_ns
+        return (
+            first.sent_ns
+            + request.request_class.idempotency_window_ns
+            - WINDOW_MARGIN_TICKS * self.state.settings.tick
+        )
 
-    def may_reject(self, request: Task) -> bool:
+    def may_reject(self, request: Request) -> bool:
         """Whether the client may send it again: nothing ran, or the repeat is dropped wherever it goes."""
-        effect = request.offering.effect
+        effect = request.request_class.effect
         if effect is Effect.IDEMPOTENT or first_that_may_have_run(request) is None:
             return True
-        return effect is Effect.DEDUPLICATED and request.offering.group is Group.ALL
+        return (
+            effect is Effect.WITH_IDEMPOTENCY_KEY
+            and request.request_class.deduplication_scope is DeduplicationScope.ALL
+        )
 
 
-def first_that_may_have_run(request: Task) -> HandOff | None:
+def first_that_may_have_run(request: Request) -> Attempt | None:
     """The first attempt of which it is not sure that it never ran."""
-    return next((a for a in request.hand_offs if a.result not in NEVER_RAN), None)
+    return next((a for a in request.attempts if a.result not in NEVER_RAN), None)
--- a/martenlead/policy/replica_scaling.py
+++ b/martenlead/policy/replica_scaling.py
@@ -18,7 +18,7 @@
 from martenlead.policy.placement import Placement
 from martenlead.policy.state import BEST_RATE_KEPT, Function, Replica, State
 from martenlead.policy.tenant_shares import TenantShares
-from martenlead.policy.types import Order, Result, Steps, Wait
+from martenlead.policy.types import LoadRequest, Result, Steps, Wait
 
 ADD_ABOVE, RELEASE_BELOW = 0.8, 0.6  # of Rmax: the design's dead band
 NEW_REPLICAS = 2  # a function and period, as the design starts; as many again as are held, once that is more
@@ -36,7 +36,7 @@
 SLICE_FUNCTIONS = 64  # that are checked at once, so that a check of thousands holds up no request
 SLICE_INTERVAL = MILLISECOND
 KNOWN_PACE_RESPONSES = 4  # that tell a worker's pace: where few come, they are kept for longer
-ANSWERED = frozenset({Result.SATISFIED, Result.FULL, Result.ERROR})
+ANSWERED = frozenset({Result.SUCCEEDED, Result.AT_CAPACITY, Result.ERROR})
 
 
 class ReplicaScaling:
@@ -129,7 +129,7 @@
 
     def _add_replicas(
         self, function: Function, expected: float, held: list[Replica], capacity: float
-    ) -> Generator[Order, None, float]:
+    ) -> Generator[LoadRequest, None, float]:
         """Holds more replicas, up to the bound of a period; gives Rmax with them."""
         state, limit = self.state, max(NEW_REPLICAS, len(held))
         while expected >= ADD_ABOVE * capacity and function.replicas_added < limit:
@@ -181,7 +181,7 @@
     def worthwhile_idle_ns(self, function: Function) -> float:
         """How long a replica may stand idle for one request before its memory costs more than a load."""
         settings = self.state.settings
-        memory = self.state.index.memory / max(function.facts.memory, 1.0)
+        memory = self.state.index.memory / max(function.facts.memory_mb, 1.0)
         traffic = self.state.traffic
         requests = max(traffic.succeeded_per_second, 1.0) * traffic.equivalent_dispatchers / SECOND
         cold_start = 1 - settings.late_revenue + settings.fetch_price
@@ -209,17 +209,17 @@
 
     # -- load requests
 
-    def request_load(self, replica: Replica) -> Order:
+    def request_load(self, replica: Replica) -> LoadRequest:
         """Counts it as given now; the budget was asked before."""
-        load = Order(replica.worker, replica.function, 1)
+        load = LoadRequest(replica.worker, replica.function, 1)
         replica.load_requested_ns = replica.last_used_ns = self.state.now_ns
         self.load_budget.record_load(load)
         return load
 
-    def record_load_end(self, load: Order, result: Result, replicas: int) -> None:
+    def record_load_end(self, load: LoadRequest, result: Result, replicas: int) -> None:
         """How a load request ended, and how many replicas are loaded at its worker now."""
         self.load_budget.record_load_end(load)
-        replica = self.state.replica(load.model, load.runner)
+        replica = self.state.replica(load.function, load.worker)
         replica.load_requested_ns = 0
         was_loaded = replica.is_loaded
         replica.is_loaded = result in ANSWERED and replicas > 0
@@ -228,6 +228,6 @@
             if self.state.random() * held < 1:
                 replica.function.home = replica.worker  # else all that hold the same stick to the first
         if result in ANSWERED:
-            self.outliers.record_word(load.runner)
+            self.outliers.record_word(load.worker)
         if not replica.is_loaded:
             replica.is_held, replica.load_failed_ns = False, self.state.now_ns
--- a/martenlead/policy/results.py
+++ b/martenlead/policy/results.py
@@ -10,10 +10,10 @@
 from martenlead.policy.latency import USUAL_RATIO
 from martenlead.policy.outliers import NOT_REACHED, WORKER_ERRORS, Outliers
 from martenlead.policy.state import Replica, State
-from martenlead.policy.types import Answer, HandOff, Result, Warmth
+from martenlead.policy.types import Attempt, AttemptResult, Result, Warmth
 
-WORDS = frozenset({Result.SATISFIED, Result.ERROR, Result.FULL, Result.MISSING})
-JUDGED = frozenset({Result.SATISFIED, *WORKER_ERRORS})
+WORDS = frozenset({Result.SUCCEEDED, Result.ERROR, Result.AT_CAPACITY, Result.FUNCTION_MISSING})
+JUDGED = frozenset({Result.SUCCEEDED, *WORKER_ERRORS})
 LATE_AT_HOME = 2  # times the usual latency: from there on a home worker is left
 REFUSED_LATENESS = 2  # latency objectives that a refused attempt counts as
 
@@ -24,42 +24,44 @@
     def __init__(self, state: State, outliers: Outliers, concurrency: ConcurrencyLimits) -> None:
         self.state, self.outliers, self.concurrency = state, outliers, concurrency
 
-    def record(self, answer: Answer) -> None:
+    def record(self, answer: AttemptResult) -> None:
         """Takes one end of an attempt."""
-        attempt, result = answer.hand_off, answer.result
-        worker = attempt.runner
+        attempt, result = answer.attempt, answer.result
+        worker = attempt.worker
         replica = self._end_attempt(attempt, result)
         if result in WORDS:
             self.outliers.record_word(worker)
         if result in JUDGED and answer.warmth is not Warmth.LOAD_FAILED:
             self.outliers.record_response(attempt, result in WORKER_ERRORS)
-        if result is Result.SATISFIED:
+        if result is Result.SUCCEEDED:
             self._record_success(answer, replica)
-        elif result is Result.MISSING:
+        elif result is Result.FUNCTION_MISSING:
             replica.is_loaded = False
-        elif result is Result.FULL:
-            objective_ns = attempt.task.offering.soft_limit
+        elif result is Result.AT_CAPACITY:
+            objective_ns = attempt.request.request_class.latency_objective_ns
             self.concurrency.record_latency(worker, REFUSED_LATENESS * objective_ns, objective_ns)
             worker.refused_in_a_row += 1
-        elif result in NOT_REACHED or (result is Result.SILENT and worker.last_heard_ns < attempt.sent):
+        elif result in NOT_REACHED or (
+            result is Result.NO_RESPONSE and worker.last_heard_ns < attempt.sent_ns
+        ):
             self.outliers.record_silence(worker)
             if replica.function.home is worker and result in NOT_REACHED:
                 replica.function.home = None
-        if result is not Result.SATISFIED and not replica.in_flight:
+        if result is not Result.SUCCEEDED and not replica.in_flight:
             replica.load_requested_ns = 0  # the load that they waited for failed, or never began
 
-    def _end_attempt(self, attempt: HandOff, result: Result) -> Replica:
+    def _end_attempt(self, attempt: Attempt, result: Result) -> Replica:
         """Counts it as in flight no more."""
-        worker = attempt.runner
-        replica = self.state.replica(attempt.task.model, worker)
+        worker = attempt.worker
+        replica = self.state.replica(attempt.request.function, worker)
         attempt.result = result
         worker.in_flight -= 1
-        worker.warm_in_flight -= attempt.expected
-        self.state.warm_in_flight -= attempt.expected
+        worker.warm_in_flight -= attempt.expects_warm
+        self.state.warm_in_flight -= attempt.expects_warm
         replica.in_flight -= 1
         return replica
 
-    def _record_success(self, answer: Answer, replica: Replica) -> None:
+    def _record_success(self, answer: AttemptResult, replica: Replica) -> None:
         state, worker, function = self.state, replica.worker, replica.function
         state.traffic.succeeded_in_period += 1
         worker.refused_in_a_row = 0
@@ -69,14 +71,14 @@
         replica.last_used_ns = max(replica.last_used_ns, state.now_ns)
         replica.load_requested_ns, replica.is_loaded = 0, True
         tells_warm = state.settings.tells_warm
-        if answer.warmth is Warmth.WARM if tells_warm else bool(answer.hand_off.expected):
+        if answer.warmth is Warmth.WARM if tells_warm else bool(answer.attempt.expects_warm):
             self._record_warm_run(answer, replica)
         elif not tells_warm:
-            function.latency.add(answer.lag)
+            function.latency.add(answer.latency_ns)
 
-    def _record_warm_run(self, answer: Answer, replica: Replica) -> None:
+    def _record_warm_run(self, answer: AttemptResult, replica: Replica) -> None:
         state, worker, function = self.state, replica.worker, replica.function
-        request, latency_ns = answer.hand_off.task, answer.lag
+        request, latency_ns = answer.attempt.request, answer.latency_ns
         usual_ns = state.latencies.warm_run_ns(function.latency)
         if request.cost and function.mean_cost:
             usual_ns = int(usual_ns * request.cost / function.mean_cost)
@@ -87,4 +89,4 @@
             function.home = None  # of many dispatchers, each moves on by what it meets itself
         for histogram in (replica.latency, function.latency, state.latencies.all_functions):
             histogram.add(latency_ns)
-        self.concurrency.record_latency(worker, latency_ns, request.offering.soft_limit)
+        self.concurrency.record_latency(worker, latency_ns, request.request_class.latency_objective_ns)
--- a/martenlead/policy/slow_start.py
+++ b/martenlead/policy/slow_start.py
@@ -20,7 +20,7 @@
 
     def is_warming_up(self, worker: Worker) -> bool:
         """Whether its process started less than a ramp ago; one whose start is not told never is."""
-        started = worker.facts.since
+        started = worker.facts.started_ns
         return bool(started) and self.state.now_ns - started < self.state.settings.cold
 
     def allows(self, worker: Worker) -> bool:
@@ -28,11 +28,11 @@
 
         The first request waits for a random part of the gap, once for each start.
         """
-        if not self.is_warming_up(worker) or worker.ramp_start_ns == worker.facts.since:
+        if not self.is_warming_up(worker) or worker.ramp_start_ns == worker.facts.started_ns:
             return True
         if not self.state.traffic.best_succeeded_per_second:
             return False  # begun a moment ago: its part is not known, and a guess at it would last
-        worker.ramp_start_ns = worker.facts.since
+        worker.ramp_start_ns = worker.facts.started_ns
         worker.next_attempt_ns = self.state.now_ns + self.gap_ns(worker, self.state.random())
         return True
 
@@ -45,7 +45,7 @@
         """
         state, settings = self.state, self.state.settings
         growth = (1 - settings.cold_from) / max(settings.cold, 1)
-        age_ns = max(0, state.now_ns - worker.facts.since)  # clocks of workers may be ahead
+        age_ns = max(0, state.now_ns - worker.facts.started_ns)  # clocks of workers may be ahead
         share = settings.cold_from + growth * age_ns
         part = worker.facts.weight / max(state.highest_weight, state.index.weight, 1e-9)
         traffic = state.traffic
--- a/martenlead/policy/state.py
+++ b/martenlead/policy/state.py
@@ -14,8 +14,8 @@
 
 from martenlead.policy.candidates import CandidateIndex, Ranking
 from martenlead.policy.latency import SECOND, LatencyEstimates, LatencyHistogram
-from martenlead.policy.types import ModelFacts, Offering, RunnerFacts, Settings
-from martenlead.policy.types import State as WorkerState
+from martenlead.policy.types import FunctionFacts, RequestClass, Settings, WorkerFacts
+from martenlead.policy.types import WorkerState as WorkerState
 
 LONG_AGO = -1 << 62  # before any time of a clock
 FIRST_CONCURRENCY = 16.0  # attempts at one worker, of all dispatchers together, until its responses tell more
@@ -48,7 +48,7 @@
 class Worker:
     """A worker, and what its responses have taught."""
 
-    def __init__(self, facts: RunnerFacts, now_ns: int, concurrency_limit: float) -> None:
+    def __init__(self, facts: WorkerFacts, now_ns: int, concurrency_limit: float) -> None:
         self.facts = facts
         self.is_listed = False
         self.replicas: dict[Function, Replica] = {}
@@ -59,7 +59,7 @@
         self.refused_in_a_row = 0
         self.unanswered_in_a_row = 0
         self.late_share = 0.0  # of the last responses
-        self.error_shares: dict[Offering, float] = {}  # of the last responses, by request class
+        self.error_shares: dict[RequestClass, float] = {}  # of the last responses, by request class
         self.last_error_ns = LONG_AGO
         self.last_heard_ns = now_ns
         self.limit_cut_ns = 0
@@ -72,7 +72,7 @@
 class Function:
     """A function, and how much it is asked for."""
 
-    def __init__(self, facts: ModelFacts, now_ns: int) -> None:
+    def __init__(self, facts: FunctionFacts, now_ns: int) -> None:
         self.facts = facts
         self.replicas: dict[Worker, Replica] = {}
         self.latency = LatencyHistogram()
@@ -136,20 +136,20 @@
         self.traffic = Traffic(settings.front_ends)
         self.warm_in_flight = 0  # at all workers
         self.check_period_ns = max(SECOND, settings.keep // RENEWALS_A_KEEP_ALIVE)
-        objectives = (request_class.soft_limit for request_class in settings.offerings)
+        objectives = (request_class.latency_objective_ns for request_class in settings.offerings)
         self.shortest_objective_ns = min(objectives, default=SECOND)
 
     # -- workers
 
-    def new_worker(self, facts: RunnerFacts) -> Worker:
+    def new_worker(self, facts: WorkerFacts) -> Worker:
         """An object for a worker's id; it is listed once `update_workers` says so."""
         return Worker(facts, self.now_ns, FIRST_CONCURRENCY / self.settings.front_ends)
 
-    def update_workers(self, news: Iterable[tuple[Any, RunnerFacts]], is_snapshot: bool) -> None:
+    def update_workers(self, news: Iterable[tuple[Any, WorkerFacts]], is_snapshot: bool) -> None:
         """What discovery says of some workers, or with a snapshot of all: who is not in it is gone."""
         told = dict(news := list(news))
         for worker, facts in news:
-            if facts.since != worker.facts.since and worker.is_listed:
+            if facts.started_ns != worker.facts.started_ns and worker.is_listed:
                 self._forget_replicas(worker)
             self._list(worker, facts)
         for worker in [w for w in self.workers if w not in told] if is_snapshot else []:
@@ -158,9 +158,9 @@
             if worker.facts.state is not WorkerState.UP:
                 self._forget_replicas(worker)
 
-    def _list(self, worker: Worker, facts: RunnerFacts) -> None:
+    def _list(self, worker: Worker, facts: WorkerFacts) -> None:
         before, listed = worker.facts, facts.state is not WorkerState.GONE
-        same = (before.weight, before.memory) == (facts.weight, facts.memory)
+        same = (before.weight, before.memory_mb) == (facts.weight, facts.memory_mb)
         if worker.is_listed and not (listed and same):
             self.index.remove(worker)
         worker.facts = facts
@@ -181,7 +181,7 @@
 
     # -- functions
 
-    def new_function(self, facts: ModelFacts) -> Function:
+    def new_function(self, facts: FunctionFacts) -> Function:
         """An object for a function's id.
 
         Beyond the bound on functions the one longest without a request makes room, if nothing of it is
--- a/martenlead/policy/tenant_shares.py
+++ b/martenlead/policy/tenant_shares.py
@@ -7,7 +7,7 @@
 
 from martenlead.policy.latency import SECOND
 from martenlead.policy.state import State
-from martenlead.policy.types import Customer
+from martenlead.policy.types import Tenant
 
 
 class TenantShares:
@@ -15,10 +15,10 @@
 
     def __init__(self, state: State) -> None:
         self.state = state
-        self.requests_in_period: dict[Customer, int] = {}
-        self.requests_per_second: dict[Customer, float] = {}
+        self.requests_in_period: dict[Tenant, int] = {}
+        self.requests_per_second: dict[Tenant, float] = {}
 
-    def record_request(self, tenant: Customer) -> None:
+    def record_request(self, tenant: Tenant) -> None:
         """Counts a request of this period."""
         self.requests_in_period[tenant] = self.requests_in_period.get(tenant, 0) + 1
 
@@ -29,10 +29,10 @@
             self.requests_per_second[tenant] = (before + requests * SECOND / period_ns) / 2
             self.requests_in_period[tenant] = 0
 
-    def is_over(self, tenant: Customer | None) -> bool:
+    def is_over(self, tenant: Tenant | None) -> bool:
         """Counts as over its share as large a part of a tenant's requests as is beyond its rate limit."""
         if tenant is None or self.state.settings.over_share >= 1:
             return False
         peers = self.state.traffic.equivalent_dispatchers
         per_second = self.requests_per_second.get(tenant, 0.0) * peers
-        return per_second > 0 and self.state.random() > tenant.quota / per_second
+        return per_second > 0 and self.state.random() > tenant.rate_limit_per_second / per_second
--- a/martenlead/policy/types.py
+++ b/martenlead/policy/types.py
@@ -15,11 +15,11 @@
     """What a repeat of a task would do."""
 
     IDEMPOTENT = "idempotent"
-    DEDUPLICATED = "deduplicated"
-    UNREPEATABLE = "unrepeatable"
+    WITH_IDEMPOTENCY_KEY = "deduplicated"
+    NON_IDEMPOTENT = "unrepeatable"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """The runners that drop repeats of a deduplicated task."""
 
     ALL = "all"
@@ -27,7 +27,7 @@
     CELL = "cell"
 
 
-class State(Enum):
+class WorkerState(Enum):
     UP = "up"
     DRAINING = "draining"
     GONE = "gone"
@@ -36,41 +36,41 @@
 class Result(Enum):
     """How a hand-off, an order or a probe ended."""
 
-    SATISFIED = "satisfied"
+    SUCCEEDED = "satisfied"
     ERROR = "error"
-    FULL = "full"
-    SILENT = "silent"
-    UNREACHED = "unreached"
-    BROKEN = "broken"
-    CALLED_OFF = "called off"
+    AT_CAPACITY = "full"
+    NO_RESPONSE = "silent"
+    UNREACHABLE = "unreached"
+    CONNECTION_LOST = "broken"
+    CANCELLED = "called off"
     NOT_SENT = "not sent"
-    MISSING = "missing"
+    FUNCTION_MISSING = "missing"
 
 
-NEVER_RAN = frozenset({Result.FULL, Result.UNREACHED, Result.NOT_SENT, Result.MISSING})
+NEVER_RAN = frozenset({Result.AT_CAPACITY, Result.UNREACHABLE, Result.NOT_SENT, Result.FUNCTION_MISSING})
 
 
 class Warmth(Enum):
     """What an answer tells of the copy that the task met."""
 
-    UNTOLD = "untold"
+    UNKNOWN = "untold"
     WARM = "warm"
-    BEGAN = "began a load"
-    WAITED = "waited for a load"
+    STARTED_LOAD = "began a load"
+    AWAITED_LOAD = "waited for a load"
     LOAD_FAILED = "load failed"
 
 
 @dataclass(slots=True, eq=False)
-class Offering:
-    soft_limit: int
+class RequestClass:
+    latency_objective_ns: int
     effect: Effect
-    group: Group
-    window: int
+    deduplication_scope: DeduplicationScope
+    idempotency_window_ns: int
 
 
 @dataclass(slots=True, eq=False)
-class Customer:
-    quota: float  # tasks a second over all dispatchers
+class Tenant:
+    rate_limit_per_second: float  # tasks a second over all dispatchers
 
 
 @dataclass(slots=True, eq=False)
@@ -100,137 +100,137 @@
     fetch_price: float  # of one fetch, in the revenue of one task
     asks_roster: bool
     roster_every: int
-    offerings: list[Offering] = field(default_factory=list)
+    offerings: list[RequestClass] = field(default_factory=list)
     reach: int = 0  # until a connection to a runner is up, or given up
     functions: int = 1 << 30  # that may be known at once
 
 
 @dataclass(slots=True)
-class RunnerFacts:
+class WorkerFacts:
     """One line of the roster. `mark` is the same number at every dispatcher."""
 
     mark: int
     zone: str
     cell: int
-    memory: float
+    memory_mb: float
     weight: float
-    state: State
-    since: int
+    state: WorkerState
+    started_ns: int
 
 
 @dataclass(slots=True)
-class ModelFacts:
+class FunctionFacts:
     mark: int
     lanes: int
-    memory: float
+    memory_mb: float
 
 
 @dataclass(slots=True, eq=False)
-class Task:
-    model: Any
-    offering: Offering
-    customer: Customer | None
-    give_up: int
-    again: bool
+class Request:
+    function: Any
+    request_class: RequestClass
+    tenant: Tenant | None
+    deadline_ns: int
+    is_retry: bool
     cost: float
-    hand_offs: list[HandOff] = field(default_factory=list)
-    spare: bool = False  # the module's: over its customer's share
+    attempts: list[Attempt] = field(default_factory=list)
+    is_deferrable: bool = False  # the module's: over its customer's share
     process: Any = None  # the engine's
 
 
 @dataclass(slots=True, eq=False)
-class HandOff:
+class Attempt:
     """Sends a task to a runner; resumed at once, its answer comes to a later Wait."""
 
-    task: Task
-    runner: Any
-    patience: int
-    sent: int
-    expected: int = 0
+    request: Request
+    worker: Any
+    timeout_ns: int
+    sent_ns: int
+    expects_warm: int = 0
     result: Result | None = None
-    begin_by: int = 1 << 62  # the first byte may not leave later: the effect could come twice
+    begin_by_ns: int = 1 << 62  # the first byte may not leave later: the effect could come twice
 
 
 @dataclass(slots=True, eq=False)
-class Answer:
-    hand_off: HandOff
+class AttemptResult:
+    attempt: Attempt
     result: Result
-    final: bool
+    is_final: bool
     warmth: Warmth
-    lag: int
+    latency_ns: int
 
 
 @dataclass(slots=True, eq=False)
 class Wait:
     """Resumed with the next answer, or with None at `until`."""
 
-    until: int
+    until_ns: int
 
 
 @dataclass(slots=True, eq=False)
-class TurnBack:
-    task: Task
-    wait: int
+class Reject:
+    request: Request
+    retry_after_ns: int
 
 
 @dataclass(slots=True, eq=False)
-class Scrap:
-    task: Task
+class Fail:
+    request: Request
 
 
 @dataclass(slots=True, eq=False)
-class CallOff:
-    hand_off: HandOff
+class Cancel:
+    attempt: Attempt
 
 
 @dataclass(slots=True, eq=False)
-class Order:
+class LoadRequest:
     """Hold that many copies; none asks how many stand."""
 
-    runner: Any
-    model: Any
-    copies: int
+    worker: Any
+    function: Any
+    replicas: int
 
 
 @dataclass(slots=True, eq=False)
-class AskRoster:
+class ListWorkers:
     """Ask for roster changes from now on."""
 
 
 @dataclass(slots=True, eq=False)
-class PastModel:
+class EarlierFunction:
     """What an earlier life of this dispatcher knew of a model. The `worths` are in [0, 1]: what latencies and
     demand still count for. `bins` and `lag` are a histogram's; `tasks` came within `span`."""
 
-    model: Any
+    function: Any
     bins: list[float]
-    lag: float
-    latency_worth: float
-    tasks: float
-    span: int
-    gap: int
-    idle: int
-    demand_worth: float
+    latency_sum_ns: float
+    latency_weight: float
+    requests: float
+    span_ns: int
+    mean_gap_ns: int
+    idle_ns: int
+    demand_weight: float
 
 
 @dataclass(slots=True, eq=False)
-class PastRunner:
-    runner: Any
-    width: float
-    worth: float
+class EarlierWorker:
+    worker: Any
+    concurrency_limit: float
+    weight: float
 
 
 @dataclass(slots=True, eq=False)
-class Past:
+class EarlierRun:
     """A stated start. `orders` are the ages of load orders that were given before it."""
 
-    rate: float
-    asked: float
-    worth: float
-    models: list[PastModel]
-    runners: list[PastRunner]
-    orders: list[int]
+    succeeded_per_second: float
+    new_requests_per_second: float
+    weight: float
+    functions: list[EarlierFunction]
+    workers: list[EarlierWorker]
+    load_ages_ns: list[int]
 
 
-Action = HandOff | Wait | TurnBack | Scrap | CallOff | Order | AskRoster
+Action = Attempt | Wait | Reject | Fail | Cancel | LoadRequest | ListWorkers
 Steps = Generator[Action, Any, None]
--- a/martenlead/runnerlink/heard.py
+++ b/martenlead/runnerlink/heard.py
@@ -14,7 +14,7 @@
     answer as the door that asked writes it on; `copies` stand after an order."""
 
     result: Result
-    warmth: Warmth = Warmth.UNTOLD
+    warmth: Warmth = Warmth.UNKNOWN
     drains: bool = False
     content: Any = None
     why: str = ""
--- a/support/pair.py
+++ b/support/pair.py
@@ -16,17 +16,17 @@
 from martenlead.planner.edgeside import EdgeSide
 from martenlead.planner.link import MS, Broken, PlannerEnd
 from martenlead.policy.types import (
-    Answer,
-    CallOff,
-    HandOff,
-    ModelFacts,
-    Order,
+    Attempt,
+    AttemptResult,
+    Cancel,
+    Fail,
+    FunctionFacts,
+    LoadRequest,
+    Reject,
     Result,
-    RunnerFacts,
-    Scrap,
-    State,
-    TurnBack,
     Warmth,
+    WorkerFacts,
+    WorkerState,
 )
 
 OFFERINGS = [
@@ -88,7 +88,7 @@
         self.runners = []
         news = []
         for n in range(runners):
-            facts = RunnerFacts(n + 1, "zone", 0, 20_000.0, 4.0, State.UP, 0)
+            facts = WorkerFacts(n + 1, "zone", 0, 20_000.0, 4.0, WorkerState.UP, 0)
             self.runners.append(self.border.runner(facts, f"r{n}"))
             news.append((self.runners[-1], facts))
         self.border.begin()
@@ -113,29 +113,29 @@
 
     def _outlet(self, action: Any) -> None:
         match action:
-            case HandOff():
+            case Attempt():
                 took = int(self.chance.uniform(20, 200)) * MS
                 self.at(self.now + took, lambda: self._answer(action, took))
-            case Order():
+            case LoadRequest():
                 self.ordered.append(self.now)
                 self.at(
                     self.now + 300 * MS,
-                    lambda: self.border.ordered(action, Result.SATISFIED, action.copies),
+                    lambda: self.border.ordered(action, Result.SUCCEEDED, action.replicas),
                 )
-            case TurnBack(task=task) | Scrap(task=task):
+            case Reject(request=task) | Fail(request=task):
                 self.at(self.now, lambda: self._over(task, "over"))
-            case CallOff():
+            case Cancel():
                 pass
 
-    def _answer(self, hand_off: HandOff, lag: int) -> None:
+    def _answer(self, hand_off: Attempt, lag: int) -> None:
         if hand_off.result is not None:
             return
         good = self.chance.random() < 0.9
-        warmth = Warmth.WARM if self.chance.random() < 0.7 else Warmth.BEGAN
-        result = Result.SATISFIED if good else Result.FULL
-        self.border.answered(Answer(hand_off, result, good, warmth, lag))
+        warmth = Warmth.WARM if self.chance.random() < 0.7 else Warmth.STARTED_LOAD
+        result = Result.SUCCEEDED if good else Result.AT_CAPACITY
+        self.border.answered(AttemptResult(hand_off, result, good, warmth, lag))
         if good:
-            self._over(hand_off.task, "satisfied")
+            self._over(hand_off.request, "satisfied")
 
     def _over(self, task: Any, final: str) -> None:
         if task in self.side.tape.tasks:
@@ -145,7 +145,7 @@
     def task(self, model: int, offering: str = "estimate") -> None:
         while len(self.models) <= model:
             name = f"m{len(self.models)}"
-            self.models.append(self.border.model(ModelFacts(len(self.models) + 1, 2, 1000.0), name))
+            self.models.append(self.border.model(FunctionFacts(len(self.models) + 1, 2, 1000.0), name))
         self.taken.append(self.now)
         give_up = self.now + 3000 * MS
         self.border.take(
--- a/tests/play.py
+++ b/tests/play.py
@@ -11,9 +11,9 @@
 from martenlead.policy.policy import Policy
 
 MS = 1_000_000
-CHECK = io.Offering(500 * MS, io.Effect.IDEMPOTENT, io.Group.ALL, 0)
-POST = io.Offering(300 * MS, io.Effect.DEDUPLICATED, io.Group.ZONE, 8000 * MS)
-ONCE = io.Offering(300 * MS, io.Effect.UNREPEATABLE, io.Group.ALL, 0)
+CHECK = io.RequestClass(500 * MS, io.Effect.IDEMPOTENT, io.DeduplicationScope.ALL, 0)
+POST = io.RequestClass(300 * MS, io.Effect.WITH_IDEMPOTENCY_KEY, io.DeduplicationScope.ZONE, 8000 * MS)
+ONCE = io.RequestClass(300 * MS, io.Effect.NON_IDEMPOTENT, io.DeduplicationScope.ALL, 0)
 SETTINGS = io.Settings(
     front_ends=1,
     tick=2 * MS,
@@ -49,22 +49,22 @@
         self.policy = Policy(replace(SETTINGS, **changes), seed)
         self.engine = Engine(self.policy, self.out)
         self.names: dict[Any, str] = {}
-        self.hand_offs: list[io.HandOff] = []
-        self.orders: list[io.Order] = []
+        self.hand_offs: list[io.Attempt] = []
+        self.orders: list[io.LoadRequest] = []
         self.runners = {name: self.policy.new_worker(self.facts(name)) for name in runners}
         self.names |= {runner: name for name, runner in self.runners.items()}
         self.models: dict[str, Any] = {}
         self.list_all()
         self.engine.begin()
 
-    def facts(self, name: str, state: io.State = io.State.UP, since: int = 0) -> io.RunnerFacts:
+    def facts(self, name: str, state: io.WorkerState = io.WorkerState.UP, since: int = 0) -> io.WorkerFacts:
         zone = "east" if name in "abc" else "west"
-        return io.RunnerFacts(ord(name), zone, 0, 50_000.0, 1.0, state, since * MS)
+        return io.WorkerFacts(ord(name), zone, 0, 50_000.0, 1.0, state, since * MS)
 
     def list_all(self) -> None:
         self.policy.update_workers([(r, r.facts) for r in self.runners.values()], True)
 
-    def list_one(self, name: str, state: io.State = io.State.UP, since: int = 0) -> None:
+    def list_one(self, name: str, state: io.WorkerState = io.WorkerState.UP, since: int = 0) -> None:
         self.say(f"listed {name} {state.value}")
         self.policy.update_workers([(self.runners[name], self.facts(name, state, since))], False)
 
@@ -73,27 +73,32 @@
 
     def out(self, action: io.Action) -> None:
         match action:
-            case io.HandOff(task=task, runner=runner):
+            case io.Attempt(request=task, worker=runner):
                 self.hand_offs.append(action)
                 self.say(f"{self.names[task]} -> {self.names[runner]}")
-            case io.Order(runner=runner, model=model, copies=copies):
+            case io.LoadRequest(worker=runner, function=model, replicas=copies):
                 self.orders.append(action)
                 self.say(f"{'hold' if copies else 'ask'} {self.names[model]} at {self.names[runner]}")
-            case io.TurnBack(task=task, wait=wait):
+            case io.Reject(request=task, retry_after_ns=wait):
                 self.say(f"{self.names[task]} turned back, come again in {wait // MS}")
-            case io.Scrap(task=task):
+            case io.Fail(request=task):
                 self.say(f"{self.names[task]} scrapped")
-            case io.CallOff(hand_off=hand_off):
-                self.say(f"{self.names[hand_off.task]} called off at {self.names[hand_off.runner]}")
+            case io.Cancel(attempt=hand_off):
+                self.say(f"{self.names[hand_off.request]} called off at {self.names[hand_off.worker]}")
 
     def task(
-        self, name: str, model: str = "m", offering: io.Offering = CHECK, patience: int = 4000, **more: Any
+        self,
+        name: str,
+        model: str = "m",
+        offering: io.RequestClass = CHECK,
+        patience: int = 4000,
+        **more: Any,
     ) -> Any:
         if model not in self.models:
-            self.models[model] = self.policy.new_function(io.ModelFacts(ord(model), 2, 3000.0))
+            self.models[model] = self.policy.new_function(io.FunctionFacts(ord(model), 2, 3000.0))
             self.names[self.models[model]] = model
         give_up = self.policy.state.now_ns + patience * MS
-        task = io.Task(
+        task = io.Request(
             self.models[model], offering, more.get("customer"), give_up, more.get("again", False), 0.0
         )
         self.names[task] = name
@@ -101,23 +106,23 @@
         return task
 
     def answer(
-        self, result: io.Result = io.Result.SATISFIED, warmth: io.Warmth = io.Warmth.WARM, which: int = -1
+        self, result: io.Result = io.Result.SUCCEEDED, warmth: io.Warmth = io.Warmth.WARM, which: int = -1
     ) -> None:
         hand_off = self.hand_offs.pop(which)
-        self.say(f"{self.names[hand_off.task]} {result.value} at {self.names[hand_off.runner]}")
-        lag = self.policy.state.now_ns - hand_off.sent
-        final = result is io.Result.SATISFIED
-        self.engine.answered(io.Answer(hand_off, result, final, warmth, lag))
+        self.say(f"{self.names[hand_off.request]} {result.value} at {self.names[hand_off.worker]}")
+        lag = self.policy.state.now_ns - hand_off.sent_ns
+        final = result is io.Result.SUCCEEDED
+        self.engine.answered(io.AttemptResult(hand_off, result, final, warmth, lag))
         if final:
-            self.engine.closed(hand_off.task)
+            self.engine.closed(hand_off.request)
 
-    def stands(self, places: str = "", result: io.Result = io.Result.SATISFIED) -> None:
+    def stands(self, places: str = "", result: io.Result = io.Result.SUCCEEDED) -> None:
         """Answers all orders out: asks find copies at `places`, holds end as told."""
         orders, self.orders = self.orders, []
         for order in orders:
-            there = int(order.copies > 0 and result is io.Result.SATISFIED)
-            there = there or int(self.names[order.runner] in places)
-            self.engine.ordered(order, result if order.copies else io.Result.SATISFIED, there)
+            there = int(order.replicas > 0 and result is io.Result.SUCCEEDED)
+            there = there or int(self.names[order.worker] in places)
+            self.engine.ordered(order, result if order.replicas else io.Result.SUCCEEDED, there)
 
     def to(self, ms: int) -> None:
         """Moves the clock, stopping wherever something is due."""
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -23,8 +23,8 @@
 SEEDS = st.integers(0, 2**32)
 
 
-def facts(mark: int, weight: float = 1.0, state: io.State = io.State.UP) -> io.RunnerFacts:
-    return io.RunnerFacts(mark, f"zone-{mark % 10}", 0, 50_000.0, weight, state, 0)
+def facts(mark: int, weight: float = 1.0, state: io.WorkerState = io.WorkerState.UP) -> io.WorkerFacts:
+    return io.WorkerFacts(mark, f"zone-{mark % 10}", 0, 50_000.0, weight, state, 0)
 
 
 def worker(mark: int, weight: float = 1.0) -> Worker:
@@ -73,7 +73,7 @@
 # -- the same list, whatever led to it
 
 
-def told(policy: Policy, known: dict[int, Worker], lines: list[io.RunnerFacts], whole: bool = False) -> None:
+def told(policy: Policy, known: dict[int, Worker], lines: list[io.WorkerFacts], whole: bool = False) -> None:
     """News of workers by their marks, as a door tells it."""
     for line in lines:
         if line.mark not in known:
@@ -94,8 +94,10 @@
     known: dict[int, Worker] = {}
     for _ in range(6):
         some = chance.sample(last, 150)
-        lines = [facts(line.mark, chance.random() + 0.1, chance.choice(list(io.State))) for line in some]
-        lines += [facts(chance.randrange(1 << 41), 1.0, io.State.GONE) for _ in range(20)]
+        lines = [
+            facts(line.mark, chance.random() + 0.1, chance.choice(list(io.WorkerState))) for line in some
+        ]
+        lines += [facts(chance.randrange(1 << 41), 1.0, io.WorkerState.GONE) for _ in range(20)]
         lines = [line for line in lines for _ in range(chance.randint(1, 3))]
         chance.shuffle(lines)
         told(often, known, lines, whole=chance.random() < 0.3)
@@ -153,10 +155,14 @@
     version = policy.state.index.version
     told(policy, known, list(reversed(lines)), whole=True)
     told(policy, known, lines[:7] * 3)
-    told(policy, known, [facts(5, lines[5].weight, io.State.DRAINING), facts(10**6, 1.0, io.State.GONE)])
+    told(
+        policy,
+        known,
+        [facts(5, lines[5].weight, io.WorkerState.DRAINING), facts(10**6, 1.0, io.WorkerState.GONE)],
+    )
     assert policy.state.index.version == version
     versions = [version]
-    for line in (facts(5, 8.0), facts(6, 1.0, io.State.GONE), facts(6), facts(301)):
+    for line in (facts(5, 8.0), facts(6, 1.0, io.WorkerState.GONE), facts(6), facts(301)):
         told(policy, known, [line])
         versions.append(policy.state.index.version)
         told(policy, known, [line])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -323,7 +323,7 @@
         gate.set()
         if what == "order":
             await until(lambda: heard)
-            assert heard[0].result in (Result.NOT_SENT, Result.UNREACHED)
+            assert heard[0].result in (Result.NOT_SENT, Result.UNREACHABLE)
         else:
             assert word(await client.answer()) == "turned back"  # it is proven not to have run
         await until(lambda: not waiting(p))
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -7,7 +7,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from martenlead.policy.types import Order
+from martenlead.policy.types import LoadRequest
 from support.fleet import fleet, satisfied, until
 
 pytestmark = pytest.mark.anyio
@@ -24,7 +24,7 @@
             await until(lambda: lines(logs, "hears"))
             (known,) = f.dispatcher.models.values()
             box = f.dispatcher.boxes[lines(logs, "hears")[0]["runner"]]
-            f.dispatcher._outlet(Order(box.runner, known.model, 0))
+            f.dispatcher._outlet(LoadRequest(box.runner, known.model, 0))
             await until(lambda: lines(logs, "order ends"))
     (sent,) = [line for line in lines(logs, "decides") if line["what"] == "HandOff"]
     assert sent["edge"] and sent["runner"] in "ab" and sent["task"]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -85,7 +85,7 @@
         for box in p.node.dispatcher.boxes.values():
             p.node.link.order(box, known, 0, heard.append)
             await until(lambda: heard)
-            assert heard.pop().result is Result.SATISFIED
+            assert heard.pop().result is Result.SUCCEEDED
             assert sum(way.open for way in p.node.link.ways) <= 2
         await until(lambda: sum(runner.open for runner in p.runners.values()) == 2)
         assert [runner.connections for runner in p.runners.values()] == [1, 1, 1, 1]
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -81,11 +81,11 @@
     told = known()
     runners: dict[str, tuple[Any, str]] = {"a": ("runner a", "1"), "b": ("runner b", "2")}
     found = past(told, 2 * SECOND, {"m": "model m"}, runners, 5 * SECOND)
-    assert [(r.runner, r.width) for r in found.runners] == [("runner a", 20.0)]
+    assert [(r.worker, r.concurrency_limit) for r in found.workers] == [("runner a", 20.0)]
     assert drained(told, runners) == ["a"]
-    assert found.orders == [3 * SECOND]  # the other has left the ration's window
-    assert [m.model for m in found.models] == ["model m"]
-    assert past(told, 0, {}, runners, 0).models == []  # a model that is not known any more
+    assert found.load_ages_ns == [3 * SECOND]  # the other has left the ration's window
+    assert [m.function for m in found.functions] == ["model m"]
+    assert past(told, 0, {}, runners, 0).functions == []  # a model that is not known any more
     assert [ask[0] for ask in asks(told, 2 * SECOND, 8 * SECOND, runners)] == ["a"]
     assert asks(told, 8 * SECOND, 8 * SECOND, runners) == []
 
--- a/tests/test_membership_lists.py
+++ b/tests/test_membership_lists.py
@@ -9,7 +9,7 @@
 import pytest
 from msgspec.structs import replace
 
-from martenlead.policy.types import RunnerFacts, State
+from martenlead.policy.types import WorkerFacts, WorkerState
 from support.fleet import until
 from tests.nodes import Play, after, done, frame, play, silent, word
 
@@ -95,10 +95,10 @@
     """One that is back under its old line in the same news is another process, and not known."""
     async with play(tmp_path, {"a": [done], "b": [done], "c": [done]}) as p:
         dispatcher = p.node.dispatcher
-        told: list[tuple[set[tuple[int, State]], bool]] = []
+        told: list[tuple[set[tuple[int, WorkerState]], bool]] = []
         policy_roster = dispatcher.border.roster
 
-        def note(news: list[tuple[Any, RunnerFacts]], whole: bool) -> None:
+        def note(news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
             told.append(({(facts.mark & 0xFF, facts.state) for _, facts in news}, whole))
             policy_roster(news, whole)
 
@@ -110,7 +110,7 @@
         last = {line.id: ord(line.id[-1]) for line in (a, b, c)}  # an id's last byte tells them apart
         assert told == [
             (set(), False),
-            ({(last[a.id], State.DRAINING), (last[c.id], State.GONE)}, False),
-            ({(last[b.id], State.GONE), (last[b.id], State.UP)}, False),
+            ({(last[a.id], WorkerState.DRAINING), (last[c.id], WorkerState.GONE)}, False),
+            ({(last[b.id], WorkerState.GONE), (last[b.id], WorkerState.UP)}, False),
         ]
         assert [box.up for box in dispatcher.boxes.values()] == [False, True]
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -43,7 +43,7 @@
     play.task("t1", "x")
     play.stands()
     play.to(1500)
-    play.answer(warmth=io.Warmth.BEGAN)
+    play.answer(warmth=io.Warmth.STARTED_LOAD)
     play.to(6000)
     check(play, "one_off")
 
@@ -55,7 +55,7 @@
     play.stands()
     for n in range(3):
         play.task(f"t{n}")
-        play.answer(io.Result.FULL)
+        play.answer(io.Result.AT_CAPACITY)
     play.to(4500)
     play.stands()
     check(play, "full")
@@ -66,13 +66,13 @@
     play.served(6, every=100)
     play.task("slow")
     play.to(3000)
-    play.answer(warmth=io.Warmth.UNTOLD)
+    play.answer(warmth=io.Warmth.UNKNOWN)
     play.say(f"run latency {play.policy.state.latencies.warm_run_ns(play.models['m'].latency) // MS}")
     check(play, "quartile")
 
 
 def test_a_late_runner_narrows_and_tasks_over_a_share_go_first() -> None:
-    customer = io.Customer(1.0)
+    customer = io.Tenant(1.0)
     play = Play(runners="a")
     play.policy.tenant_shares.requests_per_second[customer] = 1e9
     play.served(1)
@@ -122,7 +122,7 @@
 
 
 def test_repeats_and_tasks_over_a_share_do_not_swell_the_rate() -> None:
-    customer = io.Customer(1.0)
+    customer = io.Tenant(1.0)
     play = Play()
     play.policy.tenant_shares.requests_per_second[customer] = 1e9
     for n in range(4):
@@ -156,8 +156,8 @@
     play.wide()
 
     def answer() -> None:
-        bad = play.hand_offs[-1].runner is play.runners["a"]
-        play.answer(io.Result.ERROR if bad else io.Result.SATISFIED)
+        bad = play.hand_offs[-1].worker is play.runners["a"]
+        play.answer(io.Result.ERROR if bad else io.Result.SUCCEEDED)
 
     for n in range(8):
         play.task(f"t{n}", offering=ONCE)
@@ -195,7 +195,7 @@
     play.served(5, "m")
     first = play.policy.state.workers[0]
     for name in "abc":
-        play.list_one(name, io.State.GONE)
+        play.list_one(name, io.WorkerState.GONE)
     play.to(8000)
     assert all(not model.replicas and model.home is None for model in play.policy.state.functions)
     for name in "abc":
--- a/tests/test_placement_at_scale.py
+++ b/tests/test_placement_at_scale.py
@@ -92,15 +92,17 @@
     chance = Random(2)
     changing = list(range(0, 400, 8)) + list(range(400, 440))
     fleet.up |= set(range(400, 440))
-    listed = {mark: io.State.UP for mark in range(400)}
+    listed = {mark: io.WorkerState.UP for mark in range(400)}
     for n in range(30):
         marks = chance.sample(changing, 6)
-        state = chance.choice([io.State.UP, io.State.UP, io.State.DRAINING, io.State.GONE])
+        state = chance.choice(
+            [io.WorkerState.UP, io.WorkerState.UP, io.WorkerState.DRAINING, io.WorkerState.GONE]
+        )
         listed |= dict.fromkeys(marks, state)
         for dispatcher in dispatchers:
             for mark in chance.sample(marks, len(marks)):
                 dispatcher.tell([line(mark, state)])
-            closed = {mark for mark in listed if listed[mark] is not io.State.UP}
+            closed = {mark for mark in listed if listed[mark] is not io.WorkerState.UP}
             begun = len(dispatcher.attempts), len(dispatcher.loads)
             for _ in range(8):
                 dispatcher.call(2000 + chance.randrange(60))
@@ -109,7 +111,7 @@
             assert not closed & {mark for _, _, mark in dispatcher.loads[begun[1] :]}
         if n in (10, 20):
             late = Dispatcher(fleet, 100 + n, front_ends=6)
-            late.tell([line(m, s) for m, s in listed.items() if s is not io.State.GONE], whole=True)
+            late.tell([line(m, s) for m, s in listed.items() if s is not io.WorkerState.GONE], whole=True)
             dispatchers.append(late.begin())
     fleet.run_for(5 * SECOND)
     chosen = [first_workers(fleet, dispatcher, range(5000, 5040)) for dispatcher in dispatchers]
@@ -149,10 +151,10 @@
     region = set(range(200))
     there = [f for f in functions if before[f] in region]
     assert len(there) > 10
-    dispatcher.tell(lines(sorted(region), io.State.DRAINING))
+    dispatcher.tell(lines(sorted(region), io.WorkerState.DRAINING))
     cut = fleet.now
     fleet.run_for(2 * SECOND)
-    dispatcher.tell(lines(sorted(region), io.State.GONE))
+    dispatcher.tell(lines(sorted(region), io.WorkerState.GONE))
     for _ in range(60):
         for function in (*functions[:20], *there[:3]):
             assert dispatcher.call(function) not in region
@@ -165,7 +167,7 @@
     for function in again:
         began = len(dispatcher.attempts)
         assert dispatcher.call(function) == before[function]
-        assert dispatcher.attempts[began].sent.expected == 0
+        assert dispatcher.attempts[began].sent.expects_warm == 0
         fleet.run_for(300 * MS)
     assert len(again) > 5
     all_ended(dispatcher)
@@ -193,7 +195,7 @@
     traffic(3)
     fleet.lose(zone)
     for dispatcher in dispatchers:
-        dispatcher.tell(lines(sorted(zone), io.State.GONE))
+        dispatcher.tell(lines(sorted(zone), io.WorkerState.GONE))
     traffic(2)
     began, window = fleet.now, 6
     fleet.up |= zone
@@ -228,7 +230,7 @@
         kind = chance.random()
         if kind < 0.2:
             mark, since = chance.randrange(340), chance.choice([0, 0, fleet.now])
-            new = [line(mark, chance.choice(list(io.State)), since)] * chance.randint(1, 2)
+            new = [line(mark, chance.choice(list(io.WorkerState)), since)] * chance.randint(1, 2)
             told += new
             if chance.random() < 0.8:  # else it is lost
                 dispatcher.tell(new)
@@ -316,7 +318,7 @@
         if n % 2 and n > 100:
             last = 1000 + n - 100
             fleet.lose([last])
-            dispatcher.tell([line(last, io.State.GONE)])
+            dispatcher.tell([line(last, io.WorkerState.GONE)])
             gone.append(weakref.ref(dispatcher.workers.pop(last)))
         if n % 20 == 19:
             fleet.run_for(100 * MS)
@@ -358,7 +360,7 @@
         dispatcher.border.hold(dispatcher.workers[mark], function, True)
         fleet.run_for(SECOND)
         dispatcher.border.hold(dispatcher.workers[mark], function, False)
-        dispatcher.tell([line(mark, io.State.GONE)])
+        dispatcher.tell([line(mark, io.WorkerState.GONE)])
     fleet.run_for(100 * SECOND)
     assert not [runner for runner in function.replicas if not runner.is_listed]
 
@@ -445,7 +447,7 @@
     going = {copy.worker.facts.mark for model in waiting for copy in model.replicas.values()}
     assert len(going) > 50
     fleet.lose(going)
-    dispatcher.tell(lines(sorted(going), io.State.GONE))
+    dispatcher.tell(lines(sorted(going), io.WorkerState.GONE))
     begun = len(dispatcher.loads), len(dispatcher.attempts)
     for model in waiting[:100]:
         assert dispatcher.call(model.facts.mark) not in going
@@ -484,7 +486,7 @@
         for n in range(600):
             dispatcher.call(int(SLICE_FUNCTIONS * chance.random() ** 2))
             if n == 300:
-                dispatcher.tell(lines(range(40), io.State.GONE))
+                dispatcher.tell(lines(range(40), io.WorkerState.GONE))
             fleet.run_for(15 * MS)
         assert len(dispatcher.functions) == SLICE_FUNCTIONS
         return [(a.at, a.function, a.mark) for a in dispatcher.attempts] + dispatcher.loads
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -13,7 +13,7 @@
 from martenlead.capture import events as ev
 from martenlead.planner import frames as fr
 from martenlead.planner.link import MS, Broken
-from martenlead.policy.types import State
+from martenlead.policy.types import WorkerState
 from support.pair import Pair
 
 
@@ -192,7 +192,7 @@
     pair.connect()
     busy(pair, 1000)
     runner = pair.runners[1]
-    facts = dataclasses.replace(runner.facts, state=State.DRAINING)
+    facts = dataclasses.replace(runner.facts, state=WorkerState.DRAINING)
     pair.border.roster([(runner, facts)], False)
     before = len(pair.ordered)
     pair.end.received(fr.Decide(pair.end.epoch, pair.end.seq, [(1, 1, 0)], [(1, 0, True)]))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,14 +15,18 @@
     play.served(1)
     play.task("silent", patience=1000)
     play.to(2000)
-    play.answer(io.Result.SILENT)
+    play.answer(io.Result.NO_RESPONSE)
     play.task("too late", patience=0)
     check(play, "in_time")
 
 
 def test_no_effect_twice() -> None:
     play = Play(runners="abde")
-    for offering, result in ((ONCE, io.Result.ERROR), (ONCE, io.Result.UNREACHED), (POST, io.Result.BROKEN)):
+    for offering, result in (
+        (ONCE, io.Result.ERROR),
+        (ONCE, io.Result.UNREACHABLE),
+        (POST, io.Result.CONNECTION_LOST),
+    ):
         play.served(12)
         play.task(f"{offering.effect.value} {result.value}", offering=offering)
         play.answer(result)
@@ -43,7 +47,7 @@
         play.task("t")
         play.to(2500)
         if not twice:
-            play.answer(io.Result.CALLED_OFF)
+            play.answer(io.Result.CANCELLED)
         check(play, f"twice_out_{twice}")
 
 
@@ -54,17 +58,17 @@
     play.task("t")
     play.stands()
     play.to(50)
-    play.answer(io.Result.UNREACHED)
+    play.answer(io.Result.UNREACHABLE)
     check(play, "credit")
 
 
 def test_nothing_for_a_draining_runner() -> None:
     play = Play(runners="a")
     play.served(5)
-    play.list_one("a", io.State.DRAINING)
+    play.list_one("a", io.WorkerState.DRAINING)
     play.task("t1")
     play.to(9000)
-    play.list_one("a", io.State.UP, since=9000)
+    play.list_one("a", io.WorkerState.UP, since=9000)
     check(play, "drain")
 
 
@@ -96,7 +100,7 @@
     for n in range(120):  # as much is asked, and one of twenty is satisfied
         play.task("-", patience=49)
         play.to(3000 + 50 * (n + 1))
-        play.answer(io.Result.CALLED_OFF if n % 20 else io.Result.SATISFIED)
+        play.answer(io.Result.CANCELLED if n % 20 else io.Result.SUCCEEDED)
     play.list_one("a", since=9100)
     count_sent(play)
     check(play, "cold_best")
@@ -135,7 +139,7 @@
     for ms in range(3020, 4020, 20):
         play.to(ms)
         play.task(f"t{ms}", patience=200)
-        while play.hand_offs and play.hand_offs[0].sent < (ms - 100) * MS:
+        while play.hand_offs and play.hand_offs[0].sent_ns < (ms - 100) * MS:
             play.answer(which=0)
     sent = sum(" -> a" in line for line in play.lines)
     assert 8 <= sent <= 12
@@ -185,15 +189,15 @@
     play = Play(ration_window=10_000 * MS, ration_free=2, ration_share=0.0)
     runner, models = (
         play.runners["a"],
-        [play.policy.new_function(io.ModelFacts(n, 2, 3000.0)) for n in range(2)],
+        [play.policy.new_function(io.FunctionFacts(n, 2, 3000.0)) for n in range(2)],
     )
     first, second = (
         play.policy.scaling.request_load(play.policy.state.replica(model, runner)) for model in models
     )
     play.to(6000)
-    play.policy.record_load_end(first, io.Result.SATISFIED, 1)  # as it came up, and the copy stood already
+    play.policy.record_load_end(first, io.Result.SUCCEEDED, 1)  # as it came up, and the copy stood already
     play.to(6500)
-    play.policy.record_load_end(second, io.Result.SILENT, 0)  # may have arrived only now
+    play.policy.record_load_end(second, io.Result.NO_RESPONSE, 0)  # may have arrived only now
     for time in (10_100, 16_000):
         play.to(time)
         assert not play.policy.load_budget.allows(runner)
@@ -215,7 +219,7 @@
     for n in range(50):
         play.policy.scaling.request_load(
             play.policy.state.replica(
-                play.policy.new_function(io.ModelFacts(n, 2, 3000.0)), play.runners["a"]
+                play.policy.new_function(io.FunctionFacts(n, 2, 3000.0)), play.runners["a"]
             )
         )
         play.task(f"t{n}")
@@ -268,8 +272,8 @@
     check(play, "left")
 
 
-@pytest.mark.parametrize("state", [None, io.State.DRAINING])
-def test_nowhere_to_go(state: io.State | None) -> None:
+@pytest.mark.parametrize("state", [None, io.WorkerState.DRAINING])
+def test_nowhere_to_go(state: io.WorkerState | None) -> None:
     play = Play(runners="a" if state else "")
     if state:
         play.list_one("a", state)
@@ -283,7 +287,7 @@
     play.stands()
     play.to(20)
     while play.hand_offs:
-        play.answer(io.Result.FULL)
+        play.answer(io.Result.AT_CAPACITY)
     check(play, "fits_nowhere")
 
 
@@ -357,10 +361,10 @@
         play.task(f"t{n}", "mnop"[n % 4])
         given += [play.policy.state.now_ns // MS] * (len(play.orders) - before)
         hand_off = play.hand_offs[-1]
-        where = f"{play.names[hand_off.task.model]} at {play.names[hand_off.runner]}"
+        where = f"{play.names[hand_off.request.function]} at {play.names[hand_off.worker]}"
         loads[where] = loads.get(where, 0) + 1
         play.stands()
-        play.answer(warmth=io.Warmth.BEGAN if loads[where] == 1 else io.Warmth.WARM)
+        play.answer(warmth=io.Warmth.STARTED_LOAD if loads[where] == 1 else io.Warmth.WARM)
     for at in given:
         tasks = sum(at - 10_000 < 20_000 + 500 * n <= at for n in range(40))
         assert sum(at - 10_000 < t <= at for t in given) <= 2 + 0.3 * tasks
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -78,7 +78,7 @@
     total = 0
     marks = range(0, workers, workers // AMONG)[:AMONG]
     for mark in marks:
-        for news in (line(mark, io.State.GONE), line(mark), line(mark, weight=2.0)):
+        for news in (line(mark, io.WorkerState.GONE), line(mark), line(mark, weight=2.0)):
             total += calls(partial(dispatcher.tell, [news]))
     return total / len(marks)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,7 +15,7 @@
 from martenlead.benchlink.settings import BadSettings, Profile
 from martenlead.benchlink.wire import Instance
 from martenlead.node import config
-from martenlead.policy.types import State
+from martenlead.policy.types import WorkerState
 from tests.nodes import SETTINGS
 
 GONE: Any = object()
@@ -125,7 +125,10 @@
 
     lines = [{"runner": "a:1", "heft": "big", "campus": 3, "cluster": []}, {"runner": "b:1", "status": "Z"}]
     hear("update", form="C", items=[*lines, {"campus": "x"}, 7])
-    assert {n: r.facts.state for n, r in one.runners.items()} == {"a:1": State.UP, "b:1": State.DRAINING}
+    assert {n: r.facts.state for n, r in one.runners.items()} == {
+        "a:1": WorkerState.UP,
+        "b:1": WorkerState.DRAINING,
+    }
     task = {"fn": "0a", "band": "unsafe", "give-up-at": 3.0, "per-copy": "two", "ram-mb": None, "cost": -1}
     bad = [{"band": "none"}, {"fn": "no number"}, {"fn": 5}, {"give-up-at": "soon"}, {"give-up-at": None}]
     for n, wrong in enumerate(bad):
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -42,14 +42,16 @@
 def hot_functions(listed: tuple[tuple[int, float], ...], cold: frozenset[int]) -> list[int]:
     """Functions that have a cold worker first in their shared order."""
     policy = Policy(SETTINGS, 0)
-    facts = [io.RunnerFacts(mark, "east", 0, 50_000.0, weight, io.State.UP, 0) for mark, weight in listed]
+    facts = [
+        io.WorkerFacts(mark, "east", 0, 50_000.0, weight, io.WorkerState.UP, 0) for mark, weight in listed
+    ]
     policy.update_workers([(policy.new_worker(f), f) for f in facts], True)
     hot: list[int] = []
     function = FUNCTIONS
     while len(hot) < HOT_FUNCTIONS:
         function += 1
         if (
-            next(policy.placement.candidates(Function(io.ModelFacts(function, 4, 300.0), 0))).facts.mark
+            next(policy.placement.candidates(Function(io.FunctionFacts(function, 4, 300.0), 0))).facts.mark
             in cold
         ):
             hot.append(function)
@@ -78,8 +80,8 @@
         for n in range(size):
             self.next_request(n)
 
-    def facts(self, mark: int, state: io.State = io.State.UP, since: int = 0) -> io.RunnerFacts:
-        return io.RunnerFacts(mark, "east", 0, 50_000.0, self.capacity[mark], state, since)
+    def facts(self, mark: int, state: io.WorkerState = io.WorkerState.UP, since: int = 0) -> io.WorkerFacts:
+        return io.WorkerFacts(mark, "east", 0, 50_000.0, self.capacity[mark], state, since)
 
     def at(self, when: int, call: Callable[[], None]) -> None:
         self.count += 1
@@ -107,24 +109,24 @@
 
     def heat(self, cold: list[int]) -> None:
         """From now on, most of the requests want a cold worker."""
-        listed = [(f.mark, f.weight) for f in self.listed.values() if f.state is io.State.UP]
+        listed = [(f.mark, f.weight) for f in self.listed.values() if f.state is io.WorkerState.UP]
         self.hot = hot_functions(tuple(listed), frozenset(cold))
 
     def start(self, marks: list[int], told_after: int = TOLD_AFTER) -> None:
         """Plays the ramp of cold workers that all dispatchers are told of now."""
-        self.tell(marks, io.State.UP, self.now - told_after)
+        self.tell(marks, io.WorkerState.UP, self.now - told_after)
         self.heat(marks)
         self.run_until(self.now + COLD)
 
     def replace(self, mark: int) -> None:
-        self.tell([mark], io.State.GONE)
+        self.tell([mark], io.WorkerState.GONE)
         self.pause(200 * MS)
         self.start([mark])
 
     def pause(self, time: int) -> None:
         self.run_until(self.now + time)
 
-    def tell(self, marks: list[int], state: io.State, since: int = 0) -> None:
+    def tell(self, marks: list[int], state: io.WorkerState, since: int = 0) -> None:
         """All dispatchers learn of it at the same instant."""
         for mark in marks:
             self.listed[mark] = self.facts(mark, state, since)
@@ -208,24 +210,24 @@
 
     def request(self, function: int) -> None:
         if function not in self.functions:
-            self.functions[function] = self.policy.new_function(io.ModelFacts(function, 4, 300.0))
+            self.functions[function] = self.policy.new_function(io.FunctionFacts(function, 4, 300.0))
         self.policy.state.now_ns = self.fleet.now
         give_up = self.fleet.now + 2 * SECOND
-        self.engine.take(io.Task(self.functions[function], CHECK, None, give_up, False, 0.0))
+        self.engine.take(io.Request(self.functions[function], CHECK, None, give_up, False, 0.0))
 
     def out(self, action: io.Action) -> None:
-        if isinstance(action, io.HandOff):
-            mark = action.runner.facts.mark
+        if isinstance(action, io.Attempt):
+            mark = action.worker.facts.mark
             self.fleet.arrivals[mark].append(self.fleet.now)
             self.fleet.at(self.fleet.now + LATENCY, lambda: self.answer(action))
 
-    def answer(self, attempt: io.HandOff) -> None:
+    def answer(self, attempt: io.Attempt) -> None:
         if not self.alive:
             return
         self.policy.state.now_ns = self.fleet.now
-        warmth = io.Warmth.WARM if attempt.expected else io.Warmth.BEGAN
-        self.engine.answered(io.Answer(attempt, io.Result.SATISFIED, True, warmth, LATENCY))
-        self.engine.closed(attempt.task)
+        warmth = io.Warmth.WARM if attempt.expects_warm else io.Warmth.STARTED_LOAD
+        self.engine.answered(io.AttemptResult(attempt, io.Result.SUCCEEDED, True, warmth, LATENCY))
+        self.engine.closed(attempt.request)
 
 
 def replaced(fleet: Fleet) -> None:
@@ -241,14 +243,14 @@
 
 def zone_returns(fleet: Fleet) -> None:
     zone = list(range(4))
-    fleet.tell(zone, io.State.GONE)
+    fleet.tell(zone, io.WorkerState.GONE)
     fleet.pause(5 * SECOND)
     fleet.start(zone)
 
 
 def zone_gone(fleet: Fleet) -> None:
     """Half of the workers are gone as one of the others is replaced."""
-    fleet.tell(list(range(6, WORKERS)), io.State.GONE)
+    fleet.tell(list(range(6, WORKERS)), io.WorkerState.GONE)
     fleet.pause(2 * SECOND)
     fleet.replace(3)
 
@@ -260,7 +262,7 @@
 
 
 def all_restarted_as_it_starts(fleet: Fleet) -> None:
-    fleet.tell([3], io.State.GONE)
+    fleet.tell([3], io.WorkerState.GONE)
     fleet.restart(fleet.part(10))
     fleet.start([3])
 
