--- a/tests/test_withheld.py
+++ b/tests/test_withheld.py
@@ -37,16 +37,16 @@
 
 
 @pytest.mark.parametrize("offering", [CHECK, POST])
-def test_a_repeat_of_what_may_have_run_begins_inside_its_window(offering: io.Offering) -> None:
+def test_a_repeat_of_what_may_have_run_begins_inside_its_window(offering: io.RequestClass) -> None:
     play = Play(runners="ab")
     play.served(12)
     play.task("t", offering=offering)
     first = play.hand_offs[0]
-    task, give_up = first.task, first.task.give_up
-    assert first.begin_by == give_up  # nothing may have run before it
+    task, give_up = first.request, first.request.deadline_ns
+    assert first.begin_by_ns == give_up  # nothing may have run before it
     play.to(play.policy.state.now_ns // MS + 10)
-    play.answer(io.Result.BROKEN)
+    play.answer(io.Result.CONNECTION_LOST)
     repeats = play.hand_offs
-    assert len(repeats) == 1 and repeats[0].task is task
-    window_end = first.sent + offering.window - 4 * SETTINGS.tick
-    assert repeats[0].begin_by == (window_end if offering is POST else give_up)
+    assert len(repeats) == 1 and repeats[0].request is task
+    window_end = first.sent_ns + offering.idempotency_window_ns - 4 * SETTINGS.tick
+    assert repeats[0].begin_by_ns == (window_end if offering is POST else give_up)
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -22,18 +22,22 @@
 PATIENCE = 4 * SECOND
 
 
-def line(mark: int, state: io.State = io.State.UP, since: int = 0, weight: float = 1.0) -> io.RunnerFacts:
-    return io.RunnerFacts(mark, f"zone-{mark % 10}", 0, 50_000.0, weight, state, since)
+def line(
+    mark: int, state: io.WorkerState = io.WorkerState.UP, since: int = 0, weight: float = 1.0
+) -> io.WorkerFacts:
+    return io.WorkerFacts(mark, f"zone-{mark % 10}", 0, 50_000.0, weight, state, since)
 
 
-def lines(marks: Iterable[int], state: io.State = io.State.UP, since: int = 0) -> list[io.RunnerFacts]:
+def lines(
+    marks: Iterable[int], state: io.WorkerState = io.WorkerState.UP, since: int = 0
+) -> list[io.WorkerFacts]:
     return [line(mark, state, since) for mark in marks]
 
 
 class Attempt:
     """One that a dispatcher sent. `mark` is its worker's."""
 
-    def __init__(self, at: int, function: int, mark: int, sent: io.HandOff) -> None:
+    def __init__(self, at: int, function: int, mark: int, sent: io.Attempt) -> None:
         self.at, self.function, self.mark, self.sent = at, function, mark, sent
 
 
@@ -41,7 +45,7 @@
     def __init__(self, fleet: Fleet, seed: int, tape: Tape | None = None, **changes: Any) -> None:
         self.fleet = fleet
         self.settings = replace(SETTINGS, **changes)
-        names = (["check", "post", "once"], dict[str, io.Customer]())
+        names = (["check", "post", "once"], dict[str, io.Tenant]())
         self.border = Border(self.settings, seed, lambda: fleet.now, self._outlet, tape, names)
         self.policy = self.border.look(lambda policy, _: policy)
         self.workers: dict[int, Any] = {}
@@ -50,10 +54,10 @@
         self.loads: list[tuple[int, int, int]] = []  # when, function, worker
         self.calls: list[int] = []  # when each was taken
         self.finals: Counter[str] = Counter()
-        self.ended_tasks: set[io.Task] = set()
+        self.ended_tasks: set[io.Request] = set()
         fleet.dispatchers.append(self)
 
-    def tell(self, news: list[io.RunnerFacts], whole: bool = False) -> None:
+    def tell(self, news: list[io.WorkerFacts], whole: bool = False) -> None:
         """News of the list; a worker that is named for the first time gets its object."""
         for fact in news:
             if fact.mark not in self.workers:
@@ -66,14 +70,14 @@
 
     def function(self, number: int) -> Any:
         if number not in self.functions:
-            made = self.border.model(io.ModelFacts(number, 2, 3000.0), f"f{number}")
+            made = self.border.model(io.FunctionFacts(number, 2, 3000.0), f"f{number}")
             self.functions[number] = made
         return self.functions[number]
 
-    def call(self, number: int, offering: io.Offering = CHECK) -> int | None:
+    def call(self, number: int, offering: io.RequestClass = CHECK) -> int | None:
         """The worker of the attempt that this leads to at once, None where it is rejected."""
         self.calls.append(self.fleet.now)
-        known: list[io.Task] = []
+        known: list[io.Request] = []
         before = len(self.attempts)
         give_up = self.fleet.now + PATIENCE
         self.border.take(self.function(number), offering, None, give_up, False, 0.0, known.append)
@@ -81,31 +85,31 @@
 
     def _outlet(self, action: io.Action) -> None:
         match action:
-            case io.HandOff(runner=runner, task=task):
-                mark, function = runner.facts.mark, task.model.facts.mark
+            case io.Attempt(worker=runner, request=task):
+                mark, function = runner.facts.mark, task.function.facts.mark
                 self.attempts.append(Attempt(self.fleet.now, function, mark, action))
                 self.fleet.attempt(self, action, mark, function)
-            case io.Order(runner=runner, model=model):
+            case io.LoadRequest(worker=runner, function=model):
                 mark, function = runner.facts.mark, model.facts.mark
                 self.loads.append((self.fleet.now, function, mark))
                 self.fleet.load(self, action, mark, function)
-            case io.TurnBack(task=task):
+            case io.Reject(request=task):
                 self._final(task, "rejected")
-            case io.Scrap(task=task):
+            case io.Fail(request=task):
                 self._final(task, "dropped")
 
-    def _final(self, task: io.Task, how: str) -> None:
+    def _final(self, task: io.Request, how: str) -> None:
         assert task not in self.ended_tasks, "a second final response"
         self.ended_tasks.add(task)
         self.finals[how] += 1
         self.fleet.at(0, lambda: self.border.closed(task, how))
 
-    def ended(self, attempt: io.HandOff, result: io.Result, warmth: io.Warmth) -> None:
-        lag = self.fleet.now - attempt.sent
-        final = result is io.Result.SATISFIED and attempt.task not in self.ended_tasks
-        self.border.answered(io.Answer(attempt, result, final, warmth, lag))
+    def ended(self, attempt: io.Attempt, result: io.Result, warmth: io.Warmth) -> None:
+        lag = self.fleet.now - attempt.sent_ns
+        final = result is io.Result.SUCCEEDED and attempt.request not in self.ended_tasks
+        self.border.answered(io.AttemptResult(attempt, result, final, warmth, lag))
         if final:
-            self._final(attempt.task, "satisfied")
+            self._final(attempt.request, "satisfied")
 
 
 class Fleet:
@@ -124,18 +128,18 @@
         self._count += 1
         heappush(self._due, (self.now + after, self._count, what))
 
-    def attempt(self, dispatcher: Dispatcher, sent: io.HandOff, mark: int, function: int) -> None:
+    def attempt(self, dispatcher: Dispatcher, sent: io.Attempt, mark: int, function: int) -> None:
         if mark not in self.up:
-            self.at(RUN, lambda: dispatcher.ended(sent, io.Result.UNREACHED, io.Warmth.UNTOLD))
+            self.at(RUN, lambda: dispatcher.ended(sent, io.Result.UNREACHABLE, io.Warmth.UNKNOWN))
             return
         held = self.replicas.setdefault(mark, set())
-        warmth = io.Warmth.WARM if function in held else io.Warmth.BEGAN
+        warmth = io.Warmth.WARM if function in held else io.Warmth.STARTED_LOAD
         held.add(function)
         took = self.run_time.get(function, RUN) + (0 if warmth is io.Warmth.WARM else LOAD)
-        self.at(took, lambda: dispatcher.ended(sent, io.Result.SATISFIED, warmth))
+        self.at(took, lambda: dispatcher.ended(sent, io.Result.SUCCEEDED, warmth))
 
-    def load(self, dispatcher: Dispatcher, order: io.Order, mark: int, function: int) -> None:
-        result = io.Result.SATISFIED if mark in self.up else io.Result.UNREACHED
+    def load(self, dispatcher: Dispatcher, order: io.LoadRequest, mark: int, function: int) -> None:
+        result = io.Result.SUCCEEDED if mark in self.up else io.Result.UNREACHABLE
         if mark in self.up:
             self.replicas.setdefault(mark, set()).add(function)
         self.at(LOAD, lambda: dispatcher.border.ordered(order, result, int(mark in self.up)))
