--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -66,8 +66,8 @@
 
 def _stands() -> dict[int, str]:
     return {
-        _line_of(Attempts.handle, "Wait(min(last_ns + settings.tick, overdue_ns))"): "latest",
-        _line_of(Attempts.handle, "answer = yield Wait(last_ns + settings.tick)"): "all",
+        _line_of(Attempts.handle, "Wait(min(last_ns + settings.tick_ns, overdue_ns))"): "latest",
+        _line_of(Attempts.handle, "answer = yield Wait(last_ns + settings.tick_ns)"): "all",
         _line_of(ReplicaScaling.run, "Wait(state.now_ns + first)"): "first",
         _line_of(ReplicaScaling.run, "Wait(state.now_ns + interval)"): "period",
     }
@@ -99,7 +99,7 @@
         policy.attempts,
     ]
     kept = [dict(vars(part)) for part in parts]
-    tick = policy.settings.tick
+    tick = policy.settings.tick_ns
     try:
         if told["stand"] in ("latest", "all"):
             return _lead_task(policy, told)
@@ -109,7 +109,7 @@
             for name in set(vars(part)) - set(before):
                 delattr(part, name)
             vars(part).update(before)
-        policy.settings.tick = tick
+        policy.settings.tick_ns = tick
 
 
 def _lead_task(policy: Policy, told: dict[str, Any]) -> Any:
@@ -126,8 +126,11 @@
     vars(policy.attempts).update(
         count_request=lambda _: iter(()), begin_attempt=lambda *_: _put(task, next(begun))
     )
-    policy.settings.tick = (task.deadline_ns - last) // 3
-    policy.settings.hand_offs, limit = len(hand_offs) + (told["stand"] == "all"), policy.settings.hand_offs
+    policy.settings.tick_ns = (task.deadline_ns - last) // 3
+    policy.settings.attempt_limit, limit = (
+        len(hand_offs) + (told["stand"] == "all"),
+        policy.settings.attempt_limit,
+    )
     try:
         task.attempts = []
         for h in hand_offs[:-1] if told["stand"] == "latest" else hand_offs:
@@ -142,7 +145,7 @@
                 policy.state.now_ns = last + 1
             action = steps.send(None)
     finally:
-        policy.settings.hand_offs = limit
+        policy.settings.attempt_limit = limit
         task.attempts = hand_offs
         for h, result in zip(hand_offs, results, strict=True):
             h.result = result
--- a/martenlead/capture/events.py
+++ b/martenlead/capture/events.py
@@ -269,26 +269,56 @@
     return FunctionFacts(int(event.mark, 16), event.lanes, event.memory)
 
 
+# by which captures store the policy's settings, and `replay --set` takes them
+SETTING_NAMES = {
+    "dispatchers": "front_ends",
+    "tick_ns": "tick",
+    "attempt_limit": "hand_offs",
+    "may_hedge": "twice_out",
+    "may_cancel": "call_off",
+    "may_request_loads": "orders",
+    "tells_warmth": "tells_warm",
+    "retry_after_limit_ns": "turn_back_wait",
+    "keep_alive_ns": "keep",
+    "load_window_ns": "ration_window",
+    "free_loads_per_window": "ration_free",
+    "loads_per_request": "ration_share",
+    "slow_start_share": "cold_from",
+    "slow_start_ns": "cold",
+    "slow_start_multiple": "fall_multiple",
+    "rate_limit_per_second": "quota",
+    "late_value": "late_revenue",
+    "load_price": "fetch_price",
+    "lists_workers": "asks_roster",
+    "list_interval_ns": "roster_every",
+    "request_classes": "offerings",
+    "connect_timeout_ns": "reach",
+    "function_limit": "functions",
+}
+# the fields of `Settings`, by the names under which they are stored
+SETTING_FIELDS = {SETTING_NAMES.get(f.name, f.name): f.name for f in fields(Settings)}
+
+
 def pack_settings(settings: Settings) -> dict[str, Any]:
     """All fields; offerings as lists of theirs, infinity as text, since not every format has it."""
-    told = {f.name: getattr(settings, f.name) for f in fields(settings)}
+    told = {stored: getattr(settings, name) for stored, name in SETTING_FIELDS.items()}
     told["offerings"] = [
         [o.latency_objective_ns, o.effect.value, o.deduplication_scope.value, o.idempotency_window_ns]
-        for o in settings.offerings
+        for o in settings.request_classes
     ]
-    told["quota"] = str(settings.quota)
+    told["quota"] = str(settings.rate_limit_per_second)
     return told
 
 
 def settings_of(told: dict[str, Any]) -> Settings:
     """A field that this version does not have is passed over; one that the writer did not have is absent."""
-    known = {field.name for field in fields(Settings)}
-    told = {name: value for name, value in told.items() if name in known}
-    offerings = [
+    known = {SETTING_FIELDS[stored]: value for stored, value in told.items() if stored in SETTING_FIELDS}
+    known["request_classes"] = [
         RequestClass(soft, Effect(kind), DeduplicationScope(group), w)
         for soft, kind, group, w in told["offerings"]
     ]
-    return Settings(**{**told, "offerings": offerings, "quota": float(told["quota"])})
+    known["rate_limit_per_second"] = float(told["quota"])
+    return Settings(**known)
 
 
 def customers_of(start: Start) -> list[Tenant]:
--- a/martenlead/capture/replay.py
+++ b/martenlead/capture/replay.py
@@ -129,7 +129,7 @@
             case ev.Begin():
                 engine.start()
             case ev.Tick(tick=tick):
-                self._settings.tick = tick
+                self._settings.tick_ns = tick
             case ev.NewRunner(name=name, facts=packed):
                 facts = ev.facts_of(packed)
                 runner = policy.new_worker(facts)
@@ -146,7 +146,7 @@
             case ev.Take():
                 task = Request(
                     self.models[event.model],
-                    self._settings.offerings[event.offering],
+                    self._settings.request_classes[event.offering],
                     None if event.customer < 0 else self._customers[event.customer],
                     event.give_up,
                     event.again,
@@ -178,7 +178,7 @@
                 told = self.runners[event.runner], self.models[event.model]
                 engine.confirm_replica(*told, Result(result), copies, touched)
             case ev.Room(model=model, offering=offering, spare=spare, cost=cost):
-                kind = self._settings.offerings[offering]
+                kind = self._settings.request_classes[offering]
                 engine.choose_worker(
                     Request(self.models[model], kind, None, t, False, cost, is_deferrable=spare)
                 )
@@ -194,7 +194,7 @@
                     )
                 )
             case ev.Plans(on=on):
-                self._settings.orders = on
+                self._settings.may_request_loads = on
 
     def _answered(self, event: ev.Answered) -> None:
         task = self.tasks.get(event.task)
@@ -307,14 +307,15 @@
     name, _, value = text.partition("=")
 
     def change(settings: Settings) -> Settings:
-        if not hasattr(settings, name) or name == "offerings":
+        if name not in ev.SETTING_FIELDS or name == "offerings":
             raise ValueError(f"{name}: no such setting")
-        old = getattr(settings, name)
+        field_name = ev.SETTING_FIELDS[name]
+        old = getattr(settings, field_name)
         kind: type = type(old)
         if kind is bool and value not in ("true", "false"):
             raise ValueError(f"{name}: true or false was expected")
         try:
-            new: dict[str, Any] = {name: value == "true" if kind is bool else kind(value)}
+            new: dict[str, Any] = {field_name: value == "true" if kind is bool else kind(value)}
         except ValueError:
             raise ValueError(f"{name}: a value like {old} was expected") from None
         return replace(settings, **new)
--- a/martenlead/capture/tape.py
+++ b/martenlead/capture/tape.py
@@ -93,7 +93,7 @@
     def start(
         self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Tenant]
     ) -> None:
-        self._offerings = {o: n for n, o in enumerate(settings.offerings)}
+        self._offerings = {o: n for n, o in enumerate(settings.request_classes)}
         self._customers = {c: n for n, c in enumerate(customers.values())}
         told = [(name, c.rate_limit_per_second) for name, c in customers.items()]
         packed = ev.pack_settings(settings)
--- a/martenlead/edge/border.py
+++ b/martenlead/edge/border.py
@@ -113,7 +113,7 @@
         """What the event loop achieves at present, ns."""
         if self._tape is not None:
             self._tape.tick(self._now(), tick)
-        self._settings.tick = tick
+        self._settings.tick_ns = tick
 
     def runner(self, facts: WorkerFacts, name: str) -> Any:
         now = self._now()
@@ -199,7 +199,7 @@
         """Whether copies are decided on here."""
         if self._tape is not None:
             self._tape.plans(self._now(), on)
-        self._settings.orders = on
+        self._settings.may_request_loads = on
 
     def recalled(self, runner: Any, model: Any, result: Result, copies: int, touched: int) -> None:
         """What became of an ask for a copy that was held in a life before, and was last used then."""
--- a/martenlead/edge/dispatcher.py
+++ b/martenlead/edge/dispatcher.py
@@ -59,7 +59,7 @@
     ) -> None:
         self.about, self.link, self.source, self.clock = about, link, source, clock
         told = about.settings
-        told.functions = about.models
+        told.function_limit = about.models
         self.offerings, self.customers, self.hard = about.offerings, about.customers, about.hard
         self.margin = about.margin
         names = list(self.offerings), self.customers
@@ -69,7 +69,7 @@
         self.loop = DecisionLoop(self.border, clock, self.counts, about.name)
         # bound here, as `known` is below: a call of them passes no further layer
         self.later, self._decide, self._rearm = self.loop.later, self.loop.decide, self.loop.run_due
-        self.lag = EventLoopLag(clock, told.tick, lambda tick: self.border.tick(tick))
+        self.lag = EventLoopLag(clock, told.tick_ns, lambda tick: self.border.tick(tick))
         self.membership = Membership(source.list, self.loop, link, about.name)
         self.boxes, self.by_runner = self.membership.boxes, self.membership.by_runner
         self.functions = Functions(self.loop, about.models)
--- a/martenlead/edge/keeper.py
+++ b/martenlead/edge/keeper.py
@@ -115,10 +115,10 @@
             for m in known.models[: max(0, most - len(dispatcher.models))]
         }
         settings = dispatcher.border.look(lambda policy, _: policy.settings)
-        dispatcher.border.remember(kn.past(known, age, models, runners, settings.ration_window))
+        dispatcher.border.remember(kn.past(known, age, models, runners, settings.load_window_ns))
         for name in kn.drained(known, runners):
             dispatcher.drains(dispatcher.boxes[name])
-        asks = kn.asks(known, age, settings.keep, runners)
+        asks = kn.asks(known, age, settings.keep_alive_ns, runners)
         self.log.info(
             "remembers",
             models=len(models),
--- a/martenlead/emulator/edge.py
+++ b/martenlead/emulator/edge.py
@@ -176,10 +176,10 @@
         runners = {box.line.id: (box.runner, box.line.start) for box in self.boxes.values()}
         models = {m.name: self._model(m.name, m.lanes, m.memory_mb) for m in told.models}
         settings_ = self.border.look(lambda policy, _: policy.settings)
-        self.border.remember(past(told, elapsed, models, runners, settings_.ration_window))
+        self.border.remember(past(told, elapsed, models, runners, settings_.load_window_ns))
         for name in drained(told, runners):
             self._drains(self.boxes[name])
-        for ask in asks(told, elapsed, settings_.keep, runners):
+        for ask in asks(told, elapsed, settings_.keep_alive_ns, runners):
             self.kernel.after(int(self.chance.random() * ASK_WITHIN), self.recall, [ask])
 
     def kill(self) -> None:
--- a/martenlead/emulator/policies.py
+++ b/martenlead/emulator/policies.py
@@ -192,7 +192,7 @@
 
         def __init__(self, settings: types.Settings, seed: int) -> None:
             super().__init__(settings, seed)
-            settings.orders = False
+            settings.may_request_loads = False
 
     return Baseline
 
--- a/martenlead/lasting/knowledge.py
+++ b/martenlead/lasting/knowledge.py
@@ -97,7 +97,7 @@
     """Reads the module and changes nothing, some models at a time: ten thousand at once would hold up an
     event loop for as long as some tasks have. `names` are the models', `boxes` tells of each runner its
     name, its life, and whether it said that it drains; `before` is what was gathered last, and when."""
-    keep = policy.settings.keep
+    keep = policy.settings.keep_alive_ns
     models = sorted(policy.state.functions, key=lambda m: (-m.last_request_ns, m.facts.mark))[:MOST_MODELS]
     known = []
     for number, model in enumerate(models):
@@ -135,7 +135,7 @@
         if r in boxes
     ]
     yield
-    window = policy.settings.ration_window
+    window = policy.settings.load_window_ns
     orders = [now - t for t in policy.load_budget.load_times_ns if now - t < window]
     told = Knowledge(
         policy.state.traffic.succeeded_per_second,
--- a/martenlead/node/door.py
+++ b/martenlead/node/door.py
@@ -155,7 +155,7 @@
         """At most so many connections, tasks held and bytes of their bodies."""
         self.dispatcher = dispatcher
         self.connections, self.tasks, self.held_bytes = connections, tasks, held_bytes
-        self.wait = dispatcher.about.settings.turn_back_wait // MS
+        self.wait = dispatcher.about.settings.retry_after_limit_ns // MS
         self.clients: dict[Client, None] = {}  # the oldest first
         self.ids: dict[str, Held] = {}  # of the tasks open here
         self.spent: dict[str, None] = {}  # ids of tasks that are over, the oldest first
--- a/martenlead/planner/mirror.py
+++ b/martenlead/planner/mirror.py
@@ -172,7 +172,7 @@
                 policy.update_workers([(all_.runners[n], ev.facts_of(facts)) for n, facts in lines], whole)
                 self._note_held()
             case ev.Tick(tick=tick):
-                all_.settings.tick = tick
+                all_.settings.tick_ns = tick
             case ev.Carry(plan=plan):
                 self._carried = plan
             case ev.Ordered():
--- a/martenlead/planner/serve.py
+++ b/martenlead/planner/serve.py
@@ -93,7 +93,9 @@
 
     def _keep_ms(self, edge: str) -> float:
         end = self.ends.get(edge)
-        return end.mirror.all.settings.keep / MS if end is not None and end.mirror is not None else 0.0
+        return (
+            end.mirror.all.settings.keep_alive_ns / MS if end is not None and end.mirror is not None else 0.0
+        )
 
     def look(self) -> bool:
         """Takes over what is held now; whether that is another list than before."""
--- a/martenlead/planner/snapshot.py
+++ b/martenlead/planner/snapshot.py
@@ -142,9 +142,12 @@
         lively = sorted(lively, key=weight.__getitem__, reverse=True)[:most]
     written = set(lively)
     own = [fields_of(part, POLICY_NAMES) for part in parts_of(policy)]
-    offerings = {id(o): n for n, o in enumerate(policy.settings.offerings)}
+    offerings = {id(o): n for n, o in enumerate(policy.settings.request_classes)}
     return {
-        "settings": {**start.settings, "tick": policy.settings.tick},  # as stated: who plans now is no matter
+        "settings": {
+            **start.settings,
+            "tick": policy.settings.tick_ns,
+        },  # as stated: who plans now is no matter
         "seed": start.seed,
         "customers": start.customers,
         "brain": {name: value for part in own for name, value in part.items()},
@@ -241,6 +244,6 @@
         self, number: int, model: int, offering: int, customer: int, give_up: int, again: bool, cost: float
     ) -> Request:
         who = self.customers[customer] if customer >= 0 else None
-        task = Request(self.models[model], self.settings.offerings[offering], who, give_up, again, cost)
+        task = Request(self.models[model], self.settings.request_classes[offering], who, give_up, again, cost)
         self.tasks[number] = task
         return task
--- a/martenlead/policy/attempts.py
+++ b/martenlead/policy/attempts.py
@@ -63,7 +63,7 @@
         """Attempts until one succeeds or nothing is left to do, then the final response."""
         state, settings = self.state, self.state.settings
         yield from self.count_request(request)
-        last_ns = request.deadline_ns - DEADLINE_MARGIN_TICKS * settings.tick
+        last_ns = request.deadline_ns - DEADLINE_MARGIN_TICKS * settings.tick_ns
         tried: set[Worker] = set()
         while (worker := self._next_worker(request, tried, last_ns)) is not None:
             if request.attempts:
@@ -75,16 +75,16 @@
             yield attempt
             while attempt.result is None and state.now_ns <= last_ns:  # never waits on past the deadline
                 overdue_ns = state.now_ns + self._patience_ns(request)
-                answer: AttemptResult | None = yield Wait(min(last_ns + settings.tick, overdue_ns))
+                answer: AttemptResult | None = yield Wait(min(last_ns + settings.tick_ns, overdue_ns))
                 if answer is not None and answer.is_final:
                     return
                 if answer is None and self._is_lost(attempt):
-                    if settings.twice_out:
+                    if settings.may_hedge:
                         break
-                    if settings.call_off:
+                    if settings.may_cancel:
                         yield Cancel(attempt)
         while any(a.result is None for a in request.attempts):
-            answer = yield Wait(last_ns + settings.tick)
+            answer = yield Wait(last_ns + settings.tick_ns)
             if answer is None or answer.is_final:
                 break
         if not any(a.result is Result.SUCCEEDED for a in request.attempts):
@@ -93,7 +93,7 @@
     def _next_worker(self, request: Request, tried: set[Worker], last_ns: int) -> Worker | None:
         """None where no further attempt is to be made."""
         attempts = request.attempts
-        if self.state.now_ns >= last_ns or len(attempts) >= self.state.settings.hand_offs:
+        if self.state.now_ns >= last_ns or len(attempts) >= self.state.settings.attempt_limit:
             return None
         if sum(a.result is Result.ERROR for a in attempts) >= ERRORS_LIMIT:
             return None
@@ -117,13 +117,14 @@
     def _is_lost(self, attempt: Attempt) -> bool:
         """Whether an overdue attempt is one for a retry: its worker has not said a word since."""
         is_silent = attempt.expects_warm and attempt.worker.last_response_ns < attempt.sent_ns
-        return bool(is_silent) and len(attempt.request.attempts) < self.state.settings.hand_offs
+        return bool(is_silent) and len(attempt.request.attempts) < self.state.settings.attempt_limit
 
     def _give_up(self, request: Request) -> Reject | Fail:
         if not self.repeats.may_reject(request):
             return Fail(request)
         return Reject(
-            request, min(self.state.settings.turn_back_wait, request.request_class.latency_objective_ns // 2)
+            request,
+            min(self.state.settings.retry_after_limit_ns, request.request_class.latency_objective_ns // 2),
         )
 
     # -- its parts
@@ -189,6 +190,6 @@
         """
         if is_cancelled and request.attempts:
             self.load_budget.withdraw_request(request.attempts[0].sent_ns)
-        if is_cancelled or not self.state.settings.call_off:
+        if is_cancelled or not self.state.settings.may_cancel:
             return []
         return [Cancel(attempt) for attempt in request.attempts if attempt.result is None]
--- a/martenlead/policy/concurrency.py
+++ b/martenlead/policy/concurrency.py
@@ -32,7 +32,7 @@
         if not self.slow_start.allows(worker):
             return False
         limit = worker.concurrency_limit * (DEFERRED_SHARE if is_deferrable else 1.0)
-        if is_deferrable and limit * self.state.settings.front_ends < LEAST_CONCURRENCY:
+        if is_deferrable and limit * self.state.settings.dispatchers < LEAST_CONCURRENCY:
             return False
         return self.state.now_ns >= worker.next_attempt_ns and worker.warm_in_flight < max(1.0, limit)
 
@@ -56,5 +56,5 @@
             worker.concurrency_limit += min(1 / limit, limit * INCREASE_PART)
         elif is_late and latency_ns > objective_ns and self.state.now_ns - worker.limit_cut_ns > objective_ns:
             worker.limit_cut_ns = self.state.now_ns
-            least = LEAST_CONCURRENCY / self.state.settings.front_ends
+            least = LEAST_CONCURRENCY / self.state.settings.dispatchers
             worker.concurrency_limit = max(least, limit * DECREASE)
--- a/martenlead/policy/latency.py
+++ b/martenlead/policy/latency.py
@@ -83,7 +83,7 @@
 
         The mean where only warm runs were added; else the lower quartile, which cold starts do not reach.
         """
-        if self.settings.tells_warm:
+        if self.settings.tells_warmth:
             return histogram.mean()
         return histogram.quantile(LOWER_QUARTILE)
 
--- a/martenlead/policy/load_budget.py
+++ b/martenlead/policy/load_budget.py
@@ -26,31 +26,34 @@
     def allows(self, worker: Worker, share: float = 1.0) -> bool:
         """Whether a load request may go to this worker now, within that share of the budget and by rule 3."""
         state, settings = self.state, self.state.settings
-        if not settings.ration_window:
+        if not settings.load_window_ns:
             return state.accepts_work(worker)
-        since = state.now_ns - settings.ration_window
+        since = state.now_ns - settings.load_window_ns
         self._forget_before(since)
         given = len(self.load_times_ns)
-        given += sum(at < since - 2 * settings.tick for at in self.loads_in_flight.values())
-        budget = settings.ration_free + settings.ration_share * len(self.request_times_ns)
+        given += sum(at < since - 2 * settings.tick_ns for at in self.loads_in_flight.values())
+        budget = settings.free_loads_per_window + settings.loads_per_request * len(self.request_times_ns)
         return state.accepts_work(worker) and given + 1 <= share * budget
 
     def _forget_before(self, since: int) -> None:
         settings = self.state.settings
-        while self.load_times_ns and self.load_times_ns[0] < since - 2 * settings.tick:
+        while self.load_times_ns and self.load_times_ns[0] < since - 2 * settings.tick_ns:
             self.load_times_ns.popleft()
         while self.loads_in_flight:
             oldest = next(iter(self.loads_in_flight))
-            if self.loads_in_flight[oldest] >= since - settings.ration_window:
+            if self.loads_in_flight[oldest] >= since - settings.load_window_ns:
                 break
             del self.loads_in_flight[oldest]  # its end was never told
-        while self.request_times_ns and self.request_times_ns[0] < since + settings.reach + 2 * settings.tick:
+        while (
+            self.request_times_ns
+            and self.request_times_ns[0] < since + settings.connect_timeout_ns + 2 * settings.tick_ns
+        ):
             self.request_times_ns.popleft()
 
     def record_request(self) -> None:
         """A request was taken: it makes room for load requests."""
         self.request_times_ns.append(self.state.now_ns)
-        if not self.state.settings.ration_window and len(self.request_times_ns) > 1:
+        if not self.state.settings.load_window_ns and len(self.request_times_ns) > 1:
             self.request_times_ns.popleft()
 
     def withdraw_request(self, taken_ns: int) -> None:
@@ -60,7 +63,7 @@
 
     def record_load(self, load: LoadRequest) -> None:
         """A load request is given."""
-        if self.state.settings.ration_window:
+        if self.state.settings.load_window_ns:
             self.loads_in_flight[load] = self.state.now_ns
             self.load_times_ns.append(self.state.now_ns)
 
--- a/martenlead/policy/placement.py
+++ b/martenlead/policy/placement.py
@@ -124,7 +124,7 @@
         worker brings their replicas together.
         """
         state, free = self.state, list[Worker]()
-        choices = max(1, REPLICA_CHOICES // state.settings.front_ends)
+        choices = max(1, REPLICA_CHOICES // state.settings.dispatchers)
         for worker in self.candidates(function, len(function.replicas)):
             replica = function.replicas.get(worker)
             if len(free) >= choices:
@@ -133,7 +133,7 @@
                 continue
             if replica and state.is_warm(replica) and not replica.is_held and not self.is_crowded(worker):
                 return worker  # what is loaded already costs no load
-            retry_ns = replica.load_failed_ns + state.settings.keep // 2 if replica else 0
+            retry_ns = replica.load_failed_ns + state.settings.keep_alive_ns // 2 if replica else 0
             if replica is None or not (replica.is_held or state.now_ns < retry_ns):
                 free.append(worker)
         return min(free, key=self.busyness, default=None)
--- a/martenlead/policy/policy.py
+++ b/martenlead/policy/policy.py
@@ -79,12 +79,12 @@
 
     def background(self) -> list[Steps]:
         """What runs as long as the dispatcher does."""
-        return [self.scaling.run(), *([self._ask_for_workers()] if self.settings.asks_roster else [])]
+        return [self.scaling.run(), *([self._ask_for_workers()] if self.settings.lists_workers else [])]
 
     def _ask_for_workers(self) -> Steps:
         while True:
             yield ListWorkers()
-            yield Wait(self.state.now_ns + self.settings.roster_every)
+            yield Wait(self.state.now_ns + self.settings.list_interval_ns)
 
     # -- events
 
--- a/martenlead/policy/repeats.py
+++ b/martenlead/policy/repeats.py
@@ -20,7 +20,7 @@
     def may_send(self, request: Request, worker: Worker) -> bool:
         """Whether an attempt there causes no effect twice, and no forbidden second one in flight."""
         may_have_run = [a for a in request.attempts if a.result not in NEVER_RAN]
-        if not self.state.settings.twice_out and any(a.result is None for a in may_have_run):
+        if not self.state.settings.may_hedge and any(a.result is None for a in may_have_run):
             return False
         request_class = request.request_class
         if not may_have_run or request_class.effect is Effect.IDEMPOTENT:
@@ -46,7 +46,7 @@
         return (
             first.sent_ns
             + request.request_class.idempotency_window_ns
-            - WINDOW_MARGIN_TICKS * self.state.settings.tick
+            - WINDOW_MARGIN_TICKS * self.state.settings.tick_ns
         )
 
     def may_reject(self, request: Request) -> bool:
--- a/martenlead/policy/replica_scaling.py
+++ b/martenlead/policy/replica_scaling.py
@@ -112,7 +112,7 @@
         R is this rate times the dispatchers, which multiplies chance too: by one deviation of the count,
         replicas are added on the least that R may be and released on the most.
         """
-        if not self.state.settings.orders:
+        if not self.state.settings.may_request_loads:
             return
         expected = requests * self.state.traffic.equivalent_dispatchers * SECOND / span_ns  # R
         chance = 1 / math.sqrt(max(requests, 1))
@@ -141,7 +141,9 @@
             if not self.load_budget.allows(worker, NEW_REPLICAS_SHARE):
                 break
             replica.is_held = True
-            if not (replica.is_loaded and replica.last_used_ns + state.settings.keep // 2 > state.now_ns):
+            if not (
+                replica.is_loaded and replica.last_used_ns + state.settings.keep_alive_ns // 2 > state.now_ns
+            ):
                 yield self.request_load(replica)
             capacity += self.capacity(replica)
             held.append(replica)
@@ -162,13 +164,13 @@
         state = self.state
         for replica in held:
             idle_ns = state.now_ns - replica.last_used_ns
-            if idle_ns <= state.settings.keep // 2 or replica.load_requested_ns:
+            if idle_ns <= state.settings.keep_alive_ns // 2 or replica.load_requested_ns:
                 continue
-            if state.random() * state.settings.front_ends > RENEWING_DISPATCHERS:
+            if state.random() * state.settings.dispatchers > RENEWING_DISPATCHERS:
                 replica.last_used_ns = state.now_ns  # all hold the same: the renewals are the fleet's
             elif self.load_budget.allows(replica.worker):
                 yield self.request_load(replica)
-            elif idle_ns > state.settings.keep:
+            elif idle_ns > state.settings.keep_alive_ns:
                 replica.is_held = replica.is_loaded = False
 
     def is_wanted(self, function: Function) -> bool:
@@ -185,7 +187,7 @@
         memory = self.state.index.memory / max(function.facts.memory_mb, 1.0)
         traffic = self.state.traffic
         requests = max(traffic.succeeded_per_second, 1.0) * traffic.equivalent_dispatchers / SECOND
-        cold_start = 1 - settings.late_revenue + settings.fetch_price
+        cold_start = 1 - settings.late_value + settings.load_price
         if not settings.memory_price:
             return math.inf
         return cold_start * memory / (settings.memory_price * requests)
--- a/martenlead/policy/results.py
+++ b/martenlead/policy/results.py
@@ -70,7 +70,7 @@
             function.home = worker
         replica.last_used_ns = max(replica.last_used_ns, state.now_ns)
         replica.load_requested_ns, replica.is_loaded = 0, True
-        tells_warm = state.settings.tells_warm
+        tells_warm = state.settings.tells_warmth
         if answer.warmth is Warmth.WARM if tells_warm else bool(answer.attempt.expects_warm):
             self._record_warm_run(answer, replica)
         elif not tells_warm:
--- a/martenlead/policy/slow_start.py
+++ b/martenlead/policy/slow_start.py
@@ -21,7 +21,7 @@
     def is_warming_up(self, worker: Worker) -> bool:
         """Whether its process started less than a ramp ago; one whose start is not told never is."""
         started = worker.facts.started_ns
-        return bool(started) and self.state.now_ns - started < self.state.settings.cold
+        return bool(started) and self.state.now_ns - started < self.state.settings.slow_start_ns
 
     def allows(self, worker: Worker) -> bool:
         """Whether the worker is past its ramp, or its ramp has begun here.
@@ -44,13 +44,13 @@
         requests is mostly chance.
         """
         state, settings = self.state, self.state.settings
-        growth = (1 - settings.cold_from) / max(settings.cold, 1)
+        growth = (1 - settings.slow_start_share) / max(settings.slow_start_ns, 1)
         age_ns = max(0, state.now_ns - worker.facts.started_ns)  # clocks of workers may be ahead
-        share = settings.cold_from + growth * age_ns
+        share = settings.slow_start_share + growth * age_ns
         part = worker.facts.weight / max(state.highest_weight, state.index.weight, 1e-9)
         traffic = state.traffic
         rate = min(traffic.peak_succeeded_per_second, traffic.new_requests_per_second)
-        per_second = settings.fall_multiple * rate * part
+        per_second = settings.slow_start_multiple * rate * part
         warm_ns = requests * SECOND / max(per_second, 1e-3) + 1  # that it takes a warm worker
         # solves share * gap + growth * gap ** 2 / 2 = warm_ns: of many dispatchers, a gap spans most of it
         return int(2 * warm_ns / (share + math.sqrt(share**2 + 2 * growth * warm_ns)))
--- a/martenlead/policy/state.py
+++ b/martenlead/policy/state.py
@@ -111,9 +111,9 @@
         per_second, before = new * SECOND / period_ns, self.new_requests_per_second
         self.new_requests_per_second = (before + per_second) / 2 if before else per_second
         # one that carries far more than its part must not take itself for the mean of many
-        dispatchers = settings.quota / max(self.new_requests_per_second, 1e-9)
-        few = 4 * dispatchers < settings.front_ends
-        self.equivalent_dispatchers = max(1.0, dispatchers) if few else settings.front_ends
+        dispatchers = settings.rate_limit_per_second / max(self.new_requests_per_second, 1e-9)
+        few = 4 * dispatchers < settings.dispatchers
+        self.equivalent_dispatchers = max(1.0, dispatchers) if few else settings.dispatchers
 
 
 class State:
@@ -132,17 +132,17 @@
         self.functions: dict[Function, None] = {}  # the last asked for stands last
         self.paced_workers: dict[Worker, None] = {}  # that responded lately
         self.latencies = LatencyEstimates(settings)
-        self.traffic = Traffic(settings.front_ends)
+        self.traffic = Traffic(settings.dispatchers)
         self.warm_in_flight = 0  # at all workers
-        self.check_period_ns = max(SECOND, settings.keep // RENEWALS_A_KEEP_ALIVE)
-        objectives = (request_class.latency_objective_ns for request_class in settings.offerings)
+        self.check_period_ns = max(SECOND, settings.keep_alive_ns // RENEWALS_A_KEEP_ALIVE)
+        objectives = (request_class.latency_objective_ns for request_class in settings.request_classes)
         self.shortest_objective_ns = min(objectives, default=SECOND)
 
     # -- workers
 
     def new_worker(self, facts: WorkerFacts) -> Worker:
         """An object for a worker's id; it is listed once `update_workers` says so."""
-        return Worker(facts, self.now_ns, FIRST_CONCURRENCY / self.settings.front_ends)
+        return Worker(facts, self.now_ns, FIRST_CONCURRENCY / self.settings.dispatchers)
 
     def update_workers(self, events: Iterable[tuple[Any, WorkerFacts]], is_snapshot: bool) -> None:
         """What discovery says of some workers, or with a snapshot of all: who is not in it is gone."""
@@ -188,7 +188,7 @@
         open.
         """
         function = Function(facts, self.now_ns)
-        if len(self.functions) >= self.settings.functions:
+        if len(self.functions) >= self.settings.function_limit:
             idle = (f for f in self.functions if not any(r.is_in_use for r in f.replicas.values()))
             self.drop_function(next(idle, function))
         self.functions[function] = None
@@ -232,4 +232,4 @@
 
     def is_warm(self, replica: Replica) -> bool:
         """An idle replica may lapse once its keep-alive has passed: belief in it ends there too."""
-        return replica.is_loaded and self.now_ns < replica.last_used_ns + self.settings.keep
+        return replica.is_loaded and self.now_ns < replica.last_used_ns + self.settings.keep_alive_ns
--- a/martenlead/policy/types.py
+++ b/martenlead/policy/types.py
@@ -83,37 +83,34 @@
 
 @dataclass(slots=True, eq=False)
 class Settings:
-    """What the policy reads of what it is told at start; a feature that is not stated is absent.
-
-    The fields keep their names, by which captures store them and `replay --set` takes them.
-    """
-
-    front_ends: int
-    tick: int
-    hand_offs: int
-    twice_out: bool
-    call_off: bool
-    orders: bool
-    tells_warm: bool
-    loads_on_miss: bool
-    turn_back_wait: int
-    keep: int
-    ration_window: int
-    ration_free: float
-    ration_share: float
-    cold_from: float
-    cold: int
-    fall_multiple: float
-    over_share: float
-    quota: float  # of all customers, tasks a second
-    memory_price: float  # of all memory idle all day, in the revenue of all tasks
-    late_revenue: float  # of a late answer, as a part
-    fetch_price: float  # of one fetch, in the revenue of one task
-    asks_roster: bool
-    roster_every: int
-    offerings: list[RequestClass] = field(default_factory=list)
-    reach: int = 0  # until a connection to a runner is up, or given up
-    functions: int = 1 << 30  # that may be known at once
+    """What the policy reads of what it is told at start; a feature that is not stated is absent."""
+
+    dispatchers: int
+    tick_ns: int  # in which events come together, and by which times may be off
+    attempt_limit: int  # of one request
+    may_hedge: bool  # a second attempt while the first is in flight
+    may_cancel: bool  # an attempt in flight
+    may_request_loads: bool  # ahead of requests
+    tells_warmth: bool  # responses say whether the replica was warm
+    loads_on_miss: bool  # workers load a function at its first request
+    retry_after_limit_ns: int  # that clients heed at most
+    keep_alive_ns: int  # that an idle replica stays loaded for
+    load_window_ns: int  # of the load budget; 0 for none
+    free_loads_per_window: float
+    loads_per_request: float
+    slow_start_share: float  # of its requests, that a worker may get as it starts
+    slow_start_ns: int
+    slow_start_multiple: float  # of a worker's part, that the ramp is a share of
+    over_share: float  # from 1 on tenants have no shares
+    rate_limit_per_second: float  # of all tenants
+    memory_price: float  # of all memory idle all day, in the value of all requests
+    late_value: float  # of a late response, as a part
+    load_price: float  # of one load, in the value of one request
+    lists_workers: bool  # discovery has to be asked
+    list_interval_ns: int
+    request_classes: list[RequestClass] = field(default_factory=list)
+    connect_timeout_ns: int = 0  # until a connection to a worker is up, or given up
+    function_limit: int = 1 << 30  # that may be known at once
 
 
 @dataclass(slots=True)
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -489,5 +489,5 @@
     told = ev.pack_settings(SETTINGS)
     newer = {**told, "a_setting_of_tomorrow": 1}
     older = {name: value for name, value in told.items() if name != "functions"}
-    assert ev.settings_of(newer).keep == SETTINGS.keep
-    assert ev.settings_of(older).functions == SETTINGS.functions
+    assert ev.settings_of(newer).keep_alive_ns == SETTINGS.keep_alive_ns
+    assert ev.settings_of(older).function_limit == SETTINGS.function_limit
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -59,8 +59,8 @@
     assert json.loads(shown.output)["limits"]["open_tasks"] == 4000
     assert CliRunner().invoke(commands, ["config", "check", str(path)]).output == f"{path}: good\n"
     told, offerings, _ = settings(read(path))
-    assert told.offerings == list(offerings.values())
-    assert told.turn_back_wait == 500_000_000
+    assert told.request_classes == list(offerings.values())
+    assert told.retry_after_limit_ns == 500_000_000
 
 
 def test_the_schema_names_every_setting() -> None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -62,7 +62,7 @@
 
 
 def test_lower_quartile_where_warmth_is_not_told() -> None:
-    play = Play(tells_warm=False)
+    play = Play(tells_warmth=False)
     play.served(6, every=100)
     play.task("slow")
     play.to(3000)
@@ -104,7 +104,13 @@
 
 
 def test_new_copies_take_a_part_of_the_ration_only() -> None:
-    play = Play(runners="abcdefgh", ration_window=10_000 * MS, ration_free=8, ration_share=0.0, front_ends=50)
+    play = Play(
+        runners="abcdefgh",
+        load_window_ns=10_000 * MS,
+        free_loads_per_window=8,
+        loads_per_request=0.0,
+        dispatchers=50,
+    )
     for n in range(9):
         play.task(f"t{n}")
         play.stands()
@@ -113,7 +119,7 @@
 
 def test_one_that_carries_far_more_than_its_part_is_not_the_mean_of_many() -> None:
     for quota in (1e9, 100.0):
-        play = Play(front_ends=50, quota=quota)
+        play = Play(dispatchers=50, rate_limit_per_second=quota)
         play.wide()
         play.served(60)
         one_of = play.policy.state.traffic.equivalent_dispatchers
@@ -141,7 +147,7 @@
 
 
 def test_of_many_dispatchers_each_has_less_than_one_task_out() -> None:
-    play = Play(runners="a", front_ends=50)
+    play = Play(runners="a", dispatchers=50)
     for ms in range(0, 800, 100):
         play.to(ms)
         play.task(f"t{ms}")
--- a/tests/test_placement_at_scale.py
+++ b/tests/test_placement_at_scale.py
@@ -25,12 +25,12 @@
 from tests.play import MS
 from tests.virtual_fleet import SECOND, Dispatcher, Fleet, line, lines
 
-BUDGET = {"ration_window": SECOND, "ration_free": 4.0, "ration_share": 0.1}
+BUDGET = {"load_window_ns": SECOND, "free_loads_per_window": 4.0, "loads_per_request": 0.1}
 
 
 def fleet_of(workers: int, dispatchers: int, **changes: Any) -> tuple[Fleet, list[Dispatcher]]:
     fleet = Fleet(range(workers))
-    made = [Dispatcher(fleet, seed, front_ends=dispatchers, **changes) for seed in range(dispatchers)]
+    made = [Dispatcher(fleet, seed, dispatchers=dispatchers, **changes) for seed in range(dispatchers)]
     for dispatcher in made:
         dispatcher.tell(lines(range(workers)), whole=True)
         dispatcher.begin()
@@ -110,7 +110,7 @@
             assert not closed & {attempt.mark for attempt in dispatcher.attempts[begun[0] :]}
             assert not closed & {mark for _, _, mark in dispatcher.loads[begun[1] :]}
         if n in (10, 20):
-            late = Dispatcher(fleet, 100 + n, front_ends=6)
+            late = Dispatcher(fleet, 100 + n, dispatchers=6)
             late.tell([line(m, s) for m, s in listed.items() if s is not io.WorkerState.GONE], whole=True)
             dispatchers.append(late.begin())
     fleet.run_for(5 * SECOND)
@@ -145,7 +145,7 @@
 def test_a_region_cut_off_for_an_hour_gets_nothing_and_its_replicas_are_not_believed(keep: int) -> None:
     """A third of 600 workers drains and is gone. For an hour the others serve; then it is listed again
     with the same processes, which may or may not hold what they held."""
-    fleet, (dispatcher,) = fleet_of(600, 1, keep=keep)
+    fleet, (dispatcher,) = fleet_of(600, 1, keep_alive_ns=keep)
     functions = range(1000, 1060)
     before = first_workers(fleet, dispatcher, functions)
     region = set(range(200))
@@ -204,8 +204,10 @@
     traffic(window)
     sent = Counter(a.mark for d in dispatchers for a in d.attempts if a.at >= began and a.mark in zone)
     s = dispatchers[0].settings
-    share = s.cold_from + (1 - s.cold_from) * window * SECOND / s.cold / 2  # mean of the window
-    allowed = s.fall_multiple * share * window * (10 * 50 / 300)
+    share = (
+        s.slow_start_share + (1 - s.slow_start_share) * window * SECOND / s.slow_start_ns / 2
+    )  # mean of the window
+    allowed = s.slow_start_multiple * share * window * (10 * 50 / 300)
     assert len(zone) <= sum(sent.values()) <= len(zone) * allowed
     assert max(sent.values()) <= 1.5 * allowed
     fleet.run_for(5 * SECOND)
@@ -275,7 +277,7 @@
         for at, _, _ in dispatcher.loads:
             loads = sum(at - SECOND < other <= at for other, _, _ in dispatcher.loads)
             requests = sum(at - SECOND <= call <= at for call in dispatcher.calls)
-            assert loads <= BUDGET["ration_free"] + BUDGET["ration_share"] * requests
+            assert loads <= BUDGET["free_loads_per_window"] + BUDGET["loads_per_request"] * requests
         given += [(function, mark) for _, function, mark in dispatcher.loads]
         all_ended(dispatcher)
     assert len(given) > 100
@@ -369,7 +371,9 @@
     """Requests that wait at the door ask for room again and again, and may give up before they are taken."""
     fleet, (dispatcher,) = fleet_of(300, 1)
     for number in range(100):
-        dispatcher.border.room(dispatcher.function(number), dispatcher.settings.offerings[0], False, 0.0)
+        dispatcher.border.room(
+            dispatcher.function(number), dispatcher.settings.request_classes[0], False, 0.0
+        )
     fleet.run_for(1000 * SECOND)
     assert not dispatcher.policy.state.functions
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,7 +38,7 @@
 
 def test_never_two_out_where_forbidden() -> None:
     for twice in (False, True):
-        play = Play(twice_out=twice)
+        play = Play(may_hedge=twice)
         play.served(12)
         for runner in play.runners.values():
             runner.retry_budget = 5.0
@@ -95,7 +95,7 @@
 
 def test_what_a_cold_runner_gets_is_of_the_best_rate_seen() -> None:
     """In a release less is satisfied: of that, the new runners got next to nothing and stood idle."""
-    play = Play(runners="a", keep=4_000_000_000)
+    play = Play(runners="a", keep_alive_ns=4_000_000_000)
     play.served(60)
     for n in range(120):  # as much is asked, and one of twenty is satisfied
         play.task("-", patience=49)
@@ -108,7 +108,7 @@
 
 def test_what_a_cold_runner_gets_is_of_no_more_than_is_asked_now() -> None:
     """Traffic that went to others is counted by them: the best rate of old would count it twice."""
-    play = Play(runners="a", keep=4_000_000_000)
+    play = Play(runners="a", keep_alive_ns=4_000_000_000)
     play.served(60)
     play.served(6, every=1000)
     play.list_one("a", since=9100)
@@ -147,7 +147,7 @@
 
 def test_a_task_whose_holders_are_full_may_go_to_a_runner_just_started() -> None:
     """It holds nothing that a load would push out; at any other runner one would."""
-    play = Play(runners="abc", front_ends=2, orders=False)
+    play = Play(runners="abc", dispatchers=2, may_request_loads=False)
     play.served(60)
     holder = next(iter(c.worker for c in play.models["m"].replicas.values() if c.is_loaded))
     holder.concurrency_limit, holder.warm_in_flight = 1.0, 1
@@ -163,7 +163,7 @@
 def test_a_cold_runner_is_not_sent_a_first_task_at_once_by_each_of_many() -> None:
     first = 0
     for seed in range(90):
-        play = Play(runners="a", seed=seed, front_ends=90)
+        play = Play(runners="a", seed=seed, dispatchers=90)
         play.wide()
         play.served(20, every=100)
         play.list_one("a", since=2000)
@@ -174,7 +174,7 @@
 
 
 def test_the_ration_of_load_orders() -> None:
-    play = Play(ration_window=10_000 * MS, ration_free=2, ration_share=0.0)
+    play = Play(load_window_ns=10_000 * MS, free_loads_per_window=2, loads_per_request=0.0)
     for n in range(4):
         play.task(f"t{n}", "mnop"[n])
         play.stands()
@@ -186,7 +186,7 @@
 def test_an_order_counts_until_a_window_after_it_may_have_arrived() -> None:
     """Given to a runner that is cut off they come six seconds late, also the one that is answered then: with
     the next two, four in a window."""
-    play = Play(ration_window=10_000 * MS, ration_free=2, ration_share=0.0)
+    play = Play(load_window_ns=10_000 * MS, free_loads_per_window=2, loads_per_request=0.0)
     runner, models = (
         play.runners["a"],
         [play.policy.new_function(io.FunctionFacts(n, 2, 3000.0)) for n in range(2)],
@@ -231,7 +231,9 @@
 
 
 def test_tasks_that_were_taken_back_make_no_room_for_orders() -> None:
-    play = Play(ration_window=10_000 * MS, ration_free=0, ration_share=0.3, orders=False)
+    play = Play(
+        load_window_ns=10_000 * MS, free_loads_per_window=0, loads_per_request=0.3, may_request_loads=False
+    )
     for n in range(40):
         play.to(10 * n)
         task = play.task(f"t{n}")
@@ -254,7 +256,13 @@
 
 def test_an_order_may_arrive_as_late_as_a_connection_comes_up() -> None:
     """It is counted against the tasks before it arrives: some before it was given may be too old by then."""
-    play = Play(ration_window=10_000 * MS, ration_free=0, ration_share=0.5, reach=1000 * MS, orders=False)
+    play = Play(
+        load_window_ns=10_000 * MS,
+        free_loads_per_window=0,
+        loads_per_request=0.5,
+        connect_timeout_ns=1000 * MS,
+        may_request_loads=False,
+    )
     for n in range(2):
         play.task(f"t{n}")
     play.to(8900)
@@ -349,7 +357,13 @@
 def test_a_release_of_all_models_on_a_quiet_day() -> None:
     """No list change tells of it: copies are gone wherever they are looked for. Orders stay in the ration,
     each model is served again by its next tasks, and no runner gets all that comes."""
-    play = Play(runners="abcde", ration_window=10_000 * MS, ration_free=2, ration_share=0.3, front_ends=3)
+    play = Play(
+        runners="abcde",
+        load_window_ns=10_000 * MS,
+        free_loads_per_window=2,
+        loads_per_request=0.3,
+        dispatchers=3,
+    )
     for model in "mnop":
         play.served(6, model, every=300)
     play.to(20_000)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -84,7 +84,13 @@
     nulls = dict.fromkeys(("family-info", "orgs", "azs", "skus", "weights", "prices", "registry-mode"))
     assert Profile(told | nulls | {"over-share-worth": None}).settings.__repr__() == repr(bare.settings)
     s = bare.settings
-    assert (s.twice_out, s.orders, s.loads_on_miss, s.keep, s.over_share) == (False, False, True, 0, 1.0)
+    assert (s.may_hedge, s.may_request_loads, s.loads_on_miss, s.keep_alive_ns, s.over_share) == (
+        False,
+        False,
+        True,
+        0,
+        1.0,
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -148,7 +148,7 @@
     def capacity_share(self, mark: int, when: int) -> float:
         """The least that a worker can do by then, as a part of what it can do once it is warm."""
         age = max(0, when - self.since[mark]) / COLD
-        return min(1.0, SETTINGS.cold_from + (1 - SETTINGS.cold_from) * age)
+        return min(1.0, SETTINGS.slow_start_share + (1 - SETTINGS.slow_start_share) * age)
 
     def sent(self, mark: int) -> list[int]:
         """When requests came to a cold worker, from the time that dispatchers were told of its start."""
@@ -157,7 +157,7 @@
     def budget(self, mark: int, begin: int, end: int) -> float:
         """N of a window: the capacity is the mean of those at its begin and end, as it rises evenly."""
         share = (self.capacity_share(mark, begin) + self.capacity_share(mark, end)) / 2
-        return SETTINGS.fall_multiple * share * self.capacity[mark] * (end - begin) / SECOND
+        return SETTINGS.slow_start_multiple * share * self.capacity[mark] * (end - begin) / SECOND
 
     def most_used(self) -> float:
         """The most that came to a cold worker within a window, as a part of the budget with its chance."""
@@ -183,7 +183,7 @@
     def __init__(self, fleet: Fleet, n: int) -> None:
         self.fleet = fleet
         self.alive = True
-        settings = replace(SETTINGS, front_ends=fleet.size, orders=False, cold=COLD)
+        settings = replace(SETTINGS, dispatchers=fleet.size, may_request_loads=False, slow_start_ns=COLD)
         self.policy = Policy(settings, fleet.chance.randrange(1 << 30))
         self.policy.state.now_ns = fleet.now
         self.engine = Engine(self.policy, self.out)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,6 +12,8 @@
 import msgspec
 import pytest
 
+from martenlead.capture import events as ev
+from martenlead.capture.store import runs
 from martenlead.edge.keeper import KNOWLEDGE
 from martenlead.emulator.policies import _imported_from
 from martenlead.lasting.disk import Folder
@@ -20,7 +22,7 @@
 from martenlead.planner.snapshot import Restored
 from martenlead.policy.policy import Policy
 from support.pair import Pair
-from tests.play import MS, Play
+from tests.play import MS, SETTINGS, Play
 from tests.test_planner import busy
 
 STORED = Path(__file__).parent / "stored"
@@ -82,10 +84,20 @@
     assert now["models"][0][7][0][1].keys() == then["models"][0][7][0][1].keys()
 
 
+def test_settings_are_stored_by_the_names_that_earlier_captures_have() -> None:
+    path = next((Path(__file__).parent / "captures").glob("crash-*.mlc"))
+    (start, *_) = runs([path])[0].events()
+    assert isinstance(start, ev.Start)
+    then, now = set(start.settings), set(ev.pack_settings(SETTINGS))
+    assert now == then | {"reach", "functions"}
+    told = ev.pack_settings(ev.settings_of(start.settings))
+    assert {name: told[name] for name in then} == start.settings
+
+
 def test_an_edge_takes_up_the_state_folder_of_an_earlier_one(tmp_path: Path) -> None:
     known = stored_knowledge(tmp_path / "edge")
     assert [m.name for m in known.models] == ["n", "m"]
-    play = Play(ration_window=10_000 * MS, ration_free=8, ration_share=0.3)
+    play = Play(load_window_ns=10_000 * MS, free_loads_per_window=8, loads_per_request=0.3)
     play.task("t1", "m")
     play.task("t2", "n")
     lives = {name: (worker, "1") for name, worker in play.runners.items()}
@@ -98,7 +110,7 @@
 
 
 def test_the_same_play_is_gathered_as_the_state_folder_has_it(tmp_path: Path) -> None:
-    play = Play(ration_window=10_000 * MS, ration_free=8, ration_share=0.3)
+    play = Play(load_window_ns=10_000 * MS, free_loads_per_window=8, loads_per_request=0.3)
     for name in "mn":
         play.served(20, name)
     names = {play.models[name]: name for name in play.models}
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -33,8 +33,7 @@
     "system",
     "traces",
 }
-# the types that cross the policy's border still have the words of the protocols and of stored data
-PROTOCOL_MODULES = {"policy/types.py"}
+PROTOCOL_MODULES: set[str] = set()
 WITHDRAWN = {
     "asked",
     "best",
--- a/tests/test_withheld.py
+++ b/tests/test_withheld.py
@@ -48,5 +48,5 @@
     play.answer(io.Result.CONNECTION_LOST)
     repeats = play.hand_offs
     assert len(repeats) == 1 and repeats[0].request is task
-    window_end = first.sent_ns + offering.idempotency_window_ns - 4 * SETTINGS.tick
+    window_end = first.sent_ns + offering.idempotency_window_ns - 4 * SETTINGS.tick_ns
     assert repeats[0].begin_by_ns == (window_end if offering is POST else give_up)
