--- a/benchmarks/scale/pooled.py
+++ b/benchmarks/scale/pooled.py
@@ -89,7 +89,7 @@
 
     def __init__(self, told: config.Config, sockets: int, clock: Callable[[], int]) -> None:
         """`sockets` is the dispatcher's limit on descriptors, shared out as the node does."""
-        soft = {name: offering.soft_limit for name, offering in told.about.offerings.items()}
+        soft = {name: offering.latency_objective_ns for name, offering in told.about.offerings.items()}
         super().__init__(told.conn, max(16, sockets - OWN) // 2, soft, clock)
         self._group: Any = ConnectionsWanted(self)
         self.counts = LinkCounts()
--- a/martenlead/benchlink/settings.py
+++ b/martenlead/benchlink/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from martenlead.interface import Customer, Effect, Group, Offering, Settings
+from martenlead.policy.types import DeduplicationScope, Effect, RequestClass, Settings, Tenant
 
 LONGEST = 1e9  # s: in ns it still has room in 64 bits
 Seconds = Annotated[float, Meta(ge=0, le=LONGEST)]
@@ -18,8 +18,8 @@
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 EFFECTS = {
     "read_like": Effect.IDEMPOTENT,
-    "idempotency_key": Effect.DEDUPLICATED,
-    "non_idempotent": Effect.UNREPEATABLE,
+    "idempotency_key": Effect.WITH_IDEMPOTENCY_KEY,
+    "non_idempotent": Effect.NON_IDEMPOTENT,
 }
 
 
@@ -117,43 +117,43 @@
         if memory and len(memory) != len(self.kinds):
             raise BadSettings(f"{len(self.kinds)} kinds of machine, and the memory of {len(memory)}")
         self.offerings = {
-            c.name: Offering(
-                soft_limit=ns(c.on_time),
+            c.name: RequestClass(
+                latency_objective_ns=ns(c.on_time),
                 effect=EFFECTS[c.effect],
-                group=Group(c.group or "all"),
-                window=ns(c.dedup_window or 0),
+                deduplication_scope=DeduplicationScope(c.group or "all"),
+                idempotency_window_ns=ns(c.dedup_window or 0),
             )
             for c in read.classes
         }
         self.hard = {c.name: ns(c.give_up) for c in read.classes if c.give_up}
         self.order_limit = family.order_limit
-        self.customers = {o.name: Customer(o.quota_per_s) for o in read.orgs or []}
+        self.customers = {o.name: Tenant(o.quota_per_s) for o in read.orgs or []}
         self.memory = dict(zip(self.kinds, memory, strict=False))
         self.silent_weights = (read.weights or "silent") == "silent"
         self.settings = Settings(
-            front_ends=read.balancers,
-            tick=ns(read.granularity),
-            hand_offs=allowed.attempts_cap,
-            twice_out=bool(allowed.may_duplicate),
-            call_off=bool(allowed.cancel),
-            orders=bool(family.placement_calls),
-            tells_warm=bool(family.tells_warm),
+            dispatchers=read.balancers,
+            tick_ns=ns(read.granularity),
+            attempt_limit=allowed.attempts_cap,
+            may_hedge=bool(allowed.may_duplicate),
+            may_cancel=bool(allowed.cancel),
+            may_request_loads=bool(family.placement_calls),
+            tells_warmth=bool(family.tells_warm),
             loads_on_miss=(family.if_cold or "load") == "load",
-            turn_back_wait=ns(allowed.max_retry_after or 0) if allowed.retry_after else 0,
-            keep=ns(family.linger_idle or 0),
-            reach=ns(allowed.connect_timeout or 0),
-            ration_window=ns(family.load_period or 0),
-            ration_free=family.loads_anyway or 0,
-            ration_share=family.loads_per_request or 0,
-            cold_from=rules.cold_from,
-            cold=ns(rules.cold),
-            fall_multiple=rules.fall_multiple,
-            quota=sum(c.quota for c in self.customers.values()) or math.inf,
+            retry_after_limit_ns=ns(allowed.max_retry_after or 0) if allowed.retry_after else 0,
+            keep_alive_ns=ns(family.linger_idle or 0),
+            connect_timeout_ns=ns(allowed.connect_timeout or 0),
+            load_window_ns=ns(family.load_period or 0),
+            free_loads_per_window=family.loads_anyway or 0,
+            loads_per_request=family.loads_per_request or 0,
+            slow_start_share=rules.cold_from,
+            slow_start_ns=ns(rules.cold),
+            slow_start_multiple=rules.fall_multiple,
+            rate_limit_per_second=sum(c.rate_limit_per_second for c in self.customers.values()) or math.inf,
             over_share=1.0 if read.over_share_worth is None else read.over_share_worth,
             memory_price=family.memory_price or 0.0,
-            late_revenue=min(c.late_value or 0.0 for c in read.classes),
-            fetch_price=(read.prices or Prices()).origin or 0.0,
-            asks_roster=read.registry_mode == "on_request",
-            roster_every=ns(rules.ask_every or 10),
-            offerings=list(self.offerings.values()),
+            late_value=min(c.late_value or 0.0 for c in read.classes),
+            load_price=(read.prices or Prices()).origin or 0.0,
+            lists_workers=read.registry_mode == "on_request",
+            list_interval_ns=ns(rules.ask_every or 10),
+            request_classes=list(self.offerings.values()),
         )
--- a/martenlead/capture/benchtape.py
+++ b/martenlead/capture/benchtape.py
@@ -9,21 +9,21 @@
 from collections.abc import Callable
 from typing import Any, Protocol, TypeVar
 
-from martenlead.brain import Brain
 from martenlead.capture.store import Store, StoreSettings
 from martenlead.capture.tape import Tape
-from martenlead.engine import Engine
-from martenlead.interface import (
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Policy
+from martenlead.policy.types import (
     Action,
-    Answer,
-    Customer,
-    ModelFacts,
-    Offering,
-    Order,
+    AttemptResult,
+    FunctionFacts,
+    LoadRequest,
+    Request,
+    RequestClass,
     Result,
-    RunnerFacts,
     Settings,
-    Task,
+    Tenant,
+    WorkerFacts,
 )
 
 
@@ -31,16 +31,16 @@
     """The decoded settings of a dispatcher. Request classes and tenants are by name, in their order."""
 
     settings: Settings
-    offerings: dict[str, Offering]
-    customers: dict[str, Customer]
+    offerings: dict[str, RequestClass]
+    customers: dict[str, Tenant]
 
 
 class RecordableInstance(Protocol):
     """One dispatcher of the adapter, as the recorder needs it."""
 
-    brain: Brain
+    policy: Policy
     engine: Engine
-    task_ids: dict[Task, str]
+    task_ids: dict[Request, str]
 
     @property
     def profile(self) -> DispatcherProfile:
@@ -57,64 +57,61 @@
 
 
 class _Tapped:
-    """Stands for the instance's brain and engine, and writes down each call before it passes it on."""
+    """Stands for the instance's policy and engine, and writes down each call before it passes it on."""
 
     def __init__(self, instance: RecordableInstance, tape: Tape) -> None:
         self._instance, self._tape = instance, tape
-        self._brain, self._engine = instance.brain, instance.engine
+        self._policy, self._engine = instance.policy, instance.engine
+        self.state = self._policy.state  # the adapter sets its clock
         self._engine.outlet = self._outlet
 
     @property
-    def now(self) -> int:
-        return self._brain.now
-
-    @now.setter
-    def now(self, now: int) -> None:
-        self._brain.now = now
+    def _now(self) -> int:
+        return self.state.now_ns
 
     def _outlet(self, action: Action) -> None:
         self._tape.decided(action)
         self._instance.act(action)
 
-    def runner(self, facts: RunnerFacts) -> Any:
-        runner = self._brain.runner(facts)
-        self._tape.runner(self.now, runner, facts, f"{facts.mark:x}")
+    def new_worker(self, facts: WorkerFacts) -> Any:
+        runner = self._policy.new_worker(facts)
+        self._tape.runner(self._now, runner, facts, f"{facts.mark:x}")
         return runner
 
-    def model(self, facts: ModelFacts) -> Any:
-        model = self._brain.model(facts)
-        self._tape.model(self.now, model, facts, f"{facts.mark:x}")
+    def new_function(self, facts: FunctionFacts) -> Any:
+        model = self._policy.new_function(facts)
+        self._tape.model(self._now, model, facts, f"{facts.mark:x}")
         return model
 
-    def roster(self, news: list[tuple[Any, RunnerFacts]], whole: bool) -> None:
-        self._tape.roster(self.now, news, whole)
-        self._brain.roster(news, whole)
+    def update_workers(self, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
+        self._tape.roster(self._now, news, whole)
+        self._policy.update_workers(news, whole)
 
-    def begin(self) -> None:
-        self._tape.begin(self.now)
-        self._engine.begin()
+    def start(self) -> None:
+        self._tape.begin(self._now)
+        self._engine.start()
 
-    def take(self, task: Task) -> None:
-        self._tape.take(self.now, task, self._instance.task_ids[task])
-        self._engine.take(task)
+    def handle_request(self, task: Request) -> None:
+        self._tape.take(self._now, task, self._instance.task_ids[task])
+        self._engine.handle_request(task)
 
-    def answered(self, answer: Answer) -> None:
-        self._tape.answered(self.now, answer)
-        self._engine.answered(answer)
+    def record_result(self, answer: AttemptResult) -> None:
+        self._tape.answered(self._now, answer)
+        self._engine.record_result(answer)
 
-    def ordered(self, order: Order, result: Result, copies: int) -> None:
-        self._tape.ordered(self.now, order, result, copies)
-        self._engine.ordered(order, result, copies)
+    def record_load_end(self, order: LoadRequest, result: Result, copies: int) -> None:
+        self._tape.ordered(self._now, order, result, copies)
+        self._engine.record_load_end(order, result, copies)
 
-    def closed(self, task: Task) -> None:
-        self._tape.closed(self.now, task, "closed")
-        self._engine.closed(task)
+    def close_request(self, task: Request) -> None:
+        self._tape.closed(self._now, task, "closed")
+        self._engine.close_request(task)
 
-    def due(self) -> int | None:
-        return self._engine.due()
+    def next_due_ns(self) -> int | None:
+        return self._engine.next_due_ns()
 
     def advance(self, now: int) -> None:
-        due = self._engine.due()
+        due = self._engine.next_due_ns()
         if due is not None and due <= now:
             self._tape.advance(now)
             self._engine.advance(now)
@@ -144,7 +141,7 @@
         profile = instance.profile
         tape.start(now, profile.settings, event["seed"], list(profile.offerings), profile.customers)
         tapped: Any = _Tapped(instance, tape)
-        instance.brain = instance.engine = tapped
+        instance.policy = instance.engine = tapped
         return instance
 
     return make
--- a/martenlead/capture/replay.py
+++ b/martenlead/capture/replay.py
@@ -13,22 +13,22 @@
 from time import perf_counter
 from typing import Any
 
-from martenlead.brain import Brain
 from martenlead.capture import events as ev
 from martenlead.capture.checkpoint import Checkpoint, restore, save
 from martenlead.capture.tape import Tape
-from martenlead.engine import Engine
-from martenlead.interface import (
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Policy
+from martenlead.policy.types import (
     Action,
-    Answer,
-    HandOff,
-    Order,
-    Past,
-    PastModel,
-    PastRunner,
+    Attempt,
+    AttemptResult,
+    EarlierFunction,
+    EarlierRun,
+    EarlierWorker,
+    LoadRequest,
+    Request,
     Result,
     Settings,
-    Task,
     Warmth,
 )
 
@@ -73,12 +73,12 @@
         self.change = change or (lambda settings: settings)
         self.made: deque[ev.Event] = deque()
         self.start: ev.Start | None = None
-        self.brain: Brain
+        self.policy: Policy
         self.engine: Engine
         self.runners: list[Any] = []
         self.models: list[Any] = []
-        self.tasks: dict[int, Task] = {}
-        self.orders: dict[int, Order] = {}
+        self.tasks: dict[int, Request] = {}
+        self.orders: dict[int, LoadRequest] = {}
         self.names: dict[Any, str] = {}
         self._tape = Tape(self._sink, "")
         self._settings: Settings
@@ -91,7 +91,7 @@
             self.made.append(event)
 
     def _outlet(self, action: Action) -> None:
-        if isinstance(action, Order):
+        if isinstance(action, LoadRequest):
             self._made_orders += 1
             self.orders[self._made_orders] = action
         self._tape.decided(action)
@@ -110,43 +110,43 @@
         if self.start is None:
             raise Unreplayable("it does not begin with a start: the segments before are gone")
         if isinstance(event, ev.Input):
-            self.brain.now = event.t
+            self.policy.state.now_ns = event.t
             self._input(event)
 
     def _begin(self, event: ev.Start) -> None:
         self.start = event
         self._settings = self.change(ev.settings_of(event.settings))
         self._customers = ev.customers_of(event)
-        self.brain = Brain(self._settings, event.seed)
-        self.brain.now = event.t
-        self.engine = Engine(self.brain, self._outlet)
+        self.policy = Policy(self._settings, event.seed)
+        self.policy.state.now_ns = event.t
+        self.engine = Engine(self.policy, self._outlet)
         customers = dict(zip((name for name, _ in event.customers), self._customers, strict=True))
         self._tape.start(event.t, self._settings, event.seed, event.offerings, customers)
 
     def _input(self, event: ev.Input) -> None:
-        brain, engine, tape, t = self.brain, self.engine, self._tape, event.t
+        policy, engine, tape, t = self.policy, self.engine, self._tape, event.t
         match event:
             case ev.Begin():
-                engine.begin()
+                engine.start()
             case ev.Tick(tick=tick):
-                self._settings.tick = tick
+                self._settings.tick_ns = tick
             case ev.NewRunner(name=name, facts=packed):
                 facts = ev.facts_of(packed)
-                runner = brain.runner(facts)
+                runner = policy.new_worker(facts)
                 self.runners.append(runner)
                 self.names[runner] = name
                 tape.runner(t, runner, facts, name)
             case ev.NewModel(name=name):
-                model = brain.model(ev.model_facts(event))
+                model = policy.new_function(ev.model_facts(event))
                 self.models.append(model)
                 self.names[model] = name
                 tape.model(t, model, ev.model_facts(event), name)
             case ev.Roster(whole=whole, lines=lines):
-                brain.roster([(self.runners[n], ev.facts_of(facts)) for n, facts in lines], whole)
+                policy.update_workers([(self.runners[n], ev.facts_of(facts)) for n, facts in lines], whole)
             case ev.Take():
-                task = Task(
+                task = Request(
                     self.models[event.model],
-                    self._settings.offerings[event.offering],
+                    self._settings.request_classes[event.offering],
                     None if event.customer < 0 else self._customers[event.customer],
                     event.give_up,
                     event.again,
@@ -155,59 +155,61 @@
                 self.tasks[event.task] = task
                 self.names[task] = event.name
                 tape.take(t, task, event.name)
-                engine.take(task)
+                engine.handle_request(task)
             case ev.Answered():
                 self._answered(event)
             case ev.OrderEnded(order=number, result=result, copies=copies):
                 order = self.orders.pop(number, None)
                 if order is not None:
-                    engine.ordered(order, Result(result), copies)
+                    engine.record_load_end(order, Result(result), copies)
             case ev.Closed(task=number, final=final):
                 task = self.tasks[number]
                 tape.closed(t, task, final)
-                engine.closed(task)
+                engine.close_request(task)
                 self._closed.add(number)
                 self._over(number, task)
             case ev.Advance():
                 engine.advance(t)
             case ev.Hold(runner=runner, model=model, held=held):
-                engine.hold(self.runners[runner], self.models[model], held)
+                engine.set_held(self.runners[runner], self.models[model], held)
             case ev.Carry(runner=runner, model=model):
-                engine.carry(self.runners[runner], self.models[model])
+                engine.request_load(self.runners[runner], self.models[model])
             case ev.Recalled(result=result, copies=copies, touched=touched):
                 told = self.runners[event.runner], self.models[event.model]
-                engine.recall(*told, Result(result), copies, touched)
+                engine.confirm_replica(*told, Result(result), copies, touched)
             case ev.Room(model=model, offering=offering, spare=spare, cost=cost):
-                kind = self._settings.offerings[offering]
-                engine.room(Task(self.models[model], kind, None, t, False, cost, spare=spare))
+                kind = self._settings.request_classes[offering]
+                engine.choose_worker(
+                    Request(self.models[model], kind, None, t, False, cost, is_deferrable=spare)
+                )
             case ev.Remembered():
-                engine.remember(
-                    Past(
+                engine.restore(
+                    EarlierRun(
                         event.rate,
                         event.asked,
                         event.worth,
-                        [PastModel(self.models[m], *about) for m, *about in event.models],
-                        [PastRunner(self.runners[r], *about) for r, *about in event.runners],
+                        [EarlierFunction(self.models[m], *about) for m, *about in event.models],
+                        [EarlierWorker(self.runners[r], *about) for r, *about in event.runners],
                         event.orders,
                     )
                 )
             case ev.Plans(on=on):
-                self._settings.orders = on
+                self._settings.may_request_loads = on
 
     def _answered(self, event: ev.Answered) -> None:
         task = self.tasks.get(event.task)
-        if task is None or event.hand_off >= len(task.hand_offs):
+        if task is None or event.hand_off >= len(task.attempts):
             return  # of a hand-off that this run never made: only where settings or the module differ
-        hand_off: HandOff = task.hand_offs[event.hand_off]
+        hand_off: Attempt = task.attempts[event.hand_off]
         if hand_off.result is not None:
             return
-        answer = Answer(hand_off, Result(event.result), event.final, Warmth(event.warmth), event.lag)
+        answer = AttemptResult(hand_off, Result(event.result), event.final, Warmth(event.warmth), event.lag)
         self._tape.answered(event.t, answer)
-        self.engine.answered(answer)
+        self.engine.record_result(answer)
         self._over(event.task, task)
 
-    def _over(self, number: int, task: Task) -> None:
-        if number in self._closed and all(h.result is not None for h in task.hand_offs):
+    def _over(self, number: int, task: Request) -> None:
+        if number in self._closed and all(h.result is not None for h in task.attempts):
             self._closed.discard(number)
             self.tasks.pop(number, None)
             self.names.pop(task, None)
@@ -305,14 +307,15 @@
     name, _, value = text.partition("=")
 
     def change(settings: Settings) -> Settings:
-        if not hasattr(settings, name) or name == "offerings":
+        if name not in ev.SETTING_FIELDS or name == "offerings":
             raise ValueError(f"{name}: no such setting")
-        old = getattr(settings, name)
+        field_name = ev.SETTING_FIELDS[name]
+        old = getattr(settings, field_name)
         kind: type = type(old)
         if kind is bool and value not in ("true", "false"):
             raise ValueError(f"{name}: true or false was expected")
         try:
-            new: dict[str, Any] = {name: value == "true" if kind is bool else kind(value)}
+            new: dict[str, Any] = {field_name: value == "true" if kind is bool else kind(value)}
         except ValueError:
             raise ValueError(f"{name}: a value like {old} was expected") from None
         return replace(settings, **new)
--- a/martenlead/capture/replay_state.py
+++ b/martenlead/capture/replay_state.py
@@ -9,11 +9,11 @@
 from collections import deque
 from typing import Any, Protocol
 
-from martenlead.brain import Brain
 from martenlead.capture.events import Event, Start
 from martenlead.capture.tape import Tape
-from martenlead.engine import Engine
-from martenlead.interface import Action, Order, Settings, Task
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Policy
+from martenlead.policy.types import Action, LoadRequest, Request, Settings
 
 
 class ReplayState(Protocol):
@@ -24,12 +24,12 @@
 
     made: deque[Event]  # decisions that have not been compared yet
     start: Start | None
-    brain: Brain
+    policy: Policy
     engine: Engine
     runners: list[Any]
     models: list[Any]
-    tasks: dict[int, Task]
-    orders: dict[int, Order]
+    tasks: dict[int, Request]
+    orders: dict[int, LoadRequest]
     names: dict[Any, str]
     _tape: Tape
     _settings: Settings
--- a/martenlead/config/edge.py
+++ b/martenlead/config/edge.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from martenlead.config.load import BadConfig, decode, evaluate
-from martenlead.interface import Customer, Effect, Group, Offering, Settings
+from martenlead.policy.types import DeduplicationScope, Effect, RequestClass, Settings, Tenant
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0)]
@@ -209,42 +209,44 @@
     return round(ms * 1e6)
 
 
-def settings(edge: Edge) -> tuple[Settings, dict[str, Offering], dict[str, Customer]]:
+def settings(edge: Edge) -> tuple[Settings, dict[str, RequestClass], dict[str, Tenant]]:
     """The module's settings, and the objects that offerings' and customers' names stand for."""
     offerings = {
-        o.name: Offering(ns(o.soft_limit_ms), Effect(o.effect), Group(o.group), ns(o.window_ms))
+        o.name: RequestClass(
+            ns(o.soft_limit_ms), Effect(o.effect), DeduplicationScope(o.group), ns(o.window_ms)
+        )
         for o in edge.offerings
     }
-    customers = {c.name: Customer(c.quota_per_s) for c in edge.customers}
+    customers = {c.name: Tenant(c.quota_per_s) for c in edge.customers}
     allowed, models, cold = edge.allowed, edge.models, edge.cold
     ration = models.ration
     return (
         Settings(
-            front_ends=edge.dispatchers,
-            tick=ns(edge.tick_ms),
-            hand_offs=allowed.hand_offs,
-            twice_out=allowed.twice_out,
-            call_off=allowed.call_off,
-            orders=models.orders,
-            tells_warm=models.tells_warm,
+            dispatchers=edge.dispatchers,
+            tick_ns=ns(edge.tick_ms),
+            attempt_limit=allowed.hand_offs,
+            may_hedge=allowed.twice_out,
+            may_cancel=allowed.call_off,
+            may_request_loads=models.orders,
+            tells_warmth=models.tells_warm,
             loads_on_miss=models.loads_on_miss,
-            turn_back_wait=ns(allowed.turn_back_wait_ms),
-            keep=ns(models.keep_ms),
-            reach=ns(edge.limits.connect_ms),
-            ration_window=ns(ration.window_ms) if ration else 0,
-            ration_free=ration.free if ration else 0,
-            ration_share=ration.share if ration else 0,
-            cold_from=cold.share,
-            cold=ns(cold.time_ms),
-            fall_multiple=cold.fall_multiple,
+            retry_after_limit_ns=ns(allowed.turn_back_wait_ms),
+            keep_alive_ns=ns(models.keep_ms),
+            connect_timeout_ns=ns(edge.limits.connect_ms),
+            load_window_ns=ns(ration.window_ms) if ration else 0,
+            free_loads_per_window=ration.free if ration else 0,
+            loads_per_request=ration.share if ration else 0,
+            slow_start_share=cold.share,
+            slow_start_ns=ns(cold.time_ms),
+            slow_start_multiple=cold.fall_multiple,
             over_share=edge.over_share,
-            quota=sum(c.quota for c in customers.values()) or math.inf,
+            rate_limit_per_second=sum(c.rate_limit_per_second for c in customers.values()) or math.inf,
             memory_price=models.memory_price,
-            late_revenue=min(o.late_revenue for o in edge.offerings),
-            fetch_price=models.fetch_price,
-            asks_roster=False,
-            roster_every=ns(10_000),
-            offerings=list(offerings.values()),
+            late_value=min(o.late_revenue for o in edge.offerings),
+            load_price=models.fetch_price,
+            lists_workers=False,
+            list_interval_ns=ns(10_000),
+            request_classes=list(offerings.values()),
         ),
         offerings,
         customers,
--- a/martenlead/edge/keeper.py
+++ b/martenlead/edge/keeper.py
@@ -153,11 +153,11 @@
             m.name: dispatcher.known(m.name, m.lanes, m.memory_mb).model
             for m in known.models[: max(0, most - len(dispatcher.models))]
         }
-        settings = dispatcher.border.look(lambda brain, _: brain.settings)
-        dispatcher.border.remember(kn.past(known, age, models, runners, settings.ration_window))
+        settings = dispatcher.border.look(lambda policy, _: policy.settings)
+        dispatcher.border.remember(kn.past(known, age, models, runners, settings.load_window_ns))
         for name in kn.drained(known, runners):
             dispatcher.drains(dispatcher.boxes[name])
-        asks = kn.asks(known, age, settings.keep, runners)
+        asks = kn.asks(known, age, settings.keep_alive_ns, runners)
         self.log.info(
             "remembers",
             models=len(models),
@@ -182,7 +182,7 @@
         }
         names = {model: known.name for model, known in dispatcher.by_model.items()}
         before = self.last
-        steps = dispatcher.border.look(lambda brain, now: kn.gathering(brain, now, names, boxes, before))
+        steps = dispatcher.border.look(lambda policy, now: kn.gathering(policy, now, names, boxes, before))
         while True:
             try:
                 next(steps)
--- a/martenlead/node/door.py
+++ b/martenlead/node/door.py
@@ -262,7 +262,7 @@
         """At most so many connections, tasks held and bytes of their bodies."""
         self.dispatcher = dispatcher
         self.connections, self.tasks, self.held_bytes = connections, tasks, held_bytes
-        self.wait = dispatcher.about.settings.turn_back_wait // MS
+        self.wait = dispatcher.about.settings.retry_after_limit_ns // MS
         self.clients: dict[Client, None] = {}  # the oldest first
         self.ids: dict[str, Held] = {}  # of the tasks open here
         self.spent: dict[str, None] = {}  # ids of tasks that are over, the oldest first
@@ -430,8 +430,8 @@
         for number, held in client.open.items():
             if about in (number, held.wanted.id):
                 del client.open[number]
-                if held.task is not None and held.task.hand_offs:
-                    client.counted.append(now + held.task.offering.soft_limit)
+                if held.task is not None and held.task.attempts:
+                    client.counted.append(now + held.task.request_class.latency_objective_ns)
                 self.leave(held)
                 return
 
--- a/martenlead/node/runners.py
+++ b/martenlead/node/runners.py
@@ -29,11 +29,11 @@
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.edge.records import Box, Held, Known, Out
 from martenlead.edge.waits import within
-from martenlead.interface import Result, Warmth
 from martenlead.node import lines
 from martenlead.node.config import Conn as Told
 from martenlead.node.rpc import BODY, Call
 from martenlead.node.sockets import readable
+from martenlead.policy.types import Result, Warmth
 from martenlead.runnerlink.heard import Heard
 from martenlead.runnerlink.roster import Line
 
@@ -217,8 +217,8 @@
             self.stale.discard(word.txn)
             return  # nobody waits for it any more, or nobody ever asked
         result = lines.RESULTS.get(word.word, Result.ERROR)
-        warmth = lines.WARMTH.get(word.why, Warmth.UNTOLD)
-        content = word.raw if result is Result.SATISFIED else None
+        warmth = lines.WARMTH.get(word.why, Warmth.UNKNOWN)
+        content = word.raw if result is Result.SUCCEEDED else None
         self._free(bool(self.open))
         sent.told(Heard(result, warmth, content=content, why=word.word, copies=word.copies))
 
@@ -242,7 +242,7 @@
         if transport is not None:
             transport.abort() if why else transport.close()
         for sent in opened:
-            result = Result.BROKEN if sent.line is None else Result.UNREACHED
+            result = Result.CONNECTION_LOST if sent.line is None else Result.UNREACHABLE
             sent.told(Heard(result, why=why))
 
 
@@ -349,8 +349,8 @@
                 continue  # cancelled by what was read
             del self._deferred[out]
             now = self.clock()
-            why = why_late(out.held, out.box, out.hand_off.begin_by, now)
-            if not why and now >= out.hand_off.sent + out.hand_off.patience:
+            why = why_late(out.held, out.box, out.hand_off.begin_by_ns, now)
+            if not why and now >= out.hand_off.sent_ns + out.hand_off.timeout_ns:
                 why = "the time was over before its client was heard"
             if why:
                 self.dispatcher.ended(out, Heard(Result.NOT_SENT, why=why))
@@ -366,12 +366,12 @@
         hand_off, call = out.hand_off, out.held.content
         assert isinstance(call, Call)
         now = self.clock()
-        left = hand_off.patience + hand_off.sent - now
+        left = hand_off.timeout_ns + hand_off.sent_ns - now
         if left <= 0:
             self.dispatcher.ended(out, Heard(Result.NOT_SENT, why="the time was over before it was sent"))
             return
         overdue = now + self.soft.get(call.method, 0)
-        until = min(now + left, out.held.task.give_up) if out.held.task is not None else now + left
+        until = min(now + left, out.held.task.deadline_ns) if out.held.task is not None else now + left
 
         def line(written: int) -> bytes:
             ttl = max(1, (until - written) // MS)
@@ -380,7 +380,7 @@
         def told(heard: Heard) -> None:
             self.dispatcher.ended(out, heard)
 
-        begin_by = hand_off.begin_by
+        begin_by = hand_off.begin_by_ns
         sent = out.at = Sent(call.id, out.box, out.held, now + left, overdue, line, told, begin_by)
         self._send(sent, call.met)
 
@@ -394,7 +394,7 @@
         if sent is None or conn is None or conn.open.get(sent.txn) is not sent:
             return  # its end is on its way
         ran = conn.take_back(sent)
-        result = Result.CALLED_OFF if ran else Result.NOT_SENT
+        result = Result.CANCELLED if ran else Result.NOT_SENT
         sent.told(Heard(result, why="called off"))
 
     def order(self, box: Box, known: Known, copies: int, told: Callable[[Heard], None]) -> None:
@@ -498,5 +498,5 @@
             if self._waits(sent):
                 assert sent.conn is not None
                 ran = sent.conn.take_back(sent)
-                sent.told(Heard(Result.SILENT if ran else Result.UNREACHED, why="no answer in time"))
+                sent.told(Heard(Result.NO_RESPONSE if ran else Result.UNREACHABLE, why="no answer in time"))
         self._arm()
--- /dev/null
+++ b/martenlead/policy/engine.py
@@ -0,0 +1,144 @@
+"""Resumes the policy's generators: with results as they come, with None when a wait is over.
+
+The same engine serves every program: it knows neither wire nor clock, only an outlet for what the policy
+wants done and the time that it is told, in ns.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from heapq import heappop, heappush
+
+from martenlead.policy.policy import Policy
+from martenlead.policy.state import Function, Worker
+from martenlead.policy.types import (
+    Action,
+    AttemptResult,
+    EarlierRun,
+    LoadRequest,
+    Request,
+    Result,
+    Steps,
+    Wait,
+)
+
+
+class Process:
+    """One running generator and the wait that it stands in."""
+
+    __slots__ = ("alive", "steps", "turn")
+
+    def __init__(self, steps: Steps) -> None:
+        self.steps = steps
+        self.turn = 0
+        self.alive = True
+
+
+class Engine:
+    """One policy, its running generators and their timers.
+
+    Whoever feeds it sets the policy's clock before each call.
+    """
+
+    def __init__(self, policy: Policy, outlet: Callable[[Action], None]) -> None:
+        self.policy = policy
+        self.outlet = outlet
+        self._due: list[tuple[int, int, Process, int]] = []
+        self._count = 0
+
+    def start(self) -> None:
+        """Begins what runs as long as the dispatcher does."""
+        for steps in self.policy.background():
+            self._resume(Process(steps), None)
+
+    def handle_request(self, request: Request) -> None:
+        """A request has arrived."""
+        request.process = Process(self.policy.handle_request(request))
+        self._resume(request.process, None)
+
+    def record_result(self, answer: AttemptResult) -> None:
+        """An attempt has ended; its request goes on, if it waits for that."""
+        self.policy.record_result(answer)
+        self._resume(answer.attempt.request.process, answer)
+
+    def record_load_end(self, load: LoadRequest, result: Result, replicas: int) -> None:
+        """A load request has ended, and so many replicas are loaded at its worker."""
+        self.policy.record_load_end(load, result, replicas)
+
+    def choose_worker(self, request: Request) -> Worker | None:
+        """The worker that would have this request now, None where there is none.
+
+        It is asked as a request asks it, and nothing is begun.
+        """
+        return self.policy.placement.choose_worker(request, set())
+
+    def set_held(self, worker: Worker, function: Function, is_held: bool) -> None:
+        """What another instance of the policy decided for this one: whether a replica is held."""
+        self.policy.state.replica(function, worker).is_held = is_held
+
+    def request_load(self, worker: Worker, function: Function) -> LoadRequest | None:
+        """A load request that another instance of the policy decided on; None where it may not be given.
+
+        That is asked of this instance, which counts all load requests whoever decided on them.
+        """
+        if not self.policy.load_budget.allows(worker):
+            return None
+        replica = self.policy.state.replica(function, worker)
+        replica.is_held = True
+        load = self.policy.scaling.request_load(replica)
+        self.outlet(load)
+        return load
+
+    def restore(self, earlier: EarlierRun) -> None:
+        """What an earlier run of this dispatcher had learnt."""
+        self.policy.restore(earlier)
+
+    def confirm_replica(
+        self, worker: Worker, function: Function, result: Result, replicas: int, last_used_ns: int
+    ) -> None:
+        """The answer to the question after a replica that was held before this run began."""
+        self.policy.record_load_end(LoadRequest(worker, function, 0), result, replicas)
+        replica = self.policy.state.replica(function, worker)
+        if replica.is_loaded:
+            replica.is_held, replica.last_used_ns = True, max(replica.last_used_ns, last_used_ns)
+
+    def close_request(self, request: Request) -> None:
+        """The request has its final response, or its client has left."""
+        is_cancelled = request.process.alive  # before the policy was done with it
+        if is_cancelled:
+            request.process.alive = False
+            request.process.steps.close()
+        for action in self.policy.close_request(request, is_cancelled):
+            self.outlet(action)
+
+    def next_due_ns(self) -> int | None:
+        """When `advance` is to be called next, None for never."""
+        while self._due and not self._waiting(self._due[0]):
+            heappop(self._due)
+        return self._due[0][0] if self._due else None
+
+    def advance(self, now: int) -> None:
+        """Resumes all whose wait is over."""
+        while self._due and self._due[0][0] <= now:
+            entry = heappop(self._due)
+            if self._waiting(entry):
+                self._resume(entry[2], None)
+
+    @staticmethod
+    def _waiting(entry: tuple[int, int, Process, int]) -> bool:
+        return entry[2].alive and entry[2].turn == entry[3]
+
+    def _resume(self, process: Process, value: AttemptResult | None) -> None:
+        if not process.alive:
+            return
+        process.turn += 1
+        try:
+            action = process.steps.send(value) if process.turn > 1 else next(process.steps)
+            while not isinstance(action, Wait):
+                self.outlet(action)
+                action = process.steps.send(None)
+        except StopIteration:
+            process.alive = False
+            return
+        self._count += 1
+        heappush(self._due, (action.until_ns, self._count, process, process.turn))
--- a/martenlead/runnerlink/heard.py
+++ b/martenlead/runnerlink/heard.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from martenlead.interface import Result, Warmth
+from martenlead.policy.types import Result, Warmth
 
 
 @dataclass(slots=True)
@@ -14,7 +14,7 @@
     answer as the door that asked writes it on; `copies` stand after an order."""
 
     result: Result
-    warmth: Warmth = Warmth.UNTOLD
+    warmth: Warmth = Warmth.UNKNOWN
     drains: bool = False
     content: Any = None
     why: str = ""
--- a/martenlead/system/listener.py
+++ b/martenlead/system/listener.py
@@ -115,14 +115,14 @@
 class ClientDescriptors:
     """Counts the accepted connections of a process over all of its listeners."""
 
-    def __init__(self, most: Callable[[], int] = descriptors_for_clients) -> None:
-        self.most = most
+    def __init__(self, limit: Callable[[], int] = descriptors_for_clients) -> None:
+        self._limit = limit
         self.in_use = 0
         self._waiting: set[Callable[[], None]] = set()
 
     def has_room(self, own: int) -> bool:
         """Whether a listener that has `own` connections open may accept one more."""
-        return own < LEAST_CONNECTIONS or self.in_use < self.most()
+        return own < LEAST_CONNECTIONS or self.in_use < self._limit()
 
     def take(self) -> None:
         self.in_use += 1
--- a/martenlead/system/sockets.py
+++ b/martenlead/system/sockets.py
@@ -18,10 +18,10 @@
 def poll(number: int, events: int) -> int:
     """What of these is so now, 0 for nothing. Where the machine cannot say, something is taken to wait to be
     read: whoever asks then reads, or leaves the connection as it is."""
-    asked = select.poll()
-    asked.register(number, events)
+    poller = select.poll()
+    poller.register(number, events)
     try:
-        found = asked.poll(0)
+        found = poller.poll(0)
     except OSError:
         return events & select.POLLIN
     return found[0][1] if found else 0
--- a/support/pair.py
+++ b/support/pair.py
@@ -12,22 +12,22 @@
 from martenlead.config.load import decode
 from martenlead.edge.border import Border
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.interface import (
-    Answer,
-    CallOff,
-    HandOff,
-    ModelFacts,
-    Order,
-    Result,
-    RunnerFacts,
-    Scrap,
-    State,
-    TurnBack,
-    Warmth,
-)
 from martenlead.planner import frames as fr
 from martenlead.planner.edgeside import EdgeSide
 from martenlead.planner.link import MS, Broken, PlannerEnd
+from martenlead.policy.types import (
+    Attempt,
+    AttemptResult,
+    Cancel,
+    Fail,
+    FunctionFacts,
+    LoadRequest,
+    Reject,
+    Result,
+    Warmth,
+    WorkerFacts,
+    WorkerState,
+)
 
 OFFERINGS = [
     {"name": "estimate", "soft_limit_ms": 500, "hard_limit_ms": 3000, "effect": "idempotent"},
@@ -88,7 +88,7 @@
         self.runners = []
         news = []
         for n in range(runners):
-            facts = RunnerFacts(n + 1, "zone", 0, 20_000.0, 4.0, State.UP, 0)
+            facts = WorkerFacts(n + 1, "zone", 0, 20_000.0, 4.0, WorkerState.UP, 0)
             self.runners.append(self.border.runner(facts, f"r{n}"))
             news.append((self.runners[-1], facts))
         self.border.begin()
@@ -113,29 +113,29 @@
 
     def _outlet(self, action: Any) -> None:
         match action:
-            case HandOff():
+            case Attempt():
                 took = int(self.chance.uniform(20, 200)) * MS
                 self.at(self.now + took, lambda: self._answer(action, took))
-            case Order():
+            case LoadRequest():
                 self.ordered.append(self.now)
                 self.at(
                     self.now + 300 * MS,
-                    lambda: self.border.ordered(action, Result.SATISFIED, action.copies),
+                    lambda: self.border.ordered(action, Result.SUCCEEDED, action.replicas),
                 )
-            case TurnBack(task=task) | Scrap(task=task):
+            case Reject(request=task) | Fail(request=task):
                 self.at(self.now, lambda: self._over(task, "over"))
-            case CallOff():
+            case Cancel():
                 pass
 
-    def _answer(self, hand_off: HandOff, lag: int) -> None:
+    def _answer(self, hand_off: Attempt, lag: int) -> None:
         if hand_off.result is not None:
             return
         good = self.chance.random() < 0.9
-        warmth = Warmth.WARM if self.chance.random() < 0.7 else Warmth.BEGAN
-        result = Result.SATISFIED if good else Result.FULL
-        self.border.answered(Answer(hand_off, result, good, warmth, lag))
+        warmth = Warmth.WARM if self.chance.random() < 0.7 else Warmth.STARTED_LOAD
+        result = Result.SUCCEEDED if good else Result.AT_CAPACITY
+        self.border.answered(AttemptResult(hand_off, result, good, warmth, lag))
         if good:
-            self._over(hand_off.task, "satisfied")
+            self._over(hand_off.request, "satisfied")
 
     def _over(self, task: Any, final: str) -> None:
         if task in self.side.tape.tasks:
@@ -145,7 +145,7 @@
     def task(self, model: int, offering: str = "estimate") -> None:
         while len(self.models) <= model:
             name = f"m{len(self.models)}"
-            self.models.append(self.border.model(ModelFacts(len(self.models) + 1, 2, 1000.0), name))
+            self.models.append(self.border.model(FunctionFacts(len(self.models) + 1, 2, 1000.0), name))
         self.taken.append(self.now)
         give_up = self.now + 3000 * MS
         self.border.take(
@@ -247,29 +247,29 @@
         keep = ns(self.edge.models.keep_ms)
         for runner, number in self.side.tape.runners.items():
             other = mirror.all.runners[number]
-            for name in ("out", "running", "fulls", "listed"):
+            for name in ("in_flight", "warm_in_flight", "refused_in_a_row", "is_listed"):
                 if getattr(runner, name) != getattr(other, name):
                     found.append(f"r{number}.{name}: {getattr(runner, name)}, {getattr(other, name)}")
         for model, number in self.side.tape.models.items():
             other = mirror.all.models.get(number)
             if other is None:
-                if model.copies:
+                if model.replicas:
                     found.append(f"m{number} unknown")
                 continue
-            if model.tasks != other.tasks:
-                found.append(f"m{number}.tasks: {model.tasks}, {other.tasks}")
-            for runner, copy in model.copies.items():
-                there = other.copies.get(mirror.all.runners[self.side.tape.runners[runner]])
+            if model.requests != other.requests:
+                found.append(f"m{number}.tasks: {model.requests}, {other.requests}")
+            for runner, copy in model.replicas.items():
+                there = other.replicas.get(mirror.all.runners[self.side.tape.runners[runner]])
                 where = f"m{number} at r{self.side.tape.runners[runner]}"
                 if there is None:
                     found.append(f"{where} unknown")
                     continue
-                if copy.out != there.out or abs(copy.latency.total - there.latency.total) > 1e-6:
-                    found.append(f"{where}: {copy.out}, {there.out} out; {copy.latency.total}")
-                if copy.held != there.held:
-                    found.append(f"{where}: held {copy.held}, {there.held}")
-                if copy.stands != there.stands and copy.touched + keep // 2 > self.now:
-                    found.append(f"{where}: stands {copy.stands}, {there.stands}")
+                if copy.in_flight != there.in_flight or abs(copy.latency.total - there.latency.total) > 1e-6:
+                    found.append(f"{where}: {copy.in_flight}, {there.in_flight} out; {copy.latency.total}")
+                if copy.is_held != there.is_held:
+                    found.append(f"{where}: held {copy.is_held}, {there.is_held}")
+                if copy.is_loaded != there.is_loaded and copy.last_used_ns + keep // 2 > self.now:
+                    found.append(f"{where}: stands {copy.is_loaded}, {there.is_loaded}")
         return found
 
     def settled(self) -> list[str]:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -18,8 +18,8 @@
 
 from martenlead.edge.client import Pending
 from martenlead.edge.records import Final
-from martenlead.interface import Result
 from martenlead.node.runners import Conn
+from martenlead.policy.types import Result
 from support.fleet import until
 from tests.apart import apart
 from tests.nodes import Caller, Part, Play, done, message, play, says, silent, word
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -82,11 +82,11 @@
     told = known()
     runners: dict[str, tuple[Any, str]] = {"a": ("runner a", "1"), "b": ("runner b", "2")}
     found = past(told, 2 * SECOND, {"m": "model m"}, runners, 5 * SECOND)
-    assert [(r.runner, r.width) for r in found.runners] == [("runner a", 20.0)]
+    assert [(r.worker, r.concurrency_limit) for r in found.workers] == [("runner a", 20.0)]
     assert drained(told, runners) == ["a"]
-    assert found.orders == [3 * SECOND]  # the other has left the ration's window
-    assert [m.model for m in found.models] == ["model m"]
-    assert past(told, 0, {}, runners, 0).models == []  # a model that is not known any more
+    assert found.load_ages_ns == [3 * SECOND]  # the other has left the ration's window
+    assert [m.function for m in found.functions] == ["model m"]
+    assert past(told, 0, {}, runners, 0).functions == []  # a model that is not known any more
     assert [ask[0] for ask in asks(told, 2 * SECOND, 8 * SECOND, runners)] == ["a"]
     assert asks(told, 8 * SECOND, 8 * SECOND, runners) == []
 
@@ -194,7 +194,7 @@
         f.group.start_soon(keeper.run, f.dispatcher)
         for _ in range(12):
             assert (await f.call())[0] == 200
-        await until(lambda: any(c.held and c.stands for c in _copies(f.dispatcher)))
+        await until(lambda: any(c.is_held and c.is_loaded for c in _copies(f.dispatcher)))
         await until(lambda: keeper.counts["saved"] and keeper.last and keeper.last[1].models[0].copies)
         await anyio.sleep(0.2)
     assert keeper.store is not None
@@ -206,12 +206,12 @@
         await until(lambda: f.dispatcher.counts["ask", "satisfied"])
         (model,) = f.dispatcher.by_model
         assert model.latency.total > 2
-        assert any(c.held and c.stands for c in _copies(f.dispatcher))
+        assert any(c.is_held and c.is_loaded for c in _copies(f.dispatcher))
         assert (await f.call())[0] == 200
 
 
 def _copies(dispatcher: Any) -> list[Any]:
-    return [copy for model in dispatcher.by_model for copy in model.copies.values()]
+    return [copy for model in dispatcher.by_model for copy in model.replicas.values()]
 
 
 async def test_a_folder_that_cannot_be_used_stops_nothing(tmp_path: Path) -> None:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -11,9 +11,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from martenlead.capture import events as ev
-from martenlead.interface import State
 from martenlead.planner import frames as fr
 from martenlead.planner.link import MS, Broken
+from martenlead.policy.types import WorkerState
 from support.pair import Pair
 
 
@@ -192,7 +192,7 @@
     pair.connect()
     busy(pair, 1000)
     runner = pair.runners[1]
-    facts = dataclasses.replace(runner.facts, state=State.DRAINING)
+    facts = dataclasses.replace(runner.facts, state=WorkerState.DRAINING)
     pair.border.roster([(runner, facts)], False)
     before = len(pair.ordered)
     pair.end.received(fr.Decide(pair.end.epoch, pair.end.seq, [(1, 1, 0)], [(1, 0, True)]))
@@ -244,7 +244,7 @@
         assert mirror is not None
         window = pair.now - 5000 * MS
         before = [t for t in pair.ordered if t > window]
-        assert len([t for t in mirror.brain.orders if t > window]) >= len(before)
+        assert len([t for t in mirror.policy.load_budget.load_times_ns if t > window]) >= len(before)
     given = len(pair.ordered)
     pair.run(300)
     assert len(pair.ordered) - given <= 4  # renewals that fall due, no second load of what is held
@@ -329,7 +329,7 @@
     assert pair.settled() == []
     assert pair.side.counts["orders"] > 3
     assert pair.planner.mirror is not None
-    assert abs(pair.planner.mirror.brain.now - pair.now) < 20 * MS
+    assert abs(pair.planner.mirror.policy.state.now_ns - pair.now) < 20 * MS
 
 
 @pytest.mark.parametrize(("edge", "planner"), [(1, 2), (2, 1), (1, 1)])
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -18,9 +18,9 @@
 import pytest
 from anyio.abc import SocketAttribute, SocketStream
 
-from martenlead import interface as io
 from martenlead.events import http
 from martenlead.events.cloudevent import Event, write
+from martenlead.policy import types as io
 from support.fleet import Runner as EdgeRunner
 from support.fleet import fleet, satisfied, until
 from tests.nodes import (
@@ -258,11 +258,11 @@
     for number in range(HURRIED):
         play.task(f"hurried {number}", offering=ONCE, patience=LITTLE[-1])
         assert len(play.hand_offs) == 1
-        play.to(play.brain.now // MS + LITTLE[-1])
-        play.answer(io.Result.SILENT, io.Warmth.UNTOLD)
-        play.to(play.brain.now // MS + 5)
+        play.to(play.policy.state.now_ns // MS + LITTLE[-1])
+        play.answer(io.Result.NO_RESPONSE, io.Warmth.UNKNOWN)
+        play.to(play.policy.state.now_ns // MS + 5)
     play.task("usual", offering=ONCE)
-    assert [play.names[sent.task] for sent in play.hand_offs] == ["usual"], play.lines
+    assert [play.names[sent.request] for sent in play.hand_offs] == ["usual"], play.lines
 
 
 # -- requests that cross the end of a resting connection
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martenlead import interface as io
+from martenlead.policy import types as io
 from tests.play import MS, ONCE, POST, Play, check
 
 
@@ -15,56 +15,60 @@
     play.served(1)
     play.task("silent", patience=1000)
     play.to(2000)
-    play.answer(io.Result.SILENT)
+    play.answer(io.Result.NO_RESPONSE)
     play.task("too late", patience=0)
     check(play, "in_time")
 
 
 def test_no_effect_twice() -> None:
     play = Play(runners="abde")
-    for offering, result in ((ONCE, io.Result.ERROR), (ONCE, io.Result.UNREACHED), (POST, io.Result.BROKEN)):
+    for offering, result in (
+        (ONCE, io.Result.ERROR),
+        (ONCE, io.Result.UNREACHABLE),
+        (POST, io.Result.CONNECTION_LOST),
+    ):
         play.served(12)
         play.task(f"{offering.effect.value} {result.value}", offering=offering)
         play.answer(result)
         if play.hand_offs:
-            play.to(play.brain.now // 1_000_000 + 10)
+            play.to(play.policy.state.now_ns // 1_000_000 + 10)
             play.answer()
     check(play, "no_effect_twice")
 
 
 def test_never_two_out_where_forbidden() -> None:
     for twice in (False, True):
-        play = Play(twice_out=twice)
+        play = Play(may_hedge=twice)
         play.served(12)
         for runner in play.runners.values():
-            runner.credit = 5.0
-            play.brain.copy(play.models["m"], runner).stands = True
-            play.brain.copy(play.models["m"], runner).touched = play.brain.now
+            runner.retry_budget = 5.0
+            play.policy.state.replica(play.models["m"], runner).is_loaded = True
+            play.policy.state.replica(play.models["m"], runner).last_used_ns = play.policy.state.now_ns
         play.task("t")
         play.to(2500)
         if not twice:
-            play.answer(io.Result.CALLED_OFF)
+            play.answer(io.Result.CANCELLED)
         check(play, f"twice_out_{twice}")
 
 
 def test_a_further_hand_off_needs_credit() -> None:
     play = Play()
     for runner in play.runners.values():
-        runner.credit = 0.0
+        runner.retry_budget = 0.0
     play.task("t")
     play.stands()
     play.to(50)
-    play.answer(io.Result.UNREACHED)
+    play.answer(io.Result.UNREACHABLE)
     check(play, "credit")
 
 
 def test_nothing_for_a_draining_runner() -> None:
     play = Play(runners="a")
     play.served(5)
-    play.list_one("a", io.State.DRAINING)
+    play.list_one("a", io.WorkerState.DRAINING)
     play.task("t1")
     play.to(9000)
-    play.list_one("a", io.State.UP, since=9000)
+    play.list_one("a", io.WorkerState.UP, since=9000)
     check(play, "drain")
 
 
@@ -91,12 +95,12 @@
 
 def test_what_a_cold_runner_gets_is_of_the_best_rate_seen() -> None:
     """In a release less is satisfied: of that, the new runners got next to nothing and stood idle."""
-    play = Play(runners="a", keep=4_000_000_000)
+    play = Play(runners="a", keep_alive_ns=4_000_000_000)
     play.served(60)
     for n in range(120):  # as much is asked, and one of twenty is satisfied
         play.task("-", patience=49)
         play.to(3000 + 50 * (n + 1))
-        play.answer(io.Result.CALLED_OFF if n % 20 else io.Result.SATISFIED)
+        play.answer(io.Result.CANCELLED if n % 20 else io.Result.SUCCEEDED)
     play.list_one("a", since=9100)
     count_sent(play)
     check(play, "cold_best")
@@ -104,7 +108,7 @@
 
 def test_what_a_cold_runner_gets_is_of_no_more_than_is_asked_now() -> None:
     """Traffic that went to others is counted by them: the best rate of old would count it twice."""
-    play = Play(runners="a", keep=4_000_000_000)
+    play = Play(runners="a", keep_alive_ns=4_000_000_000)
     play.served(60)
     play.served(6, every=1000)
     play.list_one("a", since=9100)
@@ -121,7 +125,7 @@
         play.to(ms)
         play.task(f"t{ms}", patience=50)
         if play.hand_offs and not first:
-            first.append(play.brain.now)
+            first.append(play.policy.state.now_ns)
     play.lines = [f"first at {first[0] // MS} ms"]
     check(play, "cold_begun")
 
@@ -136,7 +140,7 @@
     for ms in range(3020, 4020, 20):
         play.to(ms)
         play.task(f"t{ms}", patience=200)
-        while play.hand_offs and play.hand_offs[0].sent < (ms - 100) * MS:
+        while play.hand_offs and play.hand_offs[0].sent_ns < (ms - 100) * MS:
             play.answer(which=0)
     sent = sum(" -> a" in line for line in play.lines)
     assert 4 <= sent <= 6
@@ -144,10 +148,10 @@
 
 def test_a_task_whose_holders_are_full_may_go_to_a_runner_just_started() -> None:
     """It holds nothing that a load would push out; at any other runner one would."""
-    play = Play(runners="abc", front_ends=2, orders=False)
+    play = Play(runners="abc", dispatchers=2, may_request_loads=False)
     play.served(60)
-    holder = next(iter(c.runner for c in play.models["m"].copies.values() if c.stands))
-    holder.width, holder.running = 1.0, 1
+    holder = next(iter(c.worker for c in play.models["m"].replicas.values() if c.is_loaded))
+    holder.concurrency_limit, holder.warm_in_flight = 1.0, 1
     play.task("t1", patience=200)
     new = "abc"[("abc".index(play.names[holder]) + 1) % 3]
     play.list_one(new, since=2500)
@@ -160,7 +164,7 @@
 def test_a_cold_runner_is_not_sent_a_first_task_at_once_by_each_of_many() -> None:
     first = 0
     for seed in range(90):
-        play = Play(runners="a", seed=seed, front_ends=90)
+        play = Play(runners="a", seed=seed, dispatchers=90)
         play.wide()
         play.served(20, every=100)
         play.list_one("a", since=2000)
@@ -171,7 +175,7 @@
 
 
 def test_the_ration_of_load_orders() -> None:
-    play = Play(ration_window=10_000 * MS, ration_free=2, ration_share=0.0)
+    play = Play(load_window_ns=10_000 * MS, free_loads_per_window=2, loads_per_request=0.0)
     for n in range(4):
         play.task(f"t{n}", "mnop"[n])
         play.stands()
@@ -183,62 +187,89 @@
 def test_an_order_counts_until_a_window_after_it_may_have_arrived() -> None:
     """Given to a runner that is cut off they come six seconds late, also the one that is answered then: with
     the next two, four in a window."""
-    play = Play(ration_window=10_000 * MS, ration_free=2, ration_share=0.0)
-    runner, models = play.runners["a"], [play.brain.model(io.ModelFacts(n, 2, 3000.0)) for n in range(2)]
-    first, second = (play.brain.order(play.brain.copy(model, runner)) for model in models)
+    play = Play(load_window_ns=10_000 * MS, free_loads_per_window=2, loads_per_request=0.0)
+    runner, models = (
+        play.runners["a"],
+        [play.policy.new_function(io.FunctionFacts(n, 2, 3000.0)) for n in range(2)],
+    )
+    first, second = (
+        play.policy.scaling.request_load(play.policy.state.replica(model, runner)) for model in models
+    )
     play.to(6000)
-    play.brain.ordered(first, io.Result.SATISFIED, 1)  # as it came up, and the copy stood already
+    play.policy.record_load_end(first, io.Result.SUCCEEDED, 1)  # as it came up, and the copy stood already
     play.to(6500)
-    play.brain.ordered(second, io.Result.SILENT, 0)  # may have arrived only now
+    play.policy.record_load_end(second, io.Result.NO_RESPONSE, 0)  # may have arrived only now
     for time in (10_100, 16_000):
         play.to(time)
-        assert not play.brain.may_order(runner)
+        assert not play.policy.load_budget.allows(runner)
     play.to(16_100)
-    assert [play.brain.may_order(runner) for _ in range(2)] == [True, True]
-    play.brain.order(play.brain.copy(models[0], runner))
-    assert not play.brain.may_order(runner)
+    assert [play.policy.load_budget.allows(runner) for _ in range(2)] == [True, True]
+    play.policy.scaling.request_load(play.policy.state.replica(models[0], runner))
+    assert not play.policy.load_budget.allows(runner)
     play.to(16_600)
-    assert play.brain.may_order(runner)
+    assert play.policy.load_budget.allows(runner)
     play.to(26_300)  # one whose end is never told counts for two windows, not for good
-    play.brain.order(play.brain.copy(models[1], runner))
-    assert not play.brain.may_order(runner)
+    play.policy.scaling.request_load(play.policy.state.replica(models[1], runner))
+    assert not play.policy.load_budget.allows(runner)
     play.to(36_200)
-    assert (play.brain.may_order(runner), len(play.brain.going)) == (True, 1)
+    assert (play.policy.load_budget.allows(runner), len(play.policy.load_budget.loads_in_flight)) == (True, 1)
 
 
 def test_without_a_ration_nothing_is_kept_to_count_by() -> None:
     play = Play()
     for n in range(50):
-        play.brain.order(play.brain.copy(play.brain.model(io.ModelFacts(n, 2, 3000.0)), play.runners["a"]))
+        play.policy.scaling.request_load(
+            play.policy.state.replica(
+                play.policy.new_function(io.FunctionFacts(n, 2, 3000.0)), play.runners["a"]
+            )
+        )
         play.task(f"t{n}")
-    assert (len(play.brain.orders), len(play.brain.going), len(play.brain.taken)) == (0, 0, 1)
+    assert (
+        len(play.policy.load_budget.load_times_ns),
+        len(play.policy.load_budget.loads_in_flight),
+        len(play.policy.load_budget.request_times_ns),
+    ) == (0, 0, 1)
 
 
 def test_tasks_that_were_taken_back_make_no_room_for_orders() -> None:
-    play = Play(ration_window=10_000 * MS, ration_free=0, ration_share=0.3, orders=False)
+    play = Play(
+        load_window_ns=10_000 * MS, free_loads_per_window=0, loads_per_request=0.3, may_request_loads=False
+    )
     for n in range(40):
         play.to(10 * n)
         task = play.task(f"t{n}")
         if play.hand_offs:
-            play.engine.closed(task)
+            play.engine.close_request(task)
             play.answer()
-    assert (len(play.brain.taken), play.brain.may_order(play.runners["a"])) == (0, False)
+    assert (
+        len(play.policy.load_budget.request_times_ns),
+        play.policy.load_budget.allows(play.runners["a"]),
+    ) == (0, False)
     for n in range(4):
         play.to(500 + 50 * n)
         play.task(f"u{n}")
         play.answer()
-    assert (len(play.brain.taken), play.brain.may_order(play.runners["a"])) == (4, True)
+    assert (
+        len(play.policy.load_budget.request_times_ns),
+        play.policy.load_budget.allows(play.runners["a"]),
+    ) == (4, True)
 
 
 def test_an_order_may_arrive_as_late_as_a_connection_comes_up() -> None:
     """It is counted against the tasks before it arrives: some before it was given may be too old by then."""
-    play = Play(ration_window=10_000 * MS, ration_free=0, ration_share=0.5, reach=1000 * MS, orders=False)
+    play = Play(
+        load_window_ns=10_000 * MS,
+        free_loads_per_window=0,
+        loads_per_request=0.5,
+        connect_timeout_ns=1000 * MS,
+        may_request_loads=False,
+    )
     for n in range(2):
         play.task(f"t{n}")
     play.to(8900)
-    assert play.brain.may_order(play.runners["a"])
+    assert play.policy.load_budget.allows(play.runners["a"])
     play.to(9100)
-    assert not play.brain.may_order(play.runners["a"])
+    assert not play.policy.load_budget.allows(play.runners["a"])
 
 
 def test_left_by_the_client() -> None:
@@ -246,12 +277,12 @@
     task = play.task("t")
     play.stands()
     play.to(50)
-    play.engine.closed(task)
+    play.engine.close_request(task)
     check(play, "left")
 
 
-@pytest.mark.parametrize("state", [None, io.State.DRAINING])
-def test_nowhere_to_go(state: io.State | None) -> None:
+@pytest.mark.parametrize("state", [None, io.WorkerState.DRAINING])
+def test_nowhere_to_go(state: io.WorkerState | None) -> None:
     play = Play(runners="a" if state else "")
     if state:
         play.list_one("a", state)
@@ -265,7 +296,7 @@
     play.stands()
     play.to(20)
     while play.hand_offs:
-        play.answer(io.Result.FULL)
+        play.answer(io.Result.AT_CAPACITY)
     check(play, "fits_nowhere")
 
 
@@ -327,7 +358,13 @@
 def test_a_release_of_all_models_on_a_quiet_day() -> None:
     """No list change tells of it: copies are gone wherever they are looked for. Orders stay in the ration,
     each model is served again by its next tasks, and no runner gets all that comes."""
-    play = Play(runners="abcde", ration_window=10_000 * MS, ration_free=2, ration_share=0.3, front_ends=3)
+    play = Play(
+        runners="abcde",
+        load_window_ns=10_000 * MS,
+        free_loads_per_window=2,
+        loads_per_request=0.3,
+        dispatchers=3,
+    )
     for model in "mnop":
         play.served(6, model, every=300)
     play.to(20_000)
@@ -337,12 +374,12 @@
         play.to(20_000 + 500 * n)
         before = len(play.orders)
         play.task(f"t{n}", "mnop"[n % 4])
-        given += [play.brain.now // MS] * (len(play.orders) - before)
+        given += [play.policy.state.now_ns // MS] * (len(play.orders) - before)
         hand_off = play.hand_offs[-1]
-        where = f"{play.names[hand_off.task.model]} at {play.names[hand_off.runner]}"
+        where = f"{play.names[hand_off.request.function]} at {play.names[hand_off.worker]}"
         loads[where] = loads.get(where, 0) + 1
         play.stands()
-        play.answer(warmth=io.Warmth.BEGAN if loads[where] == 1 else io.Warmth.WARM)
+        play.answer(warmth=io.Warmth.STARTED_LOAD if loads[where] == 1 else io.Warmth.WARM)
     for at in given:
         tasks = sum(at - 10_000 < 20_000 + 500 * n <= at for n in range(40))
         assert sum(at - 10_000 < t <= at for t in given) <= 2 + 0.3 * tasks
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,8 +14,8 @@
 
 from martenlead.benchlink.settings import BadSettings, Profile
 from martenlead.benchlink.wire import Instance
-from martenlead.interface import State
 from martenlead.node import config
+from martenlead.policy.types import WorkerState
 from tests.nodes import SETTINGS
 
 GONE: Any = object()
@@ -84,7 +84,13 @@
     nulls = dict.fromkeys(("family-info", "orgs", "azs", "skus", "weights", "prices", "registry-mode"))
     assert Profile(told | nulls | {"over-share-worth": None}).settings.__repr__() == repr(bare.settings)
     s = bare.settings
-    assert (s.twice_out, s.orders, s.loads_on_miss, s.keep, s.over_share) == (False, False, True, 0, 1.0)
+    assert (s.may_hedge, s.may_request_loads, s.loads_on_miss, s.keep_alive_ns, s.over_share) == (
+        False,
+        False,
+        True,
+        0,
+        1.0,
+    )
 
 
 @pytest.mark.parametrize(
@@ -125,7 +131,10 @@
 
     lines = [{"runner": "a:1", "heft": "big", "campus": 3, "cluster": []}, {"runner": "b:1", "status": "Z"}]
     hear("update", form="C", items=[*lines, {"campus": "x"}, 7])
-    assert {n: r.facts.state for n, r in one.runners.items()} == {"a:1": State.UP, "b:1": State.DRAINING}
+    assert {n: r.facts.state for n, r in one.runners.items()} == {
+        "a:1": WorkerState.UP,
+        "b:1": WorkerState.DRAINING,
+    }
     task = {"fn": "0a", "band": "unsafe", "give-up-at": 3.0, "per-copy": "two", "ram-mb": None, "cost": -1}
     bad = [{"band": "none"}, {"fn": "no number"}, {"fn": 5}, {"give-up-at": "soon"}, {"give-up-at": None}]
     for n, wrong in enumerate(bad):
--- a/tests/test_slow_start_capacity.py
+++ b/tests/test_slow_start_capacity.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from martenlead import interface as io
+from martenlead.policy import types as io
 from tests import test_slow_start_fleet as fleets
 from tests.test_slow_start_fleet import CASES, COLD, MS, SECOND, TOLD_AFTER, WARM_UP, Fleet
 
@@ -41,9 +41,9 @@
 
 def lull(fleet: Fleet) -> None:
     """For three seconds of its slow start hardly a request wants the cold worker, then nearly all do."""
-    fleet.tell([3], io.State.GONE)
+    fleet.tell([3], io.WorkerState.GONE)
     fleet.pause(200 * MS)
-    fleet.tell([3], io.State.UP, fleet.now - TOLD_AFTER)
+    fleet.tell([3], io.WorkerState.UP, fleet.now - TOLD_AFTER)
     for wanted, time in ((3, 2), (5, 3), (3, 3)):
         fleet.heat([wanted])
         fleet.pause(time * SECOND)
@@ -51,9 +51,9 @@
 
 def all_ask_as_they_are_told(fleet: Fleet) -> None:
     """At the instant of its start each dispatcher is told, and has ten requests for it."""
-    fleet.tell([3], io.State.GONE)
+    fleet.tell([3], io.WorkerState.GONE)
     fleet.pause(200 * MS)
-    fleet.tell([3], io.State.UP, fleet.now)
+    fleet.tell([3], io.WorkerState.UP, fleet.now)
     fleet.heat([3])
     for dispatcher in fleet.dispatchers:
         for _ in range(10):
@@ -63,9 +63,9 @@
 
 def clock_ahead(fleet: Fleet) -> None:
     """The worker's clock is an hour ahead: its start lies in the future."""
-    fleet.tell([3], io.State.GONE)
+    fleet.tell([3], io.WorkerState.GONE)
     fleet.pause(200 * MS)
-    fleet.tell([3], io.State.UP, fleet.now + 3600 * SECOND)
+    fleet.tell([3], io.WorkerState.UP, fleet.now + 3600 * SECOND)
     fleet.since[3] = fleet.now  # when it truly was
     fleet.heat([3])
     fleet.pause(COLD)
@@ -133,9 +133,9 @@
     """Each dispatcher is told at the same instant, and is asked at once: no more than a few may send then."""
     fleet = Fleet(size, size)
     fleet.run_until(WARM_UP)
-    fleet.tell([3], io.State.GONE)
+    fleet.tell([3], io.WorkerState.GONE)
     fleet.pause(200 * MS)
-    fleet.tell([3], io.State.UP, fleet.now)
+    fleet.tell([3], io.WorkerState.UP, fleet.now)
     fleet.heat([3])
     for dispatcher in fleet.dispatchers:
         dispatcher.request(fleet.hot[0])
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,6 +1,6 @@
 """Slow start of cold workers: what the independent dispatchers of a fleet send to one of them together.
 
-Each dispatcher is an engine with a brain of its own; none knows of the others. All run on one virtual clock.
+Each dispatcher is an engine with a policy of its own; none knows of the others. All run on one virtual clock.
 The budget of a worker for a window is N requests, N being `fall_multiple` times the capacity it has then;
 chance is allowed 2 * sqrt(N) + 2 more. A cold worker can do half of what its weight says here, which no
 dispatcher is told: where weights are silent its memory stands for them.
@@ -19,9 +19,10 @@
 
 import pytest
 
-from martenlead import interface as io
-from martenlead.brain import Brain, Model
-from martenlead.engine import Engine
+from martenlead.policy import types as io
+from martenlead.policy.engine import Engine
+from martenlead.policy.policy import Policy
+from martenlead.policy.state import Function
 from tests.play import CHECK, MS, SETTINGS
 
 SECOND = 1000 * MS
@@ -42,14 +43,19 @@
 @cache
 def hot_functions(listed: tuple[tuple[int, float], ...], cold: frozenset[int]) -> list[int]:
     """Functions that have a cold worker first in their shared order."""
-    brain = Brain(SETTINGS, 0)
-    facts = [io.RunnerFacts(mark, "east", 0, 50_000.0, weight, io.State.UP, 0) for mark, weight in listed]
-    brain.roster([(brain.runner(f), f) for f in facts], True)
+    policy = Policy(SETTINGS, 0)
+    facts = [
+        io.WorkerFacts(mark, "east", 0, 50_000.0, weight, io.WorkerState.UP, 0) for mark, weight in listed
+    ]
+    policy.update_workers([(policy.new_worker(f), f) for f in facts], True)
     hot: list[int] = []
     function = FUNCTIONS
     while len(hot) < HOT_FUNCTIONS:
         function += 1
-        if next(brain.shared_order(Model(io.ModelFacts(function, 4, 300.0), 0))).facts.mark in cold:
+        if (
+            next(policy.placement.candidates(Function(io.FunctionFacts(function, 4, 300.0), 0))).facts.mark
+            in cold
+        ):
             hot.append(function)
     return hot
 
@@ -92,8 +98,8 @@
         for n in range(size):
             self.next_request(n)
 
-    def facts(self, mark: int, state: io.State = io.State.UP, since: int = 0) -> io.RunnerFacts:
-        return io.RunnerFacts(mark, "east", 0, 50_000.0, self.capacity[mark], state, since)
+    def facts(self, mark: int, state: io.WorkerState = io.WorkerState.UP, since: int = 0) -> io.WorkerFacts:
+        return io.WorkerFacts(mark, "east", 0, 50_000.0, self.capacity[mark], state, since)
 
     def happens(self, part: float) -> bool:
         return part == 1 or (part > 0 and self.chance.random() < part)
@@ -124,24 +130,24 @@
 
     def heat(self, cold: list[int]) -> None:
         """From now on, most of the requests want a cold worker."""
-        listed = [(f.mark, f.weight) for f in self.listed.values() if f.state is io.State.UP]
+        listed = [(f.mark, f.weight) for f in self.listed.values() if f.state is io.WorkerState.UP]
         self.hot = hot_functions(tuple(listed), frozenset(cold))
 
     def start(self, marks: list[int], told_after: int = TOLD_AFTER) -> None:
         """Plays the ramp of cold workers that all dispatchers are told of now."""
-        self.tell(marks, io.State.UP, self.now - told_after)
+        self.tell(marks, io.WorkerState.UP, self.now - told_after)
         self.heat(marks)
         self.run_until(self.now + COLD)
 
     def replace(self, mark: int) -> None:
-        self.tell([mark], io.State.GONE)
+        self.tell([mark], io.WorkerState.GONE)
         self.pause(200 * MS)
         self.start([mark])
 
     def pause(self, time: int) -> None:
         self.run_until(self.now + time)
 
-    def tell(self, marks: list[int], state: io.State, since: int = 0) -> None:
+    def tell(self, marks: list[int], state: io.WorkerState, since: int = 0) -> None:
         """All dispatchers learn of it at the same instant."""
         for mark in marks:
             self.listed[mark] = self.facts(mark, state, since)
@@ -163,7 +169,7 @@
     def capacity_share(self, mark: int, when: int) -> float:
         """The least that a worker can do by then, as a part of what it can do once it is warm."""
         age = max(0, when - self.since[mark]) / COLD
-        return min(1.0, SETTINGS.cold_from + (1 - SETTINGS.cold_from) * age)
+        return min(1.0, SETTINGS.slow_start_share + (1 - SETTINGS.slow_start_share) * age)
 
     def sent(self, mark: int) -> list[int]:
         """When requests came to a cold worker, from the time that dispatchers were told of its start."""
@@ -172,7 +178,7 @@
     def budget(self, mark: int, begin: int, end: int) -> float:
         """N of a window: the capacity is the mean of those at its begin and end, as it rises evenly."""
         share = (self.capacity_share(mark, begin) + self.capacity_share(mark, end)) / 2
-        return SETTINGS.fall_multiple * share * REAL * self.capacity[mark] * (end - begin) / SECOND
+        return SETTINGS.slow_start_multiple * share * REAL * self.capacity[mark] * (end - begin) / SECOND
 
     def most_used(self, allowed: Callable[[float], float] = with_chance) -> float:
         """The most that came to a cold worker within a window, as a part of what is `allowed` for its N."""
@@ -198,56 +204,58 @@
     def __init__(self, fleet: Fleet, n: int) -> None:
         self.fleet = fleet
         self.alive = True
-        settings = replace(SETTINGS, front_ends=fleet.size, orders=False, cold=COLD)
-        self.brain = Brain(settings, fleet.chance.randrange(1 << 30))
-        self.brain.now = fleet.now
-        self.engine = Engine(self.brain, self.out)
+        settings = replace(SETTINGS, dispatchers=fleet.size, may_request_loads=False, slow_start_ns=COLD)
+        self.policy = Policy(settings, fleet.chance.randrange(1 << 30))
+        self.policy.state.now_ns = fleet.now
+        self.engine = Engine(self.policy, self.out)
         self.functions: dict[int, Any] = {}
-        self.workers = {mark: self.brain.runner(facts) for mark, facts in fleet.listed.items()}
+        self.workers = {mark: self.policy.new_worker(facts) for mark, facts in fleet.listed.items()}
         self.list_workers(list(fleet.listed))
-        self.engine.begin()
+        self.engine.start()
         self.wake()
 
     def list_workers(self, marks: list[int]) -> None:
-        self.brain.now = self.fleet.now
-        self.brain.roster([(self.workers[mark], self.fleet.listed[mark]) for mark in marks], False)
+        self.policy.state.now_ns = self.fleet.now
+        self.policy.update_workers([(self.workers[mark], self.fleet.listed[mark]) for mark in marks], False)
 
     def wake(self) -> None:
-        due = self.engine.due()
+        due = self.engine.next_due_ns()
         if due is not None and self.alive:
             self.fleet.at(max(due, self.fleet.now), self.advance)
 
     def advance(self) -> None:
         if self.alive:
-            self.brain.now = self.fleet.now
+            self.policy.state.now_ns = self.fleet.now
             self.engine.advance(self.fleet.now)
             self.wake()
 
     def request(self, function: int) -> None:
         if function not in self.functions:
-            self.functions[function] = self.brain.model(io.ModelFacts(function, 4, 300.0))
-        self.brain.now = self.fleet.now
+            self.functions[function] = self.policy.new_function(io.FunctionFacts(function, 4, 300.0))
+        self.policy.state.now_ns = self.fleet.now
         give_up = self.fleet.now + 2 * SECOND
-        self.engine.take(io.Task(self.functions[function], CHECK, None, give_up, False, 0.0))
+        self.engine.handle_request(io.Request(self.functions[function], CHECK, None, give_up, False, 0.0))
 
     def out(self, action: io.Action) -> None:
-        if isinstance(action, io.HandOff):
-            mark = action.runner.facts.mark
+        if isinstance(action, io.Attempt):
+            mark = action.worker.facts.mark
             self.fleet.arrivals[mark].append(self.fleet.now)
             self.fleet.at(self.fleet.now + LATENCY, lambda: self.answer(action))
 
-    def answer(self, attempt: io.HandOff) -> None:
+    def answer(self, attempt: io.Attempt) -> None:
         if not self.alive:
             return
-        self.brain.now = self.fleet.now
-        if attempt.runner.facts.mark not in self.fleet.since and self.fleet.happens(self.fleet.full):
-            self.engine.answered(io.Answer(attempt, io.Result.FULL, False, io.Warmth.UNTOLD, LATENCY))
+        self.policy.state.now_ns = self.fleet.now
+        if attempt.worker.facts.mark not in self.fleet.since and self.fleet.happens(self.fleet.full):
+            self.engine.record_result(
+                io.AttemptResult(attempt, io.Result.AT_CAPACITY, False, io.Warmth.UNKNOWN, LATENCY)
+            )
             return
-        warmth = io.Warmth.WARM if attempt.expected else io.Warmth.BEGAN
+        warmth = io.Warmth.WARM if attempt.expects_warm else io.Warmth.STARTED_LOAD
         satisfied = self.fleet.happens(self.fleet.satisfied)
-        result = io.Result.SATISFIED if satisfied else io.Result.CALLED_OFF
-        self.engine.answered(io.Answer(attempt, result, True, warmth, LATENCY))
-        self.engine.closed(attempt.task)
+        result = io.Result.SUCCEEDED if satisfied else io.Result.CANCELLED
+        self.engine.record_result(io.AttemptResult(attempt, result, True, warmth, LATENCY))
+        self.engine.close_request(attempt.request)
 
 
 def replaced(fleet: Fleet) -> None:
@@ -263,14 +271,14 @@
 
 def zone_returns(fleet: Fleet) -> None:
     zone = list(range(4))
-    fleet.tell(zone, io.State.GONE)
+    fleet.tell(zone, io.WorkerState.GONE)
     fleet.pause(5 * SECOND)
     fleet.start(zone)
 
 
 def zone_gone(fleet: Fleet) -> None:
     """Half of the workers are gone as one of the others is replaced."""
-    fleet.tell(list(range(6, WORKERS)), io.State.GONE)
+    fleet.tell(list(range(6, WORKERS)), io.WorkerState.GONE)
     fleet.pause(2 * SECOND)
     fleet.replace(3)
 
@@ -282,7 +290,7 @@
 
 
 def all_restarted_as_it_starts(fleet: Fleet) -> None:
-    fleet.tell([3], io.State.GONE)
+    fleet.tell([3], io.WorkerState.GONE)
     fleet.restart(fleet.part(10))
     fleet.start([3])
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -23,8 +23,8 @@
 from martenlead.events.client import End, Pool, lines
 from martenlead.events.http import request
 from martenlead.events.server import listen
-from martenlead.interface import Result
 from martenlead.planner import frames as fr
+from martenlead.policy.types import Result
 from martenlead.system.sockets import has_ended, readable
 from support.fleet import fleet, satisfied, until
 from support.planned import answered, planned, planner
@@ -181,7 +181,7 @@
             client = await p.client()
             faults.add(connect_call, number, to_port(p.runners["a"].port))
             heard = await order(p)
-            assert heard.result is Result.UNREACHED
+            assert heard.result is Result.UNREACHABLE
             assert await client.call("unsafe", wait=LONG) in FINAL
             assert not p.did() and faults.failed[connect_call]
             assert sum(way.open for way in p.node.link.ways) == 0
@@ -199,7 +199,7 @@
         async with play(tmp_path, {"a": [done]}) as p:
             client = await p.client()
             faults.add("socket", number)
-            assert (await order(p)).result is Result.UNREACHED
+            assert (await order(p)).result is Result.UNREACHABLE
             assert await client.call("unsafe", wait=LONG) in FINAL
             assert not p.did() and faults.failed["socket"]
             assert sum(way.open for way in p.node.link.ways) == 0
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -161,7 +161,7 @@
     """Within its life, and in the next one from its file."""
     path = tmp_path / "planner"
     settings = PlannerSettings(kept=str(path))
-    mirror = SimpleNamespace(all=SimpleNamespace(settings=SimpleNamespace(keep=10 * SECOND)))
+    mirror = SimpleNamespace(all=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
     first = Planner(settings)
     first.kept.edges["edge"] = [("a", "m", 1, 10.0, 500.0), ("b", "m", 1, 10.0, 9500.0)]
     first.look()
