--- a/martenlead/system/listener.py
+++ b/martenlead/system/listener.py
@@ -116,13 +116,13 @@
     """Counts the accepted connections of a process over all of its listeners."""
 
     def __init__(self, limit: Callable[[], int] = descriptors_for_clients) -> None:
-        self._limit = limit
+        self.limit = limit
         self.in_use = 0
         self._waiting: set[Callable[[], None]] = set()
 
     def has_room(self, own: int) -> bool:
         """Whether a listener that has `own` connections open may accept one more."""
-        return own < LEAST_CONNECTIONS or self.in_use < self._limit()
+        return own < LEAST_CONNECTIONS or self.in_use < self.limit()
 
     def take(self) -> None:
         self.in_use += 1
--- a/tests/test_http_server_answers.py
+++ b/tests/test_http_server_answers.py
@@ -292,7 +292,7 @@
 async def test_idle_connections_give_way_and_those_with_requests_do_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("martenlead.events.stream_listener.PROCESS_CLIENTS.most", lambda: 0)
+    monkeypatch.setattr("martenlead.events.stream_listener.PROCESS_CLIENTS.limit", lambda: 0)
     async with served() as p:  # room for LEAST_CONNECTIONS
         p.answer = p.waiting
         busy = [p.connect() for _ in range(2)]
