--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -47,6 +47,12 @@
         self.agents: list[Agent] = []
         self.ports: list[int] = []
         self.scopes: list[anyio.CancelScope] = []
+        self.ends: list[anyio.Event] = []
+
+    async def stop(self, n: int) -> None:
+        """Ends a life of a box, and waits for what it saves at its end."""
+        self.scopes[n].cancel()
+        await self.ends[n].wait()
 
     def release(self, ref: str, data: bytes) -> int:
         """Makes an image; the bytes that its chunks take."""
@@ -77,6 +83,12 @@
         return told
 
 
+async def one_life(agent: Agent, listener: Any, scope: anyio.CancelScope, end: anyio.Event) -> None:
+    with scope:
+        await agent.run(listener)
+    end.set()
+
+
 @asynccontextmanager
 async def boxes(
     folder: Path, count: int, known: bool = True, vault: dict[str, Any] | None = None, **settings: Any
@@ -101,12 +113,8 @@
             made.agents.append(agent)
             scope = anyio.CancelScope()
             made.scopes.append(scope)
-
-            async def run(agent: Agent = agent, own: Any = own, scope: anyio.CancelScope = scope) -> None:
-                with scope:
-                    await agent.run(own)
-
-            group.start_soon(run)
+            made.ends.append(anyio.Event())
+            group.start_soon(one_life, agent, own, scope, made.ends[n])
         await anyio.sleep(0.02)
         yield made
         group.cancel_scope.cancel()
@@ -314,9 +322,13 @@
         told = await agent.load("m", 5000)
         assert (told.size, told.stale) == (60_000, True)
         b.depot.down_until = 1 << 62
+        await b.stop(0)
         again = Agent(agent.settings, agent.cache)  # another life of it
-        agent.names = again.names
-        told = await agent.load("m", 1000)
+        listener, _ = await listen("127.0.0.1", 0)
+        async with anyio.create_task_group() as group:
+            group.start_soon(again.run, listener)
+            told = await again.load("m", 1000)
+            group.cancel_scope.cancel()
         assert (told.size, told.stale) == (60_000, True)
 
 
