--- a/martenlead/policy/replica_scaling.py
+++ b/martenlead/policy/replica_scaling.py
@@ -16,7 +16,7 @@
 from martenlead.policy.latency import MILLISECOND, SECOND
 from martenlead.policy.load_budget import NEW_REPLICAS_SHARE, LoadBudget
 from martenlead.policy.placement import Placement
-from martenlead.policy.state import PEAK_RATE_KEPT, Function, Replica, State
+from martenlead.policy.state import Function, Replica, State
 from martenlead.policy.tenant_shares import TenantShares
 from martenlead.policy.types import LoadRequest, Result, Steps, Wait
 
@@ -49,6 +49,7 @@
         self.state = state
         self.placement = placement
         self.outliers = placement.outliers
+        self.slow_start = placement.slow_start
         self.load_budget = load_budget
         self.tenant_shares = tenant_shares
         self.unchecked: deque[Function] = deque()  # of this period
@@ -75,7 +76,7 @@
     def _end_period(self) -> None:
         state = self.state
         state.traffic.end_period(state.settings, self.last_period_ns)
-        state.highest_weight = max(state.index.weight, PEAK_RATE_KEPT * state.highest_weight)
+        self.slow_start.end_period()
         self.tenant_shares.end_period(self.last_period_ns)
         for worker in [w for w in state.paced_workers if w.latency_ratio.total > KNOWN_PACE_RESPONSES]:
             worker.latency_ratio.halve()
--- a/martenlead/policy/slow_start.py
+++ b/martenlead/policy/slow_start.py
@@ -8,8 +8,10 @@
 
 import math
 
+from martenlead.policy.candidates import LEAST_WEIGHT
 from martenlead.policy.latency import SECOND
-from martenlead.policy.state import State, Worker
+from martenlead.policy.state import PEAK_RATE_KEPT, State, Worker
+from martenlead.policy.types import WorkerState
 
 LEAST_CAPACITY = 0.5  # of what its weight or memory says: nothing tells yet that a cold worker does more
 
@@ -25,6 +27,37 @@
         started = worker.facts.started_ns
         return bool(started) and self.state.now_ns - started < self.state.settings.slow_start_ns
 
+    def end_period(self) -> None:
+        """Takes the listed weight into the highest one, which the best rate of requests is compared with.
+
+        A worker that warms up counts by its share of the ramp: the rate was carried by the others. For a
+        dispatcher that has just begun it counts in full, since its rate may be of such workers alone.
+        """
+        state = self.state
+        if not state.highest_weight:
+            state.highest_weight = state.index.weight
+            return
+        state.highest_weight = max(self._serving_weight(), PEAK_RATE_KEPT * state.highest_weight)
+
+    def _serving_weight(self) -> float:
+        """The weight that takes requests now, of all listed workers."""
+        workers = self.state.workers
+        up = [worker for worker in workers if worker.facts.state is WorkerState.UP]
+        return math.fsum(worker.facts.weight * self._ramp_share(worker) for worker in up)
+
+    def _ramp_share(self, worker: Worker) -> float:
+        """The share of its requests that a worker may have now, 1 once it is warm."""
+        if not self.is_warming_up(worker):
+            return 1.0
+        settings = self.state.settings
+        age_ns = max(0, self.state.now_ns - worker.facts.started_ns)  # clocks of workers may be ahead
+        return settings.slow_start_share + self._growth_per_ns() * age_ns
+
+    def _growth_per_ns(self) -> float:
+        """How fast the share of a worker that warms up grows."""
+        settings = self.state.settings
+        return (1 - settings.slow_start_share) / max(settings.slow_start_ns, 1)
+
     def allows(self, worker: Worker) -> bool:
         """Whether the worker is past its ramp, or its ramp has begun here.
 
@@ -47,10 +80,8 @@
         says.
         """
         state, settings = self.state, self.state.settings
-        growth = (1 - settings.slow_start_share) / max(settings.slow_start_ns, 1)
-        age_ns = max(0, state.now_ns - worker.facts.started_ns)  # clocks of workers may be ahead
-        share = settings.slow_start_share + growth * age_ns
-        part = LEAST_CAPACITY * worker.facts.weight / max(state.highest_weight, state.index.weight, 1e-9)
+        growth, share = self._growth_per_ns(), self._ramp_share(worker)
+        part = LEAST_CAPACITY * worker.facts.weight / max(state.highest_weight, LEAST_WEIGHT)
         traffic = state.traffic
         succeeding_per_second = traffic.succeeded_share * traffic.new_requests_per_second
         rate = min(traffic.peak_succeeded_per_second, succeeding_per_second)
--- a/tests/test_slow_start_capacity.py
+++ b/tests/test_slow_start_capacity.py
@@ -77,6 +77,41 @@
     fleet.replace(3)
 
 
+def released(fleet: Fleet) -> None:
+    """Seven of twelve workers are replaced, each a second after the one before, and stay within their budgets
+    while some of the others are cold as well."""
+    for mark in range(7):
+        fleet.tell([mark], io.WorkerState.DRAINING)
+        fleet.pause(300 * MS)
+        fleet.tell([mark], io.WorkerState.GONE)
+        fleet.pause(100 * MS)
+        fleet.tell([mark], io.WorkerState.UP, fleet.now - TOLD_AFTER)
+        fleet.heat(list(range(mark + 1)))
+        fleet.pause(600 * MS)
+    fleet.pause(COLD)
+
+
+def doubled(fleet: Fleet) -> None:
+    """Half of the workers have been away for long, and come back cold in two steps."""
+    away = list(range(6))
+    fleet.tell(away, io.WorkerState.GONE)
+    fleet.pause(60 * SECOND)
+    for marks in (away[:3], away[3:]):
+        fleet.tell(marks, io.WorkerState.UP, fleet.now - TOLD_AFTER)
+        fleet.heat(away)
+        fleet.pause(4 * SECOND)
+    fleet.pause(COLD)
+
+
+def most_are_cold_as_dispatchers_begin(fleet: Fleet) -> None:
+    """Of what a dispatcher has seen succeed, the most was done by workers that warm up."""
+    marks = list(range(2, fleets.WORKERS))
+    fleet.tell(marks, io.WorkerState.UP, fleet.now - TOLD_AFTER)
+    fleet.restart(fleet.part(10))
+    fleet.heat(marks)
+    fleet.pause(COLD)
+
+
 def plays(cases: list[Case], sizes: list[int]) -> list[tuple[Case, int]]:
     """Each case at each size; of one dispatcher alone no others can carry the traffic."""
     alone = (fleets.others_carried_their_traffic, 1)
@@ -116,7 +151,16 @@
 @pytest.mark.parametrize("size", [1, 2, 5, 30, 200])
 @pytest.mark.parametrize(
     "case",
-    [burst, lull, all_ask_as_they_are_told, clock_ahead, others_are_full],
+    [
+        burst,
+        lull,
+        all_ask_as_they_are_told,
+        clock_ahead,
+        others_are_full,
+        released,
+        doubled,
+        most_are_cold_as_dispatchers_begin,
+    ],
     ids=lambda case: case.__name__,
 )
 def test_further_starts(case: Case, size: int) -> None:
