--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -163,6 +163,8 @@
 def _lead_checks(policy: Policy, told: dict[str, Any]) -> Any:
     state = policy.state
     state.random = lambda: 0.0
+    if told["last"] is not None:  # earlier checkpoints have none while the first wait lasts
+        state.now_ns = told["last"]
     steps = policy.scaling.run()
     next(steps)
     if told["stand"] == "first":
@@ -171,9 +173,6 @@
     policy.tenant_shares.requests_in_period, policy.scaling.unchecked = {}, deque()
     state.now_ns = told["born"]
     steps.send(None)
-    if told["last"] != told["born"]:
-        state.now_ns = told["last"]
-        steps.send(None)
     return steps
 
 
--- a/martenlead/policy/replica_scaling.py
+++ b/martenlead/policy/replica_scaling.py
@@ -61,8 +61,9 @@
         """Checks every function once a period, some at a time, without end."""
         state = self.state
         first = int(state.random() * FIRST_PERIOD)  # many dispatchers must not check in step
+        last_ns = state.now_ns  # requests count from here on
         yield Wait(state.now_ns + first)
-        begun_ns = last_ns = state.now_ns
+        begun_ns = state.now_ns
         while True:
             # one that has just begun holds nothing: short periods, that its replicas may double soon
             period = min(state.check_period_ns, max(FIRST_PERIOD, state.now_ns - begun_ns))
--- a/tests/test_slow_start_capacity.py
+++ b/tests/test_slow_start_capacity.py
@@ -148,6 +148,12 @@
     keeps_to_the_budget(Fleet(size, size, load=2.0, satisfied=0.5), case)
 
 
+def test_seven_in_ten_of_many_dispatchers_restarted_in_an_overload() -> None:
+    """A seed that went over the budget while the first rate of a life left out a part of its time."""
+    fleet = Fleet(200, 1200, load=2.0, satisfied=0.5)
+    keeps_to_the_budget(fleet, fleets.others_carried_their_traffic)
+
+
 @pytest.mark.parametrize("size", [1, 2, 5, 30, 200])
 @pytest.mark.parametrize(
     "case",
@@ -184,3 +190,12 @@
     for dispatcher in fleet.dispatchers:
         dispatcher.request(fleet.hot[0])
     assert len(fleet.sent(3)) <= 3
+
+
+@pytest.mark.parametrize("seed", range(1, 7))
+def test_the_first_rate_of_a_life_counts_all_of_its_time(seed: int) -> None:
+    """Requests that come before the first period begins, at a random time, are counted with their time."""
+    fleet = Fleet(1, seed, load=10.0)
+    fleet.run_until(600 * MS)
+    asked_per_second = fleet.dispatchers[0].policy.state.traffic.new_requests_per_second
+    assert asked_per_second == pytest.approx(fleet.rates[0], rel=0.15)
