--- a/martenlead/policy/concurrency.py
+++ b/martenlead/policy/concurrency.py
@@ -43,7 +43,7 @@
         """
         state = self.state
         if self.slow_start.is_warming_up(worker):
-            worker.next_attempt_ns = state.now_ns + self.slow_start.gap_ns(worker)
+            self.slow_start.schedule_next(worker)
         elif worker.concurrency_limit < 1:  # of many dispatchers, less than one attempt each: one at times
             usual_ns = state.latencies.warm_run_ns(state.latencies.all_functions)
             worker.next_attempt_ns = state.now_ns + int((1 / worker.concurrency_limit - 1) * usual_ns)
--- a/martenlead/policy/slow_start.py
+++ b/martenlead/policy/slow_start.py
@@ -13,7 +13,8 @@
 from martenlead.policy.state import PEAK_RATE_KEPT, State, Worker
 from martenlead.policy.types import WorkerState
 
-LEAST_CAPACITY = 0.5  # of what its weight or memory says: nothing tells yet that a cold worker does more
+UNKNOWN_RATE_PER_SECOND = 0.5  # of all dispatchers, at a worker: three in its window are always allowed
+LEAST_CAPACITY = 0.48  # of what its weight says: it may do half, and the sum over many dispatchers is chance
 
 
 class SlowStart:
@@ -63,29 +64,56 @@
 
         The first request waits for a random part of the gap, once for each start.
         """
-        if not self.is_warming_up(worker) or worker.ramp_start_ns == worker.facts.started_ns:
+        if not self.is_warming_up(worker):
             return True
-        if not self.state.traffic.peak_succeeded_per_second:
-            return False  # begun a moment ago: its part is not known, and a guess at it would last
-        worker.ramp_start_ns = worker.facts.started_ns
-        worker.next_attempt_ns = self.state.now_ns + self.gap_ns(worker, self.state.random())
+        if worker.ramp_start_ns != worker.facts.started_ns:
+            worker.ramp_start_ns = worker.facts.started_ns
+            self.schedule_next(worker, self.state.random())
+        elif 0 < worker.ramp_rate_per_second <= self._unknown_rate_per_second():
+            self._shorten_wait(worker)
         return True
 
-    def gap_ns(self, worker: Worker, requests: float = 1.0) -> int:
-        """The time in which a warming worker may get that many requests of this dispatcher.
+    def schedule_next(self, worker: Worker, requests: float = 1.0) -> None:
+        """Sets the time of the next attempt: when the worker may have had that many more requests."""
+        worker.ramp_rate_per_second = self._rate_per_second(worker)
+        worker.next_attempt_ns = self.state.now_ns + self._gap_ns(worker, requests)
+
+    def _shorten_wait(self, worker: Worker) -> None:
+        """Sets a wait anew that was set before a rate was known, as after a quiet time.
+
+        What the wait was a part of, a request or less, stays.
+        """
+        if self._rate_per_second(worker) <= worker.ramp_rate_per_second:
+            return
+        wait_ns = worker.next_attempt_ns - self.state.now_ns
+        if wait_ns <= 0:
+            return
+        warm_ns = self._ramp_share(worker) * wait_ns + self._growth_per_ns() * wait_ns**2 / 2
+        self.schedule_next(worker, min(1.0, worker.ramp_rate_per_second * warm_ns / SECOND))
+
+    def _gap_ns(self, worker: Worker, requests: float) -> int:
+        """The time in which a warming worker may get that many requests of this dispatcher."""
+        growth, share = self._growth_per_ns(), self._ramp_share(worker)
+        warm_ns = requests * SECOND / worker.ramp_rate_per_second + 1  # that it takes a warm worker
+        # solves share * gap + growth * gap ** 2 / 2 = warm_ns: of many dispatchers, a gap spans most of it
+        return int(2 * warm_ns / (share + math.sqrt(share**2 + 2 * growth * warm_ns)))
+
+    def _rate_per_second(self, worker: Worker) -> float:
+        """The requests of this dispatcher that the worker may get once it is warm.
 
         It is this dispatcher's part of the ramp. Each counts what succeeded by itself, so uneven traffic
         keeps the sum; the best, as a release lowers it, but no more than the part that succeeds of what is
         asked now, as the best of a few requests is mostly chance. The worker may do half of what its weight
-        says.
+        says. Where nothing is known, as all begin together, there is a little for all to share.
         """
         state, settings = self.state, self.state.settings
-        growth, share = self._growth_per_ns(), self._ramp_share(worker)
         part = LEAST_CAPACITY * worker.facts.weight / max(state.highest_weight, LEAST_WEIGHT)
         traffic = state.traffic
         succeeding_per_second = traffic.succeeded_share * traffic.new_requests_per_second
         rate = min(traffic.peak_succeeded_per_second, succeeding_per_second)
-        per_second = settings.slow_start_multiple * rate * part
-        warm_ns = requests * SECOND / max(per_second, 1e-3) + 1  # that it takes a warm worker
-        # solves share * gap + growth * gap ** 2 / 2 = warm_ns: of many dispatchers, a gap spans most of it
-        return int(2 * warm_ns / (share + math.sqrt(share**2 + 2 * growth * warm_ns)))
+        known = settings.slow_start_multiple * rate * part
+        return max(known, self._unknown_rate_per_second())
+
+    def _unknown_rate_per_second(self) -> float:
+        """What a dispatcher may send to a worker, once it is warm, before it knows a rate."""
+        return UNKNOWN_RATE_PER_SECOND / self.state.settings.dispatchers
--- a/martenlead/policy/state.py
+++ b/martenlead/policy/state.py
@@ -68,6 +68,7 @@
         self.overdue_since_ns = 0  # a response is awaited at least since then
         self.next_attempt_ns = 0  # no attempt before: a warming worker's share, or a limit below one
         self.ramp_start_ns = 0  # the start of the process that `next_attempt_ns` was drawn for
+        self.ramp_rate_per_second = 0.0  # once it is warm, that `next_attempt_ns` was set by
         self.latency_ratio = LatencyHistogram()  # of USUAL_RATIO: a response that took as long as usual
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -116,8 +116,8 @@
     check(play, "cold_moved")
 
 
-def test_one_just_begun_leaves_a_cold_runner_until_it_knows_its_part() -> None:
-    """Its guess would last: the time of its first task there was drawn from it, up to 1000 s away."""
+def test_one_just_begun_sends_a_cold_runner_little_until_it_knows_its_part() -> None:
+    """One request in some seconds, and not none until it is warm: no rate would ever come to be known."""
     play = Play(runners="a")
     play.list_one("a", since=1)
     first = []
--- a/tests/test_slow_start_capacity.py
+++ b/tests/test_slow_start_capacity.py
@@ -112,6 +112,25 @@
     fleet.pause(COLD)
 
 
+def quiet_before_all_start(fleet: Fleet) -> None:
+    """Nothing is asked for a minute, all workers start, and then all is asked again at once."""
+    rates, marks = fleet.rates, list(range(fleets.WORKERS))
+    fleet.rates = [0.0] * fleet.size
+    fleet.tell(marks, io.WorkerState.GONE)
+    fleet.pause(60 * SECOND)
+    fleet.rates = rates
+    fleet.start(marks)
+
+
+def all_start_together(fleet: Fleet) -> None:
+    """Workers and dispatchers: no dispatcher knows a rate, and all workers are cold."""
+    marks = list(range(fleets.WORKERS))
+    fleet.tell(marks, io.WorkerState.GONE)
+    fleet.restart(fleet.part(10))
+    fleet.pause(SECOND)
+    fleet.start(marks)
+
+
 def plays(cases: list[Case], sizes: list[int]) -> list[tuple[Case, int]]:
     """Each case at each size; of one dispatcher alone no others can carry the traffic."""
     alone = (fleets.others_carried_their_traffic, 1)
@@ -173,6 +192,24 @@
     keeps_to_the_budget(Fleet(size, size), case)
 
 
+@pytest.mark.parametrize(
+    ("case", "size", "least"),
+    [
+        (quiet_before_all_start, 1, 0.5),
+        (quiet_before_all_start, 5, 0.3),
+        (quiet_before_all_start, 30, 0.1),
+        (quiet_before_all_start, 200, 0.01),
+        *((all_start_together, size, 0.01) for size in (1, 5, 30, 200)),
+    ],
+    ids=name,
+)
+def test_a_rate_that_is_not_known_yet_locks_nothing_out(case: Case, size: int, least: float) -> None:
+    """A wait that was set before a rate was known is set anew; 0.01 of the budgets is a request a worker."""
+    fleet = Fleet(size, size)
+    keeps_to_the_budget(fleet, case)
+    assert fleet.mean_used() >= least
+
+
 @pytest.mark.parametrize("size", [1, 30, 200])
 def test_the_whole_capacity_is_in_use(size: int) -> None:
     keeps_to_the_budget(Fleet(size, size, load=1.0), fleets.replaced)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -84,7 +84,7 @@
     assert now.keys() == then.keys()
     assert now["brain"].keys() == then["brain"].keys() | ADDED_TO_SNAPSHOT
     assert not then["brain"].keys() & ADDED_TO_SNAPSHOT
-    assert now["runners"][0][-1].keys() == then["runners"][0][-1].keys()
+    assert now["runners"][0][-1].keys() == then["runners"][0][-1].keys() | {"ramp_rate_per_second"}
     assert now["models"][0][5].keys() == then["models"][0][5].keys()
     assert now["models"][0][7][0][1].keys() == then["models"][0][7][0][1].keys()
 
