--- a/martenlead/node/door.py
+++ b/martenlead/node/door.py
@@ -22,6 +22,7 @@
 from martenlead.node import rpc, sockets
 from martenlead.node.rpc import BadCall, Call
 from martenlead.node.sockets import readable
+from martenlead.system.sender import Sender
 
 OPEN = 32  # tasks of one connection, by the protocol
 ERRORS = 16  # of one connection, then it ends
@@ -35,7 +36,7 @@
 CROSSING = 5 * MS  # until an answer has reached a client: to whoever wrote before, its task was still open
 FIRST = 2_000 * MS  # for the first whole message, and for the rest of one that has begun
 IDLE = 5_000 * MS  # clients close after 4 s themselves
-SLOW = 2_500 * MS  # a client that reads nothing for so long has left
+SLOW = 2_500 * MS  # a client that reads nothing, or that the machine sends nothing to, for so long has left
 SWEEP = 250 * MS
 READ, READS = 262_144, 4  # bytes of one read between two turns of the loop, and how many follow each other
 LAST_TURNS = 16  # of so many reads, for a client that never pauses as the node ends
@@ -47,6 +48,7 @@
     def __init__(self, door: Door) -> None:
         self.door = door
         self.transport: Any = None
+        self.sender: Sender
         self.frames = rpc.Frames()
         self.open: dict[int, Held] = {}
         self.counted: list[int] = []  # until when each task counts as open that is so no more here
@@ -67,6 +69,7 @@
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
         transport.set_write_buffer_limits(UNREAD)
+        self.sender = Sender(transport, UNREAD, SLOW / 1e9, self.pause_writing, self.resume_writing)
         self.read = self.door.dispatcher.clock()
         self.door.joined(self)
 
@@ -170,7 +173,7 @@
 
     def write(self, data: bytes) -> None:
         if not self.over and not self.transport.is_closing():
-            self.transport.write(data)
+            self.sender.write(data)
 
     def answer(self, number: int, data: bytes) -> None:
         """The one answer to the request of this number."""
@@ -182,7 +185,7 @@
         """What was written leaves; what is open has no client any more."""
         if not self.over:
             self._mark_over()
-            self.transport.close()
+            self.sender.after_writes(self.transport.close)
 
     def _mark_over(self) -> None:
         self.over = True
@@ -218,6 +221,9 @@
         if self.over:
             return
         self._mark_over()
+        self.sender.after_writes(self._end_writing)
+
+    def _end_writing(self) -> None:
         if self.transport.is_closing():
             return
         try:
--- a/support/socket_faults.py
+++ b/support/socket_faults.py
@@ -3,7 +3,7 @@
 `SocketFaults` stands under asyncio: its selector event loop makes every call on sockets through
 `socket.socket`. uvloop makes its own calls; there the faults are raised above it, where a connection is asked
 for (`create_connection`), and as the error that a transport reports (`connection_lost`). Listeners make their
-calls through `socket.socket` under both.
+calls through `socket.socket` under both, and what the node writes itself counts as `send` under both.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 import asyncio
 import os
 import socket
+import stat
 from collections import Counter
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -124,6 +125,7 @@
             (socket.socket, "recv", self._recv(socket.socket.recv)),
             (socket.socket, "send", self._send(socket.socket.send)),
             (os, "read", self._read(os.read)),
+            (os, "write", self._write(os.write)),
             (uvloop.Loop, "create_connection", self._connection(uvloop.Loop.create_connection)),
         ]
         before = [(owner, name, owner.__dict__.get(name)) for owner, name, _ in patches]
@@ -181,6 +183,21 @@
 
         return read
 
+    def _write(self, real: Any) -> Any:
+        """To a socket it is a send; files are left alone."""
+
+        def write(descriptor: int, data: Any) -> Any:
+            if not stat.S_ISSOCK(os.fstat(descriptor).st_mode):
+                return real(descriptor, data)
+            own = socket.socket(fileno=descriptor)
+            try:
+                self.check("send", own)
+                return real(descriptor, data[:1] if self.is_short("send", own) else data)
+            finally:
+                own.detach()
+
+        return write
+
     def _connection(self, real: Any) -> Any:
         faults = self
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -23,6 +23,7 @@
 from martenlead.events.client import End, Pool, lines
 from martenlead.events.http import request
 from martenlead.events.server import listen
+from martenlead.node import door
 from martenlead.planner import frames as fr
 from martenlead.policy.types import Result
 from martenlead.system.sockets import has_ended, readable
@@ -355,6 +356,59 @@
             assert len(p.node.door.clients) == 1 and not p.node.door.closing
 
 
+temporary = pytest.mark.parametrize("number", (errno.ENOBUFS, errno.ENOMEM), ids=name)
+
+
+@temporary
+@pytest.mark.parametrize("bytes_leave", [False, True], ids=["nothing leaves", "single bytes leave"])
+async def test_answers_that_the_machine_has_no_memory_for_leave_later(
+    tmp_path: Path, number: int, bytes_leave: bool
+) -> None:
+    """In their order, each once, and the connection goes on. One that then ends has its answer, too."""
+    faults = SocketFaults()
+    faults.short_selects = lambda call, subject: from_port(p.port)(call, subject)
+    with faults.installed():
+        async with play(tmp_path) as p:
+            client = await p.client()
+            if bytes_leave:
+                faults.short_writes = True
+                faults.add("send", number, from_port(p.port), share=0.2)
+            else:
+                faults.add("send", number, from_port(p.port), times=5)
+            for _ in range(3):
+                await client.ask(wait=LONG)
+            assert [word(await client.answer()) for _ in range(3)] == ["satisfied"] * 3
+            assert faults.failed["send"]
+            assert await client.call() == "satisfied"
+            faults.add("send", number, from_port(p.port), times=2)
+            await client.send(b"no head\r\n\r\n")
+            assert word(await client.answer()) == "error -32600"
+            assert await client.answer() is None
+
+
+@temporary
+async def test_answers_that_never_leave_are_bounded_in_bytes_and_time(
+    tmp_path: Path, number: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(door, "UNREAD", 100)
+    monkeypatch.setattr(door, "SLOW", 300_000_000)
+    faults = SocketFaults()
+    with faults.installed():
+        async with play(tmp_path) as p:
+            client = await p.client()
+            faults.add("send", number, from_port(p.port))
+            for _ in range(2):
+                await client.ask(wait=LONG)
+            await until(lambda: any(own.stuck for own in p.node.door.clients))
+            (own,) = p.node.door.clients
+            faults.end()
+            assert [word(await client.answer()) for _ in range(2)] == ["satisfied"] * 2
+            assert not own.stuck
+            faults.add("send", number, from_port(p.port))
+            assert await client.call() == "closed"
+            await until(lambda: not p.node.door.descriptors())
+
+
 @pytest.mark.parametrize("number", (errno.EAGAIN, *BROKEN), ids=name)
 async def test_the_read_of_unread_bytes_fails(tmp_path: Path, number: int) -> None:
     """Without bytes the event loop reads them later; a broken connection ends, and costs no other client."""
