--- a/martenlead/node/runners.py
+++ b/martenlead/node/runners.py
@@ -243,10 +243,13 @@
         first = next(iter(self.open.values()), None)
         return first is not None and now > first.overdue and self.heard <= first.written
 
+    def is_closing(self) -> bool:
+        """Whether the event loop has closed it, and not told of it yet: nothing that is written leaves."""
+        return self.transport is not None and bool(self.transport.is_closing())
+
     def dead(self) -> bool:
-        """Anything to read on an idle connection is its end, or bytes that answer nothing. One that the event
-        loop has closed, and not told of yet, would drop what is written."""
-        return self.transport.is_closing() or readable(self.transport)
+        """Anything to read on an idle connection is its end, or bytes that answer nothing."""
+        return self.is_closing() or readable(self.transport)
 
     def end(self, why: str = "") -> None:
         """Closes it; all that is open on it ends. The first call counts."""
@@ -451,6 +454,7 @@
                     idle = conn
             elif (
                 len(conn.open) < self.told.streams
+                and not conn.is_closing()
                 and not conn.overdue(now)
                 and (busy is None or len(conn.open) < len(busy.open))
             ):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -431,6 +431,19 @@
         assert await client.call("unsafe") == "satisfied"
 
 
+async def test_a_busy_connection_that_the_loop_has_closed_gets_no_more(tmp_path: Path) -> None:
+    async with play(tmp_path, {"a": [silent]}) as p:
+        client = await p.client()
+        await client.ask("unsafe")
+        await until(p.did)
+        ((conn,),) = (way.conns for way in p.node.link.ways)
+        p.node.link.sockets = 1  # no second connection beside a busy one
+        assert p.node.link._pick(conn.way, []) is conn
+        conn.transport.abort()
+        assert conn in conn.way.conns and p.node.link._pick(conn.way, []) is None
+        assert word(await client.answer()) == "error -32000"
+
+
 async def test_lines_that_the_machine_does_not_take_never_leave_later(tmp_path: Path) -> None:
     """Two wait for one connection, and the first fills it: the second is not left here, to leave when the
     runner reads again, drained by then. Nor does a full connection get a third."""
