--- a/martenlead/node/door.py
+++ b/martenlead/node/door.py
@@ -45,7 +45,8 @@
 class Client(asyncio.Protocol):
     """One connection."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: Door, unread_ns: int = 0) -> None:
+        """For `unread_ns` something has waited on it to be read."""
         self.door = door
         self.transport: Any = None
         self.sender: Sender
@@ -56,7 +57,8 @@
         self.errors = 0
         self.spoke = False  # a message that was taken
         self.read = self.begun = self.stuck = 0  # when: last message, the partial one, reading stopped
-        self.arrived = 0  # the bytes of the last read, if it was a full one
+        # the earliest arrival of bytes that may still be unread: of a full read's rest, or of the backlog
+        self.arrived = door.dispatcher.clock() - unread_ns if unread_ns else 0
         self.finishing = self.answered = 0  # since when: it is to end; then nothing was open any more
         self.ends_after = 0  # and not before
         self.is_reading = False  # messages of one read are being processed
--- a/martenlead/system/sockets.py
+++ b/martenlead/system/sockets.py
@@ -3,16 +3,19 @@
 from __future__ import annotations
 
 import select
+import socket
+import struct
 from typing import Any
 
 HALF_CLOSED = getattr(select, "POLLRDHUP", 0)  # of Linux: told also where bytes lie in front of the end
+LAST_DATA_RECEIVED = 52  # where `struct tcp_info` of Linux has the ms since then
 ENDED = HALF_CLOSED | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 def descriptor(at: Any) -> int:
     """Of a transport or of a socket; -1 where it is closed."""
-    socket = at.get_extra_info("socket") if hasattr(at, "get_extra_info") else at
-    return -1 if socket is None else int(socket.fileno())
+    own = at.get_extra_info("socket") if hasattr(at, "get_extra_info") else at
+    return -1 if own is None else int(own.fileno())
 
 
 def poll(number: int, events: int) -> int:
@@ -38,3 +41,16 @@
     """Whether the peer has closed, or half of it, or the connection is broken or closed here."""
     number = descriptor(at)
     return number < 0 or bool(poll(number, HALF_CLOSED) & ENDED)
+
+
+def unread_ms(connection: socket.socket) -> int:
+    """For how long what came last has waited to be read there; 0 where nothing waits, or nobody can tell."""
+    if not readable(connection) or not hasattr(socket, "TCP_INFO"):
+        return 0
+    try:
+        told = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + 4)
+    except OSError:
+        return 0
+    if len(told) < LAST_DATA_RECEIVED + 4:
+        return 0
+    return int(struct.unpack_from("=I", told, LAST_DATA_RECEIVED)[0])
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -15,8 +15,9 @@
 from martenlead.edge.event_loop_lag import UNREMARKABLE_WAIT, EventLoopLag
 from martenlead.events import http
 from martenlead.events.client import Pool
+from martenlead.node.listener import SPARE
 from support.fleet import fleet, satisfied
-from tests.nodes import SETTINGS, Caller, done, play
+from tests.nodes import SETTINGS, Caller, done, play, word
 
 pytestmark = pytest.mark.anyio
 
@@ -59,6 +60,30 @@
         client.close()
 
 
+async def test_the_node_counts_the_wait_for_a_place(tmp_path: Path) -> None:
+    stated: list[int] = []
+
+    async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
+        stated.append(told["props"]["ttl"])
+        await done(runner, stream, told)
+
+    async with play(tmp_path, {"a": [noting]}) as p:
+        door = p.node.door
+        door.connections, places = -SPARE, door.connections
+        client, idle = await p.client(), await p.client()
+        await client.ask(ONE_ATTEMPT, wait=WAIT)
+        await anyio.sleep(BLOCKED)  # in the backlog
+        assert not door.clients
+        door.connections = places
+        door.place_freed()
+        assert word(await client.answer()) == "satisfied"
+        for other in (client, idle):  # what they send now has waited for nothing
+            assert await other.call(ONE_ATTEMPT, wait=WAIT, id=f"{len(stated) + 9:016x}") == "satisfied"
+        late, *prompt = stated
+        assert late <= WAIT - BLOCKED * 1000 + SLACK
+        assert min(prompt) > WAIT - SLACK
+
+
 async def test_the_node_counts_the_wait_for_a_connection(tmp_path: Path, monkeypatch: Any) -> None:
     stated: list[int] = []
 
