--- a/martenlead/node/lines.py
+++ b/martenlead/node/lines.py
@@ -19,8 +19,9 @@
     # its time was over before it was begun, which proves that it did not run and that the runner is alive
     "PAST": Result.AT_CAPACITY,
 }
-"""Answer words. Ends without one: a connection that never came up is UNREACHED and a line that was never
-written NOT_SENT, both of which prove that nothing ran; a connection that ended or brought what cannot be read
+"""Answer words. Ends without one: a connection that never came up is UNREACHED, and a line that was never
+written, or for whose connection we lack descriptors, memory or ports, NOT_SENT, both of which prove that
+nothing ran; a connection that ended or brought what cannot be read
 is BROKEN, one that stayed silent SILENT, and a hand-off taken back CALLED_OFF: all may have run."""
 
 WARMTH = {
--- a/martenlead/node/runners.py
+++ b/martenlead/node/runners.py
@@ -37,6 +37,7 @@
 from martenlead.runnerlink.heard import Heard
 from martenlead.runnerlink.roster import Line
 from martenlead.system.sender import Sender
+from martenlead.system.sockets import OWN_SHORTAGES
 
 MOST = 32  # connections to one runner, however many descriptors there are
 STALE = 32  # hand-offs given up on one connection whose answers may still come
@@ -251,8 +252,9 @@
         """Anything to read on an idle connection is its end, or bytes that answer nothing."""
         return self.is_closing() or readable(self.transport)
 
-    def end(self, why: str = "") -> None:
-        """Closes it; all that is open on it ends. The first call counts."""
+    def end(self, why: str = "", unwritten: Result = Result.UNREACHABLE) -> None:
+        """Closes it; all that is open on it ends, as `unwritten` where nothing of it has left. The first call
+        counts."""
         if self not in self.way.conns:
             return
         self.link.forget(self)
@@ -261,7 +263,7 @@
         if transport is not None:
             transport.abort() if why else self.sender.after_writes(transport.close)
         for sent in opened:
-            result = Result.CONNECTION_LOST if sent.line is None else Result.UNREACHABLE
+            result = Result.CONNECTION_LOST if sent.line is None else unwritten
             sent.told(Heard(result, why=why))
 
 
@@ -488,8 +490,11 @@
                 await loop.create_connection(lambda: conn, way.host, way.port)
             if scope.cancelled_caught:
                 conn.end("no connection in time")
-        except OSError:
-            conn.end("no connection")
+        except OSError as error:
+            if error.errno in OWN_SHORTAGES:
+                conn.end("no descriptor, memory or port for a connection", Result.NOT_SENT)
+            else:
+                conn.end("no connection")
         except Exception as error:  # of the event loop or ours: it must not end the group, and the program
             self.dispatcher.fault(error)
             conn.end("no connection")
--- a/martenlead/system/sockets.py
+++ b/martenlead/system/sockets.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import select
 import socket
 import struct
@@ -9,6 +10,11 @@
 
 HALF_CLOSED = getattr(select, "POLLRDHUP", 0)  # of Linux: told also where bytes lie in front of the end
 LAST_DATA_RECEIVED = 52  # where `struct tcp_info` of Linux has the ms since then
+OWN_SHORTAGES = frozenset(
+    {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}  # the last: of local ports
+)
+"""Why a connection cannot be asked for that say nothing of the peer."""
+
 ENDED = HALF_CLOSED | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
