--- a/martenlead/events/client.py
+++ b/martenlead/events/client.py
@@ -19,6 +19,7 @@
 from anyio.abc import SocketAttribute, SocketStream
 
 from martenlead.events.http import BadMessage, Limits, Message, Reader
+from martenlead.system.sockets import is_own_shortage
 
 SECOND = 1_000_000_000
 ENDED = (
@@ -33,7 +34,7 @@
 class End(Enum):
     """How an exchange ended. Before ANSWERED, what comes first in this list came first on the socket."""
 
-    NO_SLOT = "all connections that may be open are busy"
+    NO_SLOT = "all connections that may be open are busy"  # or there is no descriptor, memory or port for one
     REFUSED = "the peer refused the connection, or it could not be reached"
     CONNECT_TIMEOUT = "no connection in time; not a byte was sent"
     WITHHELD = "its time to begin was over before the first byte; the connection ends unused"
@@ -166,7 +167,8 @@
         except TimeoutError:
             return Exchange(End.CONNECT_TIMEOUT)
         except Exception as error:  # event loops raise more than OSError for an end in that moment
-            return Exchange(End.REFUSED, detail=str(error))
+            end = End.NO_SLOT if is_own_shortage(error) else End.REFUSED
+            return Exchange(end, detail=str(error.__cause__ or error))
         except BaseException:
             self.open -= 1
             raise
--- a/martenlead/node/runners.py
+++ b/martenlead/node/runners.py
@@ -37,7 +37,7 @@
 from martenlead.runnerlink.heard import Heard
 from martenlead.runnerlink.roster import Line
 from martenlead.system.sender import Sender
-from martenlead.system.sockets import OWN_SHORTAGES
+from martenlead.system.sockets import is_own_shortage
 
 MOST = 32  # connections to one runner, however many descriptors there are
 STALE = 32  # hand-offs given up on one connection whose answers may still come
@@ -491,7 +491,7 @@
             if scope.cancelled_caught:
                 conn.end("no connection in time")
         except OSError as error:
-            if error.errno in OWN_SHORTAGES:
+            if is_own_shortage(error):
                 conn.end("no descriptor, memory or port for a connection", Result.NOT_SENT)
             else:
                 conn.end("no connection")
--- a/martenlead/system/sockets.py
+++ b/martenlead/system/sockets.py
@@ -49,6 +49,11 @@
     return number < 0 or bool(poll(number, HALF_CLOSED) & ENDED)
 
 
+def is_own_shortage(error: BaseException) -> bool:
+    """Whether a connection failed for what this machine lacks. The cause is where anyio has the errno."""
+    return any(getattr(at, "errno", None) in OWN_SHORTAGES for at in (error, error.__cause__))
+
+
 def unread_ms(connection: socket.socket) -> int:
     """For how long what came last has waited to be read there; 0 where nothing waits, or nobody can tell."""
     if not readable(connection) or not hasattr(socket, "TCP_INFO"):
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -568,7 +568,8 @@
             pool = Pool("127.0.0.1", f.port, most=1)
             data = request(b"GET", b"/nothing", b"e", [])
             exchange = await pool.exchange(data)
-            assert exchange.end in (End.REFUSED, End.CONNECT_TIMEOUT) and whole(pool)
+            expected = (End.NO_SLOT,) if number in SHORTAGES else (End.REFUSED, End.CONNECT_TIMEOUT)
+            assert exchange.end in expected and whole(pool)
             assert (await pool.exchange(data)).end is End.ANSWERED and whole(pool)
 
 
