--- a/martenlead/edge/door.py
+++ b/martenlead/edge/door.py
@@ -13,13 +13,14 @@
 from martenlead.admission import gate, token
 from martenlead.admission.gate import End, Gate, State, Ticket
 from martenlead.config.edge import Edge, ns
+from martenlead.edge.client import Pending
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.edge.httplink import Content
 from martenlead.edge.protocol import wanted
 from martenlead.edge.records import Final, Held, Wanted
 from martenlead.events import cloudevent
 from martenlead.events.cloudevent import BadEvent, Event
-from martenlead.events.http import Headers, Limits, Message
+from martenlead.events.http import Headers, Limits, Message, Peer
 from martenlead.events.problem import problem
 from martenlead.events.server import Reply, Server, ServerLimits
 from martenlead.policy.types import Request, Result
@@ -29,6 +30,24 @@
 TITLES = {400: "Bad task", 404: "No such path", 405: "Only POST", 413: "Too large", 415: "Not an event"}
 
 
+class HttpClient:
+    """A `ClientConnection` of HTTP/1.1, where a request is cancelled by an end of its connection alone: bytes
+    that are not read yet are requests behind it, and need not be read before an attempt."""
+
+    def __init__(self, peer: Peer) -> None:
+        self.peer = peer
+
+    def pending(self) -> Pending:
+        return Pending.END if self.peer.has_left() else Pending.NOTHING
+
+    def read_pending(self) -> bool:
+        return True
+
+    def leave(self, held: Held) -> None:
+        held.end(Final.LEFT)
+        self.peer.end()
+
+
 class Door:
     def __init__(self, dispatcher: Dispatcher, edge: Edge) -> None:
         self.dispatcher, self.edge = dispatcher, edge
@@ -92,13 +111,22 @@
         else:  # what came in binary mode goes on as it came
             headers = [p for p in message.headers if p[0][:3] == b"ce-" or p[0] == b"content-type"]
             body = message.body
+        client = HttpClient(message.peer) if message.peer is not None else None
         if self.gate is None:
-            held = dispatcher.take(asked, now, Content(headers, body), len(body))
+            held = dispatcher.take(asked, now, Content(headers, body), len(body), client=client)
             await dispatcher.settle(held)
             return self.answer(held)
-        return await self._through(self.gate, asked, event, now, Content(headers, body))
-
-    async def _through(self, gate: Gate, asked: Wanted, event: Event, now: int, content: Content) -> Reply:
+        return await self._through(self.gate, asked, event, now, Content(headers, body), client)
+
+    async def _through(
+        self,
+        gate: Gate,
+        asked: Wanted,
+        event: Event,
+        now: int,
+        content: Content,
+        client: HttpClient | None,
+    ) -> Reply:
         """A request by the gate: at once, after a wait, or not at all."""
         dispatcher = self.dispatcher
         ticket = self._arrive(gate, asked, event, now, len(content.body))
@@ -109,7 +137,7 @@
             return self._appoint(at_the_door(ticket.why, ticket.wait), event, ticket)
         end = End.OTHER
         try:
-            held = dispatcher.take(asked, now, content, len(content.body), ticket.repeats)
+            held = dispatcher.take(asked, now, content, len(content.body), ticket.repeats, client=client)
             self._wake(gate.begun(ticket))
             await dispatcher.settle(held)
             end = end_of(held.final.value if held.final else "", held.task, held.why)
--- a/martenlead/edge/httplink.py
+++ b/martenlead/edge/httplink.py
@@ -20,6 +20,7 @@
 
 from martenlead.config.edge import Edge, ns, settings
 from martenlead.edge.border import Tape
+from martenlead.edge.client import Pending
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.edge.records import About, Box, Known, Out
 from martenlead.events import http
@@ -100,13 +101,16 @@
     async def _carry(self, out: Out) -> None:
         """One hand-off from its decision to its end. Whatever happens on the socket, there is exactly one."""
         hand_off, way, clock = out.hand_off, out.box.way, self.dispatcher.clock
-        sending = Sending(lambda: clock() <= hand_off.begin_by_ns)
+        sending = Sending(lambda: clock() <= hand_off.begin_by_ns and self._has_client(out))
         exchange: Exchange | None = None
         left = hand_off.sent_ns + hand_off.timeout_ns - clock()
         if left <= 0:
             heard = Heard(Result.NOT_SENT, why="the time was over before it was sent")
             self.dispatcher.ended(out, heard)
             return
+        if not self._has_client(out):
+            self.dispatcher.ended(out, Heard(Result.NOT_SENT, why="its client has left"))
+            return
         out.at.deadline = anyio.current_time() + left / 1e9
         try:
             with out.at:
@@ -124,6 +128,14 @@
             self._off.discard(out)
             self.dispatcher.ended(out, told)
 
+    @staticmethod
+    def _has_client(out: Out) -> bool:
+        """Whether somebody waits for it. Where its client has left, its request ends."""
+        held = out.held
+        if held.final is None and held.client is not None and held.client.pending() is Pending.END:
+            held.client.leave(held)
+        return held.final is None
+
     def _request(self, out: Out, way: Way) -> bytes:
         """Made as it leaves: the time left that it states does not count the wait for a connection."""
         content: Content = out.held.content
--- a/martenlead/events/http.py
+++ b/martenlead/events/http.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from http import HTTPStatus
-from typing import Any
+from typing import Any, Protocol
 
 import httptools
 
@@ -37,9 +37,19 @@
     headers: int = 100
 
 
+class Peer(Protocol):
+    """Whoever sent a request, as the connection that it came over knows it."""
+
+    def has_left(self) -> bool:
+        """Asks the machine, which may know of an end that the event loop has not read yet."""
+
+    def end(self) -> None:
+        """Ends the connection and cancels all its requests, in a later turn of the event loop."""
+
+
 @dataclass(slots=True)
 class Message:
-    """A request (`method`, `target`) or a response (`status`), whole."""
+    """A request (`method`, `target`) or a response (`status`), whole. A server says who asks."""
 
     method: bytes = b""
     target: bytes = b""
@@ -47,6 +57,7 @@
     headers: Headers = field(default_factory=list)
     body: bytes = b""
     keep_alive: bool = True
+    peer: Peer | None = field(default=None, compare=False, repr=False)
 
     def header(self, name: bytes) -> bytes | None:
         for key, value in self.headers:
--- a/martenlead/events/server.py
+++ b/martenlead/events/server.py
@@ -215,6 +215,15 @@
             return False
         return not readable(self._socket)
 
+    def has_left(self) -> bool:
+        """Whether the client has closed, or half of it, also where the loop has not read so far. Bytes that
+        it sent since are no end: requests that wait their turn."""
+        return has_ended(self._socket)
+
+    def end(self) -> None:
+        """As where its end was read: all its requests are cancelled, from the next turn of the loop on."""
+        self.scope.cancel()
+
     def end_if_idle(self, before: int) -> bool:
         """Ends it if no request is open or unread, unless it is new since `before` (ns) and has not spoken.
         Only reading is cancelled: a request that the event loop has read in this turn is answered still."""
@@ -284,6 +293,7 @@
             self.has_spoken = self.has_spoken or bool(messages)
             self._unbegun = len(messages)
             for message in messages:
+                message.peer = self
                 # one read holds far more small requests than may be begun at a time
                 await self._wait_for_slot()
                 self._unbegun -= 1
@@ -333,7 +343,7 @@
                 data = await self.stream.receive(READ)
                 self._ahead.append((data, monotonic_ns()))
                 self._ahead_bytes += len(data)
-            if has_ended(self._socket):
+            if self.has_left():
                 raise anyio.EndOfStream
 
     async def _work(self) -> None:
@@ -345,6 +355,7 @@
             self._ready = anyio.Event()
             assert self._job is not None
             message, now, slot = self._job
+            self._job = None  # the message names this connection, which would keep itself
             await self._answer(message, now, slot)
 
     async def _answer(self, message: Message, now: int, slot: _Slot) -> None:
