--- a/martenlead/edge/door.py
+++ b/martenlead/edge/door.py
@@ -75,12 +75,12 @@
             ),
             bad=bad,
             crashed=self.crashed,
+            arrival=dispatcher.lag.earliest_arrival,
         )
 
     async def handle(self, message: Message, now: int) -> Reply:
         """Cancelled when the client has left: its task is over then."""
         dispatcher = self.dispatcher
-        now = dispatcher.lag.earliest_arrival(now)
         if message.target.split(b"?")[0] != b"/":
             return problem(404, "No such path", "tasks are posted to /")
         if message.method != b"POST":
@@ -89,7 +89,7 @@
             return reply
         try:
             event = cloudevent.read(message.headers, message.body)
-            asked = wanted(event)
+            asked = wanted(event, dispatcher.clock() - now)
             if asked.offering not in dispatcher.offerings:
                 raise BadEvent("type", "no such offering")
             if dispatcher.customers and asked.customer not in dispatcher.customers:
--- a/martenlead/edge/protocol.py
+++ b/martenlead/edge/protocol.py
@@ -9,8 +9,8 @@
 INTEGER_MOST = 2**31 - 1
 
 
-def wanted(event: Event) -> Wanted:
-    """Raises `BadEvent`, which names the attribute."""
+def wanted(event: Event, age: int = 0) -> Wanted:
+    """Of an event that arrived `age` ns ago. Raises `BadEvent`, which names the attribute."""
     model = event.text("model")
     if not model:
         raise BadEvent("model", "the attribute is missing")
@@ -19,7 +19,7 @@
     left = _number(event, "timeleftms")
     expires = event.text("expirytime")
     if expires is not None:
-        until = parse_time(expires, "expirytime") * 1000 - wall_ns() / 1e6
+        until = parse_time(expires, "expirytime") * 1000 - (wall_ns() - age) / 1e6
         left = until if left is None else min(left, until)
     again = event.text("again")
     if again not in (None, "true", "false"):
--- a/martenlead/edge/records.py
+++ b/martenlead/edge/records.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Wanted:
-    """A request as a listener has read it; times are ns, `cost` is seconds, `left` is from when it was read.
+    """A request as a listener has read it; times are ns, `cost` is seconds, `left` is from when it arrived.
     `id` is its client's, `mark` names it on tapes."""
 
     offering: str
--- a/martenlead/events/server.py
+++ b/martenlead/events/server.py
@@ -51,7 +51,7 @@
 
 
 Handler = Callable[[Message, int], Awaitable[Reply]]
-"""Takes a request and when its last byte was read (monotonic ns). Cancelled when the peer has left."""
+"""Takes a request and when its last byte arrived (monotonic ns). Cancelled when the peer has left."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -82,8 +82,11 @@
         *,
         bad: Callable[[int, str], Reply],
         crashed: Callable[[BaseException], Reply],
+        arrival: Callable[[int], int] = lambda now: now,
     ) -> None:
+        """`arrival` tells the earliest moment at which what is read now may have arrived."""
         self.handler, self.limits, self.bad, self.crashed = handler, limits, bad, crashed
+        self.arrival = arrival
         self.connections: set[Connection] = set()
         self.draining = False
         self.serving = 0  # listeners; 0 again once all their connections have ended
@@ -200,7 +203,10 @@
         self.slow = False
         self.last = False  # nothing more is read
         self._unbegun = 0  # requests that were read, and wait for one before them to be answered
-        self._ahead: deque[tuple[bytes, int]] = deque()  # what was read meanwhile, and when
+        self._unread_since = 0  # since when more may wait to be read than is read ahead
+        self._ahead: deque[tuple[bytes, int, int]] = (
+            deque()
+        )  # what was read meanwhile, as `_receive` tells it
         self._ahead_bytes = 0
         self._waiting = anyio.CancelScope()
         self._job: tuple[Message, int, _Slot] | None = None
@@ -286,7 +292,7 @@
         group.start_soon(self._work)
         while not self.last:
             waiting = reader.in_message
-            data, now = await self._receive()
+            data, now, arrived = await self._receive()
             if not waiting:
                 self.read = now
             messages, bad = self._parse(data)
@@ -302,10 +308,10 @@
                 slots.append(slot)
                 if self._idle:
                     self._idle = False
-                    self._job = message, now, slot
+                    self._job = message, arrived, slot
                     self._ready.set()
                 else:
-                    group.start_soon(self._answer, message, now, slot)
+                    group.start_soon(self._answer, message, arrived, slot)
                 if self.last:
                     self._unbegun = 0  # whoever says that a request is the last one sends none behind it
                     return None
@@ -324,14 +330,23 @@
         except BadMessage as error:
             return self.reader.done, error
 
-    async def _receive(self) -> tuple[bytes, int]:
-        """The next bytes, and when they were read."""
+    async def _receive(self) -> tuple[bytes, int, int]:
+        """The next bytes, when they were read, and the earliest moment at which they may have arrived."""
         if not self._ahead:
-            data = await self.stream.receive(READ)
-            return data, monotonic_ns()
-        data, now = self._ahead.popleft()
-        self._ahead_bytes -= len(data)
-        return data, now
+            return await self._receive_unread()
+        found = self._ahead.popleft()
+        self._ahead_bytes -= len(found[0])
+        return found
+
+    async def _receive_unread(self) -> tuple[bytes, int, int]:
+        data = await self.stream.receive(READ)
+        now = monotonic_ns()
+        arrived = self.server.arrival(now)
+        if self._unread_since:
+            arrived = min(arrived, self._unread_since)
+            if len(data) < READ and not readable(self._socket):
+                self._unread_since = 0
+        return data, now, arrived
 
     async def _wait_for_slot(self) -> None:
         """Reads ahead meanwhile, and asks the socket: the client may leave. Raises EndOfStream, or what else
@@ -339,10 +354,11 @@
         while len(self.slots) >= self.limits.pipelined:
             with anyio.move_on_after(HANGUP_CHECK_SECONDS) as self._waiting:
                 if self._ahead_bytes >= READ_AHEAD:
+                    self._unread_since = self._unread_since or self._ahead[-1][1]
                     await anyio.sleep_forever()
-                data = await self.stream.receive(READ)
-                self._ahead.append((data, monotonic_ns()))
-                self._ahead_bytes += len(data)
+                found = await self._receive_unread()
+                self._ahead.append(found)
+                self._ahead_bytes += len(found[0])
             if self.has_left():
                 raise anyio.EndOfStream
 
@@ -354,13 +370,13 @@
             await self._ready.wait()
             self._ready = anyio.Event()
             assert self._job is not None
-            message, now, slot = self._job
+            message, arrived, slot = self._job
             self._job = None  # the message names this connection, which would keep itself
-            await self._answer(message, now, slot)
+            await self._answer(message, arrived, slot)
 
-    async def _answer(self, message: Message, now: int, slot: _Slot) -> None:
+    async def _answer(self, message: Message, arrived: int, slot: _Slot) -> None:
         try:
-            reply = await self.server.handler(message, now)
+            reply = await self.server.handler(message, arrived)
         except Exception as error:
             reply = self.server.crash(error)
         await self._put(slot, reply)
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -6,6 +6,7 @@
 import asyncio
 import socket
 import time
+from datetime import UTC, datetime
 from pathlib import Path
 from typing import Any
 
@@ -16,7 +17,7 @@
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.node.listener import SPARE
-from support.fleet import fleet, satisfied
+from support.fleet import Fleet, after, fleet, full, satisfied
 from tests.nodes import SETTINGS, Caller, done, play, word
 
 pytestmark = pytest.mark.anyio
@@ -26,6 +27,7 @@
     0.6  # s in which the event loop does nothing: more than the policy then sets aside by itself, and SLACK
 )
 SLACK = 150  # ms
+LEAST = 450  # ms that may be kept back of it: the policy's reserve at most, and its margin
 STEADY = 0.1  # s, in which the loop is on time
 WAIT = 1500  # ms
 ONE_ATTEMPT = "unsafe"  # a class whose attempt is given all the time that is left
@@ -148,10 +150,88 @@
         client.close()
 
 
-def event(left: int) -> bytes:
+WAYS = {  # the settings of the edge, and how many requests are sent
+    "unread on a new connection": ({}, 1),
+    "in pieces": ({}, 1),
+    "in pieces, of an expiry time": ({}, 1),
+    "a further attempt": ({}, 1),
+    "a wait at the gate": ({"queues": {}}, 1),
+    "unread behind a full pipeline": ({"limits": {"pipelined": 1}}, 4),
+}
+
+
+@pytest.mark.parametrize("way", WAYS)
+async def test_the_edge_counts_the_time_on_the_way_to_a_worker(way: str, monkeypatch: Any) -> None:
+    sent: list[float] = []
+    stated: list[tuple[float, float]] = []  # the time left by what a worker is told, and by the clock, ms
+    settings, count = WAYS[way]
+
+    async def noting(runner: Any, stream: Any, message: Any) -> None:
+        left = WAIT - (time.monotonic() - sent[len(stated)]) * 1000
+        stated.append((int(message.header(b"ce-timeleftms")), left))
+        if count > 1:
+            await anyio.sleep(BLOCKED / 2)
+        await satisfied(runner, stream, message)
+
+    async with fleet({"a": [noting], "b": [noting]}, **settings) as f:
+        f.group.start_soon(f.door.run)
+        await anyio.sleep(STEADY)
+        client = socket.create_connection(("127.0.0.1", f.port))
+        if "new" not in way:
+            await anyio.sleep(STEADY)
+        expiry = time.time_ns() // 1_000_000 + WAIT
+        told = event(None if "expiry" in way else WAIT, expiry if "expiry" in way else None)
+        await send(f, way, client, told, sent, monkeypatch)
+        with anyio.fail_after(5):
+            while len(stated) < count:
+                await anyio.sleep(0.002)
+        client.close()
+        for said, left in stated:
+            assert left - LEAST <= said <= left + SLACK
+
+
+async def send(
+    f: Fleet, way: str, client: socket.socket, told: bytes, sent: list[float], monkeypatch: Any
+) -> None:
+    """Sends it on that way; notes when."""
+    sent.append(time.monotonic())
+    match way:
+        case "unread on a new connection":
+            client.sendall(told)
+            time.sleep(BLOCKED)
+        case "in pieces" | "in pieces, of an expiry time":
+            client.sendall(told[:-1])
+            await anyio.sleep(BLOCKED)
+            if "expiry" in way:
+                client.sendall(told[-1:])
+            else:
+                sent[0] = time.monotonic()  # its time counts from its last byte, which lies unread
+                client.sendall(told[-1:])
+                time.sleep(BLOCKED)
+        case "a further attempt":
+            f.first = [after(BLOCKED * 1000, full)]
+            client.sendall(told)
+        case "a wait at the gate":
+            assert f.door.gate is not None
+            room, opens = f.door.gate.room, sent[0] + BLOCKED / 2  # within its aim
+            f.door.gate.room = lambda ticket: room(ticket) if time.monotonic() > opens else None
+            client.sendall(told)
+        case "unread behind a full pipeline":
+            monkeypatch.setattr("martenlead.events.server.READ_AHEAD", 1)
+            for number in range(4):
+                client.sendall(told.replace(b"ce-id: t1", b"ce-id: t%d" % number))
+                await anyio.sleep(0.02)
+                sent.append(time.monotonic())
+
+
+def event(left: int | None, expiry_ms: int | None = None) -> bytes:
     attributes = {"specversion": "1.0", "id": "t1", "source": "/c", "type": "notice", "model": "m"}
+    if left is not None:
+        attributes["timeleftms"] = str(left)
+    if expiry_ms is not None:
+        expiry = datetime.fromtimestamp(expiry_ms / 1000, UTC)
+        attributes["expirytime"] = expiry.isoformat(timespec="milliseconds")
     headers = [(b"ce-" + name.encode(), value.encode()) for name, value in attributes.items()]
-    headers.append((b"ce-timeleftms", str(left).encode()))
     headers.append((b"content-type", b"application/json"))
     return http.request(b"POST", b"/", b"edge", headers, b"{}")
 
