--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -32,7 +32,7 @@
 from martenlead.capture.replay_state import ReplayState
 from martenlead.capture.tape import DECISION_MODULES, module_hash
 from martenlead.policy import types
-from martenlead.policy.attempts import Attempts
+from martenlead.policy.attempts import MARGIN_SHARE, Attempts
 from martenlead.policy.engine import Engine, Process
 from martenlead.policy.policy import Policy
 from martenlead.policy.replica_scaling import ReplicaScaling
@@ -67,8 +67,8 @@
 
 def _stands() -> dict[int, str]:
     return {
-        _line_of(Attempts.handle, "Wait(min(last_ns + settings.tick_ns, overdue_ns))"): "latest",
-        _line_of(Attempts.handle, "answer = yield Wait(last_ns + settings.tick_ns)"): "all",
+        _line_of(Attempts.handle, "Wait(min(last_ns + tick_ns, overdue_ns))"): "latest",
+        _line_of(Attempts.handle, "answer = yield Wait(last_ns + tick_ns)"): "all",
         _line_of(ReplicaScaling.run, "Wait(state.now_ns + first)"): "first",
         _line_of(ReplicaScaling.run, "Wait(state.now_ns + interval)"): "period",
     }
@@ -121,7 +121,8 @@
     budgets = {id(h.worker): (h.worker, h.worker.retry_budget) for h in hand_offs}
     # one after the other is placed and begun as it was; all before the latest count as ended
     placed, begun = iter(hand_offs), iter(hand_offs)
-    policy.state.now_ns = last - 1
+    # so long before its end that its tick is no share of its time, and comes out as it was
+    policy.state.now_ns = last - round((task.deadline_ns - last + 1) / MARGIN_SHARE)
     vars(policy.placement)["choose_worker"] = lambda *_: next((h.worker for h in placed), None)
     vars(policy.load_budget)["allows"] = lambda *_: False
     vars(policy.attempts).update(
--- a/martenlead/policy/attempts.py
+++ b/martenlead/policy/attempts.py
@@ -32,6 +32,8 @@
 
 ERRORS_LIMIT = 2  # workers where a request ended in an error: it would at the others too
 DEADLINE_MARGIN_TICKS = 3  # a final response has to be out, and not only decided, by the deadline
+MARGIN_SHARE = 0.5  # of a request's time that this may take: with more of it a late loop rejects all
+UNSHARED_TICK_NS = 10_000_000  # a tick up to which it is kept whole all the same: nothing is that quick
 OVERDUE_QUANTILE, OVERDUE_TIMES = 0.95, 3  # twice was too soon where a dispatcher seldom hears a worker
 COST_REQUESTS = 60  # that the mean cost of a function's requests is taken from at most
 BURST_DEVIATIONS = 2  # that a one-second rate is above Rmax by, before it is more than chance
@@ -63,7 +65,8 @@
         """Attempts until one succeeds or nothing is left to do, then the final response."""
         state, settings = self.state, self.state.settings
         yield from self.count_request(request)
-        last_ns = request.deadline_ns - DEADLINE_MARGIN_TICKS * settings.tick_ns
+        tick_ns = self._tick_ns(request)
+        last_ns = request.deadline_ns - DEADLINE_MARGIN_TICKS * tick_ns
         tried: set[Worker] = set()
         while (worker := self._next_worker(request, tried, last_ns)) is not None:
             if request.attempts:
@@ -75,7 +78,7 @@
             yield attempt
             while attempt.result is None and state.now_ns <= last_ns:  # never waits on past the deadline
                 overdue_ns = state.now_ns + self._patience_ns(request)
-                answer: AttemptResult | None = yield Wait(min(last_ns + settings.tick_ns, overdue_ns))
+                answer: AttemptResult | None = yield Wait(min(last_ns + tick_ns, overdue_ns))
                 if answer is not None and answer.is_final:
                     return
                 if answer is None and self._is_lost(attempt):
@@ -84,12 +87,21 @@
                     if settings.may_cancel:
                         yield Cancel(attempt)
         while any(a.result is None for a in request.attempts):
-            answer = yield Wait(last_ns + settings.tick_ns)
+            answer = yield Wait(last_ns + tick_ns)
             if answer is None or answer.is_final:
                 break
         if not any(a.result is Result.SUCCEEDED for a in request.attempts):
             yield self._give_up(request)
 
+    def _tick_ns(self, request: Request) -> int:
+        """The tick that is kept free before its deadline.
+
+        Where the loop is late for once, a request of little time still gets an attempt.
+        """
+        left_ns = request.deadline_ns - self.state.now_ns
+        shared_ns = int(left_ns * MARGIN_SHARE) // DEADLINE_MARGIN_TICKS
+        return min(self.state.settings.tick_ns, max(shared_ns, UNSHARED_TICK_NS))
+
     def _next_worker(self, request: Request, tried: set[Worker], last_ns: int) -> Worker | None:
         """None where no further attempt is to be made."""
         attempts = request.attempts
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,6 +20,29 @@
     check(play, "in_time")
 
 
+@pytest.mark.parametrize(
+    ("tick", "patience", "is_sent", "ends_within"),
+    [
+        (2, 300, True, 300 - 2 * 2),
+        (100, 300, True, 300 - 2 * 50),  # half of its time is its own
+        (100, 4000, True, 4000 - 2 * 100),
+        (100, 40, True, 40 - 2 * 10),
+        (100, 30, False, 0),  # nothing is that quick
+        (10, 30, False, 0),
+    ],
+)
+def test_what_is_kept_free_before_a_deadline_leaves_a_request_half_of_its_time(
+    tick: int, patience: int, is_sent: bool, ends_within: int
+) -> None:
+    play = Play(tick_ns=tick * MS, may_cancel=False, attempt_limit=1)
+    play.task("t", patience=patience)
+    assert bool(play.hand_offs) is is_sent
+    play.to(ends_within - 1)
+    assert any("turned back" in line for line in play.lines) is not is_sent
+    play.to(ends_within)
+    assert any("turned back" in line for line in play.lines)
+
+
 def test_no_effect_twice() -> None:
     play = Play(runners="abde")
     for offering, result in (
