--- a/martenlead/layers/agent.py
+++ b/martenlead/layers/agent.py
@@ -158,7 +158,7 @@
         self.parked = 0
         self.vault_bytes = self.peer_bytes = self.sent_bytes = 0
         self._ended: dict[Want, anyio.Event] = {}
-        self.names = Names(clock, self.chooser.later, last_known=settings.last_known)
+        self.names = Names(clock, self.chooser.later, self.chooser.vault, last_known=settings.last_known)
         self.log = structlog.get_logger().bind(box=settings.name)
         self._are_names_unread = False  # the file must not be written over
         self._read_names()
@@ -352,31 +352,36 @@
         """Every chunk of an image in the cache, checked; with `into` its files too, in that folder of
         `files`, which is the caller's from then on. Raises `LoadFailed`."""
         begun = self.clock()
-        deadline = begun + int(within_ms * MS)
-        resolved, times = Resolved(Release("")), 0
         try:
             with anyio.fail_after(within_ms / 1000):
-                now = await self.resolve(ref, deadline)
-                if isinstance(now, Failure):
-                    raise LoadFailed(now, ref)
-                resolved = now
-                while True:
-                    try:
-                        layers = await self.fetch(resolved.release.digest, deadline, into)
-                        break
-                    except LoadFailed as error:
-                        if not self.names.doubts(error.kind, times):
-                            raise
-                        now = await self.resolve(ref, deadline)
-                        if isinstance(now, Failure) or now.release.digest == resolved.release.digest:
-                            raise
-                        resolved, times = now, times + 1
-        except TimeoutError:
-            raise LoadFailed(Failure.LATE, ref) from None
+                resolved, layers = await self.load_release(ref, begun + int(within_ms * MS), into)
+        except (TimeoutError, LoadFailed) as error:
+            # at the deadline either may come first: this wait's end, or that of what it waits for
+            if isinstance(error, LoadFailed) and error.kind is not Failure.LATE:
+                raise
+            raise LoadFailed(self.chooser.vault.failure_at_deadline(begun), ref) from None
         size = sum(layer.size for layer in layers)
         took = (self.clock() - begun) / 1e9
         return Loaded(ref, resolved.release.digest, layers, size, took, resolved.stale)
 
+    async def load_release(self, ref: str, deadline: int, into: str | None) -> tuple[Resolved, list[Layer]]:
+        """Begins anew with what the name stands for by then, where its chunks are gone meanwhile. Raises
+        `LoadFailed`."""
+        resolved = await self.resolve(ref, deadline)
+        if isinstance(resolved, Failure):
+            raise LoadFailed(resolved, ref)
+        times = 0
+        while True:
+            try:
+                return resolved, await self.fetch(resolved.release.digest, deadline, into)
+            except LoadFailed as error:
+                if not self.names.doubts(error.kind, times):
+                    raise
+                now = await self.resolve(ref, deadline)
+                if isinstance(now, Failure) or now.release.digest == resolved.release.digest:
+                    raise
+                resolved, times = now, times + 1
+
     async def fetch(self, digest: str, deadline: int, into: str | None) -> list[Layer]:
         """The chunks of one manifest. Raises `LoadFailed`."""
         try:
@@ -487,10 +492,12 @@
     async def ask_name(self, ask: AskName) -> tuple[Heard, Release | None]:
         target = f"/v2/{quote(self.settings.repository)}/manifests/{quote(ask.ref, safe=':')}".encode()
         accept = [(b"accept", MANIFEST.encode())]
-        message = None
+        exchange: Exchange | None = None
         with anyio.move_on_after(max(0, ask.until - self.clock()) / 1e9):
             exchange = await self.vault.exchange(http.request(b"GET", target, b"vault", accept))
-            message = exchange.message
+        if exchange is None:
+            return Heard.LATE, None
+        message = exchange.message
         if message is None:
             return Heard.BROKEN, None
         if message.status == 200:
--- a/martenlead/layers/choice.py
+++ b/martenlead/layers/choice.py
@@ -61,6 +61,26 @@
     NO_ROOM = "no-room"  # all that is kept is in use, or the disk is full
 
 
+@dataclass(slots=True)
+class VaultState:
+    """What the vault's last answer to this box says of it, whichever chunk or name was asked for."""
+
+    failed_at: int = -1  # -1: it answered, or was not asked yet
+
+    def record_answer(self) -> None:
+        """Also one that turns the ask away: the vault is there."""
+        self.failed_at = -1
+
+    def record_failure(self, now: int) -> None:
+        """An ask that the deadline cut off is none: it might have been answered."""
+        self.failed_at = now
+
+    def failure_at_deadline(self, begun: int) -> Failure:
+        """Why what began then is not had at its deadline: since the vault has failed it to the end, or since
+        its time was too short."""
+        return Failure.VAULT_AWAY if self.failed_at >= begun else Failure.LATE
+
+
 @dataclass(slots=True, eq=False)
 class Peer:
     """Another box, as this one has met it."""
@@ -133,6 +153,7 @@
         self.rosters = 0  # lists of boxes that were told so far
         self.sending = 0
         self.quiet_until = 0  # the vault asked to be left alone
+        self.vault = VaultState()
         self.counts = Counts()
 
     # -- what is known
@@ -310,6 +331,10 @@
         end: End = yield Ask(want, None, want.deadline)
         self.vault_out -= 1
         self.count(end)
+        if end is End.BROKEN:
+            self.vault.record_failure(self.clock())
+        elif end is not End.LATE:
+            self.vault.record_answer()
         if end in (End.GOOD, End.UNKEPT):
             self.vault_lag += (self.clock() - begun - self.vault_lag) / 8
             self.window += 1 / (self.boxes * max(1.0, self.window))
--- a/martenlead/layers/naming.py
+++ b/martenlead/layers/naming.py
@@ -18,7 +18,16 @@
 from enum import Enum
 from typing import Any
 
-from martenlead.layers.choice import AWAY_ASKS, AWAY_S, MS, SECOND, WRONG_AT_VAULT, Failure, Pause
+from martenlead.layers.choice import (
+    AWAY_ASKS,
+    AWAY_S,
+    MS,
+    SECOND,
+    WRONG_AT_VAULT,
+    Failure,
+    Pause,
+    VaultState,
+)
 
 FIRST_WAIT, LONGEST_WAIT = 100 * MS, SECOND
 PATIENCE = 0.25  # of the time left that is spent on a vault that is away, before the known release is taken
@@ -31,6 +40,7 @@
     TOLD = "told"
     BUSY = "turned away"
     BROKEN = "broken"
+    LATE = "not answered before the deadline"
     MISSING = "no such name"
     WRONG = "not the manifest that its digest says"
 
@@ -65,11 +75,17 @@
 
 class Names:
     def __init__(
-        self, clock: Callable[[], int], later: Callable[[float], int], *, last_known: bool = True
+        self,
+        clock: Callable[[], int],
+        later: Callable[[float], int],
+        vault: VaultState | None = None,
+        *,
+        last_known: bool = True,
     ) -> None:
-        """`later` gives a time that is about so far away; `last_known`: whether the release that is known may
-        be taken when the vault is away."""
+        """`later` gives a time that is about so far away; `vault` is shared with the box's `Chooser`;
+        `last_known`: whether the release that is known may be taken when the vault is away."""
         self.clock, self.later, self.last_known = clock, later, last_known
+        self.vault = vault or VaultState()
         self.known: dict[str, Release] = {}
         self.old_told = 0
 
@@ -79,6 +95,7 @@
         wait = FIRST_WAIT
         while self.clock() < deadline:
             heard, release = yield AskName(ref, deadline)
+            self.record(heard)
             if heard is Heard.TOLD:
                 return self.told(ref, release)
             if heard is Heard.MISSING:
@@ -97,7 +114,14 @@
                 return Failure.VAULT_AWAY
             yield Pause(min(deadline, self.later(wait)))
             wait = min(2 * wait, LONGEST_WAIT)
-        return Failure.VAULT_AWAY if failed else Failure.LATE
+        return self.vault.failure_at_deadline(begun)
+
+    def record(self, heard: Heard) -> None:
+        """Takes in what an ask says of the vault itself."""
+        if heard is Heard.BROKEN:
+            self.vault.record_failure(self.clock())
+        elif heard is not Heard.LATE:
+            self.vault.record_answer()
 
     def told(self, ref: str, release: Release) -> Resolved:
         """Takes the vault's word in; of two releases the one that was made later counts."""
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -214,6 +214,43 @@
         assert monotonic_ns() - begun < 2_000_000_000
 
 
+@pytest.mark.parametrize(
+    ("manifests", "blobs", "told"),
+    [
+        (500, 500, "vault-away"),
+        (200, 500, "vault-away"),
+        (503, 503, "late"),
+        (200, 503, "late"),
+        (0, 0, "late"),
+    ],
+)
+@pytest.mark.parametrize("first", ["the load", "what it waits for"])
+async def test_a_load_is_told_at_its_deadline_whether_the_vault_failed(
+    first: str, manifests: int, blobs: int, told: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """By the vault's last answer (0: none comes), whichever of the two notices the deadline first."""
+    now, asks, real = 0, 0, Depot.handle
+
+    async def handle(depot: Depot, message: http.Message, at: int) -> Reply:
+        nonlocal now, asks
+        status = manifests if b"/manifests/" in message.target else blobs
+        if status == 200:
+            return await real(depot, message, at)
+        asks += 1
+        if first != "the load" and asks == 2:
+            now = 3_000_000_000  # behind the load's 2 s
+        if status == 0:
+            await anyio.sleep_forever()
+        return Reply(status, [], close=True)
+
+    monkeypatch.setattr(Depot, "handle", handle)
+    async with boxes(tmp_path, 1) as b:
+        b.release("m:1", some_bytes(1, 20_000))
+        for part in (b.agents[0], b.agents[0].chooser, b.agents[0].names):
+            part.clock = lambda: now  # type: ignore[attr-defined]
+        assert await b.load_all("m:1", 300 if first == "the load" else 2000) == [told]
+
+
 async def test_what_is_asked_wrongly_is_refused(tmp_path: Path) -> None:
     async with boxes(tmp_path, 1) as b:
         b.release("m:1", some_bytes(1, 20_000))
