--- a/tests/test_http_server_answers.py
+++ b/tests/test_http_server_answers.py
@@ -116,6 +116,14 @@
     return found
 
 
+async def idle_connection(p: Play) -> Connection:
+    """The one that there is, once its requests are answered: its client may have read the last answer in the
+    turn before the server is done with writing it."""
+    (connection,) = p.server.connections
+    await until(lambda: not connection.slots and not connection.writing)
+    return connection
+
+
 def arrived(client: socket.socket) -> None:
     """Loopback delivers as it sends: what the client wrote waits at the server."""
     assert select.select([], [client], [], 1)[1]
@@ -262,12 +270,13 @@
         client = p.connect()
         client.sendall(GET % 1)
         await part(client, b"/1")
-        (connection,) = p.server.connections
+        connection = await idle_connection(p)
         client.setblocking(True)
         client.sendall(GET % 2)
         arrived(client)
         connection.look(monotonic_ns() + 3600 * SECOND)  # in the turn before it is read
         await part(client, b"/2")
+        await idle_connection(p)
         connection.look(monotonic_ns() + 3600 * SECOND)
         assert await whole(client) == b""
 
@@ -280,7 +289,7 @@
         client = p.connect()
         client.sendall(GET % 1)
         await part(client, b"/1")
-        (connection,) = p.server.connections
+        connection = await idle_connection(p)
         protocol = connection.stream._protocol  # type: ignore[attr-defined]
         protocol.data_received(GET % 2)
         assert connection.end_if_idle(monotonic_ns())
