--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -155,6 +155,7 @@
         self.events: list[bytes] = []
         self.asked: list[int] = []
         self.streams: list[SocketStream] = []
+        self.writing: defaultdict[SocketStream, anyio.Lock] = defaultdict(anyio.Lock)
         self.port = 0
         self.beats = True
 
@@ -168,19 +169,23 @@
             with suppress(*BROKEN):
                 number = int.from_bytes(await stream.receive(8), "big")
                 self.asked.append(number)
-                await stream.send(b"".join(self.events[number - 1 :]))  # the first stands in `known`
-                self.streams.append(stream)
+                async with self.writing[stream]:
+                    self.streams.append(stream)  # what is told from here on follows
+                    await stream.send(b"".join(self.events[number - 1 :]))  # the first stands in `known`
                 while True:
                     await anyio.sleep(0.2)
                     if self.beats:
-                        await stream.send(frame(len(self.events) + 1, 0))
+                        beat = frame(len(self.events) + 1, 0)  # events may queue behind it
+                        async with self.writing[stream]:
+                            await stream.send(beat)
 
     async def tell(self, *records: bytes, kind: int = 2, cut: int | None = None) -> None:
         event = frame(len(self.events) + 2, kind, *records)
         self.events.append(event)
         for stream in self.streams:
             with suppress(*BROKEN):
-                await stream.send(event[:cut])
+                async with self.writing[stream]:  # a stream takes one writer at a time
+                    await stream.send(event[:cut])
 
 
 def frame(number: int, kind: int, *records: bytes) -> bytes:
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -313,3 +313,15 @@
         assert json.loads(body)["final"] == "turned back"
         assert json.loads(body)["hand_offs"] == 0
         assert f.dispatcher.counts["final", "satisfied"] == 1
+
+
+# -- the scripted journal
+
+
+async def test_the_journal_tells_events_that_come_at_once_one_by_one(tmp_path: Path) -> None:
+    """Two writers on one stream were a fault of the rig, which ended the journal."""
+    async with play(tmp_path) as p:
+        async with anyio.create_task_group() as group:
+            for _ in range(3):
+                group.start_soon(p.journal.tell, p.record("a"))
+        assert await (await p.client()).call("safe") == "satisfied"
