--- a/martenlead/policy/slow_start.py
+++ b/martenlead/policy/slow_start.py
@@ -25,8 +25,7 @@
 
     def is_warming_up(self, worker: Worker) -> bool:
         """Whether its process started less than a ramp ago; one whose start is not told never is."""
-        started = worker.facts.started_ns
-        return bool(started) and self.state.now_ns - started < self.state.settings.slow_start_ns
+        return self.state.is_warming_up(worker)
 
     def end_period(self) -> None:
         """Takes the listed weight into the highest one, which the best rate of requests is compared with.
@@ -41,10 +40,20 @@
         state.highest_weight = max(self._serving_weight(), PEAK_RATE_KEPT * state.highest_weight)
 
     def _serving_weight(self) -> float:
-        """The weight that takes requests now, of all listed workers."""
-        workers = self.state.workers
-        up = [worker for worker in workers if worker.facts.state is WorkerState.UP]
-        return math.fsum(worker.facts.weight * self._ramp_share(worker) for worker in up)
+        """The weight that takes requests now, of all listed workers.
+
+        Only those are looked at that take fewer than their share.
+        """
+        state = self.state
+        limited = state.limited_workers
+        for worker in [w for w in limited if self._taking_share(w) >= 1]:
+            del limited[worker]
+        missing = math.fsum((1 - self._taking_share(w)) * w.facts.weight for w in limited)
+        return max(0.0, state.index.weight - missing)
+
+    def _taking_share(self, worker: Worker) -> float:
+        """The share of its requests that a listed worker may have now."""
+        return self._ramp_share(worker) if worker.facts.state is WorkerState.UP else 0.0
 
     def _ramp_share(self, worker: Worker) -> float:
         """The share of its requests that a worker may have now, 1 once it is warm."""
--- a/martenlead/policy/state.py
+++ b/martenlead/policy/state.py
@@ -149,7 +149,8 @@
         self.now_ns = 0
         self.index = CandidateIndex()
         self.workers: list[Worker] = self.index.workers
-        self.highest_weight = 0.0  # of all workers together, the most that was listed lately
+        self.highest_weight = 0.0  # of all workers together, the most that took requests lately
+        self.limited_workers: dict[Worker, None] = {}  # listed, and draining or started a short time ago
         self.functions: dict[Function, None] = {}  # the last asked for stands last
         self.paced_workers: dict[Worker, None] = {}  # that responded lately
         self.latencies = LatencyEstimates(settings)
@@ -188,6 +189,15 @@
         if listed and not (worker.is_listed and same):
             self.index.add(worker)
         worker.is_listed = listed
+        if listed and (facts.state is not WorkerState.UP or self.is_warming_up(worker)):
+            self.limited_workers[worker] = None
+        else:
+            self.limited_workers.pop(worker, None)
+
+    def is_warming_up(self, worker: Worker) -> bool:
+        """Whether its process started less than a ramp ago; one whose start is not told never is."""
+        started_ns = worker.facts.started_ns
+        return bool(started_ns) and self.now_ns - started_ns < self.settings.slow_start_ns
 
     def _forget_replicas(self, worker: Worker) -> None:
         """A process that restarted or goes has nothing that was loaded before."""
--- a/martenlead/system/sender.py
+++ b/martenlead/system/sender.py
@@ -22,8 +22,8 @@
     """All that is written to one transport, in its order, each byte once.
 
     A write goes to the machine itself first. What it has no memory for is kept here and tried again. What the
-    peer does not take yet is the transport's, and as long as it has any, so is what follows. Every other
-    error ends the connection.
+    peer does not take yet is the transport's, and as long as it has any, so is what follows; a transport
+    without a socket has all. Every other error ends the connection.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
     def _send(self, data: bytes) -> bytes:
         """What the machine did not take for now."""
         while data and not self.transport.is_closing():
-            if self.transport.get_write_buffer_size():
+            if self._descriptor < 0 or self.transport.get_write_buffer_size():
                 self.transport.write(data)
                 return b""
             try:
