--- a/martenlead/events/server.py
+++ b/martenlead/events/server.py
@@ -74,6 +74,15 @@
         self.close = close
 
 
+@dataclass(slots=True, frozen=True)
+class _Received:
+    """Bytes of a connection, by the monotonic clock; `arrived_ns` is the earliest that they may have come."""
+
+    data: bytes
+    read_ns: int
+    arrived_ns: int
+
+
 class Server:
     def __init__(
         self,
@@ -204,9 +213,7 @@
         self.last = False  # nothing more is read
         self._unbegun = 0  # requests that were read, and wait for one before them to be answered
         self._unread_since = 0  # since when more may wait to be read than is read ahead
-        self._ahead: deque[tuple[bytes, int, int]] = (
-            deque()
-        )  # what was read meanwhile, as `_receive` tells it
+        self._ahead: deque[_Received] = deque()  # what was read meanwhile
         self._ahead_bytes = 0
         self._waiting = anyio.CancelScope()
         self._job: tuple[Message, int, _Slot] | None = None
@@ -292,10 +299,10 @@
         group.start_soon(self._work)
         while not self.last:
             waiting = reader.in_message
-            data, now, arrived = await self._receive()
+            received = await self._receive()
             if not waiting:
-                self.read = now
-            messages, bad = self._parse(data)
+                self.read = received.read_ns
+            messages, bad = self._parse(received.data)
             self.has_spoken = self.has_spoken or bool(messages)
             self._unbegun = len(messages)
             for message in messages:
@@ -308,10 +315,10 @@
                 slots.append(slot)
                 if self._idle:
                     self._idle = False
-                    self._job = message, arrived, slot
+                    self._job = message, received.arrived_ns, slot
                     self._ready.set()
                 else:
-                    group.start_soon(self._answer, message, arrived, slot)
+                    group.start_soon(self._answer, message, received.arrived_ns, slot)
                 if self.last:
                     self._unbegun = 0  # whoever says that a request is the last one sends none behind it
                     return None
@@ -330,15 +337,15 @@
         except BadMessage as error:
             return self.reader.done, error
 
-    async def _receive(self) -> tuple[bytes, int, int]:
-        """The next bytes, when they were read, and the earliest moment at which they may have arrived."""
+    async def _receive(self) -> _Received:
+        """The next bytes, also of what was read ahead."""
         if not self._ahead:
             return await self._receive_unread()
-        found = self._ahead.popleft()
-        self._ahead_bytes -= len(found[0])
-        return found
+        received = self._ahead.popleft()
+        self._ahead_bytes -= len(received.data)
+        return received
 
-    async def _receive_unread(self) -> tuple[bytes, int, int]:
+    async def _receive_unread(self) -> _Received:
         data = await self.stream.receive(READ)
         now = monotonic_ns()
         arrived = self.server.arrival(now)
@@ -346,7 +353,7 @@
             arrived = min(arrived, self._unread_since)
             if len(data) < READ and not readable(self._socket):
                 self._unread_since = 0
-        return data, now, arrived
+        return _Received(data, now, arrived)
 
     async def _wait_for_slot(self) -> None:
         """Reads ahead meanwhile, and asks the socket: the client may leave. Raises EndOfStream, or what else
@@ -354,11 +361,11 @@
         while len(self.slots) >= self.limits.pipelined:
             with anyio.move_on_after(HANGUP_CHECK_SECONDS) as self._waiting:
                 if self._ahead_bytes >= READ_AHEAD:
-                    self._unread_since = self._unread_since or self._ahead[-1][1]
+                    self._unread_since = self._unread_since or self._ahead[-1].read_ns
                     await anyio.sleep_forever()
-                found = await self._receive_unread()
-                self._ahead.append(found)
-                self._ahead_bytes += len(found[0])
+                received = await self._receive_unread()
+                self._ahead.append(received)
+                self._ahead_bytes += len(received.data)
             if self.has_left():
                 raise anyio.EndOfStream
 
--- a/martenlead/layers/choice.py
+++ b/martenlead/layers/choice.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class VaultState:
+class ArtifactStoreState:
     """What the vault's last answer to this box says of it, whichever chunk or name was asked for."""
 
     failed_at: int = -1  # -1: it answered, or was not asked yet
@@ -153,7 +153,7 @@
         self.rosters = 0  # lists of boxes that were told so far
         self.sending = 0
         self.quiet_until = 0  # the vault asked to be left alone
-        self.vault = VaultState()
+        self.vault = ArtifactStoreState()
         self.counts = Counts()
 
     # -- what is known
--- a/martenlead/layers/naming.py
+++ b/martenlead/layers/naming.py
@@ -24,9 +24,9 @@
     MS,
     SECOND,
     WRONG_AT_VAULT,
+    ArtifactStoreState,
     Failure,
     Pause,
-    VaultState,
 )
 
 FIRST_WAIT, LONGEST_WAIT = 100 * MS, SECOND
@@ -78,14 +78,14 @@
         self,
         clock: Callable[[], int],
         later: Callable[[float], int],
-        vault: VaultState | None = None,
+        vault: ArtifactStoreState | None = None,
         *,
         last_known: bool = True,
     ) -> None:
         """`later` gives a time that is about so far away; `vault` is shared with the box's `Chooser`;
         `last_known`: whether the release that is known may be taken when the vault is away."""
         self.clock, self.later, self.last_known = clock, later, last_known
-        self.vault = vault or VaultState()
+        self.vault = vault or ArtifactStoreState()
         self.known: dict[str, Release] = {}
         self.old_told = 0
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -9,7 +9,6 @@
 import signal
 import socket
 import struct
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -20,6 +19,7 @@
 from martenlead.edge.records import Final
 from martenlead.node.runners import Conn
 from martenlead.policy.types import Result
+from support.attempt_hooks import before_attempt
 from support.fleet import until
 from tests.apart import apart
 from tests.nodes import Caller, Part, Play, done, message, play, says, silent, word
@@ -79,19 +79,6 @@
     await until(lambda: len(heard) == len(p.node.dispatcher.boxes))
 
 
-def before_attempt(p: Play, which: int, act: Callable[[], None]) -> None:
-    """Does this as the attempt of that place, from 0, has been decided."""
-    real, count = p.node.link.hand_off, [0]
-
-    def hand_off(out: Any) -> None:
-        if count[0] == which:
-            act()
-        count[0] += 1
-        real(out)
-
-    p.node.link.hand_off = hand_off  # type: ignore[method-assign]
-
-
 async def is_over(p: Play) -> None:
     """The request was given up, nothing is out, and the node still serves."""
     await until(lambda: p.node.dispatcher.counts["final", "left"] == 1)
@@ -108,7 +95,7 @@
     async with play(tmp_path) as p:
         await warm(p)
         client = Blocking(p)
-        before_attempt(p, 0, lambda: client.leave(how))
+        before_attempt(p.node.link, 0, lambda: client.leave(how))
         client.put(client.task("unsafe"))
         await until(lambda: p.node.dispatcher.counts["final", "left"] == 1)
         assert await (await p.client()).call() == "error -32602"  # its id is spent
@@ -190,7 +177,7 @@
         await until(p.did)
         own.write(b" " * 8_000_000)  # more than the machine's buffers hold
         await until(lambda: own.stuck)
-        before_attempt(p, 0, lambda: client.leave(how))
+        before_attempt(p.node.link, 0, lambda: client.leave(how))
         answered.set()
         await is_over(p)
         assert len(attempts(p)) == 1
@@ -202,10 +189,10 @@
     async with play(tmp_path, {"a": [done], "b": [done]}) as p:
         client = Blocking(p)
         first, second, third = client.task(), client.task(), client.task()
-        before_attempt(p, 0, lambda: client.put(second[:40]))
+        before_attempt(p.node.link, 0, lambda: client.put(second[:40]))
         client.put(first)
         await until(lambda: p.did())
-        before_attempt(p, 0, lambda: client.put(third))
+        before_attempt(p.node.link, 0, lambda: client.put(third))
         client.put(second[40:])
         client.socket.setblocking(False)
         got = b""
@@ -230,7 +217,7 @@
             client.put(b"Content")
             box.gone = True
 
-        before_attempt(p, 0, goes)
+        before_attempt(p.node.link, 0, goes)
         client.put(client.task("unsafe"))
         await until(lambda: p.node.dispatcher.counts["final", "turned back"] == 1)
         assert attempts(p) == []
--- a/tests/test_edge_client_gone.py
+++ b/tests/test_edge_client_gone.py
@@ -7,7 +7,6 @@
 
 import socket
 import struct
-from collections.abc import Callable
 from typing import Any
 
 import anyio
@@ -16,6 +15,7 @@
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.policy.types import Result
+from support.attempt_hooks import before_attempt
 from support.fleet import Fleet, fleet, full, satisfied, until
 
 pytestmark = pytest.mark.anyio
@@ -48,19 +48,6 @@
             client.close()
 
 
-def before_attempt(f: Fleet, which: int, act: Callable[[], None]) -> None:
-    """Does this as the attempt of that place, from 0, has been decided."""
-    real, count = f.dispatcher.link.hand_off, [0]
-
-    def hand_off(out: Any) -> None:
-        if count[0] == which:
-            act()
-        count[0] += 1
-        real(out)
-
-    f.dispatcher.link.hand_off = hand_off  # type: ignore[method-assign]
-
-
 async def connect_workers(f: Fleet) -> None:
     """To each worker a connection stands idle, so that an attempt leaves as it is decided."""
     heard: list[Any] = []
@@ -86,7 +73,7 @@
         await connect_workers(f)
         f.first = [full] * which
         client = socket.create_connection(("127.0.0.1", f.port))
-        before_attempt(f, which, lambda: leave(client, how))
+        before_attempt(f.dispatcher.link, which, lambda: leave(client, how))
         client.sendall(ask("left"))
         await is_over(f, which)
         client.close()
@@ -113,7 +100,7 @@
 async def test_unread_requests_behind_it_are_no_end() -> None:
     async with fleet({"a": [satisfied], "b": [satisfied]}, limits={"pipelined": 1}) as f:
         client = socket.create_connection(("127.0.0.1", f.port))
-        before_attempt(f, 0, lambda: client.sendall(ask("second") + ask("third")))
+        before_attempt(f.dispatcher.link, 0, lambda: client.sendall(ask("second") + ask("third")))
         client.sendall(ask("first"))
         client.setblocking(False)
         got = b""
