--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -22,7 +22,7 @@
 from martenlead.capture import events as ev
 from martenlead.capture.format import Segment
 from martenlead.capture.replay import replay
-from martenlead.capture.store import runs
+from martenlead.capture.writer import find_runs
 
 KINDS: dict[str, dict[str, Any]] = {
     "off": {},
@@ -73,12 +73,12 @@
 
 
 def captured(folder: Path) -> dict[str, Any]:
-    (run,) = runs([folder])
+    (run,) = find_runs([folder])
     events = list(run.events())
     packed: Counter[str] = Counter()
     for event in events:
-        packed[type(event).__name__] += len(ev.encode(event))
-    tasks = sum(isinstance(event, ev.Take) for event in events)
+        packed[ev.kind_name(event)] += len(ev.encode(event))
+    tasks = sum(isinstance(event, ev.RequestAccepted) for event in events)
     outcome = replay(events)
     disk = sum(path.stat().st_size for path in run.paths)
     biggest = max(run.paths, key=lambda path: path.stat().st_size)
@@ -92,9 +92,9 @@
         "bytes_a_task_packed": round(sum(packed.values()) / tasks, 1),
         "bytes_a_task_on_disk": round(disk / tasks, 1),
         "packed_by_kind": {kind: round(n / tasks, 1) for kind, n in packed.most_common()},
-        "identical": outcome.divergence is None and not outcome.stopped,
-        "replayed_tasks_per_s": round(outcome.tasks / outcome.took),
-        "times_as_fast_as_at_280": round(outcome.tasks / outcome.took / 280),
+        "identical": outcome.divergence is None and not outcome.stop_reason,
+        "replayed_tasks_per_s": round(outcome.requests / outcome.elapsed_seconds),
+        "times_as_fast_as_at_280": round(outcome.requests / outcome.elapsed_seconds / 280),
         "torn_segment_mb": round(len(torn) / 2**20, 2),
         "torn_segment_indexed_s": round(recovered, 3),
     }
--- a/benchmarks/codecs.py
+++ b/benchmarks/codecs.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from martenlead.events import cloudevent, http
-from martenlead.events.http import Limits, Reader
+from martenlead.events.http import MessageLimits, Reader
 
 EVENT = cloudevent.Event(
     {
@@ -29,9 +29,9 @@
     b'{"borrower": 1}',
     "application/json",
 )
-HEADERS, BODY = cloudevent.write(EVENT)
+HEADERS, BODY = cloudevent.encode_event(EVENT)
 STRUCTURED = [(b"content-type", b"application/cloudevents+json")]
-JSON = cloudevent.write_json(EVENT)
+JSON = cloudevent.encode_json_event(EVENT)
 DATA = http.request(b"POST", b"/", b"edge", HEADERS, BODY)
 
 
@@ -39,15 +39,15 @@
     reader.feed(DATA)
 
 
-reader = Reader(Limits(), requests=True)
+reader = Reader(MessageLimits(), requests=True)
 
 
 def main() -> None:
     cases: dict[str, Callable[[], Any]] = {
         "request, httptools with our checks": ours,
-        "event in binary mode, ours": lambda: cloudevent.read(HEADERS, BODY),
-        "event in structured mode, ours": lambda: cloudevent.read(STRUCTURED, JSON),
-        "event written in binary mode, ours": lambda: cloudevent.write(EVENT),
+        "event in binary mode, ours": lambda: cloudevent.decode_event(HEADERS, BODY),
+        "event in structured mode, ours": lambda: cloudevent.decode_event(STRUCTURED, JSON),
+        "event written in binary mode, ours": lambda: cloudevent.encode_event(EVENT),
     }
     try:
         import h11
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -18,7 +18,13 @@
 
 import click
 
-from martenlead.admission.gate import MS, End, Gate, Limits, State
+from martenlead.admission.controller import (
+    MS,
+    AdmissionController,
+    AdmissionLimits,
+    QueueState,
+    ServiceResult,
+)
 from support.crowd import Crowd, Customer
 
 TWO = {"portal": 1.0, "desk": 1.0}
@@ -55,26 +61,28 @@
     for name, places in (("with room", 1 << 30), ("while 1000 wait", 10)):
         now = 0
         inside: list[Any] = []
-        gate = Gate(Limits(waiting=1000, weights=TWO), lambda: now, Random(1), lambda _: len(inside) < places)
+        gate = AdmissionController(
+            AdmissionLimits(waiting=1000, weights=TWO), lambda: now, Random(1), lambda _: len(inside) < places
+        )
         chance = Random(2)
         begun = perf_counter()
         for n in range(count):
             now += 1 * MS
             soft = now + 5000 * MS
             who = "desk" if n % 3 else "portal"
-            ticket = gate.arrive(
+            ticket = gate.submit(
                 f"m{n % 50}", "o", who, f"c{chance.randrange(1000)}", n, 0.05, 100, soft, soft, False
             )
-            if ticket.state is State.INSIDE:
+            if ticket.state is QueueState.ADMITTED:
                 inside.append(ticket)
             if len(inside) >= 10:
-                changed = gate.ended(inside.pop(0), End.SATISFIED)
+                changed = gate.complete(inside.pop(0), ServiceResult.SUCCEEDED)
                 while changed:
                     more = []
                     for each in changed:
-                        if each.state is State.INSIDE:
+                        if each.state is QueueState.ADMITTED:
                             inside.append(each)
-                            more += gate.begun(each)
+                            more += gate.confirm_admission(each)
                     changed = more
         told[f"us a task, {name}"] = round((perf_counter() - begun) / count * 1e6, 1)
     return told
@@ -86,8 +94,8 @@
     found = []
     for name in ("names", "models", "marks"):
         now = 0
-        limits = Limits(waiting=2000, bytes=64 * 1024 * 1024, weights={})
-        gate = Gate(limits, lambda: now, Random(1), lambda _: False)
+        limits = AdmissionLimits(waiting=2000, bytes=64 * 1024 * 1024, weights={})
+        gate = AdmissionController(limits, lambda: now, Random(1), lambda _: False)
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         for n in range(300_000):
             now += 200_000
@@ -95,12 +103,15 @@
             client = f"client {n}" if name == "names" else "one"
             model = f"model {n}" if name == "models" else "m"
             soft = now + 400 * MS
-            gate.arrive(model, "o", customer, client, n, 0.1, 1000, soft, soft, False)
+            gate.submit(model, "o", customer, client, n, 0.1, 1000, soft, soft, False)
             if n % 500 == 0:
                 for ticket in [
-                    t for q in gate.queues.values() for line in q.waiting.values() for t in line.all()
+                    t
+                    for q in gate.queues.values()
+                    for line in q.tenant_queues.values()
+                    for t in line.requests()
                 ]:
-                    if ticket.until <= now:
+                    if ticket.start_by_ns <= now:
                         gate.expire(ticket)
         after = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         found.append(
@@ -109,7 +120,7 @@
                 "MB more at the highest": round((after - before) / 1024, 1),
                 "accounts": len(gate.accounts),
                 "queues": len(gate.queues),
-                "appointments": len(gate.appointments),
+                "appointments": len(gate.reservations),
             }
         )
     return found
--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -24,7 +24,7 @@
 
 from martenlead.events import http
 from martenlead.events.client import Pool
-from martenlead.events.cloudevent import Event, write
+from martenlead.events.cloudevent import Event, encode_event
 from support.fleet import OFFERINGS, Fleet, after, fleet, satisfied
 
 LIMITS = {
@@ -56,13 +56,13 @@
         "model": "m",
         "timeleftms": 1500,
     }
-    headers, body = write(Event({**about, **more}, b"{}", "application/json"))
+    headers, body = encode_event(Event({**about, **more}, b"{}", "application/json"))
     return http.request(b"POST", b"/", b"edge", headers, body)
 
 
 async def names(port: int, seconds: float) -> int:
     """100,000 names a minute, of customers, clients and models."""
-    pool = Pool("127.0.0.1", port, most=200)
+    pool = Pool("127.0.0.1", port, connection_limit=200)
     sent = 0
 
     async def some(at: int) -> None:
@@ -135,7 +135,7 @@
 
 
 async def usual(port: int, until: Callable[[], bool]) -> tuple[int, int]:
-    pool = Pool("127.0.0.1", port, most=200)
+    pool = Pool("127.0.0.1", port, connection_limit=200)
     good = count = 0
 
     async def one(n: int) -> None:
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -15,20 +15,28 @@
 
 import msgspec
 
-from martenlead.config.edge import settings
+from martenlead.config.edge import build_policy_settings
 from martenlead.config.load import decode
-from martenlead.lasting.disk import Folder
-from martenlead.lasting.knowledge import SECOND, Knowledge, asks, gathering, past
-from martenlead.lasting.store import Kind, Store
+from martenlead.durable_state.disk import StateFolder
+from martenlead.durable_state.knowledge import (
+    SECOND,
+    SavedKnowledge,
+    build_earlier_run,
+    gather_in_steps,
+    list_reloads,
+)
+from martenlead.durable_state.store import StateKind, StateStore
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import FunctionFacts, WorkerFacts, WorkerState
 from support.fleet import OFFERINGS
 
 
 def module(models: int) -> tuple[Policy, dict[Any, str], dict[Any, tuple[str, str, bool]]]:
-    from martenlead.config.edge import Edge
+    from martenlead.config.edge import EdgeSettings
 
-    told, _, _ = settings(decode({"roster": {"port": 1}, "offerings": OFFERINGS}, Edge, "bench"))
+    told, _, _ = build_policy_settings(
+        decode({"roster": {"port": 1}, "offerings": OFFERINGS}, EdgeSettings, "bench")
+    )
     policy = Policy(told, 1)
     policy.state.now_ns = 1000 * SECOND
     chance = Random(1)
@@ -57,13 +65,13 @@
         gc.freeze()  # as the edge program does
         gc.set_threshold(20_000, 20, 50)
         with tempfile.TemporaryDirectory() as folder:
-            store = Store(Folder(Path(folder)), "bench", time.time_ns)
-            kind = Kind("knowledge")
-            last: tuple[int, Knowledge] | None = None
+            store = StateStore(StateFolder(Path(folder)), "bench", time.time_ns)
+            kind = StateKind("knowledge")
+            last: tuple[int, SavedKnowledge] | None = None
             gathered = written = longest = 0.0
             for n in range(5):
                 begun = time.perf_counter()
-                steps = gathering(policy, policy.state.now_ns + n * SECOND, names, boxes, last)
+                steps = gather_in_steps(policy, policy.state.now_ns + n * SECOND, names, boxes, last)
                 while True:
                     slice_begun = time.perf_counter()
                     try:
@@ -81,18 +89,18 @@
             size = max(p.stat().st_size for p in Path(folder).glob("knowledge.*"))
             store.close()
             begun = time.perf_counter()
-            again = Store(Folder(Path(folder)), "bench", time.time_ns)
+            again = StateStore(StateFolder(Path(folder)), "bench", time.time_ns)
             state = again.read(kind)
             assert state is not None
-            known = msgspec.convert(state.value, Knowledge)
+            known = msgspec.convert(state.value, SavedKnowledge)
             fresh = Policy(policy.settings, 2)
             fresh.state.now_ns = policy.state.now_ns
             models = {
-                m.name: fresh.new_function(FunctionFacts(1, m.lanes, m.memory_mb)) for m in known.models
+                m.name: fresh.new_function(FunctionFacts(1, m.lanes, m.memory_mb)) for m in known.functions
             }
             runners = {name: (fresh.new_worker(r.facts), life) for r, (name, life, _) in boxes.items()}
-            fresh.restore(past(known, 5 * SECOND, models, runners, 0))
-            asked = len(asks(known, SECOND, 10 * SECOND, runners))
+            fresh.restore(build_earlier_run(known, 5 * SECOND, models, runners, 0))
+            asked = len(list_reloads(known, SECOND, 10 * SECOND, runners))
             started = time.perf_counter() - begun
         print(
             json.dumps(
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -23,7 +23,7 @@
 import structlog
 
 from martenlead.planner import frames as fr
-from martenlead.planner.link import MS
+from martenlead.planner.link import NS_PER_MS
 from support.pair import Pair
 from support.planned import answered, planned, planner, until
 
@@ -96,9 +96,9 @@
         drive(pair, 280, 0.5, 60)
         pair.connect()
         begun = pair.now
-        while pair.planner.mirror is None or pair.planner.last < pair.end.seq - 1:
+        while pair.planner.policy_replica is None or pair.planner.last_sequence < pair.end.last_sequence - 1:
             drive(pair, 280, 0.005, 60)
-        took.append((pair.now - begun) // MS)
+        took.append((pair.now - begun) // NS_PER_MS)
     return {"kind": kind, "virtual ms until it knows all": [min(took), max(took)]}
 
 
@@ -110,9 +110,9 @@
         if n % 20 == 0:
             pair.run(5)
     begun = perf_counter()
-    told, lively = pair.side._state()
+    told, lively = pair.side._take_snapshot()
     took = perf_counter() - begun
-    data = fr.frame(fr.Snapshot(1, pair.now, told))
+    data = fr.encode_frame(fr.Snapshot(1, pair.now, told))
     framed = perf_counter() - begun
     return {
         "lively models": len(lively),
@@ -128,8 +128,8 @@
         kept = str(Path(folder) / "kept")
         async with planner(kept=kept) as (_, port):
             async with planned([port]) as (f, side):
-                await until(lambda: side.end.leased() and not side.plans)
-                while not side._held:
+                await until(lambda: side.session.is_leased() and not side.plans_locally)
+                while not side._retained:
                     await answered(f, 4)
                     await anyio.sleep(0.05)
                 await until(lambda: Path(kept).exists() and '"m"' in Path(kept).read_text())
@@ -153,7 +153,7 @@
     pair.connect()
     begun = pair.now
     found: list[tuple[int, bytes]] = []
-    inner = pair.end.next
+    inner = pair.end.next_frame
 
     def keep() -> bytes | None:
         data = inner()
@@ -161,9 +161,9 @@
             found.append((pair.now - begun, data))
         return data
 
-    pair.end.next = keep  # type: ignore[method-assign]
+    pair.end.next_frame = keep  # type: ignore[method-assign]
     drive(pair, rate, seconds, models)
-    return [f for f in found if not isinstance(fr.Reader().feed(f[1])[0], fr.Hello | fr.Lease)]
+    return [f for f in found if not isinstance(fr.FrameReader().feed(f[1])[0], fr.Hello | fr.Lease)]
 
 
 async def one(n: int, port: int, frames: list[tuple[int, bytes]], begin: int, told: dict[str, Any]) -> None:
@@ -173,17 +173,21 @@
     async with stream, anyio.create_task_group() as group:
 
         async def hear() -> None:
-            reader = fr.Reader()
+            reader = fr.FrameReader()
             while True:
                 for message in reader.feed(await stream.receive()):
-                    if isinstance(message, fr.Beat) and message.seq:
-                        told["behind"] = max(told["behind"], max(sent, default=0) - message.seq)
-                    if isinstance(message, fr.Decide) and message.orders and message.seq in sent:
-                        told["delays"].append((monotonic_ns() - sent[message.seq]) / 1e6)
-
-        await stream.send(fr.frame(fr.Hello(1, 2, f"edge-{n}", f"life-{n}", "")))
+                    if isinstance(message, fr.Heartbeat) and message.sequence:
+                        told["behind"] = max(told["behind"], max(sent, default=0) - message.sequence)
+                    if (
+                        isinstance(message, fr.PlanUpdate)
+                        and message.load_requests
+                        and message.sequence in sent
+                    ):
+                        told["delays"].append((monotonic_ns() - sent[message.sequence]) / 1e6)
+
+        await stream.send(fr.encode_frame(fr.Hello(1, 2, f"edge-{n}", f"life-{n}", "")))
         group.start_soon(hear)
-        await stream.send(fr.frame(fr.Lease(1, 1500)))
+        await stream.send(fr.encode_frame(fr.Lease(1, 1500)))
         for at, data in frames:
             await anyio.sleep(max(0, begin + at - monotonic_ns()) / 1e9)
             message = msgspec.msgpack.decode(data[8:])
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -81,7 +81,9 @@
         for number in range(self.size.dispatchers):
             self.simulation.check_time("the dispatchers started")
             told, _, _ = configured(self.run, number, [])
-            self.simulation.add(HollowDispatcher(told, self.simulation.clock, self.meter, first.known))
+            self.simulation.add(
+                HollowDispatcher(told, self.simulation.clock, self.meter, first.initial_updates)
+            )
         spent = self.meter.spent[Activity.MEMBERSHIP] + self.meter.spent[Activity.TIMERS]
         self.costs["start_ms"] = spent / len(self.dispatchers) / 1e6
         self.costs["start_all_cpu_seconds"] = (thread_time_ns() - began) / 1e9
@@ -128,7 +130,7 @@
             "loads_per_second_all": (simulation.workers.loads - loads) / seconds,
             "evictions_per_second_all": (simulation.workers.evictions - evictions) / seconds,
             "attempts_per_call": sent["attempts"] / calls,
-            "functions_known": fmean(len(d.dispatcher.models) for d in self.dispatchers),
+            "functions_known": fmean(len(d.dispatcher.functions_by_name) for d in self.dispatchers),
             "share_of_functions_under_once_a_minute": simulation.popularity.share_below_once_a_minute(
                 self.size.calls_per_second
             ),
@@ -178,14 +180,14 @@
 
     def one_change(self) -> None:
         """A worker drains: every dispatcher is told."""
-        version = self.dispatchers[0].source.list.version + 1
+        version = self.dispatchers[0].source.endpoint_list.version + 1
         data = discovery.frame(version, EventKind.DELTA, [Member(0, 0, WorkerState.DRAINING)])
         spent, total = self._tell_all(data)
         self.costs["membership_delta_ms"] = spent
         self.discovery_costs["delta_all_bytes"] = total
 
     def resynchronise_all(self) -> None:
-        version = self.dispatchers[0].source.list.version + 1
+        version = self.dispatchers[0].source.endpoint_list.version + 1
         data = discovery.frame(version, EventKind.SNAPSHOT, discovery.members(self.size))
         spent, total = self._tell_all(data)
         self.costs["resync_ms"] = spent
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -10,15 +10,22 @@
 from benchmarks.scale.meter import Activity, Meter, MeteredBorder
 from benchmarks.scale.workers import Met
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.edge.records import Box, Held, Known, Out, Wanted
-from martenlead.node import config, lines
-from martenlead.node.journal import Frames
-from martenlead.node.rpc import BODY
-from martenlead.node.runners import Way
+from martenlead.edge.records import (
+    FunctionEntry,
+    IncomingRequest,
+    InFlightAttempt,
+    PendingRequest,
+    UpstreamWorker,
+)
+from martenlead.node import config
+from martenlead.node import worker_protocol as lines
+from martenlead.node.client_protocol import BODY_BYTES_LIMIT
+from martenlead.node.journal import FrameDecoder
 from martenlead.node.worker_age import WorkerAges
+from martenlead.node.worker_client import ConnectionPool
 from martenlead.policy.types import Result, Warmth
-from martenlead.runnerlink.heard import Heard
-from martenlead.runnerlink.roster import Line, List, News
+from martenlead.upstream.endpoints import Endpoint, EndpointList, EndpointUpdate
+from martenlead.upstream.outcome import UpstreamOutcome
 
 BODY_BASE64 = "eyJ4IjoxfQ=="
 CALL_COST_SECONDS = 0.04
@@ -32,14 +39,14 @@
     function: int
     arrived: int
     cold: bool = False
-    done: Callable[[Held], None] | None = None
+    done: Callable[[PendingRequest], None] | None = None
 
 
 @dataclass(slots=True)
 class SentAttempt:
     """An attempt that the link has written."""
 
-    out: Out
+    out: InFlightAttempt
     worker: int
     function: int
     due: int
@@ -53,7 +60,7 @@
     txn: str
     worker: int
     function: int
-    told: Callable[[Heard], None]
+    told: Callable[[UpstreamOutcome], None]
 
 
 @dataclass(slots=True)
@@ -90,52 +97,54 @@
         self.loads: list[SentLoad] = []
         self.dispatcher: Any = None
 
-    def use(self, dispatcher: Dispatcher) -> None:
+    def attach(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
 
     async def run(self) -> None:
         """Nothing runs: the simulation carries all."""
 
-    def way(self, line: Line) -> Way:
-        return Way(line)
+    def create_connections(self, line: Endpoint) -> ConnectionPool:
+        return ConnectionPool(line)
 
-    def leave(self, way: Way) -> None:
-        way.left = True
+    def retire_connections(self, way: ConnectionPool) -> None:
+        way.is_retired = True
 
-    def hand_off(self, out: Out) -> None:
-        hand_off, call = out.hand_off, out.held.content
-        known = out.held.wanted.model
+    def send_attempt(self, out: InFlightAttempt) -> None:
+        hand_off, call = out.policy_attempt, out.request.content
+        known = out.request.incoming.function
         ttl = max(1, hand_off.timeout_ns // 1_000_000)
-        line = lines.do(call.id, discovery.REQUEST_CLASS, known, ttl, None, BODY_BASE64)
+        line = lines.encode_attempt(call.id, discovery.REQUEST_CLASS, known, ttl, None, BODY_BASE64)
         self.counts.attempts += 1
         self.counts.attempt_bytes += len(line)
         sent = SentAttempt(
-            out, worker_number(out.box.line.id), call.function, self.clock() + hand_off.timeout_ns
+            out, worker_number(out.worker.endpoint.id), call.function, self.clock() + hand_off.timeout_ns
         )
-        out.at = sent
+        out.link_handle = sent
         self.attempts.append(sent)
 
-    def call_off(self, out: Out) -> None:
-        sent: SentAttempt | None = out.at
+    def cancel_attempt(self, out: InFlightAttempt) -> None:
+        sent: SentAttempt | None = out.link_handle
         if sent is None or not sent.open:
             return
         sent.open = False
         self.counts.cancels += 1
-        lines.undo(out.held.content.id)
-        self.dispatcher.ended(out, Heard(Result.CANCELLED, why="called off"))
+        lines.encode_cancel(out.request.content.id)
+        self.dispatcher.attempt_ended(out, UpstreamOutcome(Result.CANCELLED, reason="called off"))
 
-    def order(self, box: Box, known: Known, copies: int, told: Callable[[Heard], None]) -> None:
+    def send_load_request(
+        self, box: UpstreamWorker, known: FunctionEntry, copies: int, told: Callable[[UpstreamOutcome], None]
+    ) -> None:
         self.counts.loads += 1
         txn = f"o{self.counts.loads}"
-        self.counts.load_sent_bytes += len(lines.pin(txn, known.name, copies))
-        self.loads.append(SentLoad(txn, worker_number(box.line.id), function_number(known.name), told))
+        self.counts.load_sent_bytes += len(lines.encode_load_request(txn, known.name, copies))
+        self.loads.append(SentLoad(txn, worker_number(box.endpoint.id), function_number(known.name), told))
 
 
 class ListSource:
     """The membership list that a dispatcher follows; the simulation feeds it."""
 
     def __init__(self) -> None:
-        self.list = List()
+        self.endpoint_list = EndpointList()
 
     async def run(self, dispatcher: Dispatcher) -> None:
         """Nothing runs: `HollowDispatcher.membership` is fed."""
@@ -154,22 +163,26 @@
     """One dispatcher from its configuration file on; `meter` may be shared."""
 
     def __init__(
-        self, told: config.Config, clock: Callable[[], int], meter: Meter, known: list[News] | None = None
+        self,
+        told: config.NodeConfig,
+        clock: Callable[[], int],
+        meter: Meter,
+        known: list[EndpointUpdate] | None = None,
     ) -> None:
         """`known` goes before the list of the configuration; its lines may be shared by dispatchers."""
         self.meter, self.clock = meter, clock
         self.link: Any = self.make_link(told, clock)
         self.source = ListSource()
-        self.dispatcher = Dispatcher(told.about, self.link, self.source, clock)
-        metered: Any = MeteredBorder(self.dispatcher.border, meter)
-        self.dispatcher.use_border(metered)
-        self.frames = Frames(told.places)
+        self.dispatcher = Dispatcher(told.dispatcher_settings, self.link, self.source, clock)
+        metered: Any = MeteredBorder(self.dispatcher.policy_boundary, meter)
+        self.dispatcher.use_policy_boundary(metered)
+        self.frames = FrameDecoder(told.tables)
         self.ages = WorkerAges()
         self.control = ControlCounts()
         self.armed = 1 << 62  # when the simulation runs the timers next
-        self._known = told.known if known is None else known
+        self._known = told.initial_updates if known is None else known
 
-    def make_link(self, _told: config.Config, clock: Callable[[], int]) -> Any:
+    def make_link(self, _told: config.NodeConfig, clock: Callable[[], int]) -> Any:
         """The link to workers; another kind of dispatcher has another one."""
         return HollowLink(clock)
 
@@ -177,12 +190,12 @@
         """Takes in the list of the configuration and starts the periodic work, as the program does."""
         with self.meter.measure(Activity.MEMBERSHIP):
             for news in self._known:
-                self.ages.date(news, self.clock())
-                if self.source.list.told(news):
-                    self.dispatcher.news(news.runners or [], news.whole)
+                self.ages.fill_ages(news, self.clock())
+                if self.source.endpoint_list.apply(news):
+                    self.dispatcher.update_endpoints(news.endpoints or [], news.is_snapshot)
         self._known = []
         with self.meter.measure(Activity.TIMERS):
-            self.dispatcher.border.begin()
+            self.dispatcher.policy_boundary.start()
 
     def membership(self, data: bytes) -> None:
         """Bytes of discovery's stream, decoded and told on as `JournalSource` does. Raises Gap, BadFrame."""
@@ -190,22 +203,22 @@
         self.control.frames += 1
         with self.meter.measure(Activity.MEMBERSHIP):
             for news in self.frames.feed(data):
-                if news.version <= self.source.list.version or news.runners is None:
+                if news.version <= self.source.endpoint_list.version or news.endpoints is None:
                     self.ages.confirm(self.clock())
                     continue
-                self.ages.date(news, self.clock())
-                if self.source.list.told(news):
-                    self.dispatcher.news(news.runners, news.whole)
+                self.ages.fill_ages(news, self.clock())
+                if self.source.endpoint_list.apply(news):
+                    self.dispatcher.update_endpoints(news.endpoints, news.is_snapshot)
 
     def timers(self) -> None:
         """What is due now."""
         with self.meter.measure(Activity.TIMERS):
-            self.dispatcher.later(_nothing)
+            self.dispatcher.defer(_nothing)
 
     def take(self, call: Call) -> None:
         name = function_name(call.function)
         with self.meter.measure(Activity.SERVING):
-            wanted = Wanted(
+            wanted = IncomingRequest(
                 discovery.REQUEST_CLASS,
                 name,
                 None,
@@ -217,8 +230,8 @@
                 call.id,
                 call.id,
             )
-            self.dispatcher.take(wanted, call.arrived, call, len(BODY_BASE64), done=call.done)
-            self.dispatcher.later(_nothing)
+            self.dispatcher.accept(wanted, call.arrived, call, len(BODY_BASE64), done=call.done)
+            self.dispatcher.defer(_nothing)
 
     def answered(self, sent: SentAttempt, line: bytes, met: Met) -> None:
         """An answer's line arrives."""
@@ -226,30 +239,34 @@
             return
         sent.open = False
         with self.meter.measure(Activity.SERVING):
-            word = lines.read(line, BODY)
-            heard = Heard(
-                lines.RESULTS[word.word],
-                lines.WARMTH.get(word.why, Warmth.UNKNOWN),
-                content=word.raw,
-                why=word.word,
-                copies=word.copies,
+            word = lines.parse_response(line, BODY_BYTES_LIMIT)
+            heard = UpstreamOutcome(
+                lines.RESULT_BY_WORD[word.word],
+                lines.WARMTH_BY_NOTE.get(word.note, Warmth.UNKNOWN),
+                response=word.body_base64,
+                reason=word.word,
+                replicas=word.replicas,
             )
-            sent.out.held.content.cold = met in (Met.BEGAN_LOAD, Met.WAITED_FOR_LOAD)
-            self.dispatcher.ended(sent.out, heard)
+            sent.out.request.content.cold = met in (Met.BEGAN_LOAD, Met.WAITED_FOR_LOAD)
+            self.dispatcher.attempt_ended(sent.out, heard)
 
     def expired(self, sent: SentAttempt) -> None:
         """No answer came in time."""
         if sent.open:
             sent.open = False
             with self.meter.measure(Activity.SERVING):
-                self.dispatcher.ended(sent.out, Heard(Result.NO_RESPONSE, why="no answer in time"))
+                self.dispatcher.attempt_ended(
+                    sent.out, UpstreamOutcome(Result.NO_RESPONSE, reason="no answer in time")
+                )
 
     def loaded(self, sent: SentLoad, line: bytes) -> None:
         """The answer to a load request arrives."""
         self.link.counts.load_received_bytes += len(line)
         with self.meter.measure(Activity.LOAD_REQUESTS):
-            word = lines.read(line, BODY)
-            sent.told(Heard(lines.RESULTS[word.word], why=word.word, copies=word.copies))
+            word = lines.parse_response(line, BODY_BYTES_LIMIT)
+            sent.told(
+                UpstreamOutcome(lines.RESULT_BY_WORD[word.word], reason=word.word, replicas=word.replicas)
+            )
 
 
 def _nothing() -> None:
--- a/benchmarks/scale/measure.py
+++ b/benchmarks/scale/measure.py
@@ -31,10 +31,10 @@
     resident_bytes,
 )
 from benchmarks.scale.workers import SECOND_NS
-from martenlead.lasting import knowledge
-from martenlead.lasting.store import Kind, pack
+from martenlead.durable_state import knowledge
+from martenlead.durable_state.store import StateKind, pack_state
 from martenlead.node import config
-from martenlead.node.serve import leave_out_of_collections
+from martenlead.node.serve import freeze_heap
 
 DELTAS = 6  # membership changes that are measured one by one
 AFTER_CHANGE_SECONDS = 1.0
@@ -82,7 +82,7 @@
             structlog.configure(**before)
 
 
-def configured(run: Run, number: int, listed: list[Member]) -> tuple[config.Config, int, float]:
+def configured(run: Run, number: int, listed: list[Member]) -> tuple[config.NodeConfig, int, float]:
     """A dispatcher's configuration, the size of its file in bytes, and the CPU ms of reading it."""
     name = f"dispatcher-{number:03d}"
     data = discovery.configuration(run.size, run.assumptions, name, run.seed * 1_000 + number, listed)
@@ -90,7 +90,7 @@
         path = Path(folder) / "configuration.json"
         path.write_bytes(data)
         began = thread_time_ns()
-        told = config.read(path)
+        told = config.read_config(path)
         return told, len(data), (thread_time_ns() - began) / 1e6
 
 
@@ -180,7 +180,7 @@
         self.costs["configuration_read_ms"] = read_ms
         self.costs["start_ms"] = read_ms + (thread_time_ns() - began) / 1e6
         self.costs["start_received_bytes"] = self.file_bytes
-        leave_out_of_collections()  # as the program does once the list is known
+        freeze_heap()  # as the program does once the list is known
 
     def traffic(self) -> None:
         meter, simulation = self.meter, self.simulation
@@ -208,7 +208,7 @@
             "policy_percent_core": sum(meter.steps.values()) / seconds / 1e7,
             "garbage_collection_percent_core": meter.collecting / seconds / 1e7,
             "longest_step_ms": meter.longest_step() / 1e6,
-            "longest_call_step_ms": meter.longest["take"] / 1e6,
+            "longest_call_step_ms": meter.longest["accept_request"] / 1e6,
             "longest_timer_step_ms": meter.longest["advance"] / 1e6,
             "control_sent_bytes_per_second": link.load_sent_bytes / seconds,
             "control_received_bytes_per_second": (
@@ -218,7 +218,7 @@
             "attempt_bytes_per_second": link.attempt_bytes / seconds,
             "load_requests_per_second": link.loads / seconds,
             "attempts_per_call": link.attempts / calls,
-            "functions_known": len(self.dispatcher.dispatcher.models),
+            "functions_known": len(self.dispatcher.dispatcher.functions_by_name),
             "replicas": sum(simulation.workers.replicas(simulation.now).values()),
             "share_of_functions_under_once_a_minute": simulation.popularity.share_below_once_a_minute(
                 self.size.calls_per_second
@@ -238,7 +238,7 @@
         self.simulation.sweep(list(range(self.size.functions)), seconds)
         self.simulation.run(seconds)
         found = footprint(self.dispatcher)
-        self.costs["all_functions_known"] = len(self.dispatcher.dispatcher.models)
+        self.costs["all_functions_known"] = len(self.dispatcher.dispatcher.functions_by_name)
         self.costs["all_functions_memory_bytes"] = sum(found.values())
         self.costs |= {f"all_functions_memory_{part.value}_bytes": size for part, size in found.items()}
 
@@ -246,20 +246,24 @@
         """What would be kept on disk of this dispatcher's knowledge; None where it cannot be read."""
         self.costs["state_bytes"] = self.costs["state_gather_ms"] = None
         real = self.dispatcher.dispatcher
-        boxes = {box.runner: (name, box.line.start, False) for name, box in real.boxes.items()}
-        names = {model: known.name for model, known in real.by_model.items()}
+        boxes = {
+            box.policy_worker: (name, box.endpoint.incarnation, False) for name, box in real.workers.items()
+        }
+        names = {model: known.name for model, known in real.by_policy_function.items()}
         began = thread_time_ns()
         try:
-            told = real.border.look(lambda policy, now: knowledge.gather(policy, now, names, boxes))
+            told = real.policy_boundary.inspect(
+                lambda policy, now: knowledge.gather_knowledge(policy, now, names, boxes)
+            )
         except (AttributeError, TypeError, KeyError):
             return
         self.costs["state_gather_ms"] = (thread_time_ns() - began) / 1e6
-        self.costs["state_bytes"] = len(pack(Kind("knowledge"), "scale", 1, EPOCH_NS, told))
+        self.costs["state_bytes"] = len(pack_state(StateKind("knowledge"), "scale", 1, EPOCH_NS, told))
 
     def membership_changes(self) -> None:
         """Workers are replaced one by one; then a second of traffic on the changed list."""
         self.simulation.measuring = False
-        version = self.dispatcher.source.list.version
+        version = self.dispatcher.source.endpoint_list.version
         spent, sizes = [], []
         for number in range(min(DELTAS, self.size.workers)):
             started = (self.simulation.now - SECOND_NS) // 1_000_000
@@ -284,7 +288,7 @@
 
     def zone_change(self) -> None:
         """All workers of one zone are gone, then all are back as new processes, each in one event."""
-        version = self.dispatcher.source.list.version
+        version = self.dispatcher.source.endpoint_list.version
         started = self.simulation.now // 1_000_000
         zone = [member for member in self.listed.values() if member.zone == 0]
         lost = [replace(member, state=WorkerState.GONE) for member in zone]
@@ -305,7 +309,7 @@
 
     def resynchronisation(self) -> None:
         """The whole list again, as it stands: nothing in it is new."""
-        version = self.dispatcher.source.list.version + 1
+        version = self.dispatcher.source.endpoint_list.version + 1
         data = discovery.frame(version, EventKind.SNAPSHOT, list(self.listed.values()))
         self.costs["resync_ms"] = self._heard(data) / 1e6
         self.costs["resync_bytes"] = len(data)
@@ -407,7 +411,7 @@
                 "file_bytes": measured.file_bytes,
                 "file_all_bytes": measured.file_bytes * dispatchers,
                 "read_ms": costs["configuration_read_ms"],
-                "settings_in_file": len(config.File.__struct_fields__),
+                "settings_in_file": len(config.ConfigFile.__struct_fields__),
                 "settings_in_force_at_reload": RUNTIME_SETTINGS,
                 "restart_ms": _cost(costs, "start_ms"),
                 "sent_bytes_per_second": measured.file_bytes * dispatchers * changes / SECONDS_PER_DAY,
--- a/benchmarks/scale/meter.py
+++ b/benchmarks/scale/meter.py
@@ -74,7 +74,7 @@
 
     def __getattr__(self, name: str) -> Any:
         method = getattr(self._border, name)
-        if name in ("due", "look") or not callable(method):
+        if name in ("next_due_ns", "inspect") or not callable(method):
             return method
         timed = self._timed(name, method)
         setattr(self, name, timed)
--- a/benchmarks/scale/pooled.py
+++ b/benchmarks/scale/pooled.py
@@ -27,17 +27,18 @@
 from benchmarks.scale.meter import Activity, Meter
 from benchmarks.scale.simulation import NEVER, Event, Simulation
 from benchmarks.scale.workers import Instance, Met
-from martenlead.edge.records import Held, Wanted
-from martenlead.node import config, rpc
-from martenlead.node.runners import Conn, RunnerLink
-from martenlead.node.serve import OWN
+from martenlead.edge.records import IncomingRequest, PendingRequest
+from martenlead.node import client_protocol as rpc
+from martenlead.node import config
+from martenlead.node.serve import RESERVED_DESCRIPTORS
+from martenlead.node.worker_client import UpstreamConnection, WorkerClient
 
 
 @dataclass(slots=True)
 class Written:
     """A line that was written to a worker."""
 
-    conn: Conn
+    conn: UpstreamConnection
     txn: str
     worker: int
     function: int
@@ -46,7 +47,7 @@
 class VirtualTransport:
     """What a connection writes to, once it is up."""
 
-    def __init__(self, link: PooledLink, conn: Conn) -> None:
+    def __init__(self, link: PooledLink, conn: UpstreamConnection) -> None:
         self.link, self.conn = link, conn
         self.closed = False
 
@@ -78,38 +79,41 @@
     def __init__(self, link: PooledLink) -> None:
         self.link = link
 
-    def start_soon(self, _connect: Callable[..., Any], conn: Conn) -> None:
-        conn.way.opened += 1
+    def start_soon(self, _connect: Callable[..., Any], conn: UpstreamConnection) -> None:
+        conn.pool.connections_opened += 1
         self.link.count_connection()
         self.link.connecting.append(conn)
 
 
-class PooledLink(RunnerLink):
+class PooledLink(WorkerClient):
     """The node's link; the simulation carries its lines and runs its time-outs."""
 
-    def __init__(self, told: config.Config, sockets: int, clock: Callable[[], int]) -> None:
+    def __init__(self, told: config.NodeConfig, sockets: int, clock: Callable[[], int]) -> None:
         """`sockets` is the dispatcher's limit on descriptors, shared out as the node does."""
-        soft = {name: offering.latency_objective_ns for name, offering in told.about.offerings.items()}
-        super().__init__(told.conn, max(16, sockets - OWN) // 2, soft, clock)
-        self._group: Any = ConnectionsWanted(self)
+        soft = {
+            name: offering.latency_objective_ns
+            for name, offering in told.dispatcher_settings.request_classes.items()
+        }
+        super().__init__(told.connection_settings, max(16, sockets - RESERVED_DESCRIPTORS) // 2, soft, clock)
+        self._task_group: Any = ConnectionsWanted(self)
         self.counts = LinkCounts()
-        self.connecting: list[Conn] = []
+        self.connecting: list[UpstreamConnection] = []
         self.connections_made = 0
         self.open_connections = self.most_connections = 0  # one that is given up as it comes up, until then
-        self.written: list[tuple[Conn, bytes]] = []
+        self.written: list[tuple[UpstreamConnection, bytes]] = []
         self.attempts: list[Written] = []
         self.loads: list[Written] = []
 
-    def _arm(self) -> None:
+    def _schedule_timeout(self) -> None:
         """The simulation asks for `due` after each event."""
 
     def due(self) -> int | None:
         """When the next time-out is."""
-        return self._heap[0][0] if self._heap else None
+        return self._timeouts[0][0] if self._timeouts else None
 
     def expire(self) -> None:
         """Runs the time-outs that are due."""
-        self._expire()
+        self._expire_calls()
 
     def count_connection(self) -> None:
         """One more is being made."""
@@ -122,7 +126,7 @@
         lines, self.written = self.written, []
         for conn, line in lines:
             told = msgspec.json.decode(line)
-            worker = int(IPv4Address(conn.way.host)) - discovery.FIRST_ADDRESS
+            worker = int(IPv4Address(conn.pool.host)) - discovery.FIRST_ADDRESS
             if told["m"] == "UNDO":
                 self.counts.cancels += 1
                 continue
@@ -139,14 +143,14 @@
 class PooledDispatcher(HollowDispatcher):
     """A hollow dispatcher with the node's link."""
 
-    def __init__(self, told: config.Config, clock: Callable[[], int], meter: Meter, sockets: int) -> None:
+    def __init__(self, told: config.NodeConfig, clock: Callable[[], int], meter: Meter, sockets: int) -> None:
         """`sockets` is its limit on descriptors."""
         self.sockets = sockets
         self.open_calls: dict[str, Call] = {}
         self.link_armed = NEVER  # when the simulation runs the link's time-outs next
         super().__init__(told, clock, meter)
 
-    def make_link(self, told: config.Config, clock: Callable[[], int]) -> Any:
+    def make_link(self, told: config.NodeConfig, clock: Callable[[], int]) -> Any:
         return PooledLink(told, self.sockets, clock)
 
     def take(self, call: Call) -> None:
@@ -154,7 +158,7 @@
         self.open_calls[call.id] = call
         done = call.done
 
-        def over(held: Held) -> None:
+        def over(held: PendingRequest) -> None:
             self.open_calls.pop(call.id, None)
             if done is not None:
                 done(held)
@@ -174,7 +178,7 @@
                 discovery.FUNCTION_MEMORY_MB,
                 BODY_BASE64,
             )
-            wanted = Wanted(
+            wanted = IncomingRequest(
                 discovery.REQUEST_CLASS,
                 name,
                 None,
@@ -186,10 +190,10 @@
                 call.id,
                 call.id,
             )
-            self.dispatcher.take(wanted, call.arrived, message, len(BODY_BASE64), done=over)
-            self.dispatcher.later(_nothing)
+            self.dispatcher.accept(wanted, call.arrived, message, len(BODY_BASE64), done=over)
+            self.dispatcher.defer(_nothing)
 
-    def connected(self, conn: Conn) -> None:
+    def connected(self, conn: UpstreamConnection) -> None:
         """The connection is up."""
         with self.meter.measure(Activity.SERVING):
             conn.connection_made(VirtualTransport(self.link, conn))
@@ -224,7 +228,7 @@
         if link.connecting:
             connecting, link.connecting = link.connecting, []
             for conn in connecting:
-                worker = int(IPv4Address(conn.way.host)) - discovery.FIRST_ADDRESS
+                worker = int(IPv4Address(conn.pool.host)) - discovery.FIRST_ADDRESS
                 self._push(self.now + self.workers.round_trip(number, worker), Event.CONNECTED, number, conn)
         link.sort_written()
         super()._after(number)
@@ -233,7 +237,7 @@
             dispatcher.link_armed = due
             self._push(max(due, self.now), Event.EXPIRES, number, due)
 
-    def _connected(self, number: int, conn: Conn) -> None:
+    def _connected(self, number: int, conn: UpstreamConnection) -> None:
         dispatcher: Any = self.dispatchers[number]
         dispatcher.connected(conn)
 
--- a/benchmarks/scale/production.py
+++ b/benchmarks/scale/production.py
@@ -30,12 +30,14 @@
 from benchmarks.scale.pooled import PooledDispatcher, PooledSimulation
 from benchmarks.scale.sizes import Assumptions, BadSize, FleetSize, resident_bytes
 from benchmarks.scale.workers import SECOND_NS
-from martenlead.edge.records import Final
-from martenlead.node.runners import SWEEP
+from martenlead.edge.records import FinalOutcome
+from martenlead.node.worker_client import SWEEP_INTERVAL_NS
 
 INSTANCES = 3_200  # of all workers together, so that the largest fleet has one a worker
 ZONES, REGIONS = 4, 1
-STEP_SECONDS = SWEEP / SECOND_NS  # between two looks of the link for idle connections, as in the node
+STEP_SECONDS = (
+    SWEEP_INTERVAL_NS / SECOND_NS
+)  # between two looks of the link for idle connections, as in the node
 REPLACED_FROM = 0.25  # of the time played
 REPLACED_SHARE = 0.5  # of the workers
 REPLACING_SECONDS = 7.0
@@ -201,7 +203,7 @@
         "descriptors": sum(d.link.most_connections for d in dispatchers) / count,
         "connections_made": sum(d.link.connections_made for d in dispatchers) / count,
         "list_bytes": sum(d.control.received_bytes for d in dispatchers) / count,
-        "share_served": finals[Final.SATISFIED.value] / max(1, simulation.outcomes.calls),
+        "share_served": finals[FinalOutcome.SUCCEEDED.value] / max(1, simulation.outcomes.calls),
     }
 
 
--- a/benchmarks/scale/quantities.py
+++ b/benchmarks/scale/quantities.py
@@ -9,8 +9,8 @@
 
 from benchmarks.scale.assumptions import BUDGET, HOUR_S, KB, MB, MINUTE_S, Setting
 from benchmarks.scale.sizes import SECONDS_PER_DAY
-from martenlead.node.roster import LONGEST_WAIT
-from martenlead.runnerlink import roster
+from martenlead.node.discovery import MAX_BACKOFF_SECONDS
+from martenlead.upstream import endpoints
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
 def json_line_bytes(_setting: Setting) -> float:
     """A typical line of the membership stream, as the program encodes it."""
-    line = roster.Line(
+    line = endpoints.Endpoint(
         "s-0001e2f0",
         "10.120.41.17",
         9000,
@@ -303,6 +303,6 @@
         "connects as it returns, journal's longest wait",
         "dispatchers / longest wait",
         "a second",
-        lambda s: s.size.dispatchers / LONGEST_WAIT,
+        lambda s: s.size.dispatchers / MAX_BACKOFF_SECONDS,
     ),
 )
--- a/benchmarks/scale/simulation.py
+++ b/benchmarks/scale/simulation.py
@@ -18,8 +18,8 @@
 from benchmarks.scale.popularity import Popularity, Rarity
 from benchmarks.scale.sizes import MAX_WORKERS, Assumptions, BadSize, FleetSize, check_memory_in_use
 from benchmarks.scale.workers import SECOND_NS, Instance, Met, WorkerFleet
-from martenlead.edge.records import Final, Held
-from martenlead.node.serve import leave_out_of_collections
+from martenlead.edge.records import FinalOutcome, PendingRequest
+from martenlead.node.serve import freeze_heap
 
 EPOCH_NS = 1_700_000_000 * SECOND_NS
 CHUNK = 4_096  # arrivals drawn at a time
@@ -178,7 +178,7 @@
             for load in sent_loads:
                 half = self.workers.round_trip(number, load.worker) // 2
                 self._push(self.now + half, Event.LOAD_ARRIVES, number, load)
-        due = dispatcher.dispatcher.border.due()
+        due = dispatcher.dispatcher.policy_boundary.next_due_ns()
         if due is not None and due < dispatcher.armed:
             dispatcher.armed = due
             self._push(max(due, self.now), Event.TIMERS, number, due)
@@ -196,14 +196,14 @@
         if drawn:
             self._next_arrival()
 
-    def _done(self, number: int, call: Call, held: Held, counted: bool) -> None:
+    def _done(self, number: int, call: Call, held: PendingRequest, counted: bool) -> None:
         dispatcher = self.dispatchers[number].dispatcher
-        held.content = held.answer = None
-        dispatcher.later(dispatcher.over, held)
-        if not counted or held.final is None:
+        held.content = held.response = None
+        dispatcher.defer(dispatcher.close, held)
+        if not counted or held.outcome is None:
             return
-        self.outcomes.finals[held.final.value] += 1
-        if held.final is Final.SATISFIED:
+        self.outcomes.finals[held.outcome.value] += 1
+        if held.outcome is FinalOutcome.SUCCEEDED:
             rarity = self.rarities[call.function]
             self.outcomes.succeeded[rarity] += 1
             if call.cold:
@@ -226,7 +226,7 @@
     def _answer_arrives(self, number: int, about: tuple[SentAttempt, Met]) -> None:
         sent, met = about
         word = b"WAIT" if met is Met.NO_ROOM else b"DONE"
-        txn = sent.out.held.content.id if sent.open else "late"
+        txn = sent.out.request.content.id if sent.open else "late"
         line = b'{"m":"%b","txn":"%b","props":{"why":"%b"},"raw":"eyJ5IjoxfQ=="}' % (
             word,
             txn.encode(),
@@ -256,7 +256,7 @@
 
     def _heartbeat(self, number: int, _about: None) -> None:
         dispatcher = self.dispatchers[number]
-        dispatcher.membership(frame(dispatcher.source.list.version, EventKind.HEARTBEAT, []))
+        dispatcher.membership(frame(dispatcher.source.endpoint_list.version, EventKind.HEARTBEAT, []))
         self._push(self.now + SECOND_NS, Event.HEARTBEAT, number, None)
 
 
@@ -265,4 +265,4 @@
     out of it once the list is known, which is for the caller to do."""
     gc.unfreeze()  # of an earlier run in this process
     gc.set_threshold(2_000, 5, 5)
-    leave_out_of_collections()
+    freeze_heap()
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -20,7 +20,7 @@
 from benchmarks.scale.records import Record, Role, record
 from benchmarks.scale.simulation import Simulation
 from benchmarks.scale.sizes import FleetSize, check_memory
-from martenlead.node.config import File
+from martenlead.node.config import ConfigFile
 
 HOURS_PER_DAY = 24
 
@@ -108,7 +108,7 @@
             "read_percent_core": spent / 3_600_000 * 100,
             "received_bytes_per_second": received / 3_600,
             "sent_bytes_per_second": received / 3_600 * run.size.dispatchers,
-            "settings_in_file": len(File.__struct_fields__),
+            "settings_in_file": len(ConfigFile.__struct_fields__),
             "settings_in_force_at_reload": RUNTIME_SETTINGS,
         },
         note="a changed file is read on SIGHUP, where only the journal's address comes into force",
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -24,7 +24,7 @@
 
 from martenlead.events import http
 from martenlead.events.client import Pool
-from martenlead.events.cloudevent import Event, read, write
+from martenlead.events.cloudevent import Event, decode_event, encode_event
 from martenlead.events.http import Message
 from martenlead.events.server import Reply, Server, ServerLimits, listen
 
@@ -79,8 +79,8 @@
             for _ in range(count):
                 listener, port = await listen("127.0.0.1", 0)
                 ports.append(port)
-                limits = ServerLimits(connections=30_000)
-                one = Server(handle, limits, bad=bad, crashed=lambda e: Reply(500, []))
+                limits = ServerLimits(max_connections=30_000)
+                one = Server(handle, limits, make_error_reply=bad, make_fault_reply=lambda e: Reply(500, []))
                 group.start_soon(one.serve, listener)
             print(json.dumps(ports), flush=True)
 
@@ -92,14 +92,14 @@
 @click.option("--reads", is_flag=True, help="reads each event, checks it and writes it anew")
 def relay(ports: tuple[int, ...], reads: bool) -> None:
     """Passes each task to the next runner, and its answer back."""
-    pools = [Pool("127.0.0.1", port, most=10_000) for port in ports]
+    pools = [Pool("127.0.0.1", port, connection_limit=10_000) for port in ports]
     turn = 0
 
     async def handle(message: Message, _now: int) -> Reply:
         nonlocal turn
         turn += 1
         if reads:
-            headers, body = write(read(message.headers, message.body))
+            headers, body = encode_event(decode_event(message.headers, message.body))
         else:
             drop = (b"host", b"content-length", b"connection")
             headers, body = [p for p in message.headers if p[0] not in drop], message.body
@@ -113,7 +113,9 @@
     async def serve() -> None:
         listener, port = await listen("127.0.0.1", 0)
         print(json.dumps([port]), flush=True)
-        await Server(handle, ServerLimits(), bad=bad, crashed=lambda e: Reply(500, [])).serve(listener)
+        await Server(
+            handle, ServerLimits(), make_error_reply=bad, make_fault_reply=lambda e: Reply(500, [])
+        ).serve(listener)
 
     anyio.run(serve, backend_options=UVLOOP)
 
@@ -126,7 +128,7 @@
 @click.argument("first", type=int)
 def load(port: int, seconds: float, loops: int, rate: float, first: int) -> None:
     """Closed loops, or with a rate an open one. Prints what came of it and the latencies, ms."""
-    pool = Pool("127.0.0.1", port, most=20_000, connect=20_000_000_000)
+    pool = Pool("127.0.0.1", port, connection_limit=20_000, connect_timeout_ns=20_000_000_000)
     statuses: dict[int, int] = {}
     lags: list[float] = []
     count = first
@@ -145,7 +147,7 @@
             "costms": 1,
             "timeleftms": 20_000,
         }
-        headers, body = write(Event(attributes, b'{"borrower": 1}', "application/json"))
+        headers, body = encode_event(Event(attributes, b'{"borrower": 1}', "application/json"))
         return http.request(b"POST", b"/", b"edge", headers, body)
 
     async def one() -> None:
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -12,26 +12,33 @@
 from typing import Any
 
 from benchmarks.door import jain
-from martenlead.admission import gate as module
-from martenlead.admission.gate import MS, SECOND, Account, Gate, Queue, Ticket
-from martenlead.admission.names import bucket
+from martenlead.admission import controller as module
+from martenlead.admission.controller import (
+    MS,
+    SECOND,
+    AdmissionController,
+    FunctionQueue,
+    QueuedRequest,
+    TenantAccount,
+)
+from martenlead.admission.heavy_hitters import hash_bucket
 from support import crowd
 from support.crowd import Crowd, Customer
 
 
-class Fifo(Gate):
+class Fifo(AdmissionController):
     """Who came first."""
 
-    def _firsts(self, full: set[str]) -> list[Ticket]:
+    def _firsts(self, full: set[str]) -> list[QueuedRequest]:
         found = []
         for account in self.accounts.values():
-            for model, line in account.lines.items():
+            for model, line in account.queues.items():
                 if model not in full:
-                    found += line.all()
+                    found += line.requests()
         return found
 
-    def _next(self, full: set[str]) -> Ticket | None:
-        return min(self._firsts(full), key=lambda t: t.came, default=None)
+    def _choose_next(self, full: set[str]) -> QueuedRequest | None:
+        return min(self._firsts(full), key=lambda t: t.arrived_ns, default=None)
 
 
 class Stochastic(Fifo):
@@ -41,15 +48,17 @@
         super().__init__(*args)
         self.turn: dict[int, float] = {}
 
-    def _flow(self, ticket: Ticket) -> int:
-        return bucket(f"{ticket.customer} {ticket.client}", 64, self.salt)
+    def _flow(self, ticket: QueuedRequest) -> int:
+        return hash_bucket(f"{ticket.tenant} {ticket.client_bucket}", 64, self.hash_salt)
 
-    def _next(self, full: set[str]) -> Ticket | None:
+    def _choose_next(self, full: set[str]) -> QueuedRequest | None:
         return min(
-            self._firsts(full), key=lambda t: (self.turn.get(self._flow(t), 0.0), t.came), default=None
+            self._firsts(full), key=lambda t: (self.turn.get(self._flow(t), 0.0), t.arrived_ns), default=None
         )
 
-    def _enter(self, ticket: Ticket, queue: Queue, account: Account, now: int, where: Any) -> None:
+    def _admit(
+        self, ticket: QueuedRequest, queue: FunctionQueue, account: TenantAccount, now: int, where: Any
+    ) -> None:
         flow = self._flow(ticket)
         self.turn[flow] = max(self.turn.get(flow, 0.0), min(self.turn.values(), default=0.0)) + 1
         super()._enter(ticket, queue, account, now, where)
@@ -63,30 +72,32 @@
         self.round: deque[str] = deque()
         self.deficit: dict[str, float] = {}
 
-    def _next(self, full: set[str]) -> Ticket | None:
-        firsts: dict[str, Ticket] = {}
+    def _choose_next(self, full: set[str]) -> QueuedRequest | None:
+        firsts: dict[str, QueuedRequest] = {}
         for ticket in self._firsts(full):
-            old = firsts.get(ticket.customer)
-            if old is None or ticket.came < old.came:
-                firsts[ticket.customer] = ticket
+            old = firsts.get(ticket.tenant)
+            if old is None or ticket.arrived_ns < old.arrived_ns:
+                firsts[ticket.tenant] = ticket
         for name in firsts:
             if name not in self.round:
                 self.round.append(name)
                 self.deficit[name] = 0.0
-        for name in [n for n in self.round if n not in firsts and not self.accounts[n].waiting]:
+        for name in [n for n in self.round if n not in firsts and not self.accounts[n].waiting_requests]:
             self.round.remove(name)
         for _ in range(1000 * len(self.round)) if firsts else ():
             name = self.round[0]
             ticket = firsts.get(name)
-            if ticket is not None and self.deficit[name] >= ticket.work:
+            if ticket is not None and self.deficit[name] >= ticket.work_seconds:
                 return ticket
             self.deficit[name] += 0.1 * self.accounts[name].weight if ticket is not None else 0.0
             self.round.rotate(-1)
         return None
 
-    def _enter(self, ticket: Ticket, queue: Queue, account: Account, now: int, where: Any) -> None:
-        if ticket.customer in self.deficit:
-            self.deficit[ticket.customer] -= ticket.work
+    def _admit(
+        self, ticket: QueuedRequest, queue: FunctionQueue, account: TenantAccount, now: int, where: Any
+    ) -> None:
+        if ticket.tenant in self.deficit:
+            self.deficit[ticket.tenant] -= ticket.work_seconds
         super()._enter(ticket, queue, account, now, where)
 
 
@@ -96,19 +107,21 @@
 
     above = 0
 
-    def _expected(self, ticket: Ticket, queue: Queue, account: Account, now: int) -> int:
+    def _estimate_wait_ns(
+        self, ticket: QueuedRequest, queue: FunctionQueue, account: TenantAccount, now: int
+    ) -> int:
         return 0
 
-    def _next(self, full: set[str]) -> Ticket | None:
+    def _choose_next(self, full: set[str]) -> QueuedRequest | None:
         now = self.clock()
         while (first := super()._next(full)) is not None:
-            if now - first.came < 100 * MS:
+            if now - first.arrived_ns < 100 * MS:
                 self.above = 0
                 return first
             self.above = self.above or now
             if now - self.above < 500 * MS:
                 return first
-            first.until = now - 1  # the sweep turns it back
+            first.start_by_ns = now - 1  # the sweep turns it back
             return first
         return None
 
@@ -116,8 +129,10 @@
 class Length(Fifo):
     """First come first, and a bound of 50 tasks alone."""
 
-    def _expected(self, ticket: Ticket, queue: Queue, account: Account, now: int) -> int:
-        return 0 if self.waiting < 50 else 100 * SECOND
+    def _estimate_wait_ns(
+        self, ticket: QueuedRequest, queue: FunctionQueue, account: TenantAccount, now: int
+    ) -> int:
+        return 0 if self.waiting_requests < 50 else 100 * SECOND
 
 
 SCENES: dict[str, tuple[list[Customer], dict[str, float]]] = {
@@ -135,14 +150,14 @@
 
 def main() -> None:
     for scene, (customers, weights) in SCENES.items():
-        for kind in (Gate, Deficit, Stochastic, Fifo, CoDel, Length):
+        for kind in (AdmissionController, Deficit, Stochastic, Fifo, CoDel, Length):
             crowd.Gate = kind  # type: ignore[misc]
             played = Crowd(10, customers, weights=weights)
             played.run(40)
             work = [played.work_in_time[c.name] / weights[c.name] for c in customers]
             told = {
                 "scene": scene,
-                "way": "as it is" if kind is module.Gate else kind.__name__,
+                "way": "as it is" if kind is module.AdmissionController else kind.__name__,
                 "work in time, of 10 a second": round(sum(played.work_in_time.values()) / 40, 2),
                 **{f"part of {c.name}'s in time": round(played.part(c.name), 3) for c in customers},
                 "Jain's index of work by weight": round(jain(work), 3),
--- a/martenlead/admission/names.py
+++ b/martenlead/admission/heavy_hitters.py
@@ -9,12 +9,12 @@
 import xxhash
 
 
-def bucket(name: str, buckets: int, salt: int) -> int:
+def hash_bucket(name: str, buckets: int, salt: int) -> int:
     """Where a name falls. The salt is a process's own: names cannot be chosen to meet another's bucket."""
     return xxhash.xxh3_64_intdigest(name.encode("utf-8", "replace"), salt) % buckets
 
 
-class Heavy:
+class HeavyHitters:
     def __init__(self, counters: int) -> None:
         self.counters = counters
         self.counts: dict[str, float] = {}
@@ -31,12 +31,12 @@
             least = min(counts, key=counts.__getitem__)
             counts[name] = counts.pop(least) + weight
 
-    def halve(self) -> None:
+    def decay(self) -> None:
         """What was long ago counts half."""
         self.total /= 2
         self.counts = {name: n / 2 for name, n in self.counts.items()}
 
-    def top(self, count: int) -> list[tuple[str, float]]:
+    def heaviest(self, count: int) -> list[tuple[str, float]]:
         """The heaviest, each with its part of all, at most."""
         ranked = sorted(self.counts.items(), key=lambda pair: (-pair[1], pair[0]))[:count]
         return [(name, n / self.total) for name, n in ranked] if self.total else []
--- a/martenlead/admission/token.py
+++ b/martenlead/admission/reservation_token.py
@@ -14,24 +14,24 @@
 import hmac
 from base64 import urlsafe_b64encode
 
-LONGEST = 80
-MOST_AHEAD_MS = 10 * 60 * 1000  # no door promises more; one that says so was made up or is from a wrong clock
+MAX_TOKEN_LENGTH = 80
+MAX_AHEAD_MS = 10 * 60 * 1000  # no door promises more; one that says so was made up or is from a wrong clock
 
 
-def give(secret: bytes, mark: tuple[str, str], since_ms: int, until_ms: int) -> str:
+def issue(secret: bytes, mark: tuple[str, str], since_ms: int, until_ms: int) -> str:
     """The token of a task that may come from `since_ms` to `until_ms`."""
     return f"1.{since_ms}.{until_ms}.{_mac(secret, mark, since_ms, until_ms)}"
 
 
-def take(secret: bytes, mark: tuple[str, str], token: str, now_ms: int) -> tuple[int, int] | None:
+def verify(secret: bytes, mark: tuple[str, str], token: str, now_ms: int) -> tuple[int, int] | None:
     """Since and until when; None for what no door with this secret gave to this task."""
     parts = token.split(".")
-    if len(token) > LONGEST or len(parts) != 4 or parts[0] != "1" or not token.isascii():
+    if len(token) > MAX_TOKEN_LENGTH or len(parts) != 4 or parts[0] != "1" or not token.isascii():
         return None
     if not (parts[1].isdigit() and parts[2].isdigit()):
         return None
     since, until = int(parts[1]), int(parts[2])
-    if not since <= until <= now_ms + MOST_AHEAD_MS:
+    if not since <= until <= now_ms + MAX_AHEAD_MS:
         return None
     good = hmac.compare_digest(parts[3].encode(), _mac(secret, mark, since, until).encode())
     return (since, until) if good else None
--- a/martenlead/benchlink/__init__.py
+++ b/martenlead/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: parses, turns ids into objects and seconds into nanoseconds, writes. Decides nothing."""
+"""Earlier name of the package `simulator_adapter`, kept for `python -m martenlead.benchlink`."""
--- a/martenlead/benchlink/__main__.py
+++ b/martenlead/benchlink/__main__.py
@@ -1,12 +1,5 @@
-"""The adapter's program. With `MARTENLEAD_CAPTURE` naming a folder, its instances are recorded there."""
+"""Starts the simulator's adapter under its earlier name."""
 
-import os
+import runpy
 
-from martenlead.benchlink.wire import Instance, main
-
-if folder := os.environ.get("MARTENLEAD_CAPTURE"):
-    from martenlead.capture.benchtape import capturing
-
-    main(capturing(folder, Instance))
-else:
-    main(Instance)
+runpy.run_module("martenlead.simulator_adapter", run_name="__main__")
--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -27,10 +27,10 @@
 import xxhash
 import zstandard
 
-from martenlead.capture.events import Input, Start
-from martenlead.capture.format import BadCapture
+from martenlead.capture.events import InputEvent, RunStarted
+from martenlead.capture.format import CaptureFormatError
+from martenlead.capture.recorder import DECISION_MODULES, policy_hash
 from martenlead.capture.replay_state import ReplayState
-from martenlead.capture.tape import DECISION_MODULES, module_hash
 from martenlead.policy import types
 from martenlead.policy.attempts import MARGIN_SHARE, Attempts
 from martenlead.policy.engine import Engine, Process
@@ -42,14 +42,14 @@
 MAGIC = b"mlcheckp\x01"
 
 
-class Checkpoint(Input, frozen=True, tag=12):
+class Checkpoint(InputEvent, frozen=True, tag=12):
     """In place of the events before it; stands in no segment but in a file of its own."""
 
-    module: str
+    policy_hash: str = msgspec.field(name="module")
     state: bytes
 
 
-class CannotWrite(Exception):
+class CheckpointError(Exception):
     """A generator stands where no checkpoint knows it."""
 
 
@@ -61,7 +61,7 @@
     lines, first = inspect.getsourcelines(function)
     found = [first + n for n, line in enumerate(lines) if text in line]
     if len(found) != 1:
-        raise CannotWrite(f"{function.__name__} has {len(found)} lines with {text!r}; one was expected")
+        raise CheckpointError(f"{function.__name__} has {len(found)} lines with {text!r}; one was expected")
     return found[0]
 
 
@@ -80,7 +80,7 @@
         return {"stand": "over"}
     stand = _stands().get(frame.f_lineno)
     if stand is None:
-        raise CannotWrite(f"a generator stands at line {frame.f_lineno} of the module")
+        raise CheckpointError(f"a generator stands at line {frame.f_lineno} of the module")
     local = frame.f_locals
     if stand in ("latest", "all"):
         return {"stand": stand, "task": local["request"], "last": local["last_ns"]}
@@ -214,13 +214,13 @@
             found = getattr(known, what, None)
             if name == known.__name__ and isinstance(found, type) and found.__module__ == name:
                 return found
-        raise BadCapture(f"a checkpoint holds {name}.{what}, which is none of ours")
+        raise CaptureFormatError(f"a checkpoint holds {name}.{what}, which is none of ours")
 
 
 def write(replayer: ReplayState) -> bytes:
     """The state between two events. Raises `CannotWrite`."""
-    if replayer.made:
-        raise CannotWrite("decisions have not been taken up yet")
+    if replayer.pending_decisions:
+        raise CheckpointError("decisions have not been taken up yet")
     engine = replayer.engine
     due = sorted((e for e in engine._due if Engine._waiting(e)), key=lambda e: e[:2])  # sorted, a heap again
     state = {
@@ -267,8 +267,8 @@
 
 def restore(replayer: ReplayState, checkpoint: Checkpoint) -> None:
     """Puts a replayer where the one was that wrote it. Raises `BadCapture`."""
-    if checkpoint.module != module_hash():
-        raise BadCapture("the checkpoint is of another version of the module")
+    if checkpoint.policy_hash != policy_hash():
+        raise CaptureFormatError("the checkpoint is of another version of the module")
     data = zstandard.ZstdDecompressor().decompress(checkpoint.state)
     state = _Unpickler(io.BytesIO(data)).load()
     policy = Policy.__new__(Policy)
@@ -284,7 +284,7 @@
         setattr(replayer, name, value)
     for name, value in state["tape"].items():
         setattr(replayer._tape, name, value)
-    replayer.start = msgspec.msgpack.decode(state["start"], type=Start)
+    replayer.start = msgspec.msgpack.decode(state["start"], type=RunStarted)
 
     def process(stub: Any) -> Process:
         if stub.process is None:
@@ -304,13 +304,13 @@
 # -- files
 
 
-def path_of(segment: Path) -> Path:
+def checkpoint_path(segment: Path) -> Path:
     """Where the state before a segment lies."""
     return segment.with_suffix(".ckpt")
 
 
 def save(path: Path, t: int, replayer: ReplayState) -> None:
-    body = msgspec.msgpack.encode((t, module_hash(), write(replayer)))
+    body = msgspec.msgpack.encode((t, policy_hash(), write(replayer)))
     remove_leftovers(path)
     replace_file(path, MAGIC + xxhash.xxh3_64_digest(body) + body)
 
@@ -320,9 +320,9 @@
     data = path.read_bytes()
     at = len(MAGIC)
     if not data.startswith(MAGIC) or xxhash.xxh3_64_digest(data[at + 8 :]) != data[at : at + 8]:
-        raise BadCapture(f"{path}: no checkpoint, or not with its checksum")
+        raise CaptureFormatError(f"{path}: no checkpoint, or not with its checksum")
     t, told, state = msgspec.msgpack.decode(data[at + 8 :], type=tuple[int, str, bytes])
     return Checkpoint(t, told, state)
 
 
-__all__ = ["CannotWrite", "Checkpoint", "load", "path_of", "restore", "save", "write"]
+__all__ = ["Checkpoint", "CheckpointError", "checkpoint_path", "load", "restore", "save", "write"]
--- a/martenlead/capture/events.py
+++ b/martenlead/capture/events.py
@@ -25,231 +25,238 @@
 )
 
 
-class Event(msgspec.Struct, array_like=True, tag_field="k", frozen=True):
+class CaptureEvent(msgspec.Struct, array_like=True, tag_field="k", frozen=True):
     """Anything that is written down."""
 
 
-class Input(Event, frozen=True):
-    t: int
+class InputEvent(CaptureEvent, frozen=True):
+    time_ns: int = msgspec.field(name="t")
 
 
-class Facts(msgspec.Struct, array_like=True, frozen=True):
+class PackedWorkerFacts(msgspec.Struct, array_like=True, frozen=True):
     """`RunnerFacts`; the mark in hexadecimal, since it may be longer than an integer of the format."""
 
     mark: str
     zone: str
     cell: int
-    memory: float
+    memory_mb: float = msgspec.field(name="memory")
     weight: float
     state: str
-    since: int
+    started_ns: int = msgspec.field(name="since")
 
 
-class Start(Input, frozen=True, tag=0):
-    wall: float  # s since 1970, of the same moment
+class RunStarted(InputEvent, frozen=True, tag=0):
+    wall_seconds: float = msgspec.field(name="wall")  # s since 1970, of the same moment
     edge: str
-    module: str  # hash of the decision module's text
-    program: str
-    python: str
+    policy_hash: str = msgspec.field(name="module")  # hash of the decision module's text
+    program_version: str = msgspec.field(name="program")
+    python_version: str = msgspec.field(name="python")
     seed: int
     settings: dict[str, Any]
-    offerings: list[str]
-    customers: list[tuple[str, float]]  # name, quota
+    request_classes: list[str] = msgspec.field(name="offerings")
+    tenants: list[tuple[str, float]] = msgspec.field(name="customers")  # name, quota
 
 
-class Begin(Input, frozen=True, tag=1):
+class EngineStarted(InputEvent, frozen=True, tag=1):
     pass
 
 
-class Tick(Input, frozen=True, tag=2):
-    tick: int
+class TickChanged(InputEvent, frozen=True, tag=2):
+    tick_ns: int = msgspec.field(name="tick")
 
 
-class NewRunner(Input, frozen=True, tag=3):
-    runner: int
+class WorkerAdded(InputEvent, frozen=True, tag=3):
+    worker: int = msgspec.field(name="runner")
     name: str
-    facts: Facts
+    facts: PackedWorkerFacts
 
 
-class NewModel(Input, frozen=True, tag=4):
-    model: int
+class FunctionAdded(InputEvent, frozen=True, tag=4):
+    function: int = msgspec.field(name="model")
     name: str
     mark: str
     lanes: int
-    memory: float
+    memory_mb: float = msgspec.field(name="memory")
 
 
-class Roster(Input, frozen=True, tag=5):
-    whole: bool
-    lines: list[tuple[int, Facts]]
+class WorkersUpdated(InputEvent, frozen=True, tag=5):
+    is_complete: bool = msgspec.field(name="whole")
+    workers: list[tuple[int, PackedWorkerFacts]] = msgspec.field(name="lines")
 
 
-class Take(Input, frozen=True, tag=6):
-    task: int
+class RequestAccepted(InputEvent, frozen=True, tag=6):
+    request: int = msgspec.field(name="task")
     name: str
-    model: int
-    offering: int
-    customer: int  # -1: none
-    give_up: int
-    again: bool
+    function: int = msgspec.field(name="model")
+    request_class: int = msgspec.field(name="offering")
+    tenant: int = msgspec.field(name="customer")  # -1: none
+    deadline_ns: int = msgspec.field(name="give_up")
+    is_retry: bool = msgspec.field(name="again")
     cost: float
 
 
-class Answered(Input, frozen=True, tag=7):
-    task: int
-    hand_off: int
+class AttemptEnded(InputEvent, frozen=True, tag=7):
+    request: int = msgspec.field(name="task")
+    attempt: int = msgspec.field(name="hand_off")
     result: str
-    final: bool
+    is_final: bool = msgspec.field(name="final")
     warmth: str
-    lag: int
+    latency_ns: int = msgspec.field(name="lag")
 
 
-class OrderEnded(Input, frozen=True, tag=8):
-    order: int
+class LoadEnded(InputEvent, frozen=True, tag=8):
+    load_request: int = msgspec.field(name="order")
     result: str
-    copies: int
+    replicas: int = msgspec.field(name="copies")
 
 
-class Closed(Input, frozen=True, tag=9):
-    task: int
-    final: str
+class RequestClosed(InputEvent, frozen=True, tag=9):
+    request: int = msgspec.field(name="task")
+    outcome: str = msgspec.field(name="final")
 
 
-class Advance(Input, frozen=True, tag=10):
+class Advance(InputEvent, frozen=True, tag=10):
     pass
 
 
-class Gap(Input, frozen=True, tag=11):
+class Gap(InputEvent, frozen=True, tag=11):
     """`dropped` events are missing between `t` and `until`: nothing behind it can be replayed."""
 
-    until: int
+    until_ns: int = msgspec.field(name="until")
     dropped: int
-    why: str
+    reason: str = msgspec.field(name="why")
 
 
-class Hold(Input, frozen=True, tag=13):
+class RetentionChanged(InputEvent, frozen=True, tag=13):
     """A planner's word: whether a copy is held."""
 
-    runner: int
-    model: int
-    held: bool
+    worker: int = msgspec.field(name="runner")
+    function: int = msgspec.field(name="model")
+    is_retained: bool = msgspec.field(name="held")
 
 
-class Carry(Input, frozen=True, tag=14):
+class LoadPlanned(InputEvent, frozen=True, tag=14):
     """A planner's order, by the planner's number; followed by `Ordered` if it may be given."""
 
-    plan: int
-    runner: int
-    model: int
+    plan_number: int = msgspec.field(name="plan")
+    worker: int = msgspec.field(name="runner")
+    function: int = msgspec.field(name="model")
 
 
-class Plans(Input, frozen=True, tag=15):
+class LoadRequestsAllowed(InputEvent, frozen=True, tag=15):
     """Whether the dispatcher decides on copies itself from here on."""
 
-    on: bool
+    is_allowed: bool = msgspec.field(name="on")
 
 
-class Recalled(Input, frozen=True, tag=16):
+class ReplicaConfirmed(InputEvent, frozen=True, tag=16):
     """The answer to an ask for a copy that was held in a life before; `touched`: when it was last used."""
 
-    runner: int
-    model: int
+    worker: int = msgspec.field(name="runner")
+    function: int = msgspec.field(name="model")
     result: str
-    copies: int
-    touched: int
+    replicas: int = msgspec.field(name="copies")
+    last_used_ns: int = msgspec.field(name="touched")
 
 
-class Room(Input, frozen=True, tag=17):
+class WorkerChoiceRequested(InputEvent, frozen=True, tag=17):
     """The door asks whether a task like this would be handed off now; asking draws from the module's
     chance."""
 
-    model: int
-    offering: int
-    spare: bool
+    function: int = msgspec.field(name="model")
+    request_class: int = msgspec.field(name="offering")
+    is_deferrable: bool = msgspec.field(name="spare")
     cost: float
 
 
-class Remembered(Input, frozen=True, tag=18):
+class KnowledgeRestored(InputEvent, frozen=True, tag=18):
     """What was kept of an earlier life. A model: number, bins, sum of lags, worth of these, tasks, span, gap,
     idle, worth of these; a runner: number, width, worth; ages of orders."""
 
-    rate: float
-    asked: float
-    worth: float
-    models: list[list[Any]]
-    runners: list[list[Any]]
-    orders: list[int]
+    succeeded_per_second: float = msgspec.field(name="rate")
+    new_requests_per_second: float = msgspec.field(name="asked")
+    weight: float = msgspec.field(name="worth")
+    functions: list[list[Any]] = msgspec.field(name="models")
+    workers: list[list[Any]] = msgspec.field(name="runners")
+    load_ages_ns: list[int] = msgspec.field(name="orders")
 
 
-class HandedOff(Event, frozen=True, tag=32):
-    task: int
-    hand_off: int
-    runner: int
-    patience: int
+class AttemptStarted(CaptureEvent, frozen=True, tag=32):
+    request: int = msgspec.field(name="task")
+    attempt: int = msgspec.field(name="hand_off")
+    worker: int = msgspec.field(name="runner")
+    timeout_ns: int = msgspec.field(name="patience")
 
 
-class TurnedBack(Event, frozen=True, tag=33):
-    task: int
-    wait: int
+class RequestRejected(CaptureEvent, frozen=True, tag=33):
+    request: int = msgspec.field(name="task")
+    retry_after_ns: int = msgspec.field(name="wait")
 
 
-class Scrapped(Event, frozen=True, tag=34):
-    task: int
+class RequestFailed(CaptureEvent, frozen=True, tag=34):
+    request: int = msgspec.field(name="task")
 
 
-class CalledOff(Event, frozen=True, tag=35):
-    task: int
-    hand_off: int
+class AttemptCancelled(CaptureEvent, frozen=True, tag=35):
+    request: int = msgspec.field(name="task")
+    attempt: int = msgspec.field(name="hand_off")
 
 
-class Ordered(Event, frozen=True, tag=36):
-    order: int
-    runner: int
-    model: int
-    copies: int
+class LoadRequested(CaptureEvent, frozen=True, tag=36):
+    load_request: int = msgspec.field(name="order")
+    worker: int = msgspec.field(name="runner")
+    function: int = msgspec.field(name="model")
+    replicas: int = msgspec.field(name="copies")
 
 
-class Asked(Event, frozen=True, tag=37):
+class WorkerListRequested(CaptureEvent, frozen=True, tag=37):
     pass
 
 
-Any_ = (
-    Start
-    | Begin
-    | Tick
-    | NewRunner
-    | NewModel
-    | Roster
-    | Take
-    | Answered
-    | OrderEnded
-    | Closed
+AnyEvent = (
+    RunStarted
+    | EngineStarted
+    | TickChanged
+    | WorkerAdded
+    | FunctionAdded
+    | WorkersUpdated
+    | RequestAccepted
+    | AttemptEnded
+    | LoadEnded
+    | RequestClosed
     | Advance
     | Gap
-    | Hold
-    | Carry
-    | Plans
-    | Recalled
-    | Room
-    | Remembered
-    | HandedOff
-    | TurnedBack
-    | Scrapped
-    | CalledOff
-    | Ordered
-    | Asked
+    | RetentionChanged
+    | LoadPlanned
+    | LoadRequestsAllowed
+    | ReplicaConfirmed
+    | WorkerChoiceRequested
+    | KnowledgeRestored
+    | AttemptStarted
+    | RequestRejected
+    | RequestFailed
+    | AttemptCancelled
+    | LoadRequested
+    | WorkerListRequested
+)
+DECISIONS = (
+    AttemptStarted,
+    RequestRejected,
+    RequestFailed,
+    AttemptCancelled,
+    LoadRequested,
+    WorkerListRequested,
 )
-DECISIONS = (HandedOff, TurnedBack, Scrapped, CalledOff, Ordered, Asked)
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(list[Any_]).decode
+decode = msgspec.msgpack.Decoder(list[AnyEvent]).decode
 
 
-def task_of(event: Event) -> int | None:
-    return getattr(event, "task", None)
+def request_number(event: CaptureEvent) -> int | None:
+    return getattr(event, "request", None)
 
 
-def pack_facts(facts: WorkerFacts) -> Facts:
-    return Facts(
+def pack_facts(facts: WorkerFacts) -> PackedWorkerFacts:
+    return PackedWorkerFacts(
         f"{facts.mark:x}",
         facts.zone,
         facts.cell,
@@ -260,13 +267,15 @@
     )
 
 
-def facts_of(packed: Facts) -> WorkerFacts:
+def unpack_facts(packed: PackedWorkerFacts) -> WorkerFacts:
     p = packed
-    return WorkerFacts(int(p.mark, 16), p.zone, p.cell, p.memory, p.weight, WorkerState(p.state), p.since)
+    return WorkerFacts(
+        int(p.mark, 16), p.zone, p.cell, p.memory_mb, p.weight, WorkerState(p.state), p.started_ns
+    )
 
 
-def model_facts(event: NewModel) -> FunctionFacts:
-    return FunctionFacts(int(event.mark, 16), event.lanes, event.memory)
+def unpack_function_facts(event: FunctionAdded) -> FunctionFacts:
+    return FunctionFacts(int(event.mark, 16), event.lanes, event.memory_mb)
 
 
 # by which captures store the policy's settings, and `replay --set` takes them
@@ -310,7 +319,7 @@
     return told
 
 
-def settings_of(told: dict[str, Any]) -> Settings:
+def unpack_settings(told: dict[str, Any]) -> Settings:
     """A field that this version does not have is passed over; one that the writer did not have is absent."""
     known = {SETTING_FIELDS[stored]: value for stored, value in told.items() if stored in SETTING_FIELDS}
     known["request_classes"] = [
@@ -321,5 +330,37 @@
     return Settings(**known)
 
 
-def customers_of(start: Start) -> list[Tenant]:
-    return [Tenant(quota) for _, quota in start.customers]
+def unpack_tenants(start: RunStarted) -> list[Tenant]:
+    return [Tenant(quota) for _, quota in start.tenants]
+
+
+KIND_NAMES: dict[type[CaptureEvent], str] = {
+    RunStarted: "Start",
+    EngineStarted: "Begin",
+    TickChanged: "Tick",
+    WorkerAdded: "NewRunner",
+    FunctionAdded: "NewModel",
+    WorkersUpdated: "Roster",
+    RequestAccepted: "Take",
+    AttemptEnded: "Answered",
+    LoadEnded: "OrderEnded",
+    RequestClosed: "Closed",
+    RetentionChanged: "Hold",
+    LoadPlanned: "Carry",
+    LoadRequestsAllowed: "Plans",
+    ReplicaConfirmed: "Recalled",
+    WorkerChoiceRequested: "Room",
+    KnowledgeRestored: "Remembered",
+    AttemptStarted: "HandedOff",
+    RequestRejected: "TurnedBack",
+    RequestFailed: "Scrapped",
+    AttemptCancelled: "CalledOff",
+    LoadRequested: "Ordered",
+    WorkerListRequested: "Asked",
+}
+"""The names of kinds that `capture show`, `stats` and `replay` print, where they are not the classes' own."""
+
+
+def kind_name(event: CaptureEvent) -> str:
+    """The documented name of an event's kind."""
+    return KIND_NAMES.get(type(event), type(event).__name__)
--- a/martenlead/capture/explain.py
+++ b/martenlead/capture/explain.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from martenlead.capture import events as ev
-from martenlead.capture.replay import Replayer, Unreplayable
+from martenlead.capture.replay import Replayer, ReplayError
 from martenlead.policy.types import Request
 
 MS = 1_000_000
-LOST = "lost with its dispatcher"
+LOST_WITH_DISPATCHER = "lost with its dispatcher"
 
 
-def explain_task(events: Iterable[ev.Event], wanted: str) -> list[str]:
+def explain_request(events: Iterable[ev.CaptureEvent], wanted: str) -> list[str]:
     """Lines on all tries of one task: what came, each decision, what was known of each runner just then.
 
     `wanted` is the event's id, its source and id with a blank between, or the task's number in the capture.
@@ -42,38 +42,38 @@
         replayer.policy.placement.choose_worker = told  # type: ignore[method-assign]
 
     for event in events:
-        if isinstance(event, ev.Start):
-            begun = event.t
-        if isinstance(event, ev.Take) and wanted in _names(event):
-            numbers.add(event.task)
-        number = ev.task_of(event)
-        if isinstance(event, ev.Input):
+        if isinstance(event, ev.RunStarted):
+            begun = event.time_ns
+        if isinstance(event, ev.RequestAccepted) and wanted in _names(event):
+            numbers.add(event.request)
+        number = ev.request_number(event)
+        if isinstance(event, ev.InputEvent):
             if number in numbers:
-                replayer.policy.state.now_ns = event.t
+                replayer.policy.state.now_ns = event.time_ns
                 say(_said(replayer, event))
             try:
-                if isinstance(event, ev.Take) and event.task in numbers:
+                if isinstance(event, ev.RequestAccepted) and event.request in numbers:
                     _feed_and_mark(replayer, event, mine)
                 else:
                     replayer.feed(event)
-                if isinstance(event, ev.Start):
+                if isinstance(event, ev.RunStarted):
                     listen()
-            except Unreplayable as error:
+            except ReplayError as error:
                 lines.append(f"(nothing further: {error})")
                 return lines
-            replayer.made.clear()
+            replayer.pending_decisions.clear()
         elif number in numbers:
             say(_said(replayer, event))
     return lines
 
 
-def _names(event: ev.Take) -> tuple[str, str, str]:
-    return event.name, event.name.rpartition(" ")[2], str(event.task)
+def _names(event: ev.RequestAccepted) -> tuple[str, str, str]:
+    return event.name, event.name.rpartition(" ")[2], str(event.request)
 
 
-def _feed_and_mark(replayer: Replayer, event: ev.Take, mine: set[Request]) -> None:
+def _feed_and_mark(replayer: Replayer, event: ev.RequestAccepted, mine: set[Request]) -> None:
     """The module decides while it takes the task: it has to be known as ours before that."""
-    number = event.task
+    number = event.request
 
     class Marking(dict[int, Request]):
         def __setitem__(self, key: int, task: Request) -> None:
@@ -87,30 +87,32 @@
     replayer.tasks = old
 
 
-def _said(replayer: Replayer, event: ev.Event) -> str:
+def _said(replayer: Replayer, event: ev.CaptureEvent) -> str:
     def runner(number: int) -> str:
         return replayer.names[replayer.runners[number]]
 
     match event:
-        case ev.Take(name=name, give_up=give_up, again=again):
-            left = (give_up - event.t) / MS
+        case ev.RequestAccepted(name=name, deadline_ns=give_up, is_retry=again):
+            left = (give_up - event.time_ns) / MS
             start = replayer.start
-            offering = start.offerings[event.offering] if start else "?"
-            model = replayer.names[replayer.models[event.model]]
-            return f"task {event.task} ({name}): {offering}, {model}, {left:.1f} ms left{', again' * again}"
-        case ev.HandedOff(hand_off=n, runner=number, patience=patience):
+            offering = start.request_classes[event.request_class] if start else "?"
+            model = replayer.names[replayer.models[event.function]]
+            return (
+                f"task {event.request} ({name}): {offering}, {model}, {left:.1f} ms left{', again' * again}"
+            )
+        case ev.AttemptStarted(attempt=n, worker=number, timeout_ns=patience):
             return f"hand-off {n} to {runner(number)}, for {patience / MS:.1f} ms at most"
-        case ev.Answered(hand_off=n, result=result, warmth=warmth, lag=lag):
+        case ev.AttemptEnded(attempt=n, result=result, warmth=warmth, latency_ns=lag):
             return f"hand-off {n} ended after {lag / MS:.1f} ms: {result}, copy {warmth}"
-        case ev.TurnedBack(wait=wait):
+        case ev.RequestRejected(retry_after_ns=wait):
             return f"turned back, to come again after {wait / MS:.0f} ms"
-        case ev.Scrapped():
+        case ev.RequestFailed():
             return "scrapped"
-        case ev.CalledOff(hand_off=n):
+        case ev.AttemptCancelled(attempt=n):
             return f"hand-off {n} is called off"
-        case ev.Closed(final=final):
+        case ev.RequestClosed(outcome=final):
             return f"over: {final or 'no answer'}"
-    return type(event).__name__
+    return ev.kind_name(event)
 
 
 def _known(replayer: Replayer, task: Request) -> list[str]:
@@ -148,64 +150,66 @@
 
 
 @dataclass
-class Books:
+class OutcomeSummary:
     """What became of the tasks of some runs. A task without an end was held when its dispatcher died."""
 
-    tasks: int = 0
-    finals: Counter[str] = field(default_factory=Counter)
+    requests: int = 0
+    outcomes: Counter[str] = field(default_factory=Counter)
     causes: Counter[tuple[str, str]] = field(default_factory=Counter)
-    names: dict[tuple[str, str], list[str]] = field(default_factory=lambda: defaultdict(list))
+    examples: dict[tuple[str, str], list[str]] = field(default_factory=lambda: defaultdict(list))
 
-    def table(self) -> list[str]:
-        finals = ", ".join(f"{n} {name}" for name, n in sorted(self.finals.items()))
-        lines = [f"tasks {self.tasks}: {finals}"]
+    def format_lines(self) -> list[str]:
+        outcomes = ", ".join(f"{n} {name}" for name, n in sorted(self.outcomes.items()))
+        lines = [f"tasks {self.requests}: {outcomes}"]
         for (final, cause), n in self.causes.most_common():
-            some = ", ".join(self.names[final, cause][:3])
+            some = ", ".join(self.examples[final, cause][:3])
             lines.append(f"{n:7} {final}: {cause} ({some})")
         return lines
 
 
-def books(events: Iterable[ev.Event], into: Books | None = None) -> Books:
+def summarize_outcomes(
+    events: Iterable[ev.CaptureEvent], into: OutcomeSummary | None = None
+) -> OutcomeSummary:
     """Groups what was not satisfied by its final answer and the ends of its hand-offs, in order."""
-    told = into or Books()
+    told = into or OutcomeSummary()
     open_: dict[int, tuple[str, list[str]]] = {}
     for event in events:
         match event:
-            case ev.Take(task=task, name=name):
-                told.tasks += 1
+            case ev.RequestAccepted(request=task, name=name):
+                told.requests += 1
                 open_[task] = name, []
-            case ev.Answered(task=task, hand_off=at, result=result) if task in open_:
+            case ev.AttemptEnded(request=task, attempt=at, result=result) if task in open_:
                 results = open_[task][1]
                 results[at] = result
-            case ev.HandedOff(task=task) if task in open_:
+            case ev.AttemptStarted(request=task) if task in open_:
                 open_[task][1].append("out")
-            case ev.Closed(task=task, final=final) if task in open_:
+            case ev.RequestClosed(request=task, outcome=final) if task in open_:
                 name, results = open_.pop(task)
                 _enter(told, final, name, results)
     for name, results in open_.values():
-        _enter(told, LOST, name, results)
+        _enter(told, LOST_WITH_DISPATCHER, name, results)
     return told
 
 
-def finals(events: Iterable[ev.Event]) -> dict[str, list[str]]:
+def list_outcomes(events: Iterable[ev.CaptureEvent]) -> dict[str, list[str]]:
     """The final answers of each task's tries in order, by the event's id."""
     told: dict[str, list[str]] = defaultdict(list)
     names: dict[int, tuple[str, int]] = {}
     for event in events:
         match event:
-            case ev.Take(task=task, name=name):
+            case ev.RequestAccepted(request=task, name=name):
                 ident = name.rpartition(" ")[2]
                 names[task] = ident, len(told[ident])
-                told[ident].append(LOST)
-            case ev.Closed(task=task, final=final) if task in names:
+                told[ident].append(LOST_WITH_DISPATCHER)
+            case ev.RequestClosed(request=task, outcome=final) if task in names:
                 ident, at = names.pop(task)
                 told[ident][at] = final
     return told
 
 
-def _enter(told: Books, final: str, name: str, results: list[str]) -> None:
-    told.finals[final] += 1
+def _enter(told: OutcomeSummary, final: str, name: str, results: list[str]) -> None:
+    told.outcomes[final] += 1
     if final != "satisfied":
         cause = final, ", then ".join(results) or "never handed off"
         told.causes[cause] += 1
-        told.names[cause].append(name)
+        told.examples[cause].append(name)
--- a/martenlead/capture/format.py
+++ b/martenlead/capture/format.py
@@ -15,146 +15,150 @@
 import xxhash
 import zstandard
 
-from martenlead.capture.events import Event, Input, decode, encode, task_of
+from martenlead.capture.events import CaptureEvent, InputEvent, decode, encode, request_number
 
 MAGIC = b"mlcaptur"
 VERSION = 1
 HEADER = struct.Struct("<8sHHIqq")  # magic, version, 0, segment, run (ns since 1970), first time
 FRAME = struct.Struct("<4sIIIqq")  # kind, bytes that follow, bytes raw, events, first time, last time
-SUM = struct.Struct("<Q")  # XXH3 of all before it in the header or frame
+CHECKSUM = struct.Struct("<Q")  # XXH3 of all before it in the header or frame
 EVENTS, INDEX = b"EVTS", b"INDX"
-LARGEST = 64 * 1024 * 1024
+MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 
-class BadCapture(Exception):
+class CaptureFormatError(Exception):
     """The bytes are no capture that can be read; says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class SegmentHeader:
     version: int
     segment: int
     run: int
-    first: int
+    first_time_ns: int
 
 
-class Entry(msgspec.Struct, array_like=True, frozen=True):
+class IndexEntry(msgspec.Struct, array_like=True, frozen=True):
     """A frame in the index: where it begins, its times, and the tasks that it tells of."""
 
-    at: int
-    first: int
-    last: int
-    tasks: list[int]
+    offset: int
+    first_time_ns: int
+    last_time_ns: int
+    requests: list[int]
 
 
 @dataclass(slots=True)
 class Frame:
-    at: int
+    offset: int
     kind: bytes
-    first: int
-    last: int
-    count: int
+    first_time_ns: int
+    last_time_ns: int
+    event_count: int
     payload: bytes
 
-    def events(self) -> list[Event]:
+    def events(self) -> list[CaptureEvent]:
         return list(decode(self.payload))
 
 
-def write_head(segment: int, run: int, first: int) -> bytes:
+def pack_header(segment: int, run: int, first: int) -> bytes:
     raw = HEADER.pack(MAGIC, VERSION, 0, segment, run, first)
-    return raw + SUM.pack(xxhash.xxh3_64_intdigest(raw))
+    return raw + CHECKSUM.pack(xxhash.xxh3_64_intdigest(raw))
 
 
-HEAD_SIZE = HEADER.size + SUM.size
+HEADER_BYTES = HEADER.size + CHECKSUM.size
 
 
-def read_head(data: bytes) -> Head:
+def unpack_header(data: bytes) -> SegmentHeader:
     """Raises `BadCapture`: no capture, a torn header, or a version that is newer than this program."""
-    if len(data) < HEAD_SIZE or data[:8] != MAGIC:
-        raise BadCapture("no capture: its first bytes are others")
-    raw, (told,) = data[: HEADER.size], SUM.unpack_from(data, HEADER.size)
+    if len(data) < HEADER_BYTES or data[:8] != MAGIC:
+        raise CaptureFormatError("no capture: its first bytes are others")
+    raw, (told,) = data[: HEADER.size], CHECKSUM.unpack_from(data, HEADER.size)
     _, version, _, segment, run, first = HEADER.unpack(raw)
     if version > VERSION:
-        raise BadCapture(f"written in version {version} of the format; this program reads up to {VERSION}")
+        raise CaptureFormatError(
+            f"written in version {version} of the format; this program reads up to {VERSION}"
+        )
     if xxhash.xxh3_64_intdigest(raw) != told:
-        raise BadCapture("its header does not have its checksum")
-    return Head(version, segment, run, first)
+        raise CaptureFormatError("its header does not have its checksum")
+    return SegmentHeader(version, segment, run, first)
 
 
-class Packer:
+class FrameEncoder:
     """Packs events into frames. Not for several threads at once."""
 
     def __init__(self, level: int = 3) -> None:
         self._compressor = zstandard.ZstdCompressor(level=level)
         self._last = 0
 
-    def events(self, events: Sequence[Event]) -> bytes:
-        times = [e.t for e in events if isinstance(e, Input)] or [self._last]
+    def pack_events(self, events: Sequence[CaptureEvent]) -> bytes:
+        times = [e.time_ns for e in events if isinstance(e, InputEvent)] or [self._last]
         self._last = times[-1]
         return self._frame(EVENTS, encode(events), len(events), min(times), max(times))
 
-    def index(self, entries: Sequence[Entry]) -> bytes:
-        times = (entries[0].first, entries[-1].last) if entries else (0, 0)
+    def pack_index(self, entries: Sequence[IndexEntry]) -> bytes:
+        times = (entries[0].first_time_ns, entries[-1].last_time_ns) if entries else (0, 0)
         return self._frame(INDEX, encode(entries), len(entries), *times)
 
     def _frame(self, kind: bytes, raw: bytes, count: int, first: int, last: int) -> bytes:
         packed = self._compressor.compress(raw)
         body = FRAME.pack(kind, len(packed), len(raw), count, first, last) + packed
-        return body + SUM.pack(xxhash.xxh3_64_intdigest(body))
+        return body + CHECKSUM.pack(xxhash.xxh3_64_intdigest(body))
 
 
-def entry(at: int, events: Sequence[Event]) -> Entry:
-    times = [e.t for e in events if isinstance(e, Input)] or [0]
-    return Entry(at, min(times), max(times), sorted({n for e in events if (n := task_of(e)) is not None}))
+def index_entry(at: int, events: Sequence[CaptureEvent]) -> IndexEntry:
+    times = [e.time_ns for e in events if isinstance(e, InputEvent)] or [0]
+    return IndexEntry(
+        at, min(times), max(times), sorted({n for e in events if (n := request_number(e)) is not None})
+    )
 
 
 def read_frame(data: memoryview, at: int) -> tuple[Frame, int] | None:
     """The frame that begins there and where the next one does; None where there is no whole one."""
-    if len(data) - at < FRAME.size + SUM.size:
+    if len(data) - at < FRAME.size + CHECKSUM.size:
         return None
     kind, size, raw, count, first, last = FRAME.unpack_from(data, at)
     end = at + FRAME.size + size
-    if kind not in (EVENTS, INDEX) or raw > LARGEST or end + SUM.size > len(data):
+    if kind not in (EVENTS, INDEX) or raw > MAX_FRAME_BYTES or end + CHECKSUM.size > len(data):
         return None
-    (told,) = SUM.unpack_from(data, end)
+    (told,) = CHECKSUM.unpack_from(data, end)
     if xxhash.xxh3_64_intdigest(data[at:end]) != told:
         return None
     try:
         payload = zstandard.ZstdDecompressor().decompress(data[at + FRAME.size : end], max_output_size=raw)
     except zstandard.ZstdError:
         return None
-    return Frame(at, kind, first, last, count, payload), end + SUM.size
+    return Frame(at, kind, first, last, count, payload), end + CHECKSUM.size
 
 
 class Segment:
     """The whole frames of one segment's bytes. `torn` is how many bytes at its end belong to none."""
 
     def __init__(self, data: bytes) -> None:
-        self.head = read_head(data)
+        self.header = unpack_header(data)
         self._data = memoryview(data)
-        self.torn = 0
-        self.closed = False
+        self.torn_bytes = 0
+        self.is_closed = False
 
     def frames(self) -> Iterator[Frame]:
-        at = HEAD_SIZE
+        at = HEADER_BYTES
         while at < len(self._data):
             found = read_frame(self._data, at)
             if found is None:
-                self.torn = len(self._data) - at
+                self.torn_bytes = len(self._data) - at
                 return
             frame, at = found
             if frame.kind == INDEX:
-                self.closed = True
+                self.is_closed = True
             else:
                 yield frame
 
-    def index(self) -> list[Entry]:
+    def index(self) -> list[IndexEntry]:
         """Its index; one that has none, as after a kill, is read through instead."""
-        entries: list[Entry] = []
-        at = HEAD_SIZE
+        entries: list[IndexEntry] = []
+        at = HEADER_BYTES
         while (found := read_frame(self._data, at)) is not None:
             frame, at = found
             if frame.kind == INDEX:
-                return msgspec.msgpack.decode(frame.payload, type=list[Entry])
-            entries.append(entry(frame.at, frame.events()))
+                return msgspec.msgpack.decode(frame.payload, type=list[IndexEntry])
+            entries.append(index_entry(frame.offset, frame.events()))
         return entries
--- a/martenlead/capture/tape.py
+++ b/martenlead/capture/recorder.py
@@ -49,7 +49,7 @@
 )
 from martenlead.system.clocks import wall_ns
 
-PROGRAM = "0.2.0"
+PROGRAM_VERSION = "0.2.0"
 DECISION_MODULES = (
     attempts,
     candidates,
@@ -70,14 +70,14 @@
 )
 
 
-def module_hash() -> str:
+def policy_hash() -> str:
     """Of the text of all modules that decide."""
     source = "".join(inspect.getsource(module) for module in DECISION_MODULES)
     return hashlib.sha256(source.encode()).hexdigest()[:16]
 
 
-class Tape:
-    def __init__(self, sink: Callable[[ev.Event], None], edge: str) -> None:
+class CaptureRecorder:
+    def __init__(self, sink: Callable[[ev.CaptureEvent], None], edge: str) -> None:
         self.sink, self.edge = sink, edge
         self._runners: dict[Any, int] = {}
         self._models: dict[Any, int] = {}
@@ -90,7 +90,7 @@
 
     # -- inputs
 
-    def start(
+    def begin_run(
         self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Tenant]
     ) -> None:
         self._offerings = {o: n for n, o in enumerate(settings.request_classes)}
@@ -99,50 +99,65 @@
         packed = ev.pack_settings(settings)
         python = platform.python_version()
         self.sink(
-            ev.Start(t, wall_ns() / 1e9, self.edge, module_hash(), PROGRAM, python, seed, packed, names, told)
+            ev.RunStarted(
+                t,
+                wall_ns() / 1e9,
+                self.edge,
+                policy_hash(),
+                PROGRAM_VERSION,
+                python,
+                seed,
+                packed,
+                names,
+                told,
+            )
         )
 
-    def begin(self, t: int) -> None:
-        self.sink(ev.Begin(t))
+    def start_engine(self, t: int) -> None:
+        self.sink(ev.EngineStarted(t))
 
-    def tick(self, t: int, tick: int) -> None:
-        self.sink(ev.Tick(t, tick))
+    def set_tick(self, t: int, tick: int) -> None:
+        self.sink(ev.TickChanged(t, tick))
 
-    def runner(self, t: int, runner: Any, facts: WorkerFacts, name: str) -> None:
+    def add_worker(self, t: int, runner: Any, facts: WorkerFacts, name: str) -> None:
         number = self._runners[runner] = len(self._runners)
-        self.sink(ev.NewRunner(t, number, name, ev.pack_facts(facts)))
+        self.sink(ev.WorkerAdded(t, number, name, ev.pack_facts(facts)))
 
-    def model(self, t: int, model: Any, facts: FunctionFacts, name: str) -> None:
+    def add_function(self, t: int, model: Any, facts: FunctionFacts, name: str) -> None:
         number = self._models[model] = len(self._models)
-        self.sink(ev.NewModel(t, number, name, f"{facts.mark:x}", facts.lanes, facts.memory_mb))
+        self.sink(ev.FunctionAdded(t, number, name, f"{facts.mark:x}", facts.lanes, facts.memory_mb))
 
-    def roster(self, t: int, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
-        self.sink(ev.Roster(t, whole, [(self._runners[r], ev.pack_facts(facts)) for r, facts in news]))
+    def update_workers(self, t: int, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
+        self.sink(
+            ev.WorkersUpdated(t, whole, [(self._runners[r], ev.pack_facts(facts)) for r, facts in news])
+        )
 
-    def take(self, t: int, task: Request, name: str) -> None:
+    def accept_request(self, t: int, task: Request, name: str) -> None:
         self._count += 1
         number = self._tasks[task] = self._count
         customer = -1 if task.tenant is None else self._customers[task.tenant]
         model, offering = self._models[task.function], self._offerings[task.request_class]
         self.sink(
-            ev.Take(t, number, name, model, offering, customer, task.deadline_ns, task.is_retry, task.cost)
+            ev.RequestAccepted(
+                t, number, name, model, offering, customer, task.deadline_ns, task.is_retry, task.cost
+            )
         )
 
-    def answered(self, t: int, answer: AttemptResult) -> None:
+    def record_result(self, t: int, answer: AttemptResult) -> None:
         task = answer.attempt.request
         number = self._tasks[task]
         at = task.attempts.index(answer.attempt)
         result, warmth = answer.result.value, answer.warmth.value
-        self.sink(ev.Answered(t, number, at, result, answer.is_final, warmth, answer.latency_ns))
+        self.sink(ev.AttemptEnded(t, number, at, result, answer.is_final, warmth, answer.latency_ns))
         if task in self._over and sum(h.result is None for h in task.attempts) == 1:  # this one
             self._over.discard(task)
             del self._tasks[task]
 
-    def ordered(self, t: int, order: LoadRequest, result: Result, copies: int) -> None:
-        self.sink(ev.OrderEnded(t, self._orders.pop(order), result.value, copies))
+    def record_load_end(self, t: int, order: LoadRequest, result: Result, copies: int) -> None:
+        self.sink(ev.LoadEnded(t, self._orders.pop(order), result.value, copies))
 
-    def closed(self, t: int, task: Request, final: str) -> None:
-        self.sink(ev.Closed(t, self._tasks[task], final))
+    def close_request(self, t: int, task: Request, final: str) -> None:
+        self.sink(ev.RequestClosed(t, self._tasks[task], final))
         if any(h.result is None for h in task.attempts):
             self._over.add(task)
         else:
@@ -151,24 +166,26 @@
     def advance(self, t: int) -> None:
         self.sink(ev.Advance(t))
 
-    def hold(self, t: int, runner: Any, model: Any, held: bool) -> None:
-        self.sink(ev.Hold(t, self._runners[runner], self._models[model], held))
+    def set_retained(self, t: int, runner: Any, model: Any, held: bool) -> None:
+        self.sink(ev.RetentionChanged(t, self._runners[runner], self._models[model], held))
 
-    def carry(self, t: int, plan: int, runner: Any, model: Any) -> None:
-        self.sink(ev.Carry(t, plan, self._runners[runner], self._models[model]))
+    def request_load(self, t: int, plan: int, runner: Any, model: Any) -> None:
+        self.sink(ev.LoadPlanned(t, plan, self._runners[runner], self._models[model]))
 
-    def plans(self, t: int, on: bool) -> None:
-        self.sink(ev.Plans(t, on))
+    def allow_load_requests(self, t: int, on: bool) -> None:
+        self.sink(ev.LoadRequestsAllowed(t, on))
 
-    def recalled(self, t: int, runner: Any, model: Any, result: Result, copies: int, touched: int) -> None:
+    def confirm_replica(
+        self, t: int, runner: Any, model: Any, result: Result, copies: int, touched: int
+    ) -> None:
         told = self._runners[runner], self._models[model]
-        self.sink(ev.Recalled(t, *told, result.value, copies, touched))
+        self.sink(ev.ReplicaConfirmed(t, *told, result.value, copies, touched))
 
-    def room(self, t: int, task: Request) -> None:
+    def choose_worker(self, t: int, task: Request) -> None:
         model, offering = self._models[task.function], self._offerings[task.request_class]
-        self.sink(ev.Room(t, model, offering, task.is_deferrable, task.cost))
+        self.sink(ev.WorkerChoiceRequested(t, model, offering, task.is_deferrable, task.cost))
 
-    def remembered(self, t: int, past: EarlierRun) -> None:
+    def restore(self, t: int, past: EarlierRun) -> None:
         models = [
             [
                 self._models[m.function],
@@ -192,43 +209,43 @@
             runners,
             past.load_ages_ns,
         )
-        self.sink(ev.Remembered(t, *told))
+        self.sink(ev.KnowledgeRestored(t, *told))
 
     # -- the numbers that stand for objects
 
     @property
-    def runners(self) -> dict[Any, int]:
+    def worker_numbers(self) -> dict[Any, int]:
         return self._runners
 
     @property
-    def models(self) -> dict[Any, int]:
+    def function_numbers(self) -> dict[Any, int]:
         return self._models
 
     @property
-    def tasks(self) -> dict[Request, int]:
+    def request_numbers(self) -> dict[Request, int]:
         return self._tasks
 
     @property
-    def customers(self) -> dict[Any, int]:
+    def tenant_numbers(self) -> dict[Any, int]:
         return self._customers
 
     # -- decisions
 
-    def decided(self, action: Action) -> None:
+    def record_action(self, action: Action) -> None:
         match action:
             case Attempt(request=task, worker=runner, timeout_ns=patience):
                 at = len(task.attempts) - 1
-                self.sink(ev.HandedOff(self._tasks[task], at, self._runners[runner], patience))
+                self.sink(ev.AttemptStarted(self._tasks[task], at, self._runners[runner], patience))
             case Reject(request=task, retry_after_ns=wait):
-                self.sink(ev.TurnedBack(self._tasks[task], wait))
+                self.sink(ev.RequestRejected(self._tasks[task], wait))
             case Fail(request=task):
-                self.sink(ev.Scrapped(self._tasks[task]))
+                self.sink(ev.RequestFailed(self._tasks[task]))
             case Cancel(attempt=hand_off):
                 task = hand_off.request
-                self.sink(ev.CalledOff(self._tasks[task], task.attempts.index(hand_off)))
+                self.sink(ev.AttemptCancelled(self._tasks[task], task.attempts.index(hand_off)))
             case LoadRequest(worker=runner, function=model, replicas=copies):
                 self._ordered += 1
                 number = self._orders[action] = self._ordered
-                self.sink(ev.Ordered(number, self._runners[runner], self._models[model], copies))
+                self.sink(ev.LoadRequested(number, self._runners[runner], self._models[model], copies))
             case ListWorkers():
-                self.sink(ev.Asked())
+                self.sink(ev.WorkerListRequested())
--- a/martenlead/capture/replay_state.py
+++ b/martenlead/capture/replay_state.py
@@ -9,8 +9,8 @@
 from collections import deque
 from typing import Any, Protocol
 
-from martenlead.capture.events import Event, Start
-from martenlead.capture.tape import Tape
+from martenlead.capture.events import CaptureEvent, RunStarted
+from martenlead.capture.recorder import CaptureRecorder
 from martenlead.policy.engine import Engine
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import Action, LoadRequest, Request, Settings
@@ -22,8 +22,8 @@
     The names of the attributes are part of the checkpoint's format: `checkpoint.write` stores some by name.
     """
 
-    made: deque[Event]  # decisions that have not been compared yet
-    start: Start | None
+    pending_decisions: deque[CaptureEvent]  # decisions that have not been compared yet
+    start: RunStarted | None
     policy: Policy
     engine: Engine
     runners: list[Any]
@@ -31,7 +31,7 @@
     tasks: dict[int, Request]
     orders: dict[int, LoadRequest]
     names: dict[Any, str]
-    _tape: Tape
+    _tape: CaptureRecorder
     _settings: Settings
 
     def _outlet(self, action: Action) -> None:
--- a/martenlead/capture/benchtape.py
+++ b/martenlead/capture/simulator_recorder.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol, TypeVar
 
-from martenlead.capture.store import Store, StoreSettings
-from martenlead.capture.tape import Tape
+from martenlead.capture.recorder import CaptureRecorder
+from martenlead.capture.writer import CaptureSettings, CaptureWriter
 from martenlead.policy.engine import Engine
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
@@ -31,8 +31,8 @@
     """The decoded settings of a dispatcher. Request classes and tenants are by name, in their order."""
 
     settings: Settings
-    offerings: dict[str, RequestClass]
-    customers: dict[str, Tenant]
+    request_classes: dict[str, RequestClass]
+    tenants: dict[str, Tenant]
 
 
 class RecordableInstance(Protocol):
@@ -40,13 +40,13 @@
 
     policy: Policy
     engine: Engine
-    task_ids: dict[Request, str]
+    request_ids: dict[Request, str]
 
     @property
     def profile(self) -> DispatcherProfile:
         """What the dispatcher was begun with."""
 
-    def act(self, action: Action) -> None:
+    def carry_out(self, action: Action) -> None:
         """Carries out what the policy decided."""
 
 
@@ -56,55 +56,55 @@
 InstanceFactory = Callable[[int, dict[str, Any], int, list[dict[str, Any]]], InstanceT]
 
 
-class _Tapped:
+class _RecordedInstance:
     """Stands for the instance's policy and engine, and writes down each call before it passes it on."""
 
-    def __init__(self, instance: RecordableInstance, tape: Tape) -> None:
-        self._instance, self._tape = instance, tape
+    def __init__(self, instance: RecordableInstance, tape: CaptureRecorder) -> None:
+        self._instance, self._recorder = instance, tape
         self._policy, self._engine = instance.policy, instance.engine
         self.state = self._policy.state  # the adapter sets its clock
-        self._engine.outlet = self._outlet
+        self._engine.outlet = self._carry_out
 
     @property
     def _now(self) -> int:
         return self.state.now_ns
 
-    def _outlet(self, action: Action) -> None:
-        self._tape.decided(action)
-        self._instance.act(action)
+    def _carry_out(self, action: Action) -> None:
+        self._recorder.record_action(action)
+        self._instance.carry_out(action)
 
     def new_worker(self, facts: WorkerFacts) -> Any:
         runner = self._policy.new_worker(facts)
-        self._tape.runner(self._now, runner, facts, f"{facts.mark:x}")
+        self._recorder.add_worker(self._now, runner, facts, f"{facts.mark:x}")
         return runner
 
     def new_function(self, facts: FunctionFacts) -> Any:
         model = self._policy.new_function(facts)
-        self._tape.model(self._now, model, facts, f"{facts.mark:x}")
+        self._recorder.add_function(self._now, model, facts, f"{facts.mark:x}")
         return model
 
     def update_workers(self, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
-        self._tape.roster(self._now, news, whole)
+        self._recorder.update_workers(self._now, news, whole)
         self._policy.update_workers(news, whole)
 
     def start(self) -> None:
-        self._tape.begin(self._now)
+        self._recorder.start_engine(self._now)
         self._engine.start()
 
     def handle_request(self, task: Request) -> None:
-        self._tape.take(self._now, task, self._instance.task_ids[task])
+        self._recorder.accept_request(self._now, task, self._instance.request_ids[task])
         self._engine.handle_request(task)
 
     def record_result(self, answer: AttemptResult) -> None:
-        self._tape.answered(self._now, answer)
+        self._recorder.record_result(self._now, answer)
         self._engine.record_result(answer)
 
     def record_load_end(self, order: LoadRequest, result: Result, copies: int) -> None:
-        self._tape.ordered(self._now, order, result, copies)
+        self._recorder.record_load_end(self._now, order, result, copies)
         self._engine.record_load_end(order, result, copies)
 
     def close_request(self, task: Request) -> None:
-        self._tape.closed(self._now, task, "closed")
+        self._recorder.close_request(self._now, task, "closed")
         self._engine.close_request(task)
 
     def next_due_ns(self) -> int | None:
@@ -113,16 +113,16 @@
     def advance(self, now: int) -> None:
         due = self._engine.next_due_ns()
         if due is not None and due <= now:
-            self._tape.advance(now)
+            self._recorder.advance(now)
             self._engine.advance(now)
 
 
-def capturing(folder: str, create: InstanceFactory[InstanceT]) -> InstanceFactory[InstanceT]:
+def record_instances(folder: str, create: InstanceFactory[InstanceT]) -> InstanceFactory[InstanceT]:
     """Makes instances that capture into a folder; each life of each instance is a run of its own.
 
     `create` makes the instance that is recorded.
     """
-    stores: dict[int, Store] = {}
+    stores: dict[int, CaptureWriter] = {}
 
     def close() -> None:
         for store in stores.values():
@@ -134,13 +134,13 @@
         if number in stores:
             stores[number].close()
         # a bench day has no clock to keep up with: the queue holds what the day brings
-        settings = StoreSettings(folder=folder, queue=10_000_000, checkpoints=False)
-        store = stores[number] = Store(settings, f"instance{number}", lambda *_: None)
+        settings = CaptureSettings(folder=folder, queue=10_000_000, checkpoints=False)
+        store = stores[number] = CaptureWriter(settings, f"instance{number}", lambda *_: None)
         instance = create(number, event, now, out)
-        tape = Tape(store.put, f"instance{number}")
+        tape = CaptureRecorder(store.put, f"instance{number}")
         profile = instance.profile
-        tape.start(now, profile.settings, event["seed"], list(profile.offerings), profile.customers)
-        tapped: Any = _Tapped(instance, tape)
+        tape.begin_run(now, profile.settings, event["seed"], list(profile.request_classes), profile.tenants)
+        tapped: Any = _RecordedInstance(instance, tape)
         instance.policy = instance.engine = tapped
         return instance
 
--- a/martenlead/capture/store.py
+++ b/martenlead/capture/writer.py
@@ -28,9 +28,17 @@
 import anyio
 import msgspec
 
-from martenlead.capture.checkpoint import Checkpoint, load, path_of
-from martenlead.capture.events import Event, Gap, Input
-from martenlead.capture.format import HEAD_SIZE, BadCapture, Entry, Packer, Segment, entry, write_head
+from martenlead.capture.checkpoint import Checkpoint, checkpoint_path, load
+from martenlead.capture.events import CaptureEvent, Gap, InputEvent
+from martenlead.capture.format import (
+    HEADER_BYTES,
+    CaptureFormatError,
+    FrameEncoder,
+    IndexEntry,
+    Segment,
+    index_entry,
+    pack_header,
+)
 from martenlead.system import clocks
 from martenlead.system.durable_file import Backoff, remove_leftovers, sync_folder, write_all
 
@@ -41,7 +49,7 @@
 CHILD_S = 600.0  # the longest that a checkpoint may take
 
 
-class StoreSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
+class CaptureSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
     folder: str
     segment_bytes: int = 16 * 1024 * 1024
     segment_s: float = 600
@@ -52,24 +60,24 @@
     checkpoints: bool = True  # made in a process of its own before a segment goes, so that the rest replays
 
 
-class HasCounts(Protocol):
+class CounterOwner(Protocol):
     """What has the counters that operators see."""
 
     @property
     def counts(self) -> Counter[tuple[str, str]]: ...
 
 
-class Busy(Exception):
+class AlreadyLockedError(Exception):
     """Another process writes under this name."""
 
 
-class Store:
+class CaptureWriter:
     """`put` is for the event loop and never waits; a thread of its own packs and writes."""
 
-    def __init__(self, settings: StoreSettings, name: str, tell: Callable[[str, str], None]) -> None:
+    def __init__(self, settings: CaptureSettings, name: str, tell: Callable[[str, str], None]) -> None:
         """Raises `Busy` where another process writes under that name. A folder that cannot be used is tried
         again by the thread."""
-        self.settings, self.name, self._tell = settings, re.sub(r"[^\w.]", "_", name), tell
+        self.settings, self.name, self._log = settings, re.sub(r"[^\w.]", "_", name), tell
         self.folder = Path(settings.folder)
         self._lock: int | None = None
         self.run = 0  # until the folder is taken
@@ -83,12 +91,12 @@
             self._begin_trouble(error)
         self.segment = 0
         self.dropped = self.written = self.bytes = 0
-        self._queue: deque[Event] = deque()
+        self._queue: deque[CaptureEvent] = deque()
         self._lost: tuple[int, int, int] | None = None  # first, last, count of what did not fit
         self.unsynced = 0  # events in segments whose sync has failed: they may be on the disk or not
         self._failed = 0  # the thread's: events that the disk did not take
         self._failed_at = 0
-        self._packer = Packer()
+        self._packer = FrameEncoder()
         self._file: int | None = None
         self._path = self.folder  # of the segment that was begun last
         self._uncounted: tuple[Path, int] | None = None  # where events begin that count as lost
@@ -97,7 +105,7 @@
         self._size = 0
         self._opened = 0.0
         self._events = 0  # in the segment
-        self._entries: list[Entry] = []
+        self._entries: list[IndexEntry] = []
         self._child: subprocess.Popen[bytes] | None = None
         self._child_for: Path | None = None
         self._child_since = 0.0
@@ -115,7 +123,7 @@
         )
         return max(clocks.wall_ns(), latest + 1)
 
-    def put(self, event: Event) -> None:
+    def put(self, event: CaptureEvent) -> None:
         queue = self._queue
         if len(queue) < self.settings.queue:
             if self._lost is not None:
@@ -124,7 +132,7 @@
                 queue.append(Gap(first, last, count, "the queue to the disk was full"))
             queue.append(event)
             return
-        t = event.t if isinstance(event, Input) else self._lost[1] if self._lost else 0
+        t = event.time_ns if isinstance(event, InputEvent) else self._lost[1] if self._lost else 0
         first, _, count = self._lost or (t, t, 0)
         self._lost = first, t, count + 1
         self.dropped += 1
@@ -137,7 +145,7 @@
             os.close(self._lock)
             self._lock = None
 
-    async def report(self, dispatcher: HasCounts) -> None:
+    async def publish_counters(self, dispatcher: CounterOwner) -> None:
         """Copies the counters to where operators see them, as long as the dispatcher runs."""
         while True:
             for name in ("written", "dropped", "unsynced", "failures", "recoveries"):
@@ -160,12 +168,12 @@
 
     def _write(self) -> bool:
         """Whether the disk took a batch. One that it did not take is lost, and counted."""
-        batch: list[Event] = []
+        batch: list[CaptureEvent] = []
         while self._queue and len(batch) < BATCH:
             batch.append(self._queue.popleft())
         try:
             self._put_down([*self._gap_before(batch), *batch])
-        except (OSError, Busy) as error:
+        except (OSError, AlreadyLockedError) as error:
             if self.written:
                 self._lose(batch)
             else:  # a run whose beginning is missing cannot be replayed
@@ -180,7 +188,7 @@
             self._finish()
         return True
 
-    def _put_down(self, events: list[Event]) -> None:
+    def _put_down(self, events: list[CaptureEvent]) -> None:
         """One frame, in a segment that is begun if need be. Raises OSError and `Busy`; then none of it stands
         in the file, as far as the disk still takes orders."""
         if self._lock is None:
@@ -189,7 +197,7 @@
             self._open(events)
         assert self._file is not None
         at = self._size
-        self._append(self._packer.events(events))
+        self._append(self._packer.pack_events(events))
         try:
             if self.settings.sync == "flush":
                 os.fsync(self._file)
@@ -199,21 +207,21 @@
         if not self._entries:
             self.segment += 1
             self._empty = None
-        self._entries.append(entry(at, events))
+        self._entries.append(index_entry(at, events))
         self._events += len(events)
 
     # -- trouble with the disk
 
-    def _gap_before(self, batch: list[Event]) -> list[Event]:
+    def _gap_before(self, batch: list[CaptureEvent]) -> list[CaptureEvent]:
         if not self._failed:
             return []
-        t = next((e.t for e in batch if isinstance(e, Input)), self._failed_at)
+        t = next((e.time_ns for e in batch if isinstance(e, InputEvent)), self._failed_at)
         return [Gap(self._failed_at or t, t, self._failed, "the disk did not take it")]
 
-    def _lose(self, batch: list[Event]) -> None:
+    def _lose(self, batch: list[CaptureEvent]) -> None:
         """Counts events that are in no file; a `Gap` among them stands for those that `put` has counted."""
         if batch and not self._failed:
-            self._failed_at = next((e.t for e in batch if isinstance(e, Input)), 0)
+            self._failed_at = next((e.time_ns for e in batch if isinstance(e, InputEvent)), 0)
         self._failed += sum(e.dropped if isinstance(e, Gap) else 1 for e in batch)
         self.dropped += sum(not isinstance(e, Gap) for e in batch)
 
@@ -223,13 +231,13 @@
         self._next_attempt = now + self._backoff.next_seconds()
         if self._failing_since is None:
             self._failing_since = now
-            self._tell("the capture is not written", str(error))
+            self._log("the capture is not written", str(error))
 
     def _end_trouble(self) -> None:
         if self._failing_since is None:
             return
         seconds = time.monotonic() - self._failing_since
-        self._tell("capture_resumed", f"{self._failed} events were lost in {seconds:.1f} s")
+        self._log("capture_resumed", f"{self._failed} events were lost in {seconds:.1f} s")
         self._failing_since, self._next_attempt, self._failed = None, 0.0, 0
         self._backoff.reset()
         self.recoveries += 1
@@ -245,21 +253,23 @@
             self.run = self._new_run()
         except BlockingIOError:
             os.close(lock)
-            raise Busy(f"{self.folder}: another dispatcher named {self.name} writes there") from None
+            raise AlreadyLockedError(
+                f"{self.folder}: another dispatcher named {self.name} writes there"
+            ) from None
         except OSError:
             os.close(lock)
             raise
         self._lock = lock
 
-    def _open(self, events: list[Event]) -> None:
+    def _open(self, events: list[CaptureEvent]) -> None:
         """Begins a segment, once what failed attempts have left behind is gone."""
         self._clean_up()
         self._path = self.folder / f"{self.name}-{self.run:019d}-{self.segment:06d}.mlc"
         self._file = os.open(self._path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o644)
         self._empty = self._path
         self._size, self._events, self._entries, self._opened = 0, 0, [], time.monotonic()
-        first = next((e.t for e in events if isinstance(e, Input)), 0)
-        self._append(write_head(self.segment, self.run, first))
+        first = next((e.time_ns for e in events if isinstance(e, InputEvent)), 0)
+        self._append(pack_header(self.segment, self.run, first))
         if self.settings.sync == "flush":
             sync_folder(self.folder)
         self._hold_bound()
@@ -280,9 +290,9 @@
         if self._file is None:
             return
         try:
-            self._append(self._packer.index(self._entries))
+            self._append(self._packer.pack_index(self._entries))
         except OSError as error:
-            self._tell("a segment has no index", str(error))
+            self._log("a segment has no index", str(error))
         self._sync_segment()
         self._abandon()
 
@@ -295,7 +305,7 @@
             sync_folder(self.folder)
         except OSError as error:
             self.unsynced += self._events
-            self._tell("segment_sync_failed", f"{self._path}: {error}")
+            self._log("segment_sync_failed", f"{self._path}: {error}")
 
     def _leave_segment(self) -> None:
         """After an error. What was taken before stays readable; a segment without any of it goes."""
@@ -329,7 +339,7 @@
         except OSError as error:
             self._unbounded += 1
             if self._unbounded == 1:
-                self._tell("segment_removal_failed", str(error))
+                self._log("segment_removal_failed", str(error))
             if self._unbounded > UNBOUNDED_SEGMENTS:
                 raise
 
@@ -342,7 +352,7 @@
                 return  # until it is done the bound is overrun by what is written meanwhile
             self._child.kill()
             if self._child.wait():
-                self._tell("no checkpoint before the oldest segment goes", str(self._child_for))
+                self._log("no checkpoint before the oldest segment goes", str(self._child_for))
             self._child = None
         for path, following in pairwise(own):
             if total <= self.settings.total_bytes:
@@ -355,7 +365,7 @@
             path.unlink(missing_ok=True)
             path.with_suffix(".ckpt").unlink(missing_ok=True)
             remove_leftovers(path.with_suffix(".ckpt"))
-            self._tell("the oldest segment is removed", path.name)
+            self._log("the oldest segment is removed", path.name)
 
     def _make_checkpoint(self, path: Path) -> None:
         command = [sys.executable, "-m", "martenlead", "capture", "checkpoint", str(path)]
@@ -368,7 +378,7 @@
                 stderr=subprocess.DEVNULL,
             )
         except OSError as error:
-            self._tell("no checkpoint can be made", str(error))
+            self._log("no checkpoint can be made", str(error))
 
 
 def _run_of(path: Path) -> str:
@@ -379,22 +389,22 @@
 # -- reading
 
 
-class Run:
+class CaptureRun:
     """The segments of one life of a dispatcher, in order."""
 
     def __init__(self, name: str, run: int, paths: list[Path]) -> None:
-        self.name, self.run, self.paths = name, run, paths
-        self.torn = 0
-        self.missing: list[int] = []
-        self.resumed = False  # read on from a checkpoint
+        self.name, self.number, self.paths = name, run, paths
+        self.torn_bytes = 0
+        self.missing_segments: list[int] = []
+        self.is_resumed = False  # read on from a checkpoint
 
     def _checkpoint(self, path: Path) -> Checkpoint | None:
         try:
-            return load(path_of(path))
-        except (OSError, BadCapture):  # none, or one that a power cut has torn
+            return load(checkpoint_path(path))
+        except (OSError, CaptureFormatError):  # none, or one that a power cut has torn
             return None
 
-    def events(self) -> Iterator[Event]:
+    def events(self) -> Iterator[CaptureEvent]:
         """All events that are whole. Where the first segments are gone and the first that is there has a
         checkpoint, that comes first, in place of what was before. A segment that is missing, or a torn end
         with more behind it, shows as a `Gap`. Raises `BadCapture` for what is no capture."""
@@ -404,51 +414,54 @@
                 segment = Segment(path.read_bytes())
             except FileNotFoundError:  # removed by the bound on disk while it was about to be read
                 continue
-            except BadCapture as error:
+            except CaptureFormatError as error:
                 if _is_without_head(path):  # killed, or cut off from power, as it was begun
-                    self.torn += path.stat().st_size
+                    self.torn_bytes += path.stat().st_size
                     if path is not self.paths[-1]:
                         yield Gap(last, last, 0, f"{path.name} is torn")
                         expected = int(path.stem.rpartition("-")[2]) + 1
                     continue
-                raise BadCapture(f"{path}: {error}") from None
-            if segment.head.segment != expected and not expected:
+                raise CaptureFormatError(f"{path}: {error}") from None
+            if segment.header.segment != expected and not expected:
                 found = self._checkpoint(path)
                 if found is not None:
                     yield found
                     for frame in segment.frames():
-                        last = frame.last
+                        last = frame.last_time_ns
                         # what stands before the first input was decided before the checkpoint
                         events = frame.events()
-                        if not self.resumed:
-                            events = list(dropwhile(lambda e: not isinstance(e, Input), events))
-                            self.resumed = bool(events)
+                        if not self.is_resumed:
+                            events = list(dropwhile(lambda e: not isinstance(e, InputEvent), events))
+                            self.is_resumed = bool(events)
                         yield from events
-                    self.torn += segment.torn
-                    expected = segment.head.segment + 1
+                    self.torn_bytes += segment.torn_bytes
+                    expected = segment.header.segment + 1
                     continue
-            if segment.head.segment != expected:
-                self.missing += range(expected, segment.head.segment)
+            if segment.header.segment != expected:
+                self.missing_segments += range(expected, segment.header.segment)
                 yield Gap(
-                    last, segment.head.first, 0, f"segments {expected} to {segment.head.segment - 1} are gone"
+                    last,
+                    segment.header.first_time_ns,
+                    0,
+                    f"segments {expected} to {segment.header.segment - 1} are gone",
                 )
             for frame in segment.frames():
-                last = frame.last
+                last = frame.last_time_ns
                 yield from frame.events()
-            self.torn += segment.torn
-            if segment.torn and path is not self.paths[-1]:
+            self.torn_bytes += segment.torn_bytes
+            if segment.torn_bytes and path is not self.paths[-1]:
                 yield Gap(last, last, 0, f"{path.name} is torn")
-            expected = segment.head.segment + 1
+            expected = segment.header.segment + 1
 
 
 def _is_without_head(path: Path) -> bool:
     """Whether the disk lost a segment's first bytes: it is too short, or a power cut left zeros there."""
     with open(path, "rb") as file:
-        head = file.read(HEAD_SIZE)
-    return len(head) < HEAD_SIZE or not any(head)
+        head = file.read(HEADER_BYTES)
+    return len(head) < HEADER_BYTES or not any(head)
 
 
-def runs(paths: list[Path]) -> list[Run]:
+def find_runs(paths: list[Path]) -> list[CaptureRun]:
     """The runs in some files and folders, by name and time. Raises `BadCapture` where there is none."""
     files: dict[tuple[str, int], list[Path]] = {}
     for path in paths:
@@ -456,8 +469,8 @@
         for file in found:
             match = FILE.match(file.name)
             if match is None or not file.is_file():
-                raise BadCapture(f"{file}: no capture; NAME-RUN-SEGMENT.mlc was expected")
+                raise CaptureFormatError(f"{file}: no capture; NAME-RUN-SEGMENT.mlc was expected")
             files.setdefault((match["name"], int(match["run"])), []).append(file)
     if not files:
-        raise BadCapture(f"{', '.join(map(str, paths))}: no captures there")
-    return [Run(name, run, sorted(set(found))) for (name, run), found in sorted(files.items())]
+        raise CaptureFormatError(f"{', '.join(map(str, paths))}: no captures there")
+    return [CaptureRun(name, run, sorted(set(found))) for (name, run), found in sorted(files.items())]
--- a/martenlead/cli/call.py
+++ b/martenlead/cli/call.py
@@ -8,7 +8,7 @@
 
 from martenlead.events import http
 from martenlead.events.client import Pool
-from martenlead.events.cloudevent import Event, Value, write
+from martenlead.events.cloudevent import AttributeValue, Event, encode_event
 
 
 @click.command()
@@ -32,7 +32,7 @@
 ) -> None:
     """Send one task. Prints the answer; exit 0 if it was satisfied, 3 turned back, 4 scrapped, 1 none of
     these."""
-    attributes: dict[str, Value] = {
+    attributes: dict[str, AttributeValue] = {
         "specversion": "1.0",
         "id": uuid.uuid4().hex,
         "source": "/martenlead/call",
@@ -46,10 +46,10 @@
         name, _, value = pair.partition("=")
         attributes[name] = value
     body = sys.stdin.buffer.read() if data == "-" else data.encode()
-    headers, body = write(Event(attributes, body, "application/json"))
+    headers, body = encode_event(Event(attributes, body, "application/json"))
 
     async def send() -> int:
-        pool = Pool(host, port, connect=2_000_000_000)
+        pool = Pool(host, port, connect_timeout_ns=2_000_000_000)
         with anyio.move_on_after(within_ms / 1000 + 1) as scope:
             exchange = await pool.exchange(http.request(b"POST", b"/", host.encode(), headers, body))
         if scope.cancelled_caught or exchange.message is None:
--- a/martenlead/cli/capture.py
+++ b/martenlead/cli/capture.py
@@ -8,29 +8,39 @@
 import msgspec
 
 from martenlead.capture import events as ev
-from martenlead.capture.checkpoint import CannotWrite, path_of
-from martenlead.capture.explain import Books, books, explain_task
-from martenlead.capture.format import BadCapture, Segment
-from martenlead.capture.replay import Divergence, Unreplayable, checkpoint_between, replay, setting, what_if
-from martenlead.capture.store import Run, runs
-from martenlead.capture.tape import module_hash
+from martenlead.capture.checkpoint import CheckpointError, checkpoint_path
+from martenlead.capture.explain import OutcomeSummary, explain_request, summarize_outcomes
+from martenlead.capture.format import CaptureFormatError, Segment
+from martenlead.capture.recorder import policy_hash
+from martenlead.capture.replay import (
+    Divergence,
+    ReplayError,
+    compare_with_change,
+    parse_setting_change,
+    replay,
+    write_checkpoint_between,
+)
+from martenlead.capture.writer import CaptureRun, find_runs
 
 PATHS = click.argument("paths", type=click.Path(path_type=Path, exists=True), nargs=-1, required=True)
 
 
-def found(paths: tuple[Path, ...]) -> list[Run]:
+def found(paths: tuple[Path, ...]) -> list[CaptureRun]:
     try:
-        return runs(list(paths))
-    except BadCapture as error:
+        return find_runs(list(paths))
+    except CaptureFormatError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
 
 
-def line(event: ev.Event | None) -> str:
+def line(event: ev.CaptureEvent | None) -> str:
     if event is None:
         return "nothing"
-    fields = {name: getattr(event, name) for name in event.__struct_fields__}
-    return f"{type(event).__name__} {msgspec.json.encode(fields).decode()}"
+    fields = {
+        stored: getattr(event, name)
+        for stored, name in zip(event.__struct_encode_fields__, event.__struct_fields__, strict=True)
+    }
+    return f"{ev.kind_name(event)} {msgspec.json.encode(fields).decode()}"
 
 
 @click.command("replay")
@@ -44,56 +54,58 @@
     With --set, or with another version of the module, the differences are reported as a what-if."""
     bad = False
     for run in found(paths):
-        name = f"{run.name} {run.run}"
+        name = f"{run.name} {run.number}"
         try:
             first = next(iter(run.events()), None)
-            other = isinstance(first, ev.Start) and first.module != module_hash()
+            other = isinstance(first, ev.RunStarted) and first.policy_hash != policy_hash()
             if change or other:
                 _what_if(name, run, change)
                 continue
             outcome = replay(run.events())
-        except (BadCapture, ValueError) as error:
+        except (CaptureFormatError, ValueError) as error:
             click.echo(f"{name}: {error}", err=True)
             sys.exit(2)
-        told = f"{outcome.tasks} tasks, {outcome.events} events, {outcome.decisions} decisions"
-        speed = outcome.seconds / outcome.took if outcome.took else 0.0
-        torn = f"; {run.torn} bytes torn at its end" if run.torn else ""
+        told = f"{outcome.requests} tasks, {outcome.events} events, {outcome.decisions} decisions"
+        speed = outcome.recorded_seconds / outcome.elapsed_seconds if outcome.elapsed_seconds else 0.0
+        torn = f"; {run.torn_bytes} bytes torn at its end" if run.torn_bytes else ""
         if outcome.divergence is not None:
             bad = True
             _diverged(name, outcome.divergence)
-        elif outcome.stopped:
+        elif outcome.stop_reason:
             bad = bad or not outcome.events
-            click.echo(f"{name}: identical as far as it goes: {told}; stopped: {outcome.stopped}")
+            click.echo(f"{name}: identical as far as it goes: {told}; stopped: {outcome.stop_reason}")
         else:
-            since = " since a checkpoint" if outcome.resumed else ""
+            since = " since a checkpoint" if outcome.is_resumed else ""
             click.echo(f"{name}: identical{since}: {told}, {speed:.0f} times as fast as it was{torn}")
     sys.exit(1 if bad else 0)
 
 
 def _diverged(name: str, divergence: Divergence) -> None:
-    click.echo(f"{name}: differs at event {divergence.place}")
-    for event in divergence.before:
+    click.echo(f"{name}: differs at event {divergence.position}")
+    for event in divergence.preceding:
         click.echo(f"    {line(event)}")
     click.echo(f"  then {line(divergence.recorded)}")
-    click.echo(f"  now  {line(divergence.made)}")
+    click.echo(f"  now  {line(divergence.replayed)}")
 
 
-def _what_if(name: str, run: Run, change: str | None) -> None:
-    told = what_if(run.events(), setting(change) if change else lambda settings: settings)
+def _what_if(name: str, run: CaptureRun, change: str | None) -> None:
+    told = compare_with_change(
+        run.events(), parse_setting_change(change) if change else lambda settings: settings
+    )
     click.echo(
         f"{name}: what if {change or 'this module had decided'}: answers are those of then, wherever a"
     )
     click.echo("  task would have gone; behind its first difference a task shows a tendency only")
     click.echo(
-        f"  of {told.tasks} tasks {told.elsewhere} first elsewhere, {told.not_sent} not handed off at all,"
+        f"  of {told.requests} tasks {told.moved} first elsewhere, {told.no_longer_sent} not handed off at all,"
     )
-    click.echo(f"  {told.sent} handed off that were not")
-    for kind in sorted(told.then.keys() | told.now.keys()):
-        click.echo(f"  {kind:12} {told.then[kind]:8} then {told.now[kind]:8} now")
+    click.echo(f"  {told.newly_sent} handed off that were not")
+    for kind in sorted(told.recorded_counts.keys() | told.replayed_counts.keys()):
+        click.echo(f"  {kind:12} {told.recorded_counts[kind]:8} then {told.replayed_counts[kind]:8} now")
     for example in told.examples:
         click.echo(f"    {example}")
-    if told.stopped:
-        click.echo(f"  stopped: {told.stopped}")
+    if told.stop_reason:
+        click.echo(f"  stopped: {told.stop_reason}")
 
 
 @click.group()
@@ -118,11 +130,11 @@
         counts: Counter[str] = Counter()
         size: Counter[str] = Counter()
         for event in run.events():
-            counts[type(event).__name__] += 1
-            size[type(event).__name__] += len(ev.encode(event))
+            counts[ev.kind_name(event)] += 1
+            size[ev.kind_name(event)] += len(ev.encode(event))
         disk = sum(path.stat().st_size for path in run.paths)
         tasks = max(1, counts["Take"])
-        click.echo(f"{run.name} {run.run}: {len(run.paths)} segments, {disk} bytes, {run.torn} torn")
+        click.echo(f"{run.name} {run.number}: {len(run.paths)} segments, {disk} bytes, {run.torn_bytes} torn")
         for kind, n in counts.most_common():
             click.echo(f"  {kind:12} {n:9} events {size[kind]:12} bytes")
         click.echo(f"  a task: {sum(size.values()) / tasks:.0f} bytes packed, {disk / tasks:.0f} on disk")
@@ -136,20 +148,20 @@
     """The story of one task, or the causes of all that were not satisfied, over all captures given."""
     if bool(task) == scrapped:
         raise click.UsageError("one of --task and --scrapped is wanted")
-    told = Books()
+    told = OutcomeSummary()
     any_line = False
     for run in found(paths):
         if task:
-            lines = explain_task(run.events(), task)
+            lines = explain_request(run.events(), task)
             if lines:
                 any_line = True
-                click.echo(f"{run.name} {run.run}")
+                click.echo(f"{run.name} {run.number}")
             for one in lines:
                 click.echo(f"  {one}")
         else:
-            books(run.events(), told)
+            summarize_outcomes(run.events(), told)
     if scrapped:
-        click.echo("\n".join(told.table()))
+        click.echo("\n".join(told.format_lines()))
     elif not any_line:
         click.echo(f"no task {task!r} in these captures", err=True)
         sys.exit(1)
@@ -163,12 +175,12 @@
     Edges do this by themselves before the bound on disk removes a segment."""
     (one,) = found((segment,))
     try:
-        run = next(r for r in runs([segment.parent]) if (r.name, r.run) == (one.name, one.run))
+        run = next(r for r in find_runs([segment.parent]) if (r.name, r.number) == (one.name, one.number))
         at = [path.name for path in run.paths].index(segment.name)
-        earlier = Run(run.name, run.run, run.paths[:at])
+        earlier = CaptureRun(run.name, run.number, run.paths[:at])
         later = (event for frame in Segment(segment.read_bytes()).frames() for event in frame.events())
-        checkpoint_between(earlier.events(), later, path_of(segment))
-    except (BadCapture, Unreplayable, CannotWrite) as error:
+        write_checkpoint_between(earlier.events(), later, checkpoint_path(segment))
+    except (CaptureFormatError, ReplayError, CheckpointError) as error:
         click.echo(f"{segment}: {error}", err=True)
         sys.exit(1)
-    click.echo(f"{path_of(segment)}")
+    click.echo(f"{checkpoint_path(segment)}")
--- a/martenlead/cli/config.py
+++ b/martenlead/cli/config.py
@@ -6,15 +6,15 @@
 import click
 import msgspec
 
-from martenlead.config.edge import Edge, read
-from martenlead.config.load import load, schema
+from martenlead.config.edge import EdgeSettings, read_edge_settings
+from martenlead.config.load import build_json_schema, load
 from martenlead.days.script import Day
 from martenlead.layers.agent import AgentSettings
 from martenlead.layers.samples import Samples
-from martenlead.planner.serve import PlannerSettings
+from martenlead.planner.server import PlannerSettings
 
 KINDS: dict[str, type[Any]] = {
-    "edge": Edge,
+    "edge": EdgeSettings,
     "agent": AgentSettings,
     "day": Day,
     "samples": Samples,
@@ -26,7 +26,7 @@
 
 
 def read_as(kind: str, path: Path) -> Any:
-    return read(path) if kind == "edge" else load(path, KINDS[kind])
+    return read_edge_settings(path) if kind == "edge" else load(path, KINDS[kind])
 
 
 @click.group()
@@ -55,4 +55,4 @@
 @OF
 def show_schema(kind: str) -> None:
     """The JSON Schema of the settings."""
-    click.echo(msgspec.json.format(msgspec.json.encode(schema(KINDS[kind]))).decode())
+    click.echo(msgspec.json.format(msgspec.json.encode(build_json_schema(KINDS[kind]))).decode())
--- a/martenlead/cli/day.py
+++ b/martenlead/cli/day.py
@@ -12,9 +12,9 @@
 import click
 import msgspec
 
-from martenlead.capture.explain import finals
-from martenlead.capture.store import runs
-from martenlead.config.load import BadConfig, decode, evaluate
+from martenlead.capture.explain import list_outcomes
+from martenlead.capture.writer import find_runs
+from martenlead.config.load import ConfigError, decode, evaluate
 from martenlead.days.books import balance
 from martenlead.days.report import kept, table
 from martenlead.days.run import DayFailed, run
@@ -49,29 +49,29 @@
         made = msgspec.structs.replace(made, capture=True)
     if layers:
         if made.layers is None:
-            raise BadConfig(f"{script}: $.layers: none, so there is nothing to be turned {layers}")
+            raise ConfigError(f"{script}: $.layers: none, so there is nothing to be turned {layers}")
         told_layers = msgspec.structs.replace(made.layers, on=layers == "on")
         made = msgspec.structs.replace(made, layers=told_layers)
     if planner:
         planners = msgspec.structs.replace(made.planners, kind=planner)
         made = msgspec.structs.replace(made, planners=planners)
-    played(made, str(script), seed, report_file, keep)
+    run_on_sockets(made, str(script), seed, report_file, keep)
 
 
-def played(
+def run_on_sockets(
     made: Day, script: str, seed: int | None, report_file: Path | None, keep: Path | None = None
 ) -> NoReturn:
     """Plays a day on sockets, tells of it, and exits."""
     for name, count in (("runners.count", made.runners.count), ("edges", made.edges)):
         if count > ON_SOCKETS:
-            raise BadConfig(
+            raise ConfigError(
                 f"{script}: $.{name}: at most {ON_SOCKETS} on sockets; `martenlead emulate` plays more"
             )
     chosen = made.seed if seed is None else seed
     try:
         plan(made, chosen)
     except ValueError as error:
-        raise BadConfig(f"{script}: {error}") from None
+        raise ConfigError(f"{script}: {error}") from None
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # its processes end with it
     with tempfile.TemporaryDirectory(prefix="martenlead-day-") as temporary:
         folder = keep or Path(temporary)
@@ -102,8 +102,8 @@
     """The dispatchers' captures beside the clients' records."""
     edges = [edge["name"] for edge in plan(day, seed).edges]
     told: dict[tuple[str, str], list[str]] = defaultdict(list)
-    for one in runs([folder / "captures"]):
-        for ident, ends in finals(one.events()).items():
+    for one in find_runs([folder / "captures"]):
+        for ident, ends in list_outcomes(one.events()).items():
             told[one.name.replace("_", "-"), ident] += ends
     killed = {edges[r["edge"]] for r in read(folder / "processes.jsonl") if r["what"] == "killed"}
     found = balance(list(read(folder / "clients.jsonl")), edges, told, killed)
--- a/martenlead/cli/edge.py
+++ b/martenlead/cli/edge.py
@@ -8,15 +8,15 @@
 import msgspec
 import structlog
 
-from martenlead.capture.store import Busy, Store, StoreSettings
-from martenlead.capture.tape import Tape
-from martenlead.config.edge import read
-from martenlead.config.load import BadConfig, decode
-from martenlead.edge.border import Both
-from martenlead.edge.border import Tape as BorderTape
-from martenlead.edge.keeper import Keeper
+from martenlead.capture.recorder import CaptureRecorder
+from martenlead.capture.writer import AlreadyLockedError, CaptureSettings, CaptureWriter
+from martenlead.config.edge import read_edge_settings
+from martenlead.config.load import ConfigError, decode
+from martenlead.edge.knowledge_saver import KnowledgeSaver
+from martenlead.edge.policy_boundary import Recorder as BorderTape
+from martenlead.edge.policy_boundary import TeeRecorder
 from martenlead.edge.serve import configure_log, run
-from martenlead.planner.edgeside import EdgeSide
+from martenlead.planner.planner_client import PlannerClient
 
 
 @click.command()
@@ -28,25 +28,25 @@
     def started(port: int) -> None:
         click.echo(f'{{"ready": {{"port": {port}}}}}')
 
-    settings = read(config)
+    settings = read_edge_settings(config)
     configure_log(settings)
     store = None
     tape: BorderTape | None = None
     if settings.capture:
         log = structlog.get_logger().bind(edge=settings.name)
-        told = decode(msgspec.to_builtins(settings.capture), StoreSettings, str(config))
+        told = decode(msgspec.to_builtins(settings.capture), CaptureSettings, str(config))
         try:
-            store = Store(told, settings.name, lambda what, why: log.warning(what, why=why))
-        except Busy as error:
-            raise BadConfig(f"{config}: $.capture.folder: {error}") from None
-        tape = Tape(store.put, settings.name)
-    side = EdgeSide(settings, settings.planner) if settings.planner and not with_planner else None
+            store = CaptureWriter(told, settings.name, lambda what, why: log.warning(what, why=why))
+        except AlreadyLockedError as error:
+            raise ConfigError(f"{config}: $.capture.folder: {error}") from None
+        tape = CaptureRecorder(store.put, settings.name)
+    side = PlannerClient(settings, settings.planner) if settings.planner and not with_planner else None
     if side is not None:
-        tape = cast(BorderTape, Both(tape, side.tape)) if tape is not None else side.tape
-    keeper = Keeper(settings, settings.lasting) if settings.lasting is not None else None
+        tape = cast(BorderTape, TeeRecorder(tape, side.recorder)) if tape is not None else side.recorder
+    keeper = KnowledgeSaver(settings, settings.durable_state) if settings.durable_state is not None else None
     beside = [one.run for one in (side, keeper) if one is not None]
     if store is not None:
-        beside.append(store.report)
+        beside.append(store.publish_counters)
     try:
         run(settings, started, tape, beside)
     except* OSError as errors:
--- a/martenlead/cli/emulate.py
+++ b/martenlead/cli/emulate.py
@@ -5,7 +5,7 @@
 import click
 import msgspec
 
-from martenlead.config.load import BadConfig, decode, evaluate
+from martenlead.config.load import ConfigError, decode, evaluate
 from martenlead.days.report import kept, table
 from martenlead.days.script import Day
 
@@ -40,10 +40,10 @@
         more = rate / day.clients.rate_per_s
         clients = replace(day.clients, rate_per_s=rate)
         day = replace(day, clients=clients, quota_per_s=day.quota_per_s * more)
-    emulated(day, str(script), seed, policy, audit, report_file)
+    run_emulated(day, str(script), seed, policy, audit, report_file)
 
 
-def emulated(
+def run_emulated(
     day: Day, script: str, seed: int | None, policy: str, audit: bool, report_file: Path | None
 ) -> None:
     """Plays a day in virtual time and tells of it. Raises `BadConfig`."""
@@ -55,7 +55,7 @@
         with click.progressbar(length=int(day.seconds * 10), label=f"{day.name}, seed {job.seed}") as bar:
             outcome, fleet = run(job, lambda at: bar.update(min(bar.length or 0, int(at * 10)) - bar.pos))
     except ValueError as error:
-        raise BadConfig(f"{script}: {error}") from None
+        raise ConfigError(f"{script}: {error}") from None
     told = fleet.report() if audit else msgspec.to_builtins(outcome)
     if report_file is not None:
         report_file.write_bytes(msgspec.json.format(msgspec.json.encode(told)) + b"\n")
--- a/martenlead/cli/experiment.py
+++ b/martenlead/cli/experiment.py
@@ -6,7 +6,7 @@
 import click
 import msgspec
 
-from martenlead.config.load import BadConfig
+from martenlead.config.load import ConfigError
 
 
 @click.command()
@@ -33,7 +33,7 @@
             try:
                 find(policy)
             except ValueError as error:
-                raise BadConfig(str(error)) from None
+                raise ConfigError(str(error)) from None
     todo = e.jobs(made, plan.parent)
     folder = out or plan.with_suffix("")
     failed = []
--- a/martenlead/cli/layers.py
+++ b/martenlead/cli/layers.py
@@ -7,7 +7,7 @@
 import anyio
 import click
 
-from martenlead.config.load import BadConfig, load
+from martenlead.config.load import ConfigError, load
 from martenlead.events.server import listen
 from martenlead.layers import image, samples
 from martenlead.layers.agent import Agent, AgentSettings
@@ -96,7 +96,7 @@
     try:
         cache = Cache(Path(settings.cache), settings.cache_bytes, settings.hot_bytes)
     except (Refused, OSError) as error:
-        raise BadConfig(f"{config}: $.cache: {error}") from None
+        raise ConfigError(f"{config}: $.cache: {error}") from None
 
     async def serve() -> None:
         own = Agent(settings, cache)
--- a/martenlead/cli/main.py
+++ b/martenlead/cli/main.py
@@ -20,7 +20,7 @@
 from martenlead.cli.state import state
 from martenlead.cli.status import status
 from martenlead.cli.trace import trace
-from martenlead.config.load import BadConfig
+from martenlead.config.load import ConfigError
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -53,6 +53,6 @@
 def main() -> None:
     try:
         commands()
-    except BadConfig as error:
+    except ConfigError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
--- a/martenlead/cli/plan.py
+++ b/martenlead/cli/plan.py
@@ -7,7 +7,7 @@
 import click
 
 from martenlead.config.load import load
-from martenlead.planner.serve import PlannerSettings, serve
+from martenlead.planner.server import PlannerSettings, serve
 
 
 @click.command()
--- a/martenlead/cli/state.py
+++ b/martenlead/cli/state.py
@@ -6,10 +6,10 @@
 import click
 import msgspec
 
-from martenlead.config.load import BadConfig
+from martenlead.config.load import ConfigError
 
 if TYPE_CHECKING:
-    from martenlead.lasting.store import State
+    from martenlead.durable_state.store import StoredState
 
 FOLDER = click.Path(path_type=Path)
 
@@ -21,13 +21,20 @@
 
 def _read(folder: Path, deployment: str) -> list[dict[str, Any]]:
     """Every state file below a folder; reads only, and holds no lock."""
-    from martenlead.lasting.store import EPOCHS, NAME, Kind, Unreadable, unpack, version_of
+    from martenlead.durable_state.store import (
+        EPOCHS_KIND,
+        STATE_FILE_NAME,
+        StateKind,
+        UnreadableStateError,
+        read_version,
+        unpack_state,
+    )
 
     if not folder.is_dir():
-        raise BadConfig(f"{folder}: no such folder")
+        raise ConfigError(f"{folder}: no such folder")
     found: list[dict[str, Any]] = []
     for path in sorted(folder.rglob("*")):
-        match = NAME.match(path.name)
+        match = STATE_FILE_NAME.match(path.name)
         if path.name.endswith(".aside"):
             found.append({"file": str(path.relative_to(folder)), "state": "set aside"})
         if not match:
@@ -36,13 +43,13 @@
         try:
             data = path.read_bytes()
             # as it was written, of whatever version: nothing is migrated to be looked at
-            told = unpack(data, Kind(match[1], version_of(data)), deployment, 1 << 30)
-        except (Unreadable, OSError) as error:
+            told = unpack_state(data, StateKind(match[1], read_version(data)), deployment, 1 << 30)
+        except (UnreadableStateError, OSError) as error:
             found.append({**about, "state": "unreadable", "why": str(error)})
             continue
         about |= {"state": "whole", "generation": told.generation, "version": told.version}
         about["age_s"] = round(_age(told) / 1e9, 1)
-        if match[1] == EPOCHS:
+        if match[1] == EPOCHS_KIND:
             about["epoch"] = told.value
         elif isinstance(told.value, dict):
             about |= {
@@ -52,7 +59,7 @@
     return found
 
 
-def _age(told: State) -> int:
+def _age(told: StoredState) -> int:
     """Since a state was saved, ns: by the boot clock where it holds one of this start of the machine."""
     from martenlead.system import clocks
 
@@ -60,7 +67,7 @@
     boot, uptime = value.get("boot"), value.get("at")
     if not isinstance(boot, str) or not isinstance(uptime, int):
         boot, uptime = "", 0
-    return clocks.passed(clocks.Moment(told.saved, boot, uptime), clocks.moment())
+    return clocks.passed(clocks.Moment(told.saved_ns, boot, uptime), clocks.moment())
 
 
 def _json(told: Any) -> None:
@@ -91,10 +98,10 @@
 def prune(folder: Path) -> None:
     """Remove what was set aside, and what is left of writes that were cut short."""
     if not folder.is_dir():
-        raise BadConfig(f"{folder}: no such folder")
+        raise ConfigError(f"{folder}: no such folder")
     for path in sorted([*folder.rglob("*.aside"), *folder.rglob("*.part")]):
         try:
             path.unlink()
         except OSError as error:
-            raise BadConfig(f"{path}: {error.strerror or error}") from None
+            raise ConfigError(f"{path}: {error.strerror or error}") from None
         click.echo(str(path))
--- a/martenlead/cli/status.py
+++ b/martenlead/cli/status.py
@@ -25,7 +25,7 @@
     return "no answer in two seconds"
 
 
-def lines(place: str, state: dict[str, Any]) -> list[str]:
+def format_status(place: str, state: dict[str, Any]) -> list[str]:
     """One line for an edge; one for a planner, and one for each of its edges."""
     if "edge" in state:
         link = state.get("planner")
@@ -71,5 +71,5 @@
         elif as_json:
             click.echo(msgspec.json.format(msgspec.json.encode(state)).decode())
         else:
-            click.echo("\n".join(lines(place, state)))
+            click.echo("\n".join(format_status(place, state)))
     sys.exit(bad)
--- a/martenlead/cli/trace.py
+++ b/martenlead/cli/trace.py
@@ -8,7 +8,7 @@
 import click
 import msgspec
 
-from martenlead.config.load import BadConfig, decode, evaluate
+from martenlead.config.load import ConfigError, decode, evaluate
 
 if TYPE_CHECKING:
     from martenlead.traces.schemas import Invocation
@@ -86,7 +86,7 @@
             first, last = min(first, one.at), max(last, one.at)
         problems.check()
     except BadTrace as error:
-        raise BadConfig(str(error)) from None
+        raise ConfigError(str(error)) from None
     total = functions.total()
     busiest = by_minute.most_common(1)
     _json(
@@ -125,7 +125,7 @@
 
         told = store.write(out, whole())
     except (BadTrace, OSError) as error:
-        raise BadConfig(str(error)) from None
+        raise ConfigError(str(error)) from None
     _json({"schema": schema, **told, "problems": problems.told()})
 
 
@@ -156,8 +156,8 @@
     **changed: Any,
 ) -> None:
     """Play a converted trace against a script's fleet. Exit 0 only if every rule was kept."""
-    from martenlead.cli.day import played
-    from martenlead.cli.emulate import emulated
+    from martenlead.cli.day import run_on_sockets
+    from martenlead.cli.emulate import run_emulated
     from martenlead.days.script import Day
     from martenlead.standins.settings import Mapping
     from martenlead.traces.problems import BadTrace
@@ -174,11 +174,11 @@
     try:
         next(read(file), None)  # what is no trace is told here, and not by a process that does not start
         if on == "virtual":
-            emulated(day, str(script), seed, policy, audit, report_file)
+            run_emulated(day, str(script), seed, policy, audit, report_file)
         else:
-            played(day, str(script), seed, report_file)
+            run_on_sockets(day, str(script), seed, report_file)
     except BadTrace as error:
-        raise BadConfig(str(error)) from None
+        raise ConfigError(str(error)) from None
 
 
 @trace.command()
@@ -192,4 +192,4 @@
         for path in make(folder, seed):
             click.echo(str(path))
     except OSError as error:
-        raise BadConfig(f"{folder}: {error.strerror or error}") from None
+        raise ConfigError(f"{folder}: {error.strerror or error}") from None
--- a/martenlead/config/load.py
+++ b/martenlead/config/load.py
@@ -12,10 +12,10 @@
 import msgspec
 
 TEMPLATES = Path(__file__).parent / "templates"
-T = TypeVar("T")
+StructT = TypeVar("StructT")
 
 
-class BadConfig(Exception):
+class ConfigError(Exception):
     """One line: the file, the path in it, what was expected."""
 
 
@@ -26,13 +26,13 @@
     `variables` are texts for `std.extVar`. Raises `BadConfig`.
     """
     if not path.is_file():
-        raise BadConfig(f"{path}: no such file")
+        raise ConfigError(f"{path}: no such file")
     try:
         text = _jsonnet.evaluate_file(
             str(path), jpathdir=[str(path.parent), str(TEMPLATES)], ext_vars=variables or {}, max_stack=200
         )
     except RuntimeError as error:
-        raise BadConfig(f"{path}: {_first(str(error))}") from None
+        raise ConfigError(f"{path}: {_first(str(error))}") from None
     return json.loads(text)
 
 
@@ -44,20 +44,20 @@
     return f"{what} ({where})" if where else what
 
 
-def decode(value: Any, kind: type[T], source: str) -> T:
+def decode(value: Any, kind: type[StructT], source: str) -> StructT:
     """Checks a value against a structure. Raises `BadConfig` with the first thing that is wrong."""
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
         what, _, where = str(error).partition(" - at `")
-        raise BadConfig(f"{source}: {where.rstrip('`') or '$'}: {what}") from None
+        raise ConfigError(f"{source}: {where.rstrip('`') or '$'}: {what}") from None
 
 
-def load(path: Path, kind: type[T], variables: dict[str, str] | None = None) -> T:
+def load(path: Path, kind: type[StructT], variables: dict[str, str] | None = None) -> StructT:
     return decode(evaluate(path, variables), kind, str(path))
 
 
-def schema(kind: type) -> dict[str, Any]:
+def build_json_schema(kind: type) -> dict[str, Any]:
     """JSON Schema (2020-12) of a structure."""
     found = msgspec.json.schema(kind)
     return {"$schema": "https://json-schema.org/draft/2020-12/schema", **found}
--- a/martenlead/lasting/disk.py
+++ b/martenlead/durable_state/disk.py
@@ -22,7 +22,7 @@
     def unlock(self) -> None: ...
 
 
-class Folder:
+class StateFolder:
     """A folder of the file system."""
 
     def __init__(self, path: Path, *, make: bool = True) -> None:
--- a/martenlead/lasting/store.py
+++ b/martenlead/durable_state/store.py
@@ -24,42 +24,42 @@
 import xxhash
 import zstandard
 
-from martenlead.lasting.disk import Disk
+from martenlead.durable_state.disk import Disk
 
 MAGIC = b"MLASTING"
-FORMAT = 1
+FORMAT_VERSION = 1
 HEADER = struct.Struct("<8sHHIQqQ16s")  # magic, format, version, 0, generation, saved, length, whose
-SUM = 16
-KEPT = 2  # generations of a kind
-MOST_GENERATIONS = 16  # of a kind while older ones cannot be removed; beyond it nothing is written
-MOST_PROBLEMS = 64  # that are not told yet
+CHECKSUM_BYTES = 16
+RETAINED_GENERATIONS = 2  # generations of a kind
+MAX_GENERATIONS = 16  # of a kind while older ones cannot be removed; beyond it nothing is written
+MAX_PROBLEMS = 64  # that are not told yet
 READ_ATTEMPTS = 3  # of a file, in a row: a call that fails for a moment must not cost a generation
-ASIDE = 8  # files set aside that are kept, the newest
-NAME = re.compile(r"([a-z]+)\.(\d{16})\.state\Z")
-LOCK, EPOCHS = "lock", "epochs"
-MOST_UNPACKED = 8  # times the bound that a state may be once it is unpacked
+MAX_FILES_SET_ASIDE = 8  # files set aside that are kept, the newest
+STATE_FILE_NAME = re.compile(r"([a-z]+)\.(\d{16})\.state\Z")
+LOCK_FILE, EPOCHS_KIND = "lock", "epochs"
+MAX_UNPACK_RATIO = 8  # times the bound that a state may be once it is unpacked
 
 Migration = Callable[[Any], Any]
 
 
 # what a body can do that no `pack` has written, or a migration that does not fit it
-CONTENT = (zstandard.ZstdError, msgspec.DecodeError, KeyError, TypeError, ValueError, AttributeError)
+CONTENT_ERRORS = (zstandard.ZstdError, msgspec.DecodeError, KeyError, TypeError, ValueError, AttributeError)
 
 
-class InUse(Exception):
+class FolderInUseError(Exception):
     """Another process writes to the folder."""
 
 
-class TooLarge(Exception):
+class StateTooLargeError(Exception):
     """A state is over the bound; says by how much."""
 
 
-class Unreadable(Exception):
+class UnreadableStateError(Exception):
     """Not a state that this program reads; says why."""
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
+class StateKind:
     """A name of small letters, and its version with what leads to it from each older one."""
 
     name: str
@@ -68,49 +68,53 @@
 
 
 @dataclass(slots=True, frozen=True)
-class State:
+class StoredState:
     """`saved` is Unix time, ns, by the clock of whoever saved it."""
 
     value: Any
     generation: int
-    saved: int
+    saved_ns: int
     version: int
 
 
-def whose(deployment: str, kind: str) -> bytes:
+def owner_digest(deployment: str, kind: str) -> bytes:
     return hashlib.sha256(f"{kind}\0{deployment}".encode()).digest()[:16]
 
 
-def pack(kind: Kind, deployment: str, generation: int, saved: int, value: Any) -> bytes:
+def pack_state(kind: StateKind, deployment: str, generation: int, saved: int, value: Any) -> bytes:
     body = zstandard.ZstdCompressor(level=3).compress(msgspec.msgpack.encode(value))
-    told = whose(deployment, kind.name)
-    head = HEADER.pack(MAGIC, FORMAT, kind.version, 0, generation, saved, len(body), told)
+    told = owner_digest(deployment, kind.name)
+    head = HEADER.pack(MAGIC, FORMAT_VERSION, kind.version, 0, generation, saved, len(body), told)
     return head + xxhash.xxh3_128_digest(head + body) + body
 
 
-def version_of(data: bytes) -> int:
+def read_version(data: bytes) -> int:
     """What a file says of itself, checked by nothing; 0 for one that is too short to."""
     return int(HEADER.unpack_from(data)[2]) if len(data) >= HEADER.size else 0
 
 
-def unpack(data: bytes, kind: Kind, deployment: str, most: int) -> State:
+def unpack_state(data: bytes, kind: StateKind, deployment: str, most: int) -> StoredState:
     """Raises `Unreadable` for all that `pack` of this deployment and kind did not write whole."""
-    if len(data) < HEADER.size + SUM:
-        raise Unreadable(f"{len(data)} bytes are no state")
+    if len(data) < HEADER.size + CHECKSUM_BYTES:
+        raise UnreadableStateError(f"{len(data)} bytes are no state")
     magic, form, version, _, generation, saved, length, owner = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise Unreadable("no state of this program")
-    head, told, body = data[: HEADER.size], data[HEADER.size : HEADER.size + SUM], data[HEADER.size + SUM :]
+        raise UnreadableStateError("no state of this program")
+    head, told, body = (
+        data[: HEADER.size],
+        data[HEADER.size : HEADER.size + CHECKSUM_BYTES],
+        data[HEADER.size + CHECKSUM_BYTES :],
+    )
     if len(body) != length or xxhash.xxh3_128_digest(head + body) != told:
-        raise Unreadable("cut short or corrupt")
-    if form > FORMAT or version > kind.version:
-        raise Unreadable(f"of a newer program (version {form}.{version})")
-    if owner != whose(deployment, kind.name):
-        raise Unreadable("of another deployment")
+        raise UnreadableStateError("cut short or corrupt")
+    if form > FORMAT_VERSION or version > kind.version:
+        raise UnreadableStateError(f"of a newer program (version {form}.{version})")
+    if owner != owner_digest(deployment, kind.name):
+        raise UnreadableStateError("of another deployment")
     try:
-        if zstandard.frame_content_size(body) > MOST_UNPACKED * most:
+        if zstandard.frame_content_size(body) > MAX_UNPACK_RATIO * most:
             raise ValueError("it unpacks to more than is allowed")
-        plain = zstandard.ZstdDecompressor().decompress(body, max_output_size=MOST_UNPACKED * most)
+        plain = zstandard.ZstdDecompressor().decompress(body, max_output_size=MAX_UNPACK_RATIO * most)
         value = msgspec.msgpack.decode(plain)
         for older in range(version, kind.version):
             value = kind.migrations[older](value)
@@ -122,28 +126,28 @@
         ValueError,
         AttributeError,
     ) as error:
-        raise Unreadable(f"its content cannot be read: {error}") from None
-    return State(value, generation, saved, version)
+        raise UnreadableStateError(f"its content cannot be read: {error}") from None
+    return StoredState(value, generation, saved, version)
 
 
-class Store:
+class StateStore:
     """`problems` says what was found wrong, each once; whoever opens it logs them."""
 
     def __init__(self, disk: Disk, deployment: str, wall: Callable[[], int], most: int = 64_000_000) -> None:
         """Raises `InUse`, and OSError where there is no folder to be had."""
-        self.disk, self.deployment, self.wall, self.most = disk, deployment, wall, most
+        self.disk, self.deployment, self.wall_clock_ns, self.max_bytes = disk, deployment, wall, most
         self.problems: list[str] = []
         self._generations: dict[str, int] = {}
         self.read_errors = 0  # files that are there and could not be read
         self.epoch = 0  # 0 until it is durable
-        if not disk.lock(LOCK):
-            raise InUse("another process writes there")
+        if not disk.lock(LOCK_FILE):
+            raise FolderInUseError("another process writes there")
         try:
             self._remove_parts()
             try:
                 self.epoch = self._count_epoch()
             except OSError as error:  # reading goes on
-                self._say(f"nothing can be kept: {error.strerror or error}")
+                self._report_problem(f"nothing can be kept: {error.strerror or error}")
         except BaseException:
             disk.unlock()  # whoever tries again in this process must not find it held
             raise
@@ -158,16 +162,16 @@
                 with suppress(OSError):
                     self.disk.remove(name)
 
-    def _say(self, problem: str) -> None:
-        if problem not in self.problems and len(self.problems) < MOST_PROBLEMS:
+    def _report_problem(self, problem: str) -> None:
+        if problem not in self.problems and len(self.problems) < MAX_PROBLEMS:
             self.problems.append(problem)
 
     def _count_epoch(self) -> int:
         """How many processes have written here before, and this one: the lock's fence, once it is durable.
         Raises OSError: the first write counts anew."""
-        kind = Kind(EPOCHS)
+        kind = StateKind(EPOCHS_KIND)
         # each epoch is a generation of its own: one whose file cannot be read is not given a second time
-        last = max((generation for generation, _ in self._files(EPOCHS)), default=0)
+        last = max((generation for generation, _ in self._files(EPOCHS_KIND)), default=0)
         before = self.read(kind)
         if before is not None and isinstance(before.value, int):
             last = max(last, before.value)
@@ -178,12 +182,12 @@
         """Generations of a kind, the newest first."""
         found = []
         for name in self.disk.names():
-            match = NAME.match(name)
+            match = STATE_FILE_NAME.match(name)
             if match and match[1] == kind:
                 found.append((int(match[2]), name))
         return sorted(found, reverse=True)
 
-    def read(self, kind: Kind) -> State | None:
+    def read(self, kind: StateKind) -> StoredState | None:
         """The newest generation that is whole, None where there is none. Never raises for what lies there;
         what could not be read, and may be whole, is counted in `read_errors`."""
         found = None
@@ -191,55 +195,55 @@
             files = self._files(kind.name)
         except OSError as error:
             self.read_errors += 1
-            self._say(f"{kind.name}: {error.strerror or error}")
+            self._report_problem(f"{kind.name}: {error.strerror or error}")
             return None
         for generation, name in files:
             self._generations[kind.name] = max(self._generations.get(kind.name, 0), generation)
             if found is not None:
                 break
             try:
-                state = unpack(self._bytes_of(name), kind, self.deployment, self.most)
+                state = unpack_state(self._read_with_retries(name), kind, self.deployment, self.max_bytes)
                 if state.generation != generation:
-                    raise Unreadable(f"it is generation {state.generation}")
+                    raise UnreadableStateError(f"it is generation {state.generation}")
                 found = state
-            except Unreadable as error:
-                self._aside(name, str(error))
+            except UnreadableStateError as error:
+                self._set_aside(name, str(error))
             except OSError as error:
                 self.read_errors += 1
-                self._say(f"{name}: {error.strerror or error}")
+                self._report_problem(f"{name}: {error.strerror or error}")
         return found
 
-    def _bytes_of(self, name: str) -> bytes:
+    def _read_with_retries(self, name: str) -> bytes:
         for _ in range(READ_ATTEMPTS - 1):
             with suppress(OSError):
                 return self.disk.read(name)
         return self.disk.read(name)
 
-    def _aside(self, name: str, why: str) -> None:
-        self._say(f"{name} is set aside: {why}")
+    def _set_aside(self, name: str, why: str) -> None:
+        self._report_problem(f"{name} is set aside: {why}")
         try:
             self.disk.rename(name, f"{name}.aside")
             aside = sorted(n for n in self.disk.names() if n.endswith(".aside"))
-            for old in aside[:-ASIDE]:
+            for old in aside[:-MAX_FILES_SET_ASIDE]:
                 self.disk.remove(old)
         except OSError as error:
-            self._say(f"{name}: {error.strerror or error}")
+            self._report_problem(f"{name}: {error.strerror or error}")
 
-    def write(self, kind: Kind, value: Any) -> int:
+    def write(self, kind: StateKind, value: Any) -> int:
         """Its generation, once it is safe on disk. Raises `TooLarge`; OSError for a full or broken disk, and
         then what was there before stands."""
         if not self.epoch:
             self.epoch = self._count_epoch()
         return self._replace(kind, value)
 
-    def _replace(self, kind: Kind, value: Any) -> int:
+    def _replace(self, kind: StateKind, value: Any) -> int:
         if kind.name not in self._generations:
             self._generations[kind.name] = max((g for g, _ in self._files(kind.name)), default=0)
         generation = self._generations[kind.name] + 1
-        data = pack(kind, self.deployment, generation, self.wall(), value)
-        if len(data) > self.most:
-            raise TooLarge(f"{kind.name}: {len(data)} bytes, {self.most} are allowed")
-        self._check_room(kind)
+        data = pack_state(kind, self.deployment, generation, self.wall_clock_ns(), value)
+        if len(data) > self.max_bytes:
+            raise StateTooLargeError(f"{kind.name}: {len(data)} bytes, {self.max_bytes} are allowed")
+        self._check_generation_limit(kind)
         part, name = f"{kind.name}.part", f"{kind.name}.{generation:016d}.state"
         disk = self.disk
         try:
@@ -254,16 +258,16 @@
         self._remove_older(kind)
         return generation
 
-    def _check_room(self, kind: Kind) -> None:
+    def _check_generation_limit(self, kind: StateKind) -> None:
         """Older generations that could not be removed are few, or nothing is added to them."""
-        if len(self._files(kind.name)) < MOST_GENERATIONS:
+        if len(self._files(kind.name)) < MAX_GENERATIONS:
             return
         self._remove_older(kind)
-        if len(self._files(kind.name)) >= MOST_GENERATIONS:
+        if len(self._files(kind.name)) >= MAX_GENERATIONS:
             raise OSError(errno.EIO, "older generations cannot be removed")
 
-    def _remove_older(self, kind: Kind) -> None:
+    def _remove_older(self, kind: StateKind) -> None:
         """What cannot be removed now goes with the next write: the state that was written is safe."""
         with suppress(OSError):
-            for _, old in self._files(kind.name)[KEPT:]:
+            for _, old in self._files(kind.name)[RETAINED_GENERATIONS:]:
                 self.disk.remove(old)
--- a/martenlead/edge/decision_loop.py
+++ b/martenlead/edge/decision_loop.py
@@ -13,8 +13,8 @@
 import anyio
 import structlog
 
-from martenlead.edge.border import Border
-from martenlead.edge.waits import within
+from martenlead.edge.policy_boundary import PolicyBoundary
+from martenlead.edge.timeouts import time_limit
 
 NEVER = 1 << 62  # ns, later than any clock
 LONGEST_SLEEP = 3600  # s
@@ -25,36 +25,36 @@
     """Calls the border, one call at a time. `run` wakes it for what is due while nothing else happens."""
 
     def __init__(
-        self, border: Border, clock: Callable[[], int], counts: Counter[tuple[str, str]], name: str
+        self, border: PolicyBoundary, clock: Callable[[], int], counts: Counter[tuple[str, str]], name: str
     ) -> None:
         """`clock` gives ns; faults are added to `counts`; `name` is the dispatcher's, for the log."""
-        self.border, self.clock, self.counts = border, clock, counts
+        self.policy_boundary, self.clock, self.counts = border, clock, counts
         self.log = structlog.get_logger().bind(edge=name)
-        self.faults = 0
-        self.faulty = anyio.Event()  # set at the first fault
-        self._later: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
+        self.fault_count = 0
+        self.fault_recorded = anyio.Event()  # set at the first fault
+        self._deferred: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._is_busy = False  # the policy is deciding, or what waits for that is being done
-        self._sooner = anyio.Event()  # something is due before `run` would wake
-        self._until = 0
+        self._due_sooner = anyio.Event()  # something is due before `run` would wake
+        self._wakes_ns = 0
 
     async def run(self) -> None:
         """Until cancelled."""
         while True:
-            due = self.border.due()
-            self._until = NEVER if due is None else due
-            left = (self._until - self.clock()) / NS_PER_SECOND
+            due = self.policy_boundary.next_due_ns()
+            self._wakes_ns = NEVER if due is None else due
+            left = (self._wakes_ns - self.clock()) / NS_PER_SECOND
             if left > 0:
-                with within(min(left, LONGEST_SLEEP)):
-                    await self._sooner.wait()
-            if self._sooner.is_set():
-                self._sooner = anyio.Event()
+                with time_limit(min(left, LONGEST_SLEEP)):
+                    await self._due_sooner.wait()
+            if self._due_sooner.is_set():
+                self._due_sooner = anyio.Event()
             self.run_due()
             await anyio.sleep(0)
 
-    def later(self, work: Callable[..., None], *args: Any) -> None:
+    def defer(self, work: Callable[..., None], *args: Any) -> None:
         """Does it once the policy has decided, or at once if it is not deciding. In the middle of a decision
         the policy may not be called back: its generator is running."""
-        self._later.append((work, args))
+        self._deferred.append((work, args))
         if not self._is_busy:
             self.run_due()
 
@@ -66,24 +66,24 @@
         self._is_busy = True
         try:
             while True:
-                if self._later:
-                    work, args = self._later.popleft()
+                if self._deferred:
+                    work, args = self._deferred.popleft()
                     work(*args)
                     continue
-                due = self.border.due()
+                due = self.policy_boundary.next_due_ns()
                 if due is None or due > self.clock():
                     break
-                self.border.advance()
+                self.policy_boundary.advance()
         except Exception as error:
-            self.fault(error)
-            if self._later:  # one that fails costs no other its turn
-                self._sooner.set()
+            self.record_fault(error)
+            if self._deferred:  # one that fails costs no other its turn
+                self._due_sooner.set()
         finally:
             self._is_busy = False
-        due = self.border.due()
-        if due is not None and due < self._until:
-            self._until = due
-            self._sooner.set()
+        due = self.policy_boundary.next_due_ns()
+        if due is not None and due < self._wakes_ns:
+            self._wakes_ns = due
+            self._due_sooner.set()
 
     def decide(self, call: Callable[..., Any], *args: Any) -> Any:
         """One call of the border, whose decisions are carried out meanwhile; None after a fault."""
@@ -91,17 +91,17 @@
         try:
             return call(*args)
         except Exception as error:
-            self.fault(error)
+            self.record_fault(error)
             return None
         finally:
             self._is_busy = nested
             if not nested:
                 self.run_due()
 
-    def fault(self, error: Exception) -> None:
+    def record_fault(self, error: Exception) -> None:
         """An exception where none should be, of the policy or ours: it is logged and counted, and costs
         no other request anything."""
         self.log.error("a fault of ours", exc_info=error)
         self.counts["fault", type(error).__name__] += 1
-        self.faults += 1
-        self.faulty.set()
+        self.fault_count += 1
+        self.fault_recorded.set()
