--- a/martenlead/edge/dispatcher.py
+++ b/martenlead/edge/dispatcher.py
@@ -17,16 +17,23 @@
 
 import anyio
 
-from martenlead.edge.border import Border, Tape
-from martenlead.edge.client import ClientConnection
+from martenlead.edge.cancellation import CancellationSource
 from martenlead.edge.decision_log import DecisionLog
 from martenlead.edge.decision_loop import DecisionLoop
 from martenlead.edge.event_loop_lag import EventLoopLag
-from martenlead.edge.functions import Functions
-from martenlead.edge.interfaces import Link, Source
-from martenlead.edge.loads import Loads
+from martenlead.edge.function_table import FunctionTable
+from martenlead.edge.interfaces import MembershipSource, UpstreamLink
+from martenlead.edge.load_requester import LoadRequester
 from martenlead.edge.membership import Membership
-from martenlead.edge.records import About, Box, Final, Held, Out, Wanted
+from martenlead.edge.policy_boundary import PolicyBoundary, Recorder
+from martenlead.edge.records import (
+    DispatcherSettings,
+    FinalOutcome,
+    IncomingRequest,
+    InFlightAttempt,
+    PendingRequest,
+    UpstreamWorker,
+)
 from martenlead.policy.types import (
     Action,
     Attempt,
@@ -40,8 +47,8 @@
     Result,
     Wait,
 )
-from martenlead.runnerlink.heard import Heard
-from martenlead.runnerlink.roster import Line
+from martenlead.upstream.endpoints import Endpoint
+from martenlead.upstream.outcome import UpstreamOutcome
 
 FAULT_CHECK_SECONDS = 0.005  # after a fault, between two looks for requests past their time
 
@@ -51,217 +58,254 @@
 
     def __init__(
         self,
-        about: About,
-        link: Link,
-        source: Source,
+        about: DispatcherSettings,
+        link: UpstreamLink,
+        source: MembershipSource,
         clock: Callable[[], int] = monotonic_ns,
-        tape: Tape | None = None,
+        tape: Recorder | None = None,
     ) -> None:
-        self.about, self.link, self.source, self.clock = about, link, source, clock
-        told = about.settings
-        told.function_limit = about.models
-        self.offerings, self.customers, self.hard = about.offerings, about.customers, about.hard
-        self.margin = about.margin
-        names = list(self.offerings), self.customers
-        self.border = Border(told, about.seed, clock, self._outlet, tape, names)
-        self.chance = Random(about.seed)
+        self.settings, self.link, self.source, self.clock = about, link, source, clock
+        told = about.policy_settings
+        told.function_limit = about.function_limit
+        self.request_classes, self.tenants, self.deadlines_ns = (
+            about.request_classes,
+            about.tenants,
+            about.deadlines_ns,
+        )
+        self.deadline_margin_ns = about.deadline_margin_ns
+        names = list(self.request_classes), self.tenants
+        self.policy_boundary = PolicyBoundary(told, about.seed, clock, self._carry_out, tape, names)
+        self.random = Random(about.seed)
         self.counts: Counter[tuple[str, str]] = Counter()
-        self.loop = DecisionLoop(self.border, clock, self.counts, about.name)
+        self.decision_loop = DecisionLoop(self.policy_boundary, clock, self.counts, about.name)
         # bound here, as `known` is below: a call of them passes no further layer
-        self.later, self._decide, self._rearm = self.loop.later, self.loop.decide, self.loop.run_due
-        self.lag = EventLoopLag(clock, told.tick_ns, lambda tick: self.border.tick(tick))
-        self.membership = Membership(source.list, self.loop, link, about.name)
-        self.boxes, self.by_runner = self.membership.boxes, self.membership.by_runner
-        self.functions = Functions(self.loop, about.models)
-        self.models, self.by_model = self.functions.by_name, self.functions.by_model
-        self.known = self.functions.known
-        self.held: dict[Request, Held] = {}
-        self.bytes = 0
-        self.list = source.list
-        self.closest: int | None = None  # least time left at a final answer, ns
-        self._out: dict[Attempt, Out] = {}
+        self.defer, self._decide, self._run_due = (
+            self.decision_loop.defer,
+            self.decision_loop.decide,
+            self.decision_loop.run_due,
+        )
+        self.event_loop_lag = EventLoopLag(
+            clock, told.tick_ns, lambda tick: self.policy_boundary.set_tick(tick)
+        )
+        self.membership = Membership(source.endpoint_list, self.decision_loop, link, about.name)
+        self.workers, self.by_policy_worker = self.membership.workers, self.membership.by_policy_worker
+        self.function_table = FunctionTable(self.decision_loop, about.function_limit)
+        self.functions_by_name, self.by_policy_function = (
+            self.function_table.by_name,
+            self.function_table.by_policy_function,
+        )
+        self.find_or_add_function = self.function_table.find_or_add
+        self.pending_requests: dict[Request, PendingRequest] = {}
+        self.pending_bytes = 0
+        self.endpoint_list = source.endpoint_list
+        self.least_time_left_ns: int | None = None  # least time left at a final answer, ns
+        self._in_flight: dict[Attempt, InFlightAttempt] = {}
         self._decision_log: DecisionLog | None = None
-        if about.decisions:
-            self._decision_log = DecisionLog(about.name, self.by_runner, self.by_model, self.held)
-        self.loads = Loads(link, self.loop, self.membership, self.functions, self._decision_log)
-        self.listed = self.membership.listed
-        self.about_planner: Callable[[], dict[str, Any]] | None = None
-        self.about_door: Callable[[], dict[str, Any]] | None = None
-        link.use(self)
-
-    def use_border(self, border: Border) -> None:
+        if about.logs_decisions:
+            self._decision_log = DecisionLog(
+                about.name, self.by_policy_worker, self.by_policy_function, self.pending_requests
+            )
+        self.load_requester = LoadRequester(
+            link, self.decision_loop, self.membership, self.function_table, self._decision_log
+        )
+        self.snapshot_received = self.membership.snapshot_received
+        self.report_planner: Callable[[], dict[str, Any]] | None = None
+        self.report_queues: Callable[[], dict[str, Any]] | None = None
+        link.attach(self)
+
+    def use_policy_boundary(self, border: PolicyBoundary) -> None:
         """Puts another border in the place of its own, such as one that measures; before `run`."""
-        self.border = self.loop.border = border
+        self.policy_boundary = self.decision_loop.policy_boundary = border
 
     # -- life
 
     async def run(self) -> None:
         """Until cancelled."""
         async with anyio.create_task_group() as group:
-            self.border.begin()
-            group.start_soon(self.loop.run)
-            group.start_soon(self.lag.run)
+            self.policy_boundary.start()
+            group.start_soon(self.decision_loop.run)
+            group.start_soon(self.event_loop_lag.run)
             group.start_soon(self._guard)
             group.start_soon(self.link.run)
             group.start_soon(self.source.run, self)
 
-    def fault(self, error: Exception) -> None:
+    def record_fault(self, error: Exception) -> None:
         """An exception where none should be. The request that it left without a wait is ended by `_guard`."""
-        self.loop.fault(error)
+        self.decision_loop.record_fault(error)
 
     async def _guard(self) -> None:
         """After a fault: no request is held past its time, whatever became of its generator."""
-        await self.loop.faulty.wait()
+        await self.decision_loop.fault_recorded.wait()
         while True:
             await anyio.sleep(FAULT_CHECK_SECONDS)
-            late = self.clock() + self.lag.tick
-            for task, held in list(self.held.items()):
-                if late > task.deadline_ns and held.final is None:
-                    held.why = "a fault of the dispatcher"
-                    held.end(Final.TURNED_BACK if self.border.may_turn_back(task) else Final.SCRAPPED)
-            self._rearm()
+            late = self.clock() + self.event_loop_lag.tick_ns
+            for task, held in list(self.pending_requests.items()):
+                if late > task.deadline_ns and held.outcome is None:
+                    held.reason = "a fault of the dispatcher"
+                    held.end(
+                        FinalOutcome.REJECTED
+                        if self.policy_boundary.may_reject(task)
+                        else FinalOutcome.FAILED
+                    )
+            self._run_due()
 
     # -- membership
 
-    def news(self, told: list[Line], whole: bool) -> None:
+    def update_endpoints(self, told: list[Endpoint], whole: bool) -> None:
         """What a source was told, of changes or of the whole list."""
-        self.membership.news(told, whole)
+        self.membership.update_endpoints(told, whole)
 
-    def drains(self, box: Box) -> None:
+    def mark_draining(self, box: UpstreamWorker) -> None:
         """A worker's own word that it drains."""
-        self.membership.drains(box)
+        self.membership.mark_draining(box)
 
     # -- requests
 
-    def take(
+    def accept(
         self,
-        wanted: Wanted,
+        wanted: IncomingRequest,
         arrived: int,
         content: Any = None,
         size: int = 0,
         again: bool | None = None,
-        done: Callable[[Held], None] | None = None,
-        client: ClientConnection | None = None,
-    ) -> Held:
+        done: Callable[[PendingRequest], None] | None = None,
+        client: CancellationSource | None = None,
+    ) -> PendingRequest:
         """Makes a request known to the policy. The listener has checked the names and the limits, and calls
         `over` once the final answer, which `done` is told of, is on its way. `again` goes before what
         `wanted` says."""
-        held = Held(wanted, arrived, content, size, done, client)
-        known = self.known(wanted.model, wanted.lanes, wanted.memory_mb)
-        limit = self.hard[wanted.offering]
-        left = limit if wanted.left is None else min(wanted.left, limit)
-        give_up = arrived + left - self.margin
+        held = PendingRequest(wanted, arrived, content, size, done, client)
+        known = self.find_or_add_function(wanted.function, wanted.lanes, wanted.memory_mb)
+        limit = self.deadlines_ns[wanted.request_class]
+        left = limit if wanted.time_left_ns is None else min(wanted.time_left_ns, limit)
+        give_up = arrived + left - self.deadline_margin_ns
 
         def note(task: Request) -> None:
-            held.task = task
-            self.held[task] = held
-            self.bytes += size
-            known.open += 1
-
-        customer = self.customers.get(wanted.customer or "")
-        offering, faults = self.offerings[wanted.offering], self.loop.faults
-        again = wanted.again if again is None else again
+            held.policy_request = task
+            self.pending_requests[task] = held
+            self.pending_bytes += size
+            known.pending_requests += 1
+
+        customer = self.tenants.get(wanted.tenant or "")
+        offering, faults = self.request_classes[wanted.request_class], self.decision_loop.fault_count
+        again = wanted.is_retry if again is None else again
         self._decide(
-            self.border.take, known.model, offering, customer, give_up, again, wanted.cost, note, wanted.mark
+            self.policy_boundary.accept_request,
+            known.policy_function,
+            offering,
+            customer,
+            give_up,
+            again,
+            wanted.cost_seconds,
+            note,
+            wanted.trace_id,
         )
-        if self.loop.faults > faults and (held.task is None or not held.task.attempts):
-            held.why = "a fault of the dispatcher"  # nothing was sent: no need to wait for `_guard`
-            held.end(Final.TURNED_BACK)
+        if self.decision_loop.fault_count > faults and (
+            held.policy_request is None or not held.policy_request.attempts
+        ):
+            held.reason = "a fault of the dispatcher"  # nothing was sent: no need to wait for `_guard`
+            held.end(FinalOutcome.REJECTED)
         return held
 
-    async def settle(self, held: Held) -> None:
+    async def wait_for_outcome(self, held: PendingRequest) -> None:
         """Waits for the final answer. Cancelled, the client has left."""
         try:
-            if held.final is None:
+            if held.outcome is None:
                 event = anyio.Event()
-                held.done = lambda _: event.set()
+                held.on_outcome = lambda _: event.set()
                 await event.wait()
         finally:
-            held.end(Final.LEFT)
-            self.over(held)
+            held.end(FinalOutcome.CLIENT_LEFT)
+            self.close(held)
 
-    def hasten(self) -> None:
+    def finish_all(self) -> None:
         """Every held request gets its answer now."""
-        for held in list(self.held.values()):
-            if held.task is not None and held.final is None:
-                back = self.border.may_turn_back(held.task)
-                held.why = "the dispatcher stops"
-                held.end(Final.TURNED_BACK if back else Final.SCRAPPED)
+        for held in list(self.pending_requests.values()):
+            if held.policy_request is not None and held.outcome is None:
+                back = self.policy_boundary.may_reject(held.policy_request)
+                held.reason = "the dispatcher stops"
+                held.end(FinalOutcome.REJECTED if back else FinalOutcome.FAILED)
 
-    def over(self, held: Held) -> None:
+    def close(self, held: PendingRequest) -> None:
         """The final answer is on its way, or nobody waits for it: what is still out is cancelled."""
-        task = held.task
-        if task is None or self.held.pop(task, None) is None:
+        task = held.policy_request
+        if task is None or self.pending_requests.pop(task, None) is None:
             return
-        self.bytes -= held.size
-        known = self.by_model.get(task.function)
+        self.pending_bytes -= held.size_bytes
+        known = self.by_policy_function.get(task.function)
         if known is not None:
-            known.open -= 1
-        if held.final is not None:
-            self.counts["final", held.final.value] += 1
-            if held.final is not Final.LEFT:
+            known.pending_requests -= 1
+        if held.outcome is not None:
+            self.counts["final", held.outcome.value] += 1
+            if held.outcome is not FinalOutcome.CLIENT_LEFT:
                 left = task.deadline_ns - self.clock()
-                self.closest = left if self.closest is None else min(self.closest, left)
-        self._decide(self.border.closed, task, held.final.value if held.final else "")
+                self.least_time_left_ns = (
+                    left if self.least_time_left_ns is None else min(self.least_time_left_ns, left)
+                )
+        self._decide(self.policy_boundary.close_request, task, held.outcome.value if held.outcome else "")
 
-    def _outlet(self, action: Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         """Carries out one decision. Nothing here calls the policy back: it is in the middle of deciding."""
         match action:
             case Attempt(request=task, worker=runner):
-                box = self.by_runner[runner]
-                out = self._out[action] = Out(action, self.held[task], box, len(task.attempts) - 1)
-                box.out += 1
-                self.link.hand_off(out)
+                box = self.by_policy_worker[runner]
+                out = self._in_flight[action] = InFlightAttempt(
+                    action, self.pending_requests[task], box, len(task.attempts) - 1
+                )
+                box.in_flight += 1
+                self.link.send_attempt(out)
             case Reject(request=task, retry_after_ns=wait):
-                held = self.held[task]
-                held.wait = wait
-                held.end(Final.TURNED_BACK)
+                held = self.pending_requests[task]
+                held.retry_after_ns = wait
+                held.end(FinalOutcome.REJECTED)
             case Fail(request=task):
-                self.held[task].end(Final.SCRAPPED)
+                self.pending_requests[task].end(FinalOutcome.FAILED)
             case Cancel(attempt=hand_off):
-                found = self._out.get(hand_off)
+                found = self._in_flight.get(hand_off)
                 if found is not None:
-                    self.link.call_off(found)
+                    self.link.cancel_attempt(found)
             case LoadRequest():
-                self.loads.send(action)
+                self.load_requester.send(action)
             case ListWorkers() | Wait():
                 pass  # the roster is pushed; the engine keeps the waits
         if self._decision_log is not None:
-            self._decision_log.decided(action)
+            self._decision_log.log_decision(action)
 
     # -- ends of attempts
 
-    def ended(self, out: Out, told: Heard) -> None:
+    def attempt_ended(self, out: InFlightAttempt, told: UpstreamOutcome) -> None:
         """From the link: the one end of an attempt."""
-        self.later(self._ended, out, told, self.clock())
+        self.defer(self._end_attempt, out, told, self.clock())
 
-    def _ended(self, out: Out, told: Heard, now: int) -> None:
-        hand_off, held, box = out.hand_off, out.held, out.box
-        if self._out.pop(hand_off, None) is None:
+    def _end_attempt(self, out: InFlightAttempt, told: UpstreamOutcome, now: int) -> None:
+        hand_off, held, box = out.policy_attempt, out.request, out.worker
+        if self._in_flight.pop(hand_off, None) is None:
             return
-        box.out -= 1
-        if told.drains:
-            self.drains(box)
-        box.reported.update(told.report)
+        box.in_flight -= 1
+        if told.is_draining:
+            self.mark_draining(box)
+        box.load_report.update(told.load_report)
         self.counts["hand-off", told.result.value] += 1
-        if told.failure:
-            self.counts["load failed", told.failure] += 1
-        if held.final is None:
-            held.why = told.why
-        first = told.result is Result.SUCCEEDED and held.final is None
-        final = first or held.final is not None
+        if told.load_failure:
+            self.counts["load failed", told.load_failure] += 1
+        if held.outcome is None:
+            held.reason = told.reason
+        first = told.result is Result.SUCCEEDED and held.outcome is None
+        final = first or held.outcome is not None
         if first:
-            held.answer = told.content
-            held.end(Final.SATISFIED)
+            held.response = told.response
+            held.end(FinalOutcome.SUCCEEDED)
         lag = max(0, now - hand_off.sent_ns)
-        self._decide(self.border.answered, AttemptResult(hand_off, told.result, final, told.warmth, lag))
-        self.membership.forget(box)
+        self._decide(
+            self.policy_boundary.record_result, AttemptResult(hand_off, told.result, final, told.warmth, lag)
+        )
+        self.membership.forget_if_gone(box)
         if self._decision_log is not None:
-            self._decision_log.attempt_ended(out, told)
+            self._decision_log.log_attempt_end(out, told)
 
     # -- what a planner decided
 
-    def decided(
+    def apply_plan(
         self, orders: Iterable[tuple[int, Any, Any]], held: Iterable[tuple[Any, Any, bool]]
     ) -> tuple[int, int]:
         """Load requests by the planner's number, worker and function, and which replicas are held. Returns
@@ -269,36 +313,36 @@
         given = refused = 0
         try:
             for runner, model, on in held:
-                self.border.hold(runner, model, on)
+                self.policy_boundary.set_retained(runner, model, on)
             for number, runner, model in orders:
-                if self.border.carry(number, runner, model) is None:
+                if self.policy_boundary.request_load(number, runner, model) is None:
                     refused += 1
                 else:
                     given += 1
         except Exception as error:
-            self.fault(error)
-        self._rearm()
+            self.record_fault(error)
+        self._run_due()
         return given, refused
 
-    def recall(self, copies: Iterable[tuple[str, str, int, float, float]]) -> None:
+    def confirm_replicas(self, copies: Iterable[tuple[str, str, int, float, float]]) -> None:
         """Asks workers for replicas of an incarnation before, as `Loads.recall`."""
-        self.loads.recall(copies)
+        self.load_requester.confirm_replicas(copies)
 
     # -- what operators see
 
-    def state(self) -> dict[str, Any]:
+    def report_status(self) -> dict[str, Any]:
         """Of the process, in plain values."""
         return {
-            "edge": self.about.name,
-            "roster": {"version": self.list.version, "runners": len(self.list.lines)},
-            "planner": self.about_planner() if self.about_planner else None,
-            "door": self.about_door() if self.about_door else None,
-            "held": len(self.held),
-            "held_bytes": self.bytes,
-            "models": len(self.models),
-            "tick_ms": self.lag.tick / 1e6,
-            "worst_lag_ms": self.lag.worst / 1e6,
-            "closest_answer_ms": None if self.closest is None else self.closest / 1e6,
+            "edge": self.settings.name,
+            "roster": {"version": self.endpoint_list.version, "runners": len(self.endpoint_list.endpoints)},
+            "planner": self.report_planner() if self.report_planner else None,
+            "door": self.report_queues() if self.report_queues else None,
+            "held": len(self.pending_requests),
+            "held_bytes": self.pending_bytes,
+            "models": len(self.functions_by_name),
+            "tick_ms": self.event_loop_lag.tick_ns / 1e6,
+            "worst_lag_ms": self.event_loop_lag.worst_ns / 1e6,
+            "closest_answer_ms": None if self.least_time_left_ns is None else self.least_time_left_ns / 1e6,
             "counts": {f"{kind}/{name}": n for (kind, name), n in sorted(self.counts.items())},
-            "runners": self.membership.report(),
+            "runners": self.membership.report_workers(),
         }
--- a/martenlead/edge/event_loop_lag.py
+++ b/martenlead/edge/event_loop_lag.py
@@ -29,7 +29,7 @@
 
     def __init__(self, clock: Callable[[], int], tick: int, report: Callable[[int], None]) -> None:
         """`tick` is the least; `report` is called with each new one."""
-        self.clock, self.tick, self.worst = clock, tick, 0
+        self.clock, self.tick_ns, self.worst_ns = clock, tick, 0
         self._least, self._report = tick, report
         self._lags: deque[tuple[int, int]] = deque()  # of the window: when each was measured, and it
         self._since_report = 0
@@ -61,14 +61,14 @@
 
     def _note(self, now: int, lag: int) -> None:
         """Reports a higher tick at once, and a lower one now and then."""
-        self.worst = max(self.worst, lag)
+        self.worst_ns = max(self.worst_ns, lag)
         self._lags.append((now, lag))
         while self._lags[0][0] <= now - WINDOW:
             self._lags.popleft()
         self._since_report += 1
         tick = min(max(self._least, self._quantile()), LONGEST_TICK)
-        if tick > self.tick or (tick < self.tick and self._since_report >= SAMPLES_PER_FALL):
-            self.tick, self._since_report = tick, 0
+        if tick > self.tick_ns or (tick < self.tick_ns and self._since_report >= SAMPLES_PER_FALL):
+            self.tick_ns, self._since_report = tick, 0
             self._report(tick)
 
     def _quantile(self) -> int:
--- a/martenlead/edge/functions.py
+++ b/martenlead/edge/function_table.py
@@ -5,36 +5,36 @@
 from typing import Any
 
 from martenlead.edge.decision_loop import DecisionLoop
-from martenlead.edge.records import Known
+from martenlead.edge.records import FunctionEntry
 from martenlead.policy.types import FunctionFacts
 
 MARK_BYTES = 64  # of a name, which make its number for the policy
 
 
-class Functions:
+class FunctionTable:
     """At most `most` functions, but for those that requests are held of."""
 
     def __init__(self, loop: DecisionLoop, most: int) -> None:
-        self._loop, self._most = loop, most
-        self.by_name: dict[str, Known] = {}  # the last used last
-        self.by_model: dict[Any, Known] = {}
+        self._loop, self._limit = loop, most
+        self.by_name: dict[str, FunctionEntry] = {}  # the last used last
+        self.by_policy_function: dict[Any, FunctionEntry] = {}
 
     @property
     def is_full(self) -> bool:
         """Whether a new function would displace another."""
-        return len(self.by_name) >= self._most
+        return len(self.by_name) >= self._limit
 
-    def known(self, name: str, lanes: int, memory_mb: float) -> Known:
+    def find_or_add(self, name: str, lanes: int, memory_mb: float) -> FunctionEntry:
         """The function of that name. A new one takes the place of the one longest without a request."""
         known = self.by_name.pop(name, None)
         if known is None:
             mark = int.from_bytes(name.encode()[:MARK_BYTES], "big")
-            model = self._loop.border.model(FunctionFacts(mark, lanes, memory_mb), name)
-            known = Known(name, model, lanes, memory_mb)
-            self.by_model[model] = known
+            model = self._loop.policy_boundary.add_function(FunctionFacts(mark, lanes, memory_mb), name)
+            known = FunctionEntry(name, model, lanes, memory_mb)
+            self.by_policy_function[model] = known
             if self.is_full:
-                old = next((k for k in self.by_name.values() if not k.open), None)
+                old = next((k for k in self.by_name.values() if not k.pending_requests), None)
                 if old is not None:
-                    del self.by_name[old.name], self.by_model[old.model]
+                    del self.by_name[old.name], self.by_policy_function[old.policy_function]
         self.by_name[name] = known
         return known
--- a/martenlead/edge/interfaces.py
+++ b/martenlead/edge/interfaces.py
@@ -5,52 +5,54 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
-from martenlead.edge.records import Box, Known, Out
-from martenlead.runnerlink.heard import Heard
-from martenlead.runnerlink.roster import Line, List
+from martenlead.edge.records import FunctionEntry, InFlightAttempt, UpstreamWorker
+from martenlead.upstream.endpoints import Endpoint, EndpointList
+from martenlead.upstream.outcome import UpstreamOutcome
 
 if TYPE_CHECKING:
     from martenlead.edge.dispatcher import Dispatcher
 
 
-class Way(Protocol):
+class ConnectionStats(Protocol):
     """Connections that a link has open to one worker, and has opened in all."""
 
     @property
-    def open(self) -> int: ...
+    def open_connections(self) -> int: ...
     @property
-    def opened(self) -> int: ...
+    def connections_opened(self) -> int: ...
 
 
-class Link(Protocol):
+class UpstreamLink(Protocol):
     """Carries attempts and load requests to workers. Each has exactly one end: of an attempt by
     `Dispatcher.ended`, of a load request by the callback given with it. Ends may be told at any time, from
     within these calls too."""
 
-    def use(self, dispatcher: Dispatcher) -> None:
+    def attach(self, dispatcher: Dispatcher) -> None:
         """Before all else: who is told."""
 
     async def run(self) -> None:
         """Until cancelled."""
 
-    def way(self, line: Line) -> Any:
+    def create_connections(self, line: Endpoint) -> Any:
         """To a runner at this address; nothing is opened yet. A `Way`."""
 
-    def leave(self, way: Any) -> None:
+    def retire_connections(self, way: Any) -> None:
         """Nothing new will be sent there; what is open ends as it would."""
 
-    def hand_off(self, out: Out) -> None: ...
+    def send_attempt(self, out: InFlightAttempt) -> None: ...
 
-    def call_off(self, out: Out) -> None:
+    def cancel_attempt(self, out: InFlightAttempt) -> None:
         """It still has its one end, be it an answer that was on its way."""
 
-    def order(self, box: Box, known: Known, copies: int, told: Callable[[Heard], None]) -> None: ...
+    def send_load_request(
+        self, box: UpstreamWorker, known: FunctionEntry, copies: int, told: Callable[[UpstreamOutcome], None]
+    ) -> None: ...
 
 
-class Source(Protocol):
+class MembershipSource(Protocol):
     """Where membership snapshots and deltas come from."""
 
-    list: List
+    endpoint_list: EndpointList
 
     async def run(self, dispatcher: Dispatcher) -> None:
         """Tells `Dispatcher.news` until cancelled."""
--- a/martenlead/edge/keeper.py
+++ b/martenlead/edge/knowledge_saver.py
@@ -21,30 +21,32 @@
 import msgspec
 import structlog
 
-from martenlead.config.edge import Edge, Lasting, ns
+from martenlead.config.edge import DurableStateSettings, EdgeSettings, ms_to_ns
+from martenlead.durable_state import knowledge as kn
+from martenlead.durable_state.disk import StateFolder
+from martenlead.durable_state.store import FolderInUseError, StateKind, StateStore, StateTooLargeError
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.lasting import knowledge as kn
-from martenlead.lasting.disk import Folder
-from martenlead.lasting.store import InUse, Kind, Store, TooLarge
 from martenlead.system import clocks
 from martenlead.system.durable_file import Backoff
 from martenlead.system.state_saver import SaveHealth
 
-KNOWLEDGE = Kind("knowledge")
+KNOWLEDGE = StateKind("knowledge")
 ASK_WITHIN = 0.25  # s after a start in which copies are asked for, so that dispatchers do not ask in step
 SHARE = 100  # times what one reading of the module takes, until the next
 READ_OPENINGS = 5  # openings in a row whose state may fail to be read before it is done without
 RESTORE_WITHIN_SECONDS = 60.0  # of the start; what was learnt since then is worth more than what was kept
 
 
-class Keeper:
-    def __init__(self, edge: Edge, told: Lasting, wall: Callable[[], int] = clocks.wall_ns) -> None:
-        self.told, self.wall = told, wall
+class KnowledgeSaver:
+    def __init__(
+        self, edge: EdgeSettings, told: DurableStateSettings, wall: Callable[[], int] = clocks.wall_ns
+    ) -> None:
+        self.settings, self.wall_clock_ns = told, wall
         self.name = edge.name
         self.log = structlog.get_logger().bind(edge=edge.name)
-        self.store: Store | None = None
-        self.last: tuple[int, kn.Knowledge] | None = None
-        self.found: tuple[kn.Knowledge, int] | None = None  # and its age, ns
+        self.store: StateStore | None = None
+        self.last_gathered: tuple[int, kn.SavedKnowledge] | None = None
+        self.earlier_knowledge: tuple[kn.SavedKnowledge, int] | None = None  # and its age, ns
         self._openings = 0
         self._started = time.monotonic()
         self._counter: Callable[[str, str], None] | None = None
@@ -53,7 +55,7 @@
         self._first_wait: float | None = None
         try:
             self._open()
-        except (OSError, InUse) as error:
+        except (OSError, FolderInUseError) as error:
             self._first_wait = self.health.failure(str(error))
 
     @property
@@ -66,8 +68,8 @@
 
     def _open(self) -> None:
         """Takes the folder, and reads what an earlier life kept there. Raises OSError and `InUse`."""
-        folder = Folder(Path(self.told.folder) / self.name)
-        store = Store(folder, self.told.deployment, self.wall, self.told.bytes)
+        folder = StateFolder(Path(self.settings.folder) / self.name)
+        store = StateStore(folder, self.settings.deployment, self.wall_clock_ns, self.settings.bytes)
         self._openings += 1
         state = store.read(KNOWLEDGE)
         if state is None and store.read_errors and self._openings < READ_OPENINGS:
@@ -75,9 +77,11 @@
             raise OSError(errno.EIO, "; ".join(store.problems))
         if state is not None:
             try:
-                known = msgspec.convert(state.value, kn.Knowledge)
-                age = kn.age(known, state.saved, self.wall(), clocks.boot_id(), clocks.uptime_ns())
-                self.found = known, age
+                known = msgspec.convert(state.value, kn.SavedKnowledge)
+                age = kn.compute_age_ns(
+                    known, state.saved_ns, self.wall_clock_ns(), clocks.boot_id(), clocks.uptime_ns()
+                )
+                self.earlier_knowledge = known, age
             except msgspec.ValidationError as error:
                 store.problems.append(f"knowledge: {error}")
         for problem in store.problems:
@@ -90,7 +94,7 @@
         self._counter = lambda event, state: dispatcher.counts.update([(event, state)])
         if self._first_wait is not None:  # told before there was a dispatcher to count it
             self._count("state_save_failed", self.health.state)
-        await dispatcher.listed.wait()
+        await dispatcher.snapshot_received.wait()
         try:
             await anyio.sleep(self._first_wait or 0.0)
             while True:
@@ -111,18 +115,18 @@
         try:
             if self.store is None:
                 await anyio.to_thread.run_sync(self._open)
-            if self.found is not None:
+            if self.earlier_knowledge is not None:
                 await self._restore(dispatcher)
             took = await self._gather(dispatcher)
             await anyio.to_thread.run_sync(self._save)
-        except (OSError, InUse, TooLarge) as error:
+        except (OSError, FolderInUseError, StateTooLargeError) as error:
             return self.health.failure(str(error))
         except Exception as error:
             if not self.health.is_failing:
                 self.log.error("a fault of ours", exc_info=error)
             return self.health.failure(repr(error))
         self.health.success()
-        return max(ns(self.told.every_ms) / 1e9, SHARE * took)
+        return max(ms_to_ns(self.settings.every_ms) / 1e9, SHARE * took)
 
     async def _gather(self, dispatcher: Dispatcher) -> float:
         """Reads what is known; the seconds of the event loop that this took."""
@@ -142,60 +146,72 @@
 
     async def _restore(self, dispatcher: Dispatcher) -> None:
         """Once, whatever comes of it: a part of it must not count twice."""
-        assert self.found is not None
-        known, age = self.found
-        self.found = None
+        assert self.earlier_knowledge is not None
+        known, age = self.earlier_knowledge
+        self.earlier_knowledge = None
         if self._is_past_restoring():
             return
         runners = self._runners(dispatcher)
-        most = dispatcher.about.models
+        most = dispatcher.settings.function_limit
         models = {
-            m.name: dispatcher.known(m.name, m.lanes, m.memory_mb).model
-            for m in known.models[: max(0, most - len(dispatcher.models))]
+            m.name: dispatcher.find_or_add_function(m.name, m.lanes, m.memory_mb).policy_function
+            for m in known.functions[: max(0, most - len(dispatcher.functions_by_name))]
         }
-        settings = dispatcher.border.look(lambda policy, _: policy.settings)
-        dispatcher.border.remember(kn.past(known, age, models, runners, settings.load_window_ns))
-        for name in kn.drained(known, runners):
-            dispatcher.drains(dispatcher.boxes[name])
-        asks = kn.asks(known, age, settings.keep_alive_ns, runners)
+        settings = dispatcher.policy_boundary.inspect(lambda policy, _: policy.settings)
+        dispatcher.policy_boundary.restore(
+            kn.build_earlier_run(known, age, models, runners, settings.load_window_ns)
+        )
+        for name in kn.list_draining_workers(known, runners):
+            dispatcher.mark_draining(dispatcher.workers[name])
+        asks = kn.list_reloads(known, age, settings.keep_alive_ns, runners)
         self.log.info(
             "remembers",
             models=len(models),
             copies=len(asks),
             age_ms=age / 1e6,
-            worth=round(kn.mean_worth(known, age), 3),
+            worth=round(kn.mean_confidence(known, age), 3),
         )
         for ask in asks:
-            await anyio.sleep(dispatcher.chance.random() * 2 * ASK_WITHIN / len(asks))
-            dispatcher.recall([ask])
+            await anyio.sleep(dispatcher.random.random() * 2 * ASK_WITHIN / len(asks))
+            dispatcher.confirm_replicas([ask])
 
     @staticmethod
     def _runners(dispatcher: Dispatcher) -> dict[str, tuple[Any, str]]:
-        up = dispatcher.list.lines
-        return {n: (box.runner, box.line.start) for n, box in dispatcher.boxes.items() if n in up}
+        up = dispatcher.endpoint_list.endpoints
+        return {
+            n: (box.policy_worker, box.endpoint.incarnation)
+            for n, box in dispatcher.workers.items()
+            if n in up
+        }
 
     def _gathering(self, dispatcher: Dispatcher) -> Iterator[bool]:
         """Some models at a time: whoever runs it lets others go on in between."""
         boxes = {
-            box.runner: (name, box.line.start, bool(box.drains) and box.drains == box.line.start)
-            for name, box in dispatcher.boxes.items()
+            box.policy_worker: (
+                name,
+                box.endpoint.incarnation,
+                bool(box.draining_incarnation) and box.draining_incarnation == box.endpoint.incarnation,
+            )
+            for name, box in dispatcher.workers.items()
         }
-        names = {model: known.name for model, known in dispatcher.by_model.items()}
-        before = self.last
-        steps = dispatcher.border.look(lambda policy, now: kn.gathering(policy, now, names, boxes, before))
+        names = {model: known.name for model, known in dispatcher.by_policy_function.items()}
+        before = self.last_gathered
+        steps = dispatcher.policy_boundary.inspect(
+            lambda policy, now: kn.gather_in_steps(policy, now, names, boxes, before)
+        )
         while True:
             try:
                 next(steps)
             except StopIteration as stop:
-                told: kn.Knowledge = stop.value
+                told: kn.SavedKnowledge = stop.value
                 break
             yield True
-        told.boot, told.at = clocks.boot_id(), clocks.uptime_ns()
-        self.last = dispatcher.clock(), told
+        told.boot_id, told.uptime_ns = clocks.boot_id(), clocks.uptime_ns()
+        self.last_gathered = dispatcher.clock(), told
 
     def _save(self) -> None:
         """In a thread: encodes and writes what was gathered last. Raises OSError, `InUse` and `TooLarge`."""
         if self.store is None:
             self._open()
-        if self.store is not None and self.last is not None:
-            self.store.write(KNOWLEDGE, self.last[1])
+        if self.store is not None and self.last_gathered is not None:
+            self.store.write(KNOWLEDGE, self.last_gathered[1])
--- a/martenlead/edge/door.py
+++ b/martenlead/edge/listener.py
@@ -10,17 +10,18 @@
 import structlog
 from msgspec import Meta
 
-from martenlead.admission import gate, token
-from martenlead.admission.gate import End, Gate, State, Ticket
-from martenlead.config.edge import Edge, ns
-from martenlead.edge.client import Pending
+from martenlead.admission import controller as gate
+from martenlead.admission import reservation_token as token
+from martenlead.admission.controller import AdmissionController, QueuedRequest, QueueState, ServiceResult
+from martenlead.config.edge import EdgeSettings, ms_to_ns
+from martenlead.edge.cancellation import UnreadInput
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.edge.httplink import Content
-from martenlead.edge.protocol import wanted
-from martenlead.edge.records import Final, Held, Wanted
+from martenlead.edge.http_upstream import EventContent
+from martenlead.edge.protocol import read_request
+from martenlead.edge.records import FinalOutcome, IncomingRequest, PendingRequest
 from martenlead.events import cloudevent
-from martenlead.events.cloudevent import BadEvent, Event
-from martenlead.events.http import Headers, Limits, Message, Peer
+from martenlead.events.cloudevent import Event, InvalidEventError
+from martenlead.events.http import Headers, Message, MessageLimits, Peer
 from martenlead.events.problem import problem
 from martenlead.events.server import Reply, Server, ServerLimits
 from martenlead.policy.types import Request, Result
@@ -30,52 +31,52 @@
 TITLES = {400: "Bad task", 404: "No such path", 405: "Only POST", 413: "Too large", 415: "Not an event"}
 
 
-class HttpClient:
+class HttpCancellationSource:
     """A `ClientConnection` of HTTP/1.1, where a request is cancelled by an end of its connection alone: bytes
     that are not read yet are requests behind it, and need not be read before an attempt."""
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
 
-    def pending(self) -> Pending:
-        return Pending.END if self.peer.has_left() else Pending.NOTHING
+    def peek_input(self) -> UnreadInput:
+        return UnreadInput.END if self.peer.has_left() else UnreadInput.NOTHING
 
-    def read_pending(self) -> bool:
+    def read_unread_input(self) -> bool:
         return True
 
-    def leave(self, held: Held) -> None:
-        held.end(Final.LEFT)
+    def handle_disconnect(self, held: PendingRequest) -> None:
+        held.end(FinalOutcome.CLIENT_LEFT)
         self.peer.end()
 
 
-class Door:
-    def __init__(self, dispatcher: Dispatcher, edge: Edge) -> None:
+class EventListener:
+    def __init__(self, dispatcher: Dispatcher, edge: EdgeSettings) -> None:
         self.dispatcher, self.edge = dispatcher, edge
-        self.wait = ns(edge.allowed.turn_back_wait_ms)
+        self.wait = ms_to_ns(edge.allowed.retry_after_limit_ms)
         self.log = structlog.get_logger().bind(edge=edge.name)
-        self.gate: Gate | None = None
+        self.gate: AdmissionController | None = None
         if edge.queues is not None:
-            weights = {c.name: c.weight for c in edge.customers}
-            told = gate.Limits(edge.queues.waiting, edge.queues.bytes, weights)
-            self.gate = Gate(told, dispatcher.clock, Random(edge.seed), self._room)
-            dispatcher.about_door = self.gate.told
+            weights = {c.name: c.weight for c in edge.tenants}
+            told = gate.AdmissionLimits(edge.queues.waiting, edge.queues.bytes, weights)
+            self.gate = AdmissionController(told, dispatcher.clock, Random(edge.seed), self._room)
+            dispatcher.report_queues = self.gate.status_report
         secret = edge.queues.secret if edge.queues is not None else None
         self.secret = secret.encode() if secret else None
         self._wall = wall_ns
-        self._changed: dict[Ticket, anyio.Event] = {}
+        self._changed: dict[QueuedRequest, anyio.Event] = {}
         limits = edge.limits
         self.server = Server(
             self.handle,
             ServerLimits(
-                Limits(limits.head_bytes, limits.body_bytes),
+                MessageLimits(limits.head_bytes, limits.body_bytes),
                 limits.connections,
                 limits.pipelined,
-                ns(limits.idle_ms),
-                ns(limits.slow_ms),
+                ms_to_ns(limits.idle_ms),
+                ms_to_ns(limits.slow_ms),
             ),
-            bad=bad,
-            crashed=self.crashed,
-            arrival=dispatcher.lag.earliest_arrival,
+            make_error_reply=bad,
+            make_fault_reply=self.crashed,
+            earliest_arrival_ns=dispatcher.event_loop_lag.earliest_arrival,
         )
 
     async def handle(self, message: Message, now: int) -> Reply:
@@ -88,95 +89,103 @@
             reply.headers.append((b"allow", b"POST"))
             return reply
         try:
-            event = cloudevent.read(message.headers, message.body)
-            asked = wanted(event, dispatcher.clock() - now)
-            if asked.offering not in dispatcher.offerings:
-                raise BadEvent("type", "no such offering")
-            if dispatcher.customers and asked.customer not in dispatcher.customers:
-                raise BadEvent(
-                    "customer", "no such customer" if asked.customer else "the attribute is missing"
+            event = cloudevent.decode_event(message.headers, message.body)
+            asked = read_request(event, dispatcher.clock() - now)
+            if asked.request_class not in dispatcher.request_classes:
+                raise InvalidEventError("type", "no such offering")
+            if dispatcher.tenants and asked.tenant not in dispatcher.tenants:
+                raise InvalidEventError(
+                    "customer", "no such customer" if asked.tenant else "the attribute is missing"
                 )
-        except BadEvent as error:
+        except InvalidEventError as error:
             dispatcher.counts["refused", error.attribute] += 1
             reply = problem(error.status, TITLES[error.status], str(error), attribute=error.attribute)
             if error.status == 415:
-                reply.headers.append((b"accept", cloudevent.ACCEPTED))
+                reply.headers.append((b"accept", cloudevent.ACCEPTED_MEDIA_TYPES))
             return reply
-        full = self._full(asked.model, len(message.body))
+        full = self._full(asked.function, len(message.body))
         if full:
-            dispatcher.counts["final", Final.TURNED_BACK.value] += 1
+            dispatcher.counts["final", FinalOutcome.REJECTED.value] += 1
             return at_the_door(full, self.wait)
         if message.header(b"ce-id") is None:
-            headers, body = cloudevent.write(event)
+            headers, body = cloudevent.encode_event(event)
         else:  # what came in binary mode goes on as it came
             headers = [p for p in message.headers if p[0][:3] == b"ce-" or p[0] == b"content-type"]
             body = message.body
-        client = HttpClient(message.peer) if message.peer is not None else None
+        client = HttpCancellationSource(message.peer) if message.peer is not None else None
         if self.gate is None:
-            held = dispatcher.take(asked, now, Content(headers, body), len(body), client=client)
-            await dispatcher.settle(held)
+            held = dispatcher.accept(asked, now, EventContent(headers, body), len(body), client=client)
+            await dispatcher.wait_for_outcome(held)
             return self.answer(held)
-        return await self._through(self.gate, asked, event, now, Content(headers, body), client)
+        return await self._through(self.gate, asked, event, now, EventContent(headers, body), client)
 
     async def _through(
         self,
-        gate: Gate,
-        asked: Wanted,
+        gate: AdmissionController,
+        asked: IncomingRequest,
         event: Event,
         now: int,
-        content: Content,
-        client: HttpClient | None,
+        content: EventContent,
+        client: HttpCancellationSource | None,
     ) -> Reply:
         """A request by the gate: at once, after a wait, or not at all."""
         dispatcher = self.dispatcher
         ticket = self._arrive(gate, asked, event, now, len(content.body))
-        if ticket.state is State.WAITS:
+        if ticket.state is QueueState.QUEUED:
             await self._wait(gate, ticket)
-        if ticket.state is State.BACK:
-            dispatcher.counts["final", Final.TURNED_BACK.value] += 1
-            return self._appoint(at_the_door(ticket.why, ticket.wait), event, ticket)
-        end = End.OTHER
+        if ticket.state is QueueState.REJECTED:
+            dispatcher.counts["final", FinalOutcome.REJECTED.value] += 1
+            return self._appoint(at_the_door(ticket.reason, ticket.retry_after_ns), event, ticket)
+        end = ServiceResult.OTHER
         try:
-            held = dispatcher.take(asked, now, content, len(content.body), ticket.repeats, client=client)
-            self._wake(gate.begun(ticket))
-            await dispatcher.settle(held)
-            end = end_of(held.final.value if held.final else "", held.task, held.why)
+            held = dispatcher.accept(
+                asked, now, content, len(content.body), ticket.counts_as_retry, client=client
+            )
+            self._wake(gate.confirm_admission(ticket))
+            await dispatcher.wait_for_outcome(held)
+            end = classify_service_result(
+                held.outcome.value if held.outcome else "", held.policy_request, held.reason
+            )
         finally:
-            self._wake(gate.ended(ticket, end))
-        if end is End.NO_ROOM:
-            held.wait = max(held.wait, ticket.wait)
+            self._wake(gate.complete(ticket, end))
+        if end is ServiceResult.NO_CAPACITY:
+            held.retry_after_ns = max(held.retry_after_ns, ticket.retry_after_ns)
             return self._appoint(self.answer(held), event, ticket)
         return self.answer(held)
 
-    def _arrive(self, gate: Gate, asked: Wanted, event: Event, now: int, size: int) -> Ticket:
+    def _arrive(
+        self, gate: AdmissionController, asked: IncomingRequest, event: Event, now: int, size: int
+    ) -> QueuedRequest:
         """Tells the gate of a request of `size` bytes that came at `now`, ns."""
         dispatcher = self.dispatcher
-        limit = dispatcher.hard[asked.offering]
-        return gate.arrive(
-            asked.model,
-            asked.offering,
-            asked.customer or "",
-            event.mark[0],
-            hash(event.mark),
-            asked.cost,
+        limit = dispatcher.deadlines_ns[asked.request_class]
+        return gate.submit(
+            asked.function,
+            asked.request_class,
+            asked.tenant or "",
+            event.identity[0],
+            hash(event.identity),
+            asked.cost_seconds,
             size,
-            now + dispatcher.offerings[asked.offering].latency_objective_ns,
-            now + (limit if asked.left is None else min(asked.left, limit)) - dispatcher.margin,
-            asked.again,
+            now + dispatcher.request_classes[asked.request_class].latency_objective_ns,
+            now
+            + (limit if asked.time_left_ns is None else min(asked.time_left_ns, limit))
+            - dispatcher.deadline_margin_ns,
+            asked.is_retry,
             (asked.lanes, asked.memory_mb),
             self._brought(event),
         )
 
-    async def _wait(self, gate: Gate, ticket: Ticket) -> None:
+    async def _wait(self, gate: AdmissionController, ticket: QueuedRequest) -> None:
         """Until the gate has decided on a request that waits there, or its time is over."""
         changed = self._changed[ticket] = anyio.Event()
         try:
-            with anyio.move_on_after(max(0, ticket.until - self.dispatcher.clock()) / 1e9):
+            with anyio.move_on_after(max(0, ticket.start_by_ns - self.dispatcher.clock()) / 1e9):
                 await changed.wait()
             gate.expire(ticket)
         except anyio.get_cancelled_exc_class():
             # its client left: as it waited, or just as it was let in, and then the next is due
-            self._wake(gate.ended(ticket, End.OTHER))
+            self._wake(gate.complete(ticket, ServiceResult.OTHER))
             raise
         finally:
             del self._changed[ticket]
@@ -189,85 +198,93 @@
         if text is None or self.secret is None:
             return None
         wall = self._wall()
-        told = token.take(self.secret, event.mark, text, wall // 1_000_000)
+        told = token.verify(self.secret, event.identity, text, wall // 1_000_000)
         if told is None:
             self.dispatcher.counts["appointment", "not ours"] += 1
             return None
         since, until = (time * 1_000_000 for time in told)
-        early = max(0, given_at(since, until) - wall)
-        if early > gate.GRACE:
+        early = max(0, reservation_issued_ns(since, until) - wall)
+        if early > gate.RESERVATION_GRACE_NS:
             self.dispatcher.counts["appointment", "clocks differ"] += 1
             return None
         ahead = self.dispatcher.clock() - wall - early
         return since + ahead, until + ahead
 
-    def _appoint(self, reply: Reply, event: Event, ticket: Ticket) -> Reply:
-        if self.secret is not None and ticket.appointment is not None:
+    def _appoint(self, reply: Reply, event: Event, ticket: QueuedRequest) -> Reply:
+        if self.secret is not None and ticket.reservation is not None:
             behind = self._wall() - self.dispatcher.clock()
-            since, until = ((t + behind) // 1_000_000 for t in ticket.appointment)
-            text = token.give(self.secret, event.mark, since, until)
+            since, until = ((t + behind) // 1_000_000 for t in ticket.reservation)
+            text = token.issue(self.secret, event.identity, since, until)
             reply.headers.append((b"martenlead-appointment", text.encode()))
         return reply
 
-    def _wake(self, changed: list[Ticket]) -> None:
+    def _wake(self, changed: list[QueuedRequest]) -> None:
         for ticket in changed:
             self._changed[ticket].set()
 
-    def _room(self, ticket: Ticket) -> Any:
+    def _room(self, ticket: QueuedRequest) -> Any:
         """The module's word on a task that stands at the door."""
         dispatcher = self.dispatcher
-        known = dispatcher.known(ticket.model, *ticket.about)
-        return dispatcher.border.room(
-            known.model,
-            dispatcher.offerings[ticket.offering],
-            ticket.repeats,
-            ticket.work if ticket.told else 0.0,
+        known = dispatcher.find_or_add_function(ticket.function, *ticket.resources)
+        return dispatcher.policy_boundary.choose_worker(
+            known.policy_function,
+            dispatcher.request_classes[ticket.request_class],
+            ticket.counts_as_retry,
+            ticket.work_seconds if ticket.has_declared_work else 0.0,
         )
 
     async def run(self) -> None:
         """Lets in who waits as room comes with time alone; what ends lets them in at once. Never returns."""
         while self.gate is not None:
-            await anyio.sleep(0.01 if self.gate.waiting else 0.05)
-            self._wake(self.gate.sweep())
+            await anyio.sleep(0.01 if self.gate.waiting_requests else 0.05)
+            self._wake(self.gate.admit_waiting())
 
     def drain(self) -> None:
         """Takes no connection more; who waits at the door is turned back now."""
         self.server.drain()
         if self.gate is not None:
-            self._wake(self.gate.stop())
+            self._wake(self.gate.reject_all())
 
     def _full(self, model: str, size: int) -> str:
         """At a limit nothing was begun for the task, whatever its kind: it may come again."""
         limits, dispatcher = self.edge.limits, self.dispatcher
-        if self.server.draining:
+        if self.server.is_draining:
             return "the dispatcher stops"
-        if len(dispatcher.held) >= limits.open_tasks:
-            return f"{limits.open_tasks} tasks are held"
-        if dispatcher.bytes + size > limits.held_bytes:
-            return f"{limits.held_bytes} bytes are held"
-        if model not in dispatcher.models and len(dispatcher.models) >= limits.known_models:
-            return f"{limits.known_models} models are known"
+        if len(dispatcher.pending_requests) >= limits.open_requests:
+            return f"{limits.open_requests} tasks are held"
+        if dispatcher.pending_bytes + size > limits.pending_bytes:
+            return f"{limits.pending_bytes} bytes are held"
+        if (
+            model not in dispatcher.functions_by_name
+            and len(dispatcher.functions_by_name) >= limits.known_functions
+        ):
+            return f"{limits.known_functions} models are known"
         return ""
 
-    def answer(self, held: Held) -> Reply:
-        task = held.task
-        if held.final is Final.SATISFIED and held.answer is not None:
+    def answer(self, held: PendingRequest) -> Reply:
+        task = held.policy_request
+        if held.outcome is FinalOutcome.SUCCEEDED and held.response is not None:
             headers: Headers = [
                 (name, value)
-                for name, value in held.answer.headers
+                for name, value in held.response.headers
                 if name.startswith(b"ce-") or name in PASSED_ON
             ]
-            return Reply(200, headers, held.answer.body)
+            return Reply(200, headers, held.response.body)
         results = [h.result for h in task.attempts] if task else []
         told: dict[str, Any] = {"hand_offs": len(results)}
-        if held.final is Final.TURNED_BACK:
+        if held.outcome is FinalOutcome.REJECTED:
             over = task is not None and task.is_deferrable and not task.is_retry
-            why = held.why or ("over the customer's share" if over else "no runner may take it now")
+            why = held.reason or ("over the customer's share" if over else "no runner may take it now")
             return problem(
-                429 if over else 503, "Turned back", why, wait_ns=held.wait, final="turned back", **told
+                429 if over else 503,
+                "Turned back",
+                why,
+                retry_after_ns=held.retry_after_ns,
+                final="turned back",
+                **told,
             )
         late = any(r in (None, Result.NO_RESPONSE, Result.CANCELLED) for r in results)
-        why = held.why or "no runner had an answer"
+        why = held.reason or "no runner had an answer"
         return problem(504 if late else 502, "Scrapped", why, final="scrapped", **told)
 
     def crashed(self, error: BaseException) -> Reply:
@@ -275,28 +292,28 @@
         return problem(500, "A fault of ours", "the dispatcher failed on this task", final="scrapped")
 
 
-def given_at(since: int, until: int) -> int:
+def reservation_issued_ns(since: int, until: int) -> int:
     """When an appointment from `since` to `until` was given: its span is the early part of its wait and the
     grace."""
-    wait = round((until - since - gate.GRACE) / gate.EARLY)
-    return until - gate.GRACE - wait
+    wait = round((until - since - gate.RESERVATION_GRACE_NS) / gate.EARLY_ARRIVAL_SHARE)
+    return until - gate.RESERVATION_GRACE_NS - wait
 
 
-def end_of(final: str, task: Request | None, why: str) -> End:
+def classify_service_result(final: str, task: Request | None, why: str) -> ServiceResult:
     """What became of a task that was let in, for the gate. What is over its customer's share is the
     module's to turn back, with its own wait, and no appointment of the door's."""
-    if final == Final.SATISFIED.value:
-        return End.SATISFIED
-    if final == Final.TURNED_BACK.value and task is not None and not task.is_deferrable:
+    if final == FinalOutcome.SUCCEEDED.value:
+        return ServiceResult.SUCCEEDED
+    if final == FinalOutcome.REJECTED.value and task is not None and not task.is_deferrable:
         # sent nowhere, or turned away wherever it was sent
         full = all(h.result is Result.AT_CAPACITY for h in task.attempts)
-        return End.NO_ROOM if full and why in ("", "turned away") else End.OTHER
-    return End.OTHER
+        return ServiceResult.NO_CAPACITY if full and why in ("", "turned away") else ServiceResult.OTHER
+    return ServiceResult.OTHER
 
 
 def at_the_door(why: str, wait: int) -> Reply:
     """A turn-back that the module never heard of, and says so."""
-    reply = problem(503, "Turned back", why, wait_ns=wait, final="turned back", hand_offs=0)
+    reply = problem(503, "Turned back", why, retry_after_ns=wait, final="turned back", hand_offs=0)
     reply.headers.append((b"martenlead-door", b"1"))
     return reply
 
@@ -304,12 +321,12 @@
 def bad(status: int, detail: str) -> Reply:
     """What a message gets that could not be read; the connection ends behind it."""
     wait = 1_000_000_000 if status == 503 else None
-    reply = problem(status, "Not a message that is taken", detail, wait_ns=wait)
+    reply = problem(status, "Not a message that is taken", detail, retry_after_ns=wait)
     reply.close = True
     return reply
 
 
-class NewLimits(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class LimitsUpdate(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """What `PUT /limits` takes; what is absent stays as it is."""
 
     waiting: Annotated[int, Meta(ge=1)] | None = None
@@ -320,7 +337,7 @@
 class Admin:
     """GET /state for people, GET /metrics in the Prometheus text format, PUT /limits for the queues."""
 
-    def __init__(self, dispatcher: Dispatcher, door: Door | None = None) -> None:
+    def __init__(self, dispatcher: Dispatcher, door: EventListener | None = None) -> None:
         self.door = door
         from prometheus_client import CollectorRegistry
 
@@ -328,7 +345,10 @@
         self.registry = CollectorRegistry()
         self.registry.register(self)
         self.server = Server(
-            self.handle, ServerLimits(connections=16), bad=bad, crashed=lambda _: bad(500, "failed")
+            self.handle,
+            ServerLimits(max_connections=16),
+            make_error_reply=bad,
+            make_fault_reply=lambda _: bad(500, "failed"),
         )
 
     def collect(self) -> Any:
@@ -338,7 +358,7 @@
         for (kind, name), n in sorted(self.dispatcher.counts.items()):
             counted.add_metric([kind, name], n)
         yield counted
-        state = self.dispatcher.state()
+        state = self.dispatcher.report_status()
         for name in ("held", "held_bytes", "models", "tick_ms", "worst_lag_ms", "closest_answer_ms"):
             yield GaugeMetricFamily(f"martenlead_{name}", name, value=state[name] or 0.0)
 
@@ -346,7 +366,7 @@
         from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
         if message.target == b"/state":
-            state = msgspec.json.format(msgspec.json.encode(self.dispatcher.state()))
+            state = msgspec.json.format(msgspec.json.encode(self.dispatcher.report_status()))
             return Reply(200, [(b"content-type", b"application/json")], state)
         if message.target == b"/metrics":
             return Reply(
@@ -362,15 +382,15 @@
         if gate_ is None:
             return problem(409, "Not changed", "this edge has no `queues`")
         try:
-            told = msgspec.json.decode(body, type=NewLimits)
+            told = msgspec.json.decode(body, type=LimitsUpdate)
         except msgspec.DecodeError as error:
             return problem(400, "Not changed", str(error))
         unknown = sorted(told.weights.keys() - gate_.limits.weights.keys())
         if unknown:
             return problem(400, "Not changed", f"$.weights: no customer {unknown[0]!r}")
         old = gate_.limits
-        new = gate.Limits(
+        new = gate.AdmissionLimits(
             told.waiting or old.waiting, told.bytes or old.bytes, {**old.weights, **told.weights}
         )
-        gate_.change(new)
+        gate_.update_limits(new)
         return Reply(200, [(b"content-type", b"application/json")], msgspec.json.encode(new))
--- a/martenlead/edge/membership.py
+++ b/martenlead/edge/membership.py
@@ -13,10 +13,10 @@
 import structlog
 
 from martenlead.edge.decision_loop import DecisionLoop
-from martenlead.edge.interfaces import Link
-from martenlead.edge.records import Box
+from martenlead.edge.interfaces import UpstreamLink
+from martenlead.edge.records import UpstreamWorker
 from martenlead.policy.types import WorkerFacts, WorkerState
-from martenlead.runnerlink.roster import Line, List
+from martenlead.upstream.endpoints import Endpoint, EndpointList
 
 STATES = {"up": WorkerState.UP, "draining": WorkerState.DRAINING, "gone": WorkerState.GONE}
 LOGGED_EACH = 64  # workers in one piece of news that get a log line each; of more, one line tells how many
@@ -28,121 +28,136 @@
 
     def __init__(
         self,
-        members: List,
+        members: EndpointList,
         loop: DecisionLoop,
-        link: Link,
+        link: UpstreamLink,
         name: str,
     ) -> None:
         """`members` is the source's list; `name` is the dispatcher's, for the log."""
-        self.members, self.loop, self.link = members, loop, link
-        self.boxes: dict[str, Box] = {}
-        self.by_runner: dict[Any, Box] = {}
-        self.listed = anyio.Event()  # set once a whole list has come
+        self.endpoint_list, self.decision_loop, self.link = members, loop, link
+        self.workers: dict[str, UpstreamWorker] = {}
+        self.by_policy_worker: dict[Any, UpstreamWorker] = {}
+        self.snapshot_received = anyio.Event()  # set once a whole list has come
         self.log = structlog.get_logger().bind(edge=name)
 
-    def news(self, told: list[Line], whole: bool) -> None:
+    def update_endpoints(self, told: list[Endpoint], whole: bool) -> None:
         """What a source was told, of changes or of the whole list. Of a list that is sent again only what
         differs reaches the policy: all of a long one would hold up the event loop."""
-        first = not self.boxes
+        first = not self.workers
         logged = not first and len(told) <= LOGGED_EACH
         news: list[tuple[Any, WorkerFacts]] = []
-        gone: list[Box] = []
+        gone: list[UpstreamWorker] = []
         if whole and not first:
             listed = {line.id for line in told}
-            gone = [box for name, box in self.boxes.items() if name not in listed]
-            news = [(box.runner, box.facts(WorkerState.GONE, box.since, UNKNOWN_WEIGHT)) for box in gone]
+            gone = [box for name, box in self.workers.items() if name not in listed]
+            news = [
+                (box.policy_worker, box.build_facts(WorkerState.GONE, box.started_ns, UNKNOWN_WEIGHT))
+                for box in gone
+            ]
         for line in told:
-            box = None if self._is_known(line) else self._box_of(line)
+            box = None if self._is_known(line) else self._find_or_add_worker(line)
             if box is None:
                 continue
             if line.state == "gone":
                 gone.append(box)
-                box.gone = True  # at once: the same news may tell of the next process under that id
+                box.is_gone = True  # at once: the same news may tell of the next process under that id
             else:
-                box.line = line
-            facts = self._facts(box, line)
-            if box.runner is None:
-                box.runner = self.loop.border.runner(facts, line.id)
-                self.by_runner[box.runner] = box
-            news.append((box.runner, facts))
+                box.endpoint = line
+            facts = self._update_facts(box, line)
+            if box.policy_worker is None:
+                box.policy_worker = self.decision_loop.policy_boundary.add_worker(facts, line.id)
+                self.by_policy_worker[box.policy_worker] = box
+            news.append((box.policy_worker, facts))
             if logged:
-                self.log.info("roster", runner=line.id, state=facts.state.value, version=self.members.version)
-        self.loop.decide(self.loop.border.roster, news, whole and first)
+                self.log.info(
+                    "roster", runner=line.id, state=facts.state.value, version=self.endpoint_list.version
+                )
+        self.decision_loop.decide(self.decision_loop.policy_boundary.update_workers, news, whole and first)
         for box in gone:
-            box.gone = True
-            self.link.leave(box.way)
-            self.forget(box)
+            box.is_gone = True
+            self.link.retire_connections(box.connections)
+            self.forget_if_gone(box)
         if whole or not logged:
             kind = "whole roster" if whole else "roster"
-            self.log.info(kind, runners=len(told), news=len(news), version=self.members.version)
+            self.log.info(kind, runners=len(told), news=len(news), version=self.endpoint_list.version)
         if whole:
-            self.listed.set()
+            self.snapshot_received.set()
 
-    def _is_known(self, line: Line) -> bool:
+    def _is_known(self, line: Endpoint) -> bool:
         """Whether it tells nothing new; that a process has grown older is nothing new."""
-        box = self.boxes.get(line.id)
-        if box is None or box.gone:
+        box = self.workers.get(line.id)
+        if box is None or box.is_gone:
             return False
-        return box.line == line or box.line == msgspec.structs.replace(line, age_ms=box.line.age_ms)
+        return box.endpoint == line or box.endpoint == msgspec.structs.replace(
+            line, age_ms=box.endpoint.age_ms
+        )
 
-    def _box_of(self, line: Line) -> Box | None:
+    def _find_or_add_worker(self, line: Endpoint) -> UpstreamWorker | None:
         """The worker that a line is about, made where it is new; None where an unknown one is gone."""
-        box = self.boxes.get(line.id)
+        box = self.workers.get(line.id)
         if line.state == "gone":
             return box
-        if box is None or box.gone:  # else another process under that id: what is out is not its own
-            box = self.boxes[line.id] = Box(line, self.link.way(line))
-        elif (line.host, line.port) != (box.line.host, box.line.port):
-            self.link.leave(box.way)
-            box.way = self.link.way(line)
+        if box is None or box.is_gone:  # else another process under that id: what is out is not its own
+            box = self.workers[line.id] = UpstreamWorker(line, self.link.create_connections(line))
+        elif (line.host, line.port) != (box.endpoint.host, box.endpoint.port):
+            self.link.retire_connections(box.connections)
+            box.connections = self.link.create_connections(line)
         return box
 
-    def _facts(self, box: Box, line: Line) -> WorkerFacts:
-        if not box.runner or line.start != box.started:
-            box.since = self._since(line.age_ms)
-            box.started = line.start
+    def _update_facts(self, box: UpstreamWorker, line: Endpoint) -> WorkerFacts:
+        if not box.policy_worker or line.incarnation != box.started_incarnation:
+            box.started_ns = self._to_started_ns(line.age_ms)
+            box.started_incarnation = line.incarnation
         state = STATES[line.state]
-        if state is WorkerState.UP and box.drains and box.drains == line.start:
+        if (
+            state is WorkerState.UP
+            and box.draining_incarnation
+            and box.draining_incarnation == line.incarnation
+        ):
             state = WorkerState.DRAINING  # its own word is newer than the source's until it has started anew
-        return box.facts(state, box.since, line.weight or line.memory_mb or UNKNOWN_WEIGHT)
+        return box.build_facts(state, box.started_ns, line.weight or line.memory_mb or UNKNOWN_WEIGHT)
 
-    def _since(self, age_ms: float | None) -> int:
+    def _to_started_ns(self, age_ms: float | None) -> int:
         """When a worker started, by our clock; 0 for long ago. None started later than now."""
         if age_ms is None:
             return 0
         age = max(0, round(age_ms * 1e6))
-        return max(1, self.loop.clock() - age)
+        return max(1, self.decision_loop.clock() - age)
 
-    def forget(self, box: Box) -> None:
+    def forget_if_gone(self, box: UpstreamWorker) -> None:
         """Forgets a worker that is gone, once the last of what was sent there has ended."""
-        if box.gone and not box.out:
-            self.by_runner.pop(box.runner, None)
-            if self.boxes.get(box.line.id) is box:
-                del self.boxes[box.line.id]
+        if box.is_gone and not box.in_flight:
+            self.by_policy_worker.pop(box.policy_worker, None)
+            if self.workers.get(box.endpoint.id) is box:
+                del self.workers[box.endpoint.id]
 
-    def drains(self, box: Box) -> None:
+    def mark_draining(self, box: UpstreamWorker) -> None:
         """A worker's own word that it drains counts ahead of what the source has told."""
-        if box.drains == box.line.start and box.drains:
+        if box.draining_incarnation == box.endpoint.incarnation and box.draining_incarnation:
             return
-        box.drains = box.line.start
-        facts = box.facts(
-            WorkerState.DRAINING, box.since, box.line.weight or box.line.memory_mb or UNKNOWN_WEIGHT
+        box.draining_incarnation = box.endpoint.incarnation
+        facts = box.build_facts(
+            WorkerState.DRAINING,
+            box.started_ns,
+            box.endpoint.weight or box.endpoint.memory_mb or UNKNOWN_WEIGHT,
         )
-        if box.line.id in self.members.lines:
-            self.loop.decide(self.loop.border.roster, [(box.runner, facts)], False)
-            self.log.info("drains by its own word", runner=box.line.id)
+        if box.endpoint.id in self.endpoint_list.endpoints:
+            self.decision_loop.decide(
+                self.decision_loop.policy_boundary.update_workers, [(box.policy_worker, facts)], False
+            )
+            self.log.info("drains by its own word", runner=box.endpoint.id)
 
-    def report(self) -> list[dict[str, Any]]:
+    def report_workers(self) -> list[dict[str, Any]]:
         """What operators see of each worker."""
-        now = self.loop.clock()
+        now = self.decision_loop.clock()
         return [
             {
-                "id": box.line.id,
-                "state": box.runner.facts.state.value,
-                "age_ms": (now - box.since) / 1e6 if box.since else None,
-                "connections": box.way.open,
-                "opened": box.way.opened,
-                "report": box.reported,
+                "id": box.endpoint.id,
+                "state": box.policy_worker.facts.state.value,
+                "age_ms": (now - box.started_ns) / 1e6 if box.started_ns else None,
+                "connections": box.connections.open,
+                "opened": box.connections.opened,
+                "report": box.load_report,
             }
-            for box in self.boxes.values()
+            for box in self.workers.values()
         ]
--- a/martenlead/edge/records.py
+++ b/martenlead/edge/records.py
@@ -7,38 +7,38 @@
 from enum import Enum
 from typing import Any
 
-from martenlead.edge.client import ClientConnection
+from martenlead.edge.cancellation import CancellationSource
 from martenlead.policy.types import Attempt, Request, RequestClass, Settings, Tenant, WorkerFacts, WorkerState
-from martenlead.runnerlink.roster import Line
+from martenlead.upstream.endpoints import Endpoint
 
 
-class Final(Enum):
+class FinalOutcome(Enum):
     """The final outcomes, and that of requests whose client left before there was one."""
 
-    SATISFIED = "satisfied"
-    TURNED_BACK = "turned back"
-    SCRAPPED = "scrapped"
-    LEFT = "left"
+    SUCCEEDED = "satisfied"
+    REJECTED = "turned back"
+    FAILED = "scrapped"
+    CLIENT_LEFT = "left"
 
 
 @dataclass(slots=True)
-class Wanted:
+class IncomingRequest:
     """A request as a listener has read it; times are ns, `cost` is seconds, `left` is from when it arrived.
     `id` is its client's, `mark` names it on tapes."""
 
-    offering: str
-    model: str
-    customer: str | None
+    request_class: str
+    function: str
+    tenant: str | None
     lanes: int
     memory_mb: float
-    cost: float
-    left: int | None
-    again: bool
+    cost_seconds: float
+    time_left_ns: int | None
+    is_retry: bool
     id: str = ""
-    mark: str = ""
+    trace_id: str = ""
 
 
-class Held:
+class PendingRequest:
     """A request that is held: what came, and its final answer once there is one.
 
     `content` is the listener's and the link's: what came, in the form that the link sends on. `answer` is
@@ -47,103 +47,103 @@
     """
 
     __slots__ = (
-        "answer",
-        "arrived",
+        "arrived_ns",
         "client",
         "content",
-        "done",
-        "final",
-        "size",
-        "task",
-        "wait",
-        "wanted",
-        "why",
+        "incoming",
+        "on_outcome",
+        "outcome",
+        "policy_request",
+        "reason",
+        "response",
+        "retry_after_ns",
+        "size_bytes",
     )
 
     def __init__(
         self,
-        wanted: Wanted,
-        arrived: int,
+        incoming: IncomingRequest,
+        arrived_ns: int,
         content: Any = None,
-        size: int = 0,
-        done: Callable[[Held], None] | None = None,
-        client: ClientConnection | None = None,
+        size_bytes: int = 0,
+        on_outcome: Callable[[PendingRequest], None] | None = None,
+        client: CancellationSource | None = None,
     ) -> None:
-        self.wanted, self.arrived = wanted, arrived
+        self.incoming, self.arrived_ns = incoming, arrived_ns
         self.client = client
-        self.content, self.size = content, size
-        self.task: Request | None = None
-        self.final: Final | None = None
-        self.answer: Any = None
-        self.wait = 0
-        self.why = ""
-        self.done = done
-
-    def end(self, final: Final) -> None:
+        self.content, self.size_bytes = content, size_bytes
+        self.policy_request: Request | None = None
+        self.outcome: FinalOutcome | None = None
+        self.response: Any = None
+        self.retry_after_ns = 0
+        self.reason = ""
+        self.on_outcome = on_outcome
+
+    def end(self, final: FinalOutcome) -> None:
         """The first of its calls counts. `done` may be told in the middle of a decision: it calls nothing of
         the dispatcher's but `later`."""
-        if self.final is not None:
+        if self.outcome is not None:
             return
-        self.final = final
-        if self.done is not None:
-            self.done(self)
+        self.outcome = final
+        if self.on_outcome is not None:
+            self.on_outcome(self)
 
 
-class Box:
+class UpstreamWorker:
     """A worker as this process knows it: the policy's object, its line in the membership, the way there."""
 
-    def __init__(self, line: Line, way: Any) -> None:
-        self.line, self.way = line, way
-        self.runner: Any = None
-        self.since = 0
-        self.started = line.start  # the incarnation that `since` is of
-        self.drains = ""  # the incarnation that said so itself
-        self.reported: dict[str, float] = {}
-        self.out = 0  # attempts and load requests whose end has not come
-        self.gone = False
+    def __init__(self, line: Endpoint, way: Any) -> None:
+        self.endpoint, self.connections = line, way
+        self.policy_worker: Any = None
+        self.started_ns = 0
+        self.started_incarnation = line.incarnation  # the incarnation that `since` is of
+        self.draining_incarnation = ""  # the incarnation that said so itself
+        self.load_report: dict[str, float] = {}
+        self.in_flight = 0  # attempts and load requests whose end has not come
+        self.is_gone = False
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Neither drained nor gone, as far as it was told: what has waited to be sent there may leave."""
-        return not self.gone and self.runner.facts.state is WorkerState.UP
+        return not self.is_gone and self.policy_worker.facts.state is WorkerState.UP
 
-    def facts(self, state: WorkerState, since: int, weight: float) -> WorkerFacts:
-        line = self.line
+    def build_facts(self, state: WorkerState, since: int, weight: float) -> WorkerFacts:
+        line = self.endpoint
         mark = int.from_bytes(line.id.encode(), "big")
         return WorkerFacts(mark, line.zone, line.cell, line.memory_mb or 1.0, weight, state, since)
 
 
-class Known:
+class FunctionEntry:
     """A function: the policy's object and its name."""
 
-    __slots__ = ("lanes", "memory_mb", "model", "name", "open")
+    __slots__ = ("lanes", "memory_mb", "name", "pending_requests", "policy_function")
 
     def __init__(self, name: str, model: Any, lanes: int, memory_mb: float) -> None:
-        self.name, self.model, self.lanes, self.memory_mb = name, model, lanes, memory_mb
-        self.open = 0  # requests held
+        self.name, self.policy_function, self.lanes, self.memory_mb = name, model, lanes, memory_mb
+        self.pending_requests = 0  # requests held
 
 
-class Out:
+class InFlightAttempt:
     """An attempt on its way. `at` is the link's own."""
 
-    __slots__ = ("at", "box", "hand_off", "held", "number")
+    __slots__ = ("link_handle", "number", "policy_attempt", "request", "worker")
 
-    def __init__(self, hand_off: Attempt, held: Held, box: Box, number: int) -> None:
-        self.hand_off, self.held, self.box, self.number = hand_off, held, box, number
-        self.at: Any = None
+    def __init__(self, hand_off: Attempt, held: PendingRequest, box: UpstreamWorker, number: int) -> None:
+        self.policy_attempt, self.request, self.worker, self.number = hand_off, held, box, number
+        self.link_handle: Any = None
 
 
 @dataclass(slots=True)
-class About:
+class DispatcherSettings:
     """What a dispatcher is told at its start. Times are ns; `hard` are the offerings' hard limits; `margin`
     is taken off the time that a client says is left; `models` may be known at once."""
 
     name: str
     seed: int
-    settings: Settings
-    offerings: dict[str, RequestClass]
-    customers: dict[str, Tenant]
-    hard: dict[str, int]
-    margin: int
-    models: int
-    decisions: bool = False  # a line a decision
+    policy_settings: Settings
+    request_classes: dict[str, RequestClass]
+    tenants: dict[str, Tenant]
+    deadlines_ns: dict[str, int]
+    deadline_margin_ns: int
+    function_limit: int
+    logs_decisions: bool = False  # a line a decision
--- a/martenlead/edge/serve.py
+++ b/martenlead/edge/serve.py
@@ -11,23 +11,23 @@
 import anyio
 import structlog
 
-from martenlead.config.edge import Edge
-from martenlead.edge import httplink
-from martenlead.edge.border import Tape
+from martenlead.config.edge import EdgeSettings
+from martenlead.edge import http_upstream as httplink
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.edge.door import Admin, Door
+from martenlead.edge.listener import Admin, EventListener
+from martenlead.edge.policy_boundary import Recorder
 from martenlead.events.server import listen
 
-Beside = Callable[[Dispatcher], Coroutine[Any, Any, None]]
+Companion = Callable[[Dispatcher], Coroutine[Any, Any, None]]
 
 IDLE_CHECK_SECONDS = 0.002  # between two looks at whether all held requests have ended
 
 
 async def serve(
-    edge: Edge,
+    edge: EdgeSettings,
     started: Callable[[int], None] | None = None,
-    tape: Tape | None = None,
-    beside: Sequence[Beside] = (),
+    tape: Recorder | None = None,
+    beside: Sequence[Companion] = (),
 ) -> None:
     """Runs until SIGTERM or SIGINT has been obeyed. `started` is told the port; `beside` runs as long as the
     dispatcher does. Raises OSError for the listener.
@@ -37,7 +37,7 @@
     """
     log = structlog.get_logger().bind(edge=edge.name)
     dispatcher = httplink.dispatcher(edge, tape=tape)
-    door = Door(dispatcher, edge)
+    door = EventListener(dispatcher, edge)
     listener, port = await listen(edge.listen.host, edge.listen.port)
     async with anyio.create_task_group() as group:
         group.start_soon(dispatcher.run)
@@ -56,7 +56,7 @@
                 if started:
                     started(port)
                 await anext(signals)
-                log.info("stops", held=len(dispatcher.held))
+                log.info("stops", held=len(dispatcher.pending_requests))
                 door.drain()
                 doors.start_soon(_finish, dispatcher, signals, edge.limits.drain_ms / 1000)
                 await _until_idle(dispatcher, door)
@@ -67,11 +67,11 @@
 
 def _closest_ms(dispatcher: Dispatcher) -> float | None:
     """The least time that was left at a final response."""
-    return None if dispatcher.closest is None else dispatcher.closest / 1e6
+    return None if dispatcher.least_time_left_ns is None else dispatcher.least_time_left_ns / 1e6
 
 
-async def _until_idle(dispatcher: Dispatcher, door: Door) -> None:
-    while dispatcher.held or door.server.serving:
+async def _until_idle(dispatcher: Dispatcher, door: EventListener) -> None:
+    while dispatcher.pending_requests or door.server.active_listeners:
         await anyio.sleep(IDLE_CHECK_SECONDS)
 
 
@@ -79,10 +79,10 @@
     """Hastens the end at the second signal, or when the time for a slow one is over."""
     with anyio.move_on_after(within):
         await anext(signals)  # type: ignore[call-overload]
-    dispatcher.hasten()
+    dispatcher.finish_all()
 
 
-def configure_log(edge: Edge) -> None:
+def configure_log(edge: EdgeSettings) -> None:
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -96,10 +96,10 @@
 
 
 def run(
-    edge: Edge,
+    edge: EdgeSettings,
     started: Callable[[int], None] | None = None,
-    tape: Tape | None = None,
-    beside: Sequence[Beside] = (),
+    tape: Recorder | None = None,
+    beside: Sequence[Companion] = (),
 ) -> None:
     # a full collection over all that is held stalls the loop: what stands at the start is left out of it, and
     # the young are looked at less often; cycles are few, since tasks and answers end by their counts
--- a/martenlead/edge/waits.py
+++ b/martenlead/edge/timeouts.py
@@ -16,7 +16,7 @@
 
 
 @contextmanager
-def within(seconds: float) -> Iterator[anyio.CancelScope]:
+def time_limit(seconds: float) -> Iterator[anyio.CancelScope]:
     """As `anyio.move_on_after`; may last up to a ms longer."""
     with anyio.CancelScope() as scope:
         timer = asyncio.get_running_loop().call_later(math.ceil(seconds * 1000) / 1000, scope.cancel)
--- a/martenlead/emulator/edge.py
+++ b/martenlead/emulator/edge.py
@@ -12,20 +12,26 @@
 import msgspec
 import structlog
 
-from martenlead.admission import gate
-from martenlead.admission.gate import End, Gate, Ticket
-from martenlead.admission.gate import State as At
+from martenlead.admission import controller as gate
+from martenlead.admission.controller import AdmissionController, QueuedRequest, ServiceResult
+from martenlead.admission.controller import QueueState as At
 from martenlead.config import edge as config
-from martenlead.config.edge import ns, settings
-from martenlead.edge.border import Border, Both, Tape
+from martenlead.config.edge import build_policy_settings, ms_to_ns
+from martenlead.durable_state.knowledge import (
+    SavedKnowledge,
+    build_earlier_run,
+    gather_knowledge,
+    list_draining_workers,
+    list_reloads,
+)
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.edge.door import end_of
+from martenlead.edge.listener import classify_service_result
+from martenlead.edge.policy_boundary import PolicyBoundary, Recorder, TeeRecorder
 from martenlead.emulator.box import Runner
 from martenlead.emulator.kernel import Signal, Steps
 from martenlead.emulator.messages import Exchange, Held, Sent, Told
 from martenlead.emulator.planned import PlannerFleet, links, looks
-from martenlead.lasting.knowledge import Knowledge, asks, drained, gather, past
-from martenlead.planner.edgeside import EdgeSide
+from martenlead.planner.planner_client import PlannerClient
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
     Action,
@@ -41,8 +47,8 @@
     WorkerFacts,
     WorkerState,
 )
-from martenlead.runnerlink.roster import Line
 from martenlead.standins.demand import Call
+from martenlead.upstream.endpoints import Endpoint
 
 STATES = {"up": WorkerState.UP, "draining": WorkerState.DRAINING, "gone": WorkerState.GONE}
 NEVER = 1 << 62
@@ -71,7 +77,7 @@
         """Where the list of workers comes from."""
 
     @property
-    def tape(self) -> Callable[[Edge], Tape | None]:
+    def tape(self) -> Callable[[Edge], Recorder | None]:
         """Makes what records a dispatcher's border, where anything does."""
 
     def reply(self, x: Exchange, final: str, wait_ms: float, door: bool) -> None:
@@ -81,7 +87,7 @@
 class Box:
     """A runner as this dispatcher knows it."""
 
-    def __init__(self, line: Line, at: Runner) -> None:
+    def __init__(self, line: Endpoint, at: Runner) -> None:
         self.line, self.at = line, at
         self.runner: Any = None
         self.since = 0
@@ -96,17 +102,19 @@
 
 
 class Edge:
-    def __init__(self, fleet: DispatcherFleet, number: int, about: config.Edge, policy: type[Policy]) -> None:
+    def __init__(
+        self, fleet: DispatcherFleet, number: int, about: config.EdgeSettings, policy: type[Policy]
+    ) -> None:
         self.fleet, self.kernel, self.number, self.about = fleet, fleet.kernel, number, about
         self.policy = policy
         self.name = about.name
         self.life, self.up = 0, False
-        self.hard = {o.name: ns(o.hard_limit_ms) for o in about.offerings}
-        self.margin = ns(about.margin_ms)
+        self.hard = {o.name: ms_to_ns(o.hard_limit_ms) for o in about.request_classes}
+        self.margin = ms_to_ns(about.margin_ms)
         self.counts: Counter[tuple[str, str]] = Counter()
-        self.kept: list[Line] = []  # the roster's last list, on disk
+        self.kept: list[Endpoint] = []  # the roster's last list, on disk
         self.exchanges: dict[Exchange, None] = {}
-        self.knowledge: tuple[int, Knowledge] | None = None  # as it lies on disk
+        self.knowledge: tuple[int, SavedKnowledge] | None = None  # as it lies on disk
 
     # -- life
 
@@ -114,18 +122,20 @@
         self.life += 1
         self.up = True
         about = self.about
-        told, self.offerings, self.customers = settings(about)
+        told, self.offerings, self.customers = build_policy_settings(about)
         seed = about.seed or 0
         names = list(self.offerings), self.customers
         self.chance = Random(seed)
         tape = self.fleet.tape(self)
-        self.side: EdgeSide | None = None
+        self.side: PlannerClient | None = None
         if about.planner is not None:
-            self.side = EdgeSide(about, about.planner, self.kernel.clock)
+            self.side = PlannerClient(about, about.planner, self.kernel.clock)
             self.side.dispatcher = self  # type: ignore[assignment]
             self.side.log = structlog.wrap_logger(structlog.ReturnLogger())  # virtual time is no news
-            tape = self.side.tape if tape is None else Both(tape, self.side.tape)
-        self.border = Border(told, seed, self.kernel.clock, self._outlet, tape, names, self.policy)
+            tape = self.side.recorder if tape is None else TeeRecorder(tape, self.side.recorder)
+        self.policy_boundary = PolicyBoundary(
+            told, seed, self.kernel.clock, self._outlet, tape, names, self.policy
+        )
         self.boxes: dict[str, Box] = {}
         self.by_runner: dict[Any, Box] = {}
         self.models: dict[str, Any] = {}
@@ -134,19 +144,19 @@
         self.out: dict[Attempt, Sent] = {}
         self.off: set[Attempt] = set()
         self._until = NEVER
-        self.gate: Gate | None = None
-        self.waiting: dict[Ticket, Exchange] = {}
+        self.gate: AdmissionController | None = None
+        self.waiting: dict[QueuedRequest, Exchange] = {}
         if about.queues is not None:
-            weights = {c.name: c.weight for c in about.customers}
-            limits = gate.Limits(about.queues.waiting, about.queues.bytes, weights)
-            self.gate = Gate(limits, self.kernel.clock, Random(seed), self._room)
+            weights = {c.name: c.weight for c in about.tenants}
+            limits = gate.AdmissionLimits(about.queues.waiting, about.queues.bytes, weights)
+            self.gate = AdmissionController(limits, self.kernel.clock, Random(seed), self._room)
             self.kernel.spawn(self._door(self.life))
         if self.kept:
             self.news(self.life, self.kept, True)
             if self.fleet.lasting and self.knowledge is not None:
                 self._restore(*self.knowledge)
-        self.border.begin()
-        self._rearm()
+        self.policy_boundary.start()
+        self._run_due()
         self.kernel.spawn(self.fleet.roster.follow(self, self.life))
         if self.fleet.lasting:
             self.kernel.spawn(self._keeps(self.life))
@@ -159,28 +169,34 @@
         while life == self.life:
             yield KEEP
             if life == self.life:
-                self.knowledge = self.kernel.now, self.border.look(self._gather)
+                self.knowledge = self.kernel.now, self.policy_boundary.inspect(self._gather)
 
-    def _gather(self, policy: Policy, now: int) -> Knowledge:
-        return gather(policy, now, self.names, self._lives(), self.knowledge)
+    def _gather(self, policy: Policy, now: int) -> SavedKnowledge:
+        return gather_knowledge(policy, now, self.names, self._lives(), self.knowledge)
 
     def _lives(self) -> dict[Any, tuple[str, str, bool]]:
         return {
-            box.runner: (box.line.id, box.line.start, box.drains == box.line.start and bool(box.drains))
+            box.runner: (
+                box.line.id,
+                box.line.incarnation,
+                box.drains == box.line.incarnation and bool(box.drains),
+            )
             for box in self.boxes.values()
         }
 
-    def _restore(self, saved: int, told: Knowledge) -> None:
+    def _restore(self, saved: int, told: SavedKnowledge) -> None:
         """With the first whole list: what was known, and asks for copies, not all at one moment."""
         elapsed = self.kernel.now - saved
-        runners = {box.line.id: (box.runner, box.line.start) for box in self.boxes.values()}
-        models = {m.name: self._model(m.name, m.lanes, m.memory_mb) for m in told.models}
-        settings_ = self.border.look(lambda policy, _: policy.settings)
-        self.border.remember(past(told, elapsed, models, runners, settings_.load_window_ns))
-        for name in drained(told, runners):
+        runners = {box.line.id: (box.runner, box.line.incarnation) for box in self.boxes.values()}
+        models = {m.name: self._model(m.name, m.lanes, m.memory_mb) for m in told.functions}
+        settings_ = self.policy_boundary.inspect(lambda policy, _: policy.settings)
+        self.policy_boundary.restore(
+            build_earlier_run(told, elapsed, models, runners, settings_.load_window_ns)
+        )
+        for name in list_draining_workers(told, runners):
             self._drains(self.boxes[name])
-        for ask in asks(told, elapsed, settings_.keep_alive_ns, runners):
-            self.kernel.after(int(self.chance.random() * ASK_WITHIN), self.recall, [ask])
+        for ask in list_reloads(told, elapsed, settings_.keep_alive_ns, runners):
+            self.kernel.after(int(self.chance.random() * ASK_WITHIN), self.confirm_replicas, [ask])
 
     def kill(self) -> None:
         """Everything that it held is lost; connections break."""
@@ -196,12 +212,12 @@
             self._close(sent)
         self.out.clear()
 
-    def _rearm(self) -> None:
-        due = self.border.due()
+    def _run_due(self) -> None:
+        due = self.policy_boundary.next_due_ns()
         now = self.kernel.now
         while due is not None and due <= now:
-            self.border.advance()
-            due = self.border.due()
+            self.policy_boundary.advance()
+            due = self.policy_boundary.next_due_ns()
         if due is not None and due < self._until:
             self._until = due
             self.kernel.at(due, self._timer, self.life, due)
@@ -209,11 +225,11 @@
     def _timer(self, life: int, due: int) -> None:
         if life == self.life and due == self._until:
             self._until = NEVER
-            self._rearm()
+            self._run_due()
 
     # -- the roster
 
-    def news(self, life: int, lines: list[Line], whole: bool) -> None:
+    def news(self, life: int, lines: list[Endpoint], whole: bool) -> None:
         if life != self.life or not self.up:
             return
         now = self.kernel.now
@@ -229,16 +245,16 @@
                 if line.state == "gone":
                     continue
                 box = self.boxes[line.id] = Box(line, self.fleet.runners[line.id])
-            if not box.runner or line.start != box.line.start:
-                box.since = 0 if line.age_ms is None else max(1, now - ns(line.age_ms))
+            if not box.runner or line.incarnation != box.line.incarnation:
+                box.since = 0 if line.age_ms is None else max(1, now - ms_to_ns(line.age_ms))
             if line.state != "gone":
                 box.line = line
             state = STATES[line.state]
-            if state is WorkerState.UP and box.drains and box.drains == line.start:
+            if state is WorkerState.UP and box.drains and box.drains == line.incarnation:
                 state = WorkerState.DRAINING
             facts = box.facts(state)
             if box.runner is None:
-                box.runner = self.border.runner(facts, line.id)
+                box.runner = self.policy_boundary.add_worker(facts, line.id)
                 self.by_runner[box.runner] = box
             told.append((box.runner, facts))
         self.kept = [
@@ -248,15 +264,15 @@
             )
             for line in known.values()
         ]
-        self.border.roster(told, whole)
-        self._rearm()
+        self.policy_boundary.update_workers(told, whole)
+        self._run_due()
 
     def _drains(self, box: Box) -> None:
         """A runner's own word that it drains counts ahead of the roster's."""
-        if box.drains == box.line.start and box.drains:
+        if box.drains == box.line.incarnation and box.drains:
             return
-        box.drains = box.line.start
-        self.border.roster([(box.runner, box.facts(WorkerState.DRAINING))], False)
+        box.drains = box.line.incarnation
+        self.policy_boundary.update_workers([(box.runner, box.facts(WorkerState.DRAINING))], False)
 
     # -- the door
 
@@ -269,10 +285,10 @@
         self.exchanges[x] = None
         limits = self.about.limits
         model = x.call.model
-        if len(self.held) >= limits.open_tasks or (
-            model not in self.models and len(self.models) >= limits.known_models
+        if len(self.held) >= limits.open_requests or (
+            model not in self.models and len(self.models) >= limits.known_functions
         ):
-            self._back(x, ns(self.about.allowed.turn_back_wait_ms), True)
+            self._back(x, ms_to_ns(self.about.allowed.retry_after_limit_ms), True)
         elif self.gate is None:
             self._take(x, None)
         else:
@@ -286,7 +302,7 @@
             self._end(x.held, "left")
         elif x.ticket is not None and self.gate is not None:
             self.waiting.pop(x.ticket, None)
-            self._wake(self.gate.ended(x.ticket, End.OTHER))
+            self._wake(self.gate.complete(x.ticket, ServiceResult.OTHER))
 
     def _left(self, x: Exchange) -> int:
         """Of the time that it has, ns: as the event's attributes tell it."""
@@ -298,9 +314,9 @@
     def _give_up(self, x: Exchange) -> int:
         return self.kernel.now + min(self._left(x), self.hard[x.call.offering.name]) - self.margin
 
-    def _through(self, gate: Gate, x: Exchange) -> None:
+    def _through(self, gate: AdmissionController, x: Exchange) -> None:
         call, offering = x.call, x.call.offering.name
-        x.ticket = ticket = gate.arrive(
+        x.ticket = ticket = gate.submit(
             call.model,
             offering,
             call.customer or "",
@@ -314,9 +330,9 @@
             (call.offering.lanes, float(int(call.offering.memory_mb))),
             self._brought(call),
         )
-        if ticket.state is At.WAITS:
+        if ticket.state is At.QUEUED:
             self.waiting[ticket] = x
-            self.kernel.at(max(self.kernel.now, ticket.until), self._expire, self.life, ticket)
+            self.kernel.at(max(self.kernel.now, ticket.start_by_ns), self._expire, self.life, ticket)
         else:
             self._on(x, ticket)
 
@@ -328,30 +344,30 @@
         since, _, until = call.appointment.partition(" ")
         return int(since), int(until)
 
-    def _on(self, x: Exchange, ticket: Ticket) -> None:
+    def _on(self, x: Exchange, ticket: QueuedRequest) -> None:
         self._appoint(x, ticket)
-        if ticket.state is At.BACK:
-            self._back(x, ticket.wait, True)
+        if ticket.state is At.REJECTED:
+            self._back(x, ticket.retry_after_ns, True)
         else:
             self._take(x, ticket)
 
-    def _appoint(self, x: Exchange, ticket: Ticket) -> None:
-        if ticket.appointment is not None:
-            x.appointment = "{} {}".format(*ticket.appointment)
+    def _appoint(self, x: Exchange, ticket: QueuedRequest) -> None:
+        if ticket.reservation is not None:
+            x.appointment = "{} {}".format(*ticket.reservation)
 
-    def _expire(self, life: int, ticket: Ticket) -> None:
+    def _expire(self, life: int, ticket: QueuedRequest) -> None:
         if life == self.life and ticket in self.waiting:
             assert self.gate is not None
             self.gate.expire(ticket)
             self._wake([ticket])
 
-    def _wake(self, changed: list[Ticket]) -> None:
+    def _wake(self, changed: list[QueuedRequest]) -> None:
         for ticket in changed:
             x = self.waiting.pop(ticket, None)
             if x is not None:
                 self.kernel.soon(self._woken, self.life, x, ticket)
 
-    def _woken(self, life: int, x: Exchange, ticket: Ticket) -> None:
+    def _woken(self, life: int, x: Exchange, ticket: QueuedRequest) -> None:
         if life != self.life:
             return
         if x in self.exchanges:
@@ -359,14 +375,16 @@
 
     def _door(self, life: int) -> Steps:
         while life == self.life and self.gate is not None:
-            yield 10_000_000 if self.gate.waiting else 50_000_000
+            yield 10_000_000 if self.gate.waiting_requests else 50_000_000
             if life == self.life:
-                self._wake(self.gate.sweep())
+                self._wake(self.gate.admit_waiting())
 
-    def _room(self, ticket: Ticket) -> Any:
-        offering = self.offerings[ticket.offering]
-        work = ticket.work if ticket.told else 0.0
-        return self.border.room(self._model(ticket.model, *ticket.about), offering, ticket.repeats, work)
+    def _room(self, ticket: QueuedRequest) -> Any:
+        offering = self.offerings[ticket.request_class]
+        work = ticket.work_seconds if ticket.has_declared_work else 0.0
+        return self.policy_boundary.choose_worker(
+            self._model(ticket.function, *ticket.resources), offering, ticket.counts_as_retry, work
+        )
 
     # -- tasks
 
@@ -374,11 +392,13 @@
         model = self.models.get(name)
         if model is None:
             mark = int.from_bytes(name.encode()[:64], "big")
-            model = self.models[name] = self.border.model(FunctionFacts(mark, lanes, memory), name)
+            model = self.models[name] = self.policy_boundary.add_function(
+                FunctionFacts(mark, lanes, memory), name
+            )
             self.names[model] = self.fleet.names[model] = name
         return model
 
-    def _take(self, x: Exchange, ticket: Ticket | None) -> None:
+    def _take(self, x: Exchange, ticket: QueuedRequest | None) -> None:
         call, offering = x.call, x.call.offering
         held = x.held = Held(x, ticket)
         model = self._model(call.model, offering.lanes, float(int(offering.memory_mb)))
@@ -388,19 +408,19 @@
             self.held[task] = held
 
         customer = self.customers.get(call.customer or "")
-        self.border.take(
+        self.policy_boundary.accept_request(
             model,
             self.offerings[offering.name],
             customer,
             self._give_up(x),
-            call.again if ticket is None else ticket.repeats,
+            call.again if ticket is None else ticket.counts_as_retry,
             int(call.cost_ms) / 1000,
             note,
             held.name,
         )
         if ticket is not None and self.gate is not None:
-            self._wake(self.gate.begun(ticket))
-        self._rearm()
+            self._wake(self.gate.confirm_admission(ticket))
+        self._run_due()
 
     def _end(self, held: Held, final: str) -> None:
         """The first of its calls counts. What follows waits until the module has decided."""
@@ -413,17 +433,17 @@
         if life != self.life or task is None or self.held.pop(task, None) is None:
             return
         self.counts["final", held.final] += 1
-        self.border.closed(task, held.final)
+        self.policy_boundary.close_request(task, held.final)
         ticket = held.ticket
         if ticket is not None and self.gate is not None:
-            end = end_of(held.final, task, held.why)
-            self._wake(self.gate.ended(ticket, end))
-            if end is End.NO_ROOM:
-                held.wait = max(held.wait, ticket.wait)
+            end = classify_service_result(held.final, task, held.why)
+            self._wake(self.gate.complete(ticket, end))
+            if end is ServiceResult.NO_CAPACITY:
+                held.wait = max(held.wait, ticket.retry_after_ns)
                 self._appoint(x, ticket)
         if held.final != "left":
             self._reply(x, held.final, held.wait, False)
-        self._rearm()
+        self._run_due()
 
     def _back(self, x: Exchange, wait: int, door: bool) -> None:
         self.counts["final", "turned back"] += 1
@@ -464,7 +484,7 @@
         left = hand_off.sent_ns + hand_off.timeout_ns - self.kernel.now
         number = hand_off.request.attempts.index(hand_off)
         sent = Sent(self, life, hand_off, held, number, left)
-        if hand_off in self.off or left <= 0 or box.out >= self.about.limits.runner_connections:
+        if hand_off in self.off or left <= 0 or box.out >= self.about.limits.worker_connections:
             self.off.discard(hand_off)
             self._heard(life, sent, Told(Result.NOT_SENT, why="not sent"))
             return
@@ -505,21 +525,21 @@
         if first:
             self._end(held, "satisfied")
         lag = max(0, self.kernel.now - hand_off.sent_ns)
-        self.border.answered(AttemptResult(hand_off, told.result, final, told.warmth, lag))
-        self._rearm()
+        self.policy_boundary.record_result(AttemptResult(hand_off, told.result, final, told.warmth, lag))
+        self._run_due()
 
-    def fault(self, error: Exception) -> None:
+    def record_fault(self, error: Exception) -> None:
         raise error
 
-    def decided(self, orders: Any, held: Any) -> tuple[int, int]:
+    def apply_plan(self, orders: Any, held: Any) -> tuple[int, int]:
         """As the dispatcher on sockets carries out what a planner decided."""
-        return Dispatcher.decided(self, orders, held)  # type: ignore[arg-type]
+        return Dispatcher.apply_plan(self, orders, held)  # type: ignore[arg-type]
 
-    def recall(self, copies: Iterable[tuple[str, str, int, float, float]]) -> None:
+    def confirm_replicas(self, copies: Iterable[tuple[str, str, int, float, float]]) -> None:
         for name, model, lanes, memory, age_ms in copies:
             box = self.boxes.get(name)
             if box is not None and box.line.state == "up":
-                touched = self.kernel.now - ns(age_ms)
+                touched = self.kernel.now - ms_to_ns(age_ms)
                 self.kernel.spawn(self._ask(box, self._model(model, lanes, memory), touched, self.life))
 
     def _ask(self, box: Box, model: Any, touched: int, life: int) -> Steps:
@@ -528,8 +548,8 @@
         asked = yield from box.at.ordered(self, self.names[model], 0, facts.memory_mb, facts.lanes)
         yield self.fleet.runner_way
         if life == self.life:
-            self.border.recalled(box.runner, model, asked[0], asked[1], touched)
-            self._rearm()
+            self.policy_boundary.confirm_replica(box.runner, model, asked[0], asked[1], touched)
+            self._run_due()
 
     def _order(self, order: LoadRequest, life: int) -> Steps:
         box, name = self.by_runner[order.worker], self.names[order.function]
@@ -545,7 +565,7 @@
             self.kernel.come(done)
 
         asked = self.kernel.spawn(steps())
-        if (yield done, ns(self.about.models.order_limit_ms)):
+        if (yield done, ms_to_ns(self.about.functions.load_timeout_ms)):
             result, copies, drains = told[0]
         else:
             result, copies, drains = Result.NO_RESPONSE, 0, False
@@ -555,5 +575,5 @@
         if drains:
             self._drains(box)
         self.counts["order", result.value] += 1
-        self.border.ordered(order, result, copies)
-        self._rearm()
+        self.policy_boundary.record_load_end(order, result, copies)
+        self._run_due()
--- a/martenlead/emulator/experiment.py
+++ b/martenlead/emulator/experiment.py
@@ -23,7 +23,7 @@
 import pyarrow.parquet as pq
 from msgspec import Meta
 
-from martenlead.config.load import BadConfig, decode, evaluate
+from martenlead.config.load import ConfigError, decode, evaluate
 from martenlead.days.script import Day
 from martenlead.emulator.job import Job, Outcome, run
 from martenlead.emulator.policies import find
@@ -55,9 +55,9 @@
         try:
             find(policy)
         except ValueError as error:
-            raise BadConfig(f"{path}: $.policies[{at}]: {error}") from None
+            raise ConfigError(f"{path}: $.policies[{at}]: {error}") from None
     if made.baseline not in made.policies:
-        raise BadConfig(f"{path}: $.baseline: one of the policies was expected")
+        raise ConfigError(f"{path}: $.baseline: one of the policies was expected")
     return made
 
 
@@ -80,7 +80,7 @@
             try:
                 day = msgspec.convert(told, Day)
             except msgspec.ValidationError as error:
-                raise BadConfig(f"{made.name}: $.axes: {error}") from None
+                raise ConfigError(f"{made.name}: $.axes: {error}") from None
             for policy, seed in product(made.policies, range(1, made.seeds + 1)):
                 found.append(Job(script=script, day=day, seed=seed, policy=policy, at=at, audit=made.audit))
     return found
@@ -93,7 +93,7 @@
         if isinstance(at, dict) and isinstance(at.get(part), dict):
             at = at[part]
         else:
-            raise BadConfig(f"{script}: $.{path}: no such field to vary")
+            raise ConfigError(f"{script}: $.{path}: no such field to vary")
     at[last] = value
 
 
--- a/martenlead/emulator/fleet.py
+++ b/martenlead/emulator/fleet.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from martenlead.config.edge import Edge as EdgeSettings
-from martenlead.config.edge import check, ns
+from martenlead.config.edge import EdgeSettings as EdgeSettings
+from martenlead.config.edge import check_edge_settings, ms_to_ns
 from martenlead.days.audit import Audit
 from martenlead.days.report import of_vault, report
 from martenlead.days.run import rules
 from martenlead.days.script import EdgeEvent, Plan, count_planners
-from martenlead.edge.border import Tape
+from martenlead.edge.policy_boundary import Recorder
 from martenlead.emulator.box import Marks, Runner, Vault
 from martenlead.emulator.edge import Edge
 from martenlead.emulator.kernel import Kernel, Signal, Steps
@@ -30,7 +30,6 @@
 from martenlead.emulator.records import Records
 from martenlead.emulator.tally import Tally
 from martenlead.policy.policy import Policy
-from martenlead.runnerlink.roster import Line
 from martenlead.standins.crowding import Lines
 from martenlead.standins.demand import Call, Demand
 from martenlead.standins.settings import (
@@ -42,6 +41,7 @@
     VaultPart,
 )
 from martenlead.standins.traced import Traced
+from martenlead.upstream.endpoints import Endpoint
 
 BEGIN = 1_000_000_000_000  # ns: the module must not take the day's begin for long past
 CLIENT_WAY, RUNNER_WAY = 250_000, 350_000  # ns one way, with what the programs at its ends take
@@ -67,20 +67,20 @@
         self.kernel.come(changed)
 
     def goes(self, fault: Fault) -> None:
-        self.away_until = self.kernel.now + ns(fault.for_ms)
+        self.away_until = self.kernel.now + ms_to_ns(fault.for_ms)
         self.fleet.roster_records("away", for_ms=fault.for_ms)
 
     def _told(self, edge: Edge, life: int, lines: list[dict[str, Any]], whole: bool, version: int) -> None:
         said = [[line["id"], line.get("state", "up"), line.get("start", "")] for line in lines]
         self.fleet.roster_records("told", edge=edge.name, whole=whole, version=version, lines=said)
-        told = [msgspec.convert(self.list.aged(line, self.day_ms()), Line) for line in lines]
+        told = [msgspec.convert(self.list.aged(line, self.day_ms()), Endpoint) for line in lines]
         self.kernel.after(self.fleet.client_way, edge.news, life, told, whole)
 
     def follow(self, edge: Edge, life: int) -> Steps:
         """One dispatcher's stream, in one of its lives."""
         kernel = self.kernel
         at = 0
-        retry = edge.about.roster.retry_ms * 1e6
+        retry = edge.about.endpoint_list.retry_ms * 1e6
         wait = retry
         while edge.life == life:
             if kernel.now < self.away_until:
@@ -89,7 +89,7 @@
                 continue
             wait = retry
             if at == self.list.version:
-                yield self.changed, ns(self.part.keep_alive_ms)
+                yield self.changed, ms_to_ns(self.part.keep_alive_ms)
                 continue
             at, lines, whole = self.list.after(at)
             self._told(edge, life, lines, whole, at)
@@ -105,7 +105,7 @@
         records: bool = True,
         client_way: int = CLIENT_WAY,
         runner_way: int = RUNNER_WAY,
-        tape: Callable[[Edge], Tape | None] | None = None,
+        tape: Callable[[Edge], Recorder | None] | None = None,
     ) -> None:
         """With `lasting` dispatchers keep what they know over their lives. `policy` as policies.py names
         them. Raises `ValueError` for one that is none."""
@@ -145,7 +145,7 @@
                 at = [{"port": 1 + planner} for planner in made.planners[n]]
                 told = {**told, "planner": {"at": at, **made.day.planners.link}}
             told = {**told, "roster": {"port": 1, **told.get("roster", {})}}
-            about = check(msgspec.convert(told, EdgeSettings), f"edge {n}")
+            about = check_edge_settings(msgspec.convert(told, EdgeSettings), f"edge {n}")
             self.edges.append(Edge(self, n, about, policy_type))
         self._cues(faults)
 
@@ -174,7 +174,7 @@
     # -- what goes wrong, on cue
 
     def at_ms(self, ms: float, what: Callable[..., Any], *args: Any) -> None:
-        self.kernel.at(BEGIN + ns(ms), what, *args)
+        self.kernel.at(BEGIN + ms_to_ns(ms), what, *args)
 
     def _cues(self, faults: list[Fault]) -> None:
         made = self.made
@@ -203,7 +203,7 @@
     def _plays(self, fault: Fault) -> Steps:
         self.client_records("fault", kind=fault.kind, for_ms=fault.for_ms)
         self.demand.begins(fault)
-        yield ns(fault.for_ms)
+        yield ms_to_ns(fault.for_ms)
         self.demand.ends(fault)
 
     def _edge_event(self, event: EdgeEvent) -> None:
@@ -226,7 +226,7 @@
         if self.clients.trace is not None:
             traced = Traced(self.clients, self.clients.mapping, self.kernel.clock)
             for when, call in traced.calls():
-                yield max(0, BEGIN + ns(when) - self.kernel.now)
+                yield max(0, BEGIN + ms_to_ns(when) - self.kernel.now)
                 self.comes(call())
             return
         at = 0.0
@@ -234,7 +234,7 @@
             at += self.demand.gap_ms()
             if at > self.clients.seconds * 1000:
                 return
-            yield max(0, BEGIN + ns(at) - self.kernel.now)
+            yield max(0, BEGIN + ms_to_ns(at) - self.kernel.now)
             self.comes(self.demand.call())
 
     def comes(self, call: Call) -> None:
@@ -258,7 +258,7 @@
                 self.tally.ended(call, final)
                 return
             as_told = pause == wait_ms
-            yield ns(pause)
+            yield ms_to_ns(pause)
 
     def _try(self, call: Call, chance: Random) -> Steps:
         kernel, record = self.kernel, self.client_records
@@ -279,7 +279,7 @@
         x = Exchange(call, told, Signal())
         edge = self.edges[told.edge]
         kernel.after(self.client_way, edge.arrives, x)
-        slack = 0 if leaves is not None else ns(self.clients.slack_ms)
+        slack = 0 if leaves is not None else ms_to_ns(self.clients.slack_ms)
         if not (yield x.done, max(0, told.leaves - kernel.now) + slack):
             x.open = False
             kernel.after(self.client_way, edge.leaves, x)
@@ -313,7 +313,7 @@
         lead = 300_000_000  # the first whole list, as the days wait for it
         self.kernel.after(lead, lambda: None)
         self.kernel.spawn(self._arrivals())
-        end = BEGIN + ns(self.clients.seconds * 1000) + LAST
+        end = BEGIN + ms_to_ns(self.clients.seconds * 1000) + LAST
         step = 1_000_000_000
         while self.kernel.now < end:
             self.kernel.run(min(end, self.kernel.now + step))
--- a/martenlead/emulator/messages.py
+++ b/martenlead/emulator/messages.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from martenlead.admission.gate import Ticket
+from martenlead.admission.controller import QueuedRequest
 from martenlead.emulator.kernel import Process, Signal
 from martenlead.policy.types import Attempt, Request, Result, Warmth
 from martenlead.standins.demand import Call, Try
@@ -27,7 +27,7 @@
     appointment: str = ""
     open: bool = True
     held: Held | None = None
-    ticket: Ticket | None = None
+    ticket: QueuedRequest | None = None
 
 
 class Held:
@@ -35,7 +35,7 @@
 
     __slots__ = ("call", "exchange", "final", "id", "name", "task", "ticket", "wait", "why")
 
-    def __init__(self, exchange: Exchange, ticket: Ticket | None) -> None:
+    def __init__(self, exchange: Exchange, ticket: QueuedRequest | None) -> None:
         self.exchange, self.ticket = exchange, ticket
         self.call = exchange.call
         self.id, self.name = str(exchange.call.number), exchange.told.name
--- a/martenlead/emulator/planned.py
+++ b/martenlead/emulator/planned.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from martenlead.config.edge import Edge as EdgeSettings
-from martenlead.config.edge import ns
+from martenlead.config.edge import EdgeSettings as EdgeSettings
+from martenlead.config.edge import ms_to_ns
 from martenlead.emulator.kernel import Kernel, Signal, Steps
 from martenlead.emulator.records import Records
 from martenlead.planner import frames as fr
-from martenlead.planner.edgeside import LOOK, EdgeSide
-from martenlead.planner.link import Broken, PlannerEnd
-from martenlead.planner.serve import KEEP_S, Planner, PlannerSettings
+from martenlead.planner.link import LinkProtocolError, PlannerSession
+from martenlead.planner.planner_client import LEASE_CHECK_INTERVAL_NS, PlannerClient
+from martenlead.planner.server import REFRESH_INTERVAL_SECONDS, Planner, PlannerSettings
 from martenlead.system.clocks import Moment
 
 START_UP = 600_000_000  # ns that a planner's process takes until it listens
@@ -38,13 +38,13 @@
     about: EdgeSettings
     life: int
     up: bool
-    side: EdgeSide | None
+    side: PlannerClient | None
 
     @property
     def fleet(self) -> PlannerFleet:
         """The fleet that it is part of."""
 
-    def _rearm(self) -> None:
+    def _run_due(self) -> None:
         """Sets the dispatcher's timer anew, after its policy may have changed what is due."""
 
 
@@ -64,9 +64,9 @@
         self.up, self.hangs = True, False
         settings = PlannerSettings(name=f"planner-{self.number}")
         self.planner = Planner(settings, self.kernel.clock, self._moment)
-        self.planner.life = f"{self.number}-{self.life}"
+        self.planner.incarnation = f"{self.number}-{self.life}"
         if before is not None:
-            self.planner.kept = before.kept
+            self.planner.saved_replicas = before.saved_replicas
         self.kernel.spawn(self._keeps(self.life))
 
     def _moment(self) -> Moment:
@@ -75,9 +75,9 @@
 
     def _keeps(self, life: int) -> Steps:
         while life == self.life:
-            yield int(KEEP_S * 1e9)
+            yield int(REFRESH_INTERVAL_SECONDS * 1e9)
             if life == self.life and not self.hangs and self.planner is not None:
-                self.planner.look()
+                self.planner.refresh_saved_replicas()
 
     def does(self, what: str) -> None:
         self.fleet.process_records(f"planner {what}", planner=self.number)
@@ -107,8 +107,8 @@
         self.edge, self.at, self.side = edge, at, edge.side
         self.kernel, self.way = edge.kernel, edge.fleet.client_way
         self.broken = Signal()
-        self.readers = fr.Reader(), fr.Reader()
-        self.end: PlannerEnd | None = None
+        self.readers = fr.FrameReader(), fr.FrameReader()
+        self.end: PlannerSession | None = None
         self.waiting: list[bytes] = []  # for a planner that hangs
 
     def break_(self) -> None:
@@ -119,7 +119,7 @@
     def guard(self, work: Callable[[], None]) -> None:
         try:
             work()
-        except (Broken, fr.BadFrame):
+        except (LinkProtocolError, fr.FrameError):
             self.break_()
 
     def to_planner(self, data: bytes) -> None:
@@ -133,15 +133,15 @@
             for message in self.readers[0].feed(data):
                 if self.end is None:
                     if not isinstance(message, fr.Hello):
-                        raise Broken("a Hello was expected first")
+                        raise LinkProtocolError("a Hello was expected first")
                     assert self.at.planner is not None
-                    older = self.at.links.pop(message.edge, None)
+                    older = self.at.links.pop(message.edge_name, None)
                     if older is not None:
                         older.break_()
-                    self.at.links[message.edge] = self
-                    self.end = self.at.planner.end(message.edge)
-                    self.end.connected()
-                self.end.received(message)
+                    self.at.links[message.edge_name] = self
+                    self.end = self.at.planner.get_session(message.edge_name)
+                    self.end.connection_made()
+                self.end.receive_message(message)
 
     def to_edge(self, data: bytes) -> None:
         if not self.broken.come and self.edge.up and self.edge.side is self.side:
@@ -149,12 +149,12 @@
 
     def _apply(self, data: bytes) -> None:
         for message in self.readers[1].feed(data):
-            self.side.end.received(message)
-        self.side.apply()
+            self.side.session.receive_message(message)
+        self.side.apply_decisions()
 
     def pump(self) -> None:
         """What either side has to say."""
-        while (data := self.side.end.next()) is not None:
+        while (data := self.side.session.next_frame()) is not None:
             self.kernel.after(self.way, self.to_planner, data)
         if self.at.hangs or not self.at.up:
             return
@@ -162,43 +162,47 @@
             self._read()
         if self.end is not None:
             self.end.poll()
-            while (data := self.end.next()) is not None:
+            while (data := self.end.next_frame()) is not None:
                 self.kernel.after(self.way, self.to_edge, data)
 
 
-def looks(edge: LinkedDispatcher, side: EdgeSide, life: int) -> Steps:
-    while edge.life == life and edge.about.models.orders:
-        side.look()
-        edge._rearm()
-        yield LOOK
+def looks(edge: LinkedDispatcher, side: PlannerClient, life: int) -> Steps:
+    while edge.life == life and edge.about.functions.may_request_loads:
+        side.check_lease()
+        edge._run_due()
+        yield LEASE_CHECK_INTERVAL_NS
 
 
-def links(edge: LinkedDispatcher, side: EdgeSide, life: int) -> Steps:
+def links(edge: LinkedDispatcher, side: PlannerClient, life: int) -> Steps:
     """Keeps one dispatcher, in one of its lives, linked: the planners in their order."""
     assert edge.about.planner is not None
     told = edge.about.planner
     fleet = edge.fleet
-    at, retry = 0, ns(told.retry_ms)
+    at, retry = 0, ms_to_ns(told.retry_ms)
     wait = retry
     while edge.life == life:
         process = fleet.planners[told.at[at % len(told.at)].port - 1]
         if process.up:
             link = Link(edge, process)
-            side.end.connected()
+            side.session.connection_made()
             quiet = edge.kernel.now
             while edge.life == life and not link.broken.come:
                 link.guard(link.pump)
                 # one that hangs takes in what is sent, as the kernel's buffers do, and then no more
-                if process.hangs and edge.kernel.now - quiet > ns(told.lease_ms) and not side.end.leased():
+                if (
+                    process.hangs
+                    and edge.kernel.now - quiet > ms_to_ns(told.lease_ms)
+                    and not side.session.is_leased()
+                ):
                     link.break_()
                 elif not process.hangs:
                     quiet = edge.kernel.now
-                yield link.broken, min(STEP, ns(told.flush_ms))
+                yield link.broken, min(STEP, ms_to_ns(told.flush_ms))
             link.break_()
             if edge.life != life:
                 return
-            proven = side.end.proven()
-            side.end.lost()
+            proven = side.session.is_established()
+            side.session.connection_lost()
         else:
             proven = False
         side.counts["links lost"] += 1
@@ -207,4 +211,4 @@
         else:
             at += 1
             wait = min(2 * wait, 10 * retry)
-        yield int(wait * (0.5 + side.pick()))
+        yield int(wait * (0.5 + side.random()))
--- a/martenlead/events/client.py
+++ b/martenlead/events/client.py
@@ -18,11 +18,11 @@
 import anyio.lowlevel
 from anyio.abc import SocketAttribute, SocketStream
 
-from martenlead.events.http import BadMessage, Limits, Message, Reader
+from martenlead.events.http import InvalidMessageError, Message, MessageLimits, Reader
 from martenlead.system.sockets import is_own_shortage
 
-SECOND = 1_000_000_000
-ENDED = (
+SECOND_NS = 1_000_000_000
+CONNECTION_ERRORS = (
     anyio.EndOfStream,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -31,7 +31,7 @@
 )
 
 
-class End(Enum):
+class ExchangeEnd(Enum):
     """How an exchange ended. Before ANSWERED, what comes first in this list came first on the socket."""
 
     NO_SLOT = "all connections that may be open are busy"  # or there is no descriptor, memory or port for one
@@ -46,26 +46,26 @@
 
 @dataclass(slots=True)
 class Exchange:
-    end: End
+    end: ExchangeEnd
     message: Message | None = None
     detail: str = ""
 
 
-class Sending:
+class SendProgress:
     """How far an exchange has come that its caller may cancel."""
 
-    __slots__ = ("may_begin", "wrote")
+    __slots__ = ("has_written", "may_send")
 
-    def __init__(self, may_begin: Callable[[], bool] = lambda: True) -> None:
+    def __init__(self, may_send: Callable[[], bool] = lambda: True) -> None:
         """`may_begin` is asked as the first byte would leave, after any wait for a connection."""
-        self.may_begin = may_begin
-        self.wrote = False  # from here on a byte may have left
+        self.may_send = may_send
+        self.has_written = False  # from here on a byte may have left
 
 
 class _Connection:
     __slots__ = ("descriptor", "poll", "reader", "since", "stream")
 
-    def __init__(self, stream: SocketStream, limits: Limits) -> None:
+    def __init__(self, stream: SocketStream, limits: MessageLimits) -> None:
         self.stream = stream
         self.descriptor: int = stream.extra(SocketAttribute.raw_socket).fileno()
         self.reader = Reader(limits, requests=False)
@@ -102,20 +102,26 @@
         host: str,
         port: int,
         *,
-        most: int = 64,
-        idle: int = 15 * SECOND,
-        connect: int = SECOND // 4,
-        limits: Limits | None = None,
+        connection_limit: int = 64,
+        idle_timeout_ns: int = 15 * SECOND_NS,
+        connect_timeout_ns: int = SECOND_NS // 4,
+        limits: MessageLimits | None = None,
     ) -> None:
         self.host, self.port = host, port
-        self.most, self.idle, self.connect = most, idle, connect
-        self.limits = limits or Limits()
-        self.open = 0
-        self.opened = 0
-        self.strays = 0  # answers, or other bytes, that no request of ours asked for
+        self.connection_limit, self.idle_timeout_ns, self.connect_timeout_ns = (
+            connection_limit,
+            idle_timeout_ns,
+            connect_timeout_ns,
+        )
+        self.limits = limits or MessageLimits()
+        self.open_connections = 0
+        self.connections_opened = 0
+        self.stray_responses = 0  # answers, or other bytes, that no request of ours asked for
         self._idle: list[_Connection] = []
 
-    async def exchange(self, data: bytes | Callable[[], bytes], sending: Sending | None = None) -> Exchange:
+    async def exchange(
+        self, data: bytes | Callable[[], bytes], sending: SendProgress | None = None
+    ) -> Exchange:
         """Sends one request and waits for its answer, without an end of its own: the caller's scope sets it.
         A request that states a time left is made by a call, once there is a connection.
 
@@ -124,26 +130,26 @@
         """
         connection = await self._reuse()
         if connection is None:
-            if self.open >= self.most:
-                return Exchange(End.NO_SLOT)
-            self.open += 1
+            if self.open_connections >= self.connection_limit:
+                return Exchange(ExchangeEnd.NO_SLOT)
+            self.open_connections += 1
             made = await self._connect()
             if isinstance(made, Exchange):
-                self.open -= 1
+                self.open_connections -= 1
                 return made
             connection = made
         good = False
         try:
-            exchange = await self._exchange(connection, data, sending or Sending())
+            exchange = await self._exchange(connection, data, sending or SendProgress())
             message = exchange.message
-            good = exchange.end is End.ANSWERED and message is not None and message.keep_alive
+            good = exchange.end is ExchangeEnd.ANSWERED and message is not None and message.keep_alive
             return exchange
         finally:
             if good:
                 connection.since = monotonic_ns()
                 self._idle.append(connection)
             else:
-                self.open -= 1
+                self.open_connections -= 1
                 with anyio.CancelScope(shield=True):
                     await anyio.aclose_forcefully(connection.stream)
 
@@ -151,10 +157,10 @@
         while self._idle:
             connection = self._idle.pop()
             stale = connection.stale()
-            if not stale and monotonic_ns() - connection.since < self.idle:
+            if not stale and monotonic_ns() - connection.since < self.idle_timeout_ns:
                 return connection
-            self.open -= 1
-            self.strays += stale and connection.stray()
+            self.open_connections -= 1
+            self.stray_responses += stale and connection.stray()
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(connection.stream)
         return None
@@ -162,34 +168,34 @@
     async def _connect(self) -> _Connection | Exchange:
         """Whatever fails here, not a byte of a request was sent."""
         try:
-            with anyio.fail_after(self.connect / 1e9):
+            with anyio.fail_after(self.connect_timeout_ns / 1e9):
                 stream = await anyio.connect_tcp(self.host, self.port)
         except TimeoutError:
-            return Exchange(End.CONNECT_TIMEOUT)
+            return Exchange(ExchangeEnd.CONNECT_TIMEOUT)
         except Exception as error:  # event loops raise more than OSError for an end in that moment
-            end = End.NO_SLOT if is_own_shortage(error) else End.REFUSED
+            end = ExchangeEnd.NO_SLOT if is_own_shortage(error) else ExchangeEnd.REFUSED
             return Exchange(end, detail=str(error.__cause__ or error))
         except BaseException:
-            self.open -= 1
+            self.open_connections -= 1
             raise
-        self.opened += 1
+        self.connections_opened += 1
         try:
             return _Connection(stream, self.limits)
         except (AttributeError, OSError, ValueError):  # reset while it was being made: no socket any more
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
-            return Exchange(End.REFUSED, detail="reset as soon as it was made")
+            return Exchange(ExchangeEnd.REFUSED, detail="reset as soon as it was made")
 
     async def _exchange(
-        self, connection: _Connection, data: bytes | Callable[[], bytes], sending: Sending
+        self, connection: _Connection, data: bytes | Callable[[], bytes], sending: SendProgress
     ) -> Exchange:
         stream, reader = connection.stream, connection.reader
         begun = False
         try:
             await anyio.lowlevel.checkpoint_if_cancelled()
-            if not sending.may_begin():
-                return Exchange(End.WITHHELD)
-            sending.wrote = True
+            if not sending.may_send():
+                return Exchange(ExchangeEnd.WITHHELD)
+            sending.has_written = True
             await stream.send(data if isinstance(data, bytes) else data())
             while True:
                 part = await stream.receive()
@@ -202,49 +208,51 @@
                         ].keep_alive = (
                             False  # answers nobody asked for: the first counts, the rest is dropped
                         )
-                    return Exchange(End.ANSWERED, done[0])
-        except ENDED:
-            return Exchange(End.CUT if begun else End.CLOSED)
-        except BadMessage as error:
-            if reader.done:
-                reader.done[0].keep_alive = False
-                self.strays += 1
-                return Exchange(End.ANSWERED, reader.done[0])
-            return Exchange(End.GARBAGE, detail=error.detail)
+                    return Exchange(ExchangeEnd.ANSWERED, done[0])
+        except CONNECTION_ERRORS:
+            return Exchange(ExchangeEnd.CUT if begun else ExchangeEnd.CLOSED)
+        except InvalidMessageError as error:
+            if reader.completed:
+                reader.completed[0].keep_alive = False
+                self.stray_responses += 1
+                return Exchange(ExchangeEnd.ANSWERED, reader.completed[0])
+            return Exchange(ExchangeEnd.GARBAGE, detail=error.detail)
 
     async def close(self) -> None:
         idle, self._idle = self._idle, []
         for connection in idle:
-            self.open -= 1
-            self.strays += connection.stale() and connection.stray()
+            self.open_connections -= 1
+            self.stray_responses += connection.stale() and connection.stray()
             await anyio.aclose_forcefully(connection.stream)
 
 
-async def lines(host: str, port: int, data: bytes, *, quiet: float, longest: int) -> AsyncGenerator[bytes]:
+async def read_lines(
+    host: str, port: int, data: bytes, *, silence_timeout_seconds: float, max_line_bytes: int
+) -> AsyncGenerator[bytes]:
     """The lines of a chunked answer that does not end, as they come.
 
     Raises OSError, anyio's errors of a broken stream, TimeoutError after `quiet` seconds without a connection
     or without a byte, and
     `BadMessage` for an answer other than 200 or a line over `longest` bytes.
     """
-    with anyio.fail_after(quiet):
+    with anyio.fail_after(silence_timeout_seconds):
         stream = await anyio.connect_tcp(host, port)
     try:
-        with anyio.fail_after(quiet):
+        with anyio.fail_after(silence_timeout_seconds):
             await stream.send(data)
         left = b""
         status = 0
         reader = _Stream()
         while True:
-            with anyio.fail_after(quiet):
+            with anyio.fail_after(silence_timeout_seconds):
                 part = await stream.receive()
             left += reader.feed(part)
             status = reader.status
             if status not in (0, 200):
-                raise BadMessage(502, f"status {status}")
+                raise InvalidMessageError(502, f"status {status}")
             *whole, left = left.split(b"\n")
-            if len(left) > longest:
-                raise BadMessage(502, f"a line over {longest} bytes")
+            if len(left) > max_line_bytes:
+                raise InvalidMessageError(502, f"a line over {max_line_bytes} bytes")
             for line in whole:
                 if line:
                     yield line
@@ -281,5 +289,5 @@
         try:
             self.parser.feed_data(data)
         except self._errors as error:
-            raise BadMessage(502, f"not HTTP/1.1: {error}") from None
+            raise InvalidMessageError(502, f"not HTTP/1.1: {error}") from None
         return b"".join(self.parts)
--- a/martenlead/events/cloudevent.py
+++ b/martenlead/events/cloudevent.py
@@ -17,20 +17,20 @@
 
 from martenlead.events.http import Headers
 
-Value = str | int | bool
-STRUCTURED = b"application/cloudevents+json"
-BATCHED = b"application/cloudevents-batch"
-ACCEPTED = b"application/cloudevents+json, any other content type with ce- headers"
-NAME = re.compile(r"[a-z0-9]{1,64}\Z")
-TIME = re.compile(r"\d{4}-\d\d-\d\d[Tt]\d\d:\d\d:\d\d(\.\d+)?([Zz]|[+-]\d\d:\d\d)\Z")
-RESERVED = frozenset({"data", "data_base64"})
-REQUIRED = ("specversion", "id", "source", "type")
-INTEGER = 2**31
-SAFE = frozenset(range(0x21, 0x7F)) - {0x22, 0x25}
-PLAIN = re.compile(r"[!#$&-~]*\Z")  # needs no percent-encoding
-
-
-class BadEvent(Exception):
+AttributeValue = str | int | bool
+STRUCTURED_MEDIA_TYPE = b"application/cloudevents+json"
+BATCH_MEDIA_TYPE = b"application/cloudevents-batch"
+ACCEPTED_MEDIA_TYPES = b"application/cloudevents+json, any other content type with ce- headers"
+ATTRIBUTE_NAME = re.compile(r"[a-z0-9]{1,64}\Z")
+RFC3339_TIME = re.compile(r"\d{4}-\d\d-\d\d[Tt]\d\d:\d\d:\d\d(\.\d+)?([Zz]|[+-]\d\d:\d\d)\Z")
+RESERVED_NAMES = frozenset({"data", "data_base64"})
+REQUIRED_ATTRIBUTES = ("specversion", "id", "source", "type")
+INTEGER_LIMIT = 2**31
+UNESCAPED_BYTES = frozenset(range(0x21, 0x7F)) - {0x22, 0x25}
+UNESCAPED_TEXT = re.compile(r"[!#$&-~]*\Z")  # needs no percent-encoding
+
+
+class InvalidEventError(Exception):
     """The message is no event. `attribute` names what is wrong, `status` what the sender is to be told."""
 
     def __init__(self, attribute: str, detail: str, status: int = 400) -> None:
@@ -42,7 +42,7 @@
 class Event:
     """`attributes` without `datacontenttype`, which is `content_type`; `specversion` is always 1.0."""
 
-    attributes: dict[str, Value]
+    attributes: dict[str, AttributeValue]
     data: bytes | None = None
     content_type: str | None = None
 
@@ -51,12 +51,12 @@
         return None if value is None else _canonical(value)
 
     @property
-    def mark(self) -> tuple[str, str]:
+    def identity(self) -> tuple[str, str]:
         """Source and id: the same for every repeat of one event (CloudEvents core, `id`)."""
         return str(self.attributes["source"]), str(self.attributes["id"])
 
 
-def _canonical(value: Value) -> str:
+def _canonical(value: AttributeValue) -> str:
     if value is True or value is False:
         return "true" if value else "false"
     return str(value)
@@ -64,57 +64,57 @@
 
 def parse_time(text: str, attribute: str = "time") -> float:
     """Seconds since 1970 of an RFC 3339 timestamp. Raises `BadEvent`."""
-    if not TIME.match(text):
-        raise BadEvent(attribute, "an RFC 3339 time was expected")
+    if not RFC3339_TIME.match(text):
+        raise InvalidEventError(attribute, "an RFC 3339 time was expected")
     try:
         return datetime.fromisoformat(text.upper()).timestamp()
     except (ValueError, OverflowError):
-        raise BadEvent(attribute, "an RFC 3339 time was expected") from None
+        raise InvalidEventError(attribute, "an RFC 3339 time was expected") from None
 
 
 def _check(event: Event) -> Event:
     attributes = event.attributes
-    for name in REQUIRED:
+    for name in REQUIRED_ATTRIBUTES:
         if name not in attributes:
-            raise BadEvent(name, "the attribute is missing")
+            raise InvalidEventError(name, "the attribute is missing")
         if not isinstance(attributes[name], str) or not attributes[name]:
-            raise BadEvent(name, "a text that is not empty was expected")
+            raise InvalidEventError(name, "a text that is not empty was expected")
     if attributes["specversion"] != "1.0":
-        raise BadEvent("specversion", "1.0 was expected")
+        raise InvalidEventError("specversion", "1.0 was expected")
     if "time" in attributes:
         parse_time(str(attributes["time"]))
     for name in ("subject", "dataschema"):
         if name in attributes and not attributes[name]:
-            raise BadEvent(name, "a text that is not empty was expected")
+            raise InvalidEventError(name, "a text that is not empty was expected")
     return event
 
 
-def encode_value(value: Value) -> bytes:
+def encode_value(value: AttributeValue) -> bytes:
     """A header value: percent-encoded where the binding says so (section 3.1.3.2)."""
     text = _canonical(value)
-    if PLAIN.match(text):
+    if UNESCAPED_TEXT.match(text):
         return text.encode()
-    return b"".join(b"%c" % b if b in SAFE else b"%%%02X" % b for b in text.encode())
+    return b"".join(b"%c" % b if b in UNESCAPED_BYTES else b"%%%02X" % b for b in text.encode())
 
 
 def decode_value(raw: bytes, attribute: str) -> str:
     """The text of a header value, quoted or not. Raises `BadEvent`."""
     if raw[:1] == b'"':
         if len(raw) < 2 or raw[-1:] != b'"':
-            raise BadEvent(attribute, "a quoted text without its end")
+            raise InvalidEventError(attribute, "a quoted text without its end")
         raw = re.sub(rb"\\(.)", rb"\1", raw[1:-1])
     if b"%" in raw:
         parts = raw.split(b"%")
         out = [parts[0]]
         for part in parts[1:]:
             if not re.match(rb"[0-9A-Fa-f]{2}", part):
-                raise BadEvent(attribute, "a percent sign without two hexadecimal digits")
+                raise InvalidEventError(attribute, "a percent sign without two hexadecimal digits")
             out += [bytes.fromhex(part[:2].decode()), part[2:]]
         raw = b"".join(out)
     try:
         return raw.decode()
     except UnicodeDecodeError:
-        raise BadEvent(attribute, "not UTF-8") from None
+        raise InvalidEventError(attribute, "not UTF-8") from None
 
 
 def media_type(raw: bytes | None) -> bytes:
@@ -125,44 +125,46 @@
 def _attribute(name: bytes) -> str:
     """The attribute that a ce- header names; the same few come with every event."""
     key = name[3:].decode("latin-1")
-    if not NAME.match(key):
-        raise BadEvent(key, "attribute names are lower-case letters and digits")
-    if key == "datacontenttype" or key in RESERVED:
-        raise BadEvent(key, "not a header of binary mode")
+    if not ATTRIBUTE_NAME.match(key):
+        raise InvalidEventError(key, "attribute names are lower-case letters and digits")
+    if key == "datacontenttype" or key in RESERVED_NAMES:
+        raise InvalidEventError(key, "not a header of binary mode")
     return key
 
 
-def read(headers: Headers, body: bytes) -> Event:
+def decode_event(headers: Headers, body: bytes) -> Event:
     """The event that a message carries, in binary or structured mode. Raises `BadEvent`."""
     content = None
     for name, value in headers:
         if name == b"content-type":
             if content is not None:
-                raise BadEvent("datacontenttype", "Content-Type is told twice")
+                raise InvalidEventError("datacontenttype", "Content-Type is told twice")
             content = value
     kind = media_type(content)
-    if kind.startswith(BATCHED):
-        raise BadEvent("datacontenttype", "batches are not taken", 415)
+    if kind.startswith(BATCH_MEDIA_TYPE):
+        raise InvalidEventError("datacontenttype", "batches are not taken", 415)
     if kind.startswith(b"application/cloudevents"):
-        if kind != STRUCTURED:
-            raise BadEvent("datacontenttype", "of the event formats only JSON is taken", 415)
-        return read_json(body)
-    attributes: dict[str, Value] = {}
+        if kind != STRUCTURED_MEDIA_TYPE:
+            raise InvalidEventError("datacontenttype", "of the event formats only JSON is taken", 415)
+        return decode_json_event(body)
+    attributes: dict[str, AttributeValue] = {}
     for name, value in headers:
         if not name.startswith(b"ce-"):
             continue
         key = _attribute(name)
         if key in attributes:
-            raise BadEvent(key, "the attribute is told twice")
+            raise InvalidEventError(key, "the attribute is told twice")
         attributes[key] = decode_value(value, key)
     if not attributes:
-        raise BadEvent("specversion", "no event: neither ce- headers nor application/cloudevents+json", 415)
+        raise InvalidEventError(
+            "specversion", "no event: neither ce- headers nor application/cloudevents+json", 415
+        )
     text = None
     if content is not None:
         try:
             text = content.decode("ascii")
         except UnicodeDecodeError:
-            raise BadEvent("datacontenttype", "not ASCII") from None
+            raise InvalidEventError("datacontenttype", "not ASCII") from None
     return _check(Event(attributes, body if body or content is not None else None, text))
 
 
@@ -170,36 +172,38 @@
 _value = msgspec.json.Decoder()
 
 
-def read_json(body: bytes) -> Event:
+def decode_json_event(body: bytes) -> Event:
     """An event in the JSON format. Raises `BadEvent`."""
     try:
         members = _json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise BadEvent("data", "the body is not a JSON object") from None
-    attributes: dict[str, Value] = {}
+        raise InvalidEventError("data", "the body is not a JSON object") from None
+    attributes: dict[str, AttributeValue] = {}
     for name, raw in members.items():
-        if name in RESERVED:
+        if name in RESERVED_NAMES:
             continue
-        if not NAME.match(name):
-            raise BadEvent(name[:64], "attribute names are lower-case letters and digits")
+        if not ATTRIBUTE_NAME.match(name):
+            raise InvalidEventError(name[:64], "attribute names are lower-case letters and digits")
         value: Any = _value.decode(raw)
         if value is None:
             continue  # JSON format 1.0.2, section 2.2: null is the same as absent
-        if (isinstance(value, int) and not -INTEGER <= value < INTEGER) or not isinstance(value, (str, int)):
-            raise BadEvent(name, "a text, a whole number of 32 bits or a boolean was expected")
+        if (isinstance(value, int) and not -INTEGER_LIMIT <= value < INTEGER_LIMIT) or not isinstance(
+            value, (str, int)
+        ):
+            raise InvalidEventError(name, "a text, a whole number of 32 bits or a boolean was expected")
         attributes[name] = value
     content = attributes.pop("datacontenttype", None)
     if content is not None and not isinstance(content, str):
-        raise BadEvent("datacontenttype", "a text was expected")
+        raise InvalidEventError("datacontenttype", "a text was expected")
     data: bytes | None = None
     if "data" in members and "data_base64" in members:
-        raise BadEvent("data", "both data and data_base64")
+        raise InvalidEventError("data", "both data and data_base64")
     if "data_base64" in members:
         value = _value.decode(members["data_base64"])
         try:
             data = b64decode(value, validate=True)
         except (TypeError, ValueError):
-            raise BadEvent("data_base64", "Base64 was expected") from None
+            raise InvalidEventError("data_base64", "Base64 was expected") from None
     elif "data" in members:
         raw_data = bytes(members["data"])
         if is_json(content):
@@ -219,7 +223,7 @@
     return kind.endswith(("/json", "+json"))
 
 
-def write(event: Event) -> tuple[Headers, bytes]:
+def encode_event(event: Event) -> tuple[Headers, bytes]:
     """Headers and body in binary mode."""
     headers: Headers = [
         (b"ce-" + name.encode(), encode_value(value)) for name, value in event.attributes.items()
@@ -229,7 +233,7 @@
     return headers, event.data or b""
 
 
-def write_json(event: Event) -> bytes:
+def encode_json_event(event: Event) -> bytes:
     """The body in structured mode, in the JSON format."""
     members: dict[str, Any] = dict(event.attributes)
     if event.content_type is not None:
--- a/martenlead/events/http.py
+++ b/martenlead/events/http.py
@@ -16,11 +16,11 @@
 import httptools
 
 Headers = list[tuple[bytes, bytes]]
-CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
-FRAMING = frozenset({b"content-length", b"transfer-encoding", b"host", b"expect"})
+CONTROL_BYTES = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+FRAMING_HEADERS = frozenset({b"content-length", b"transfer-encoding", b"host", b"expect"})
 
 
-class BadMessage(Exception):
+class InvalidMessageError(Exception):
     """The bytes are no message that may be acted on. `status` is what the peer is to be told."""
 
     def __init__(self, status: int, detail: str) -> None:
@@ -29,12 +29,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class MessageLimits:
     """Bytes that one message may hold; beyond them the peer is told 431 or 413 and the connection ends."""
 
-    head: int = 16 * 1024
-    body: int = 1024 * 1024
-    headers: int = 100
+    head_bytes: int = 16 * 1024
+    body_bytes: int = 1024 * 1024
+    header_lines: int = 100
 
 
 class Peer(Protocol):
@@ -69,17 +69,17 @@
 class Reader:
     """Feeds one direction of one connection to the parser. After a `BadMessage` it takes nothing more."""
 
-    def __init__(self, limits: Limits, *, requests: bool) -> None:
+    def __init__(self, limits: MessageLimits, *, requests: bool) -> None:
         self.limits = limits
         self.requests = requests
-        self.done: list[Message] = []
-        self.continues = False  # the peer waits for a 100 before it sends the body
+        self.completed: list[Message] = []
+        self.expects_continue = False  # the peer waits for a 100 before it sends the body
         self.in_head = self.in_message = False
         self._head = 0
         self._size = 0
         self._chunks: list[bytes] = []
         self._message = Message()
-        self._bad: BadMessage | None = None
+        self._bad: InvalidMessageError | None = None
         kind = httptools.HttpRequestParser if requests else httptools.HttpResponseParser
         self._parser: Any = kind(self)
 
@@ -88,24 +88,24 @@
         `done`."""
         if self._bad:
             raise self._bad
-        self.done = []
+        self.completed = []
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._bad = BadMessage(501, "upgrades are not offered here")
+            self._bad = InvalidMessageError(501, "upgrades are not offered here")
         except httptools.HttpParserCallbackError:
-            self._bad = self._bad or BadMessage(400, "the message could not be read")
+            self._bad = self._bad or InvalidMessageError(400, "the message could not be read")
         except httptools.HttpParserError as error:
-            self._bad = self._bad or BadMessage(400, f"not HTTP/1.1: {error}")
+            self._bad = self._bad or InvalidMessageError(400, f"not HTTP/1.1: {error}")
         if not self._bad and self.in_head:
             self._head += len(data)
-            if self._head > self.limits.head:
-                self._bad = BadMessage(431, f"the header is over {self.limits.head} bytes")
+            if self._head > self.limits.head_bytes:
+                self._bad = InvalidMessageError(431, f"the header is over {self.limits.head_bytes} bytes")
         if self._bad:
             raise self._bad
-        return self.done
+        return self.completed
 
-    def _stop(self, bad: BadMessage) -> None:
+    def _stop(self, bad: InvalidMessageError) -> None:
         self._bad = self._bad or bad
         raise bad
 
@@ -116,7 +116,7 @@
         self._head = self._size = 0
         self._chunks = []
         self.in_head = self.in_message = True
-        self.continues = False
+        self.expects_continue = False
 
     def on_url(self, url: bytes) -> None:
         self._message.target += url
@@ -133,55 +133,59 @@
         self.in_head = False
         version = parser.get_http_version()
         if version != "1.1":
-            self._stop(BadMessage(505, f"HTTP/{version} is not spoken here; HTTP/1.1 is"))
+            self._stop(InvalidMessageError(505, f"HTTP/{version} is not spoken here; HTTP/1.1 is"))
         headers = message.headers
         framing: dict[bytes, bytes] = {}
         size = 0
         for name, value in headers:
             size += len(name) + len(value)
-            if name in FRAMING:
+            if name in FRAMING_HEADERS:
                 if name in framing:
-                    self._stop(BadMessage(400, f"{name.decode()} is told twice"))
+                    self._stop(InvalidMessageError(400, f"{name.decode()} is told twice"))
                 framing[name] = value
-        if size > limits.head or len(headers) > limits.headers:
-            self._stop(BadMessage(431, f"the header is over {limits.head} bytes or {limits.headers} lines"))
-        if CONTROL.search(b"".join([value for _, value in headers])):
-            self._stop(BadMessage(400, "a header holds a control byte"))
+        if size > limits.head_bytes or len(headers) > limits.header_lines:
+            self._stop(
+                InvalidMessageError(
+                    431, f"the header is over {limits.head_bytes} bytes or {limits.header_lines} lines"
+                )
+            )
+        if CONTROL_BYTES.search(b"".join([value for _, value in headers])):
+            self._stop(InvalidMessageError(400, "a header holds a control byte"))
         coding, length = framing.get(b"transfer-encoding"), framing.get(b"content-length")
         if coding is not None:
             if length is not None:
-                self._stop(BadMessage(400, "both Content-Length and Transfer-Encoding"))
+                self._stop(InvalidMessageError(400, "both Content-Length and Transfer-Encoding"))
             if coding.strip().lower() != b"chunked":
-                self._stop(BadMessage(501, "Transfer-Encoding other than chunked"))
-        elif length is not None and int(length) > limits.body:
-            self._stop(BadMessage(413, f"the body is over {limits.body} bytes"))
+                self._stop(InvalidMessageError(501, "Transfer-Encoding other than chunked"))
+        elif length is not None and int(length) > limits.body_bytes:
+            self._stop(InvalidMessageError(413, f"the body is over {limits.body_bytes} bytes"))
         message.keep_alive = parser.should_keep_alive()
         if not self.requests:
             message.status = parser.get_status_code()
             return
         message.method = parser.get_method()
         if b"host" not in framing:
-            self._stop(BadMessage(400, "exactly one Host header is expected"))
+            self._stop(InvalidMessageError(400, "exactly one Host header is expected"))
         expect = framing.get(b"expect")
         if expect is not None:
             if expect.lower() != b"100-continue":
-                self._stop(BadMessage(417, "only 100-continue can be expected"))
-            self.continues = True
+                self._stop(InvalidMessageError(417, "only 100-continue can be expected"))
+            self.expects_continue = True
 
     def on_body(self, body: bytes) -> None:
         self._size += len(body)
-        if self._size > self.limits.body:
-            self._stop(BadMessage(413, f"the body is over {self.limits.body} bytes"))
+        if self._size > self.limits.body_bytes:
+            self._stop(InvalidMessageError(413, f"the body is over {self.limits.body_bytes} bytes"))
         self._chunks.append(body)
 
     def on_message_complete(self) -> None:
         message = self._message
         message.body = b"".join(self._chunks)
         self._chunks = []
-        self.in_head = self.in_message = self.continues = False
+        self.in_head = self.in_message = self.expects_continue = False
         if not self.requests and 100 <= message.status < 200:
             return
-        self.done.append(message)
+        self.completed.append(message)
 
 
 def _head(first: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes | None) -> bytes:
--- a/martenlead/events/problem.py
+++ b/martenlead/events/problem.py
@@ -13,10 +13,10 @@
 TYPE = b"application/problem+json"
 
 
-def problem(status: int, title: str, detail: str, *, wait_ns: int | None = None, **more: Any) -> Reply:
+def problem(status: int, title: str, detail: str, *, retry_after_ns: int | None = None, **more: Any) -> Reply:
     """A response with problem details.
 
-    `wait_ns` becomes `Retry-After` in whole seconds, rounded up as RFC 9110 wants it, and exactly, in
+    `retry_after_ns` becomes `Retry-After` in whole seconds, rounded up as RFC 9110 wants it, and exactly, in
     milliseconds, the member `retry_after_ms` and the header `martenlead-retry-after-ms`.
     """
     headers: Headers = [(b"content-type", TYPE)]
@@ -27,9 +27,9 @@
         "detail": detail,
         **more,
     }
-    if wait_ns is not None:
-        exact = f"{wait_ns / 1e6:.3f}"
+    if retry_after_ns is not None:
+        exact = f"{retry_after_ns / 1e6:.3f}"
         members["retry_after_ms"] = float(exact)
-        headers.append((b"retry-after", b"%d" % math.ceil(wait_ns / 1e9)))
+        headers.append((b"retry-after", b"%d" % math.ceil(retry_after_ns / 1e9)))
         headers.append((b"martenlead-retry-after-ms", exact.encode()))
     return Reply(status, headers, msgspec.json.encode(members))
--- a/martenlead/events/server.py
+++ b/martenlead/events/server.py
@@ -20,14 +20,22 @@
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-from martenlead.events.http import BadMessage, Headers, Limits, Message, Reader, chunk, response
+from martenlead.events.http import (
+    Headers,
+    InvalidMessageError,
+    Message,
+    MessageLimits,
+    Reader,
+    chunk,
+    response,
+)
 from martenlead.events.stream_listener import StreamListener, listen
 from martenlead.system.sockets import has_ended, readable
 
 __all__ = ["Handler", "Reply", "Server", "ServerLimits", "StreamListener", "listen"]
 
-SECOND = 1_000_000_000
-READ = 16_384  # bytes at a time: what one read holds is parsed at once, and a slow reader sits on it
+SECOND_NS = 1_000_000_000
+READ_BYTES = 16_384  # bytes at a time: what one read holds is parsed at once, and a slow reader sits on it
 HANGUP_CHECK_SECONDS = 0.02  # between two looks for a client's end while no request of it may be begun
 READ_AHEAD = 262_144  # bytes read meanwhile: an end does not show behind more than the kernel takes
 ROOM_CHECK_SECONDS = 0.02  # between two looks for idle connections that give way, while some have no room
@@ -58,12 +66,12 @@
 class ServerLimits:
     """Times are ns. At `connections` a further one is told 503 and closed; at `pipelined` no more is read."""
 
-    message: Limits = Limits()  # noqa: RUF009
-    connections: int = 2048
-    pipelined: int = 32
-    idle: int = 60 * SECOND
-    slow: int = 10 * SECOND  # from a message's first byte to its last
-    write: int = 10 * SECOND  # for a peer that does not read
+    message: MessageLimits = MessageLimits()  # noqa: RUF009
+    max_connections: int = 2048
+    max_pipelined: int = 32
+    idle_timeout_ns: int = 60 * SECOND_NS
+    receive_timeout_ns: int = 10 * SECOND_NS  # from a message's first byte to its last
+    write_timeout_ns: int = 10 * SECOND_NS  # for a peer that does not read
 
 
 class _Slot:
@@ -89,16 +97,21 @@
         handler: Handler,
         limits: ServerLimits,
         *,
-        bad: Callable[[int, str], Reply],
-        crashed: Callable[[BaseException], Reply],
-        arrival: Callable[[int], int] = lambda now: now,
+        make_error_reply: Callable[[int, str], Reply],
+        make_fault_reply: Callable[[BaseException], Reply],
+        earliest_arrival_ns: Callable[[int], int] = lambda now: now,
     ) -> None:
         """`arrival` tells the earliest moment at which what is read now may have arrived."""
-        self.handler, self.limits, self.bad, self.crashed = handler, limits, bad, crashed
-        self.arrival = arrival
+        self.handler, self.limits, self.make_error_reply, self.make_fault_reply = (
+            handler,
+            limits,
+            make_error_reply,
+            make_fault_reply,
+        )
+        self.earliest_arrival_ns = earliest_arrival_ns
         self.connections: set[Connection] = set()
-        self.draining = False
-        self.serving = 0  # listeners; 0 again once all their connections have ended
+        self.is_draining = False
+        self.active_listeners = 0  # listeners; 0 again once all their connections have ended
         self._takes_backlog = True
         self._stop = anyio.Event()
 
@@ -120,7 +133,7 @@
                     await anyio.sleep(ROOM_CHECK_SECONDS)
 
         listener.on_full = on_full
-        self.serving += 1
+        self.active_listeners += 1
         try:
             async with anyio.create_task_group() as group, anyio.create_task_group() as helpers:
                 group.start_soon(listener.serve, self._connected, group)
@@ -130,7 +143,7 @@
                 await self._wind_up(listener)
                 helpers.cancel_scope.cancel()
         finally:
-            self.serving -= 1
+            self.active_listeners -= 1
 
     async def _wind_up(self, listener: StreamListener) -> None:
         if self._takes_backlog:
@@ -140,32 +153,34 @@
         while self.connections or not listener.is_idle:
             now = monotonic_ns()
             for connection in list(self.connections):
-                connection.end_if_idle(now - DRAIN_YOUNG)
+                connection.close_if_idle(now - DRAIN_YOUNG)
             await anyio.sleep(0.01)
 
     def _make_room(self) -> None:
         """Ends the connections that never asked anything, the oldest first, then those idle for longest."""
         now = monotonic_ns()
-        by_rank = sorted(self.connections, key=lambda connection: (connection.has_spoken, connection.read))
+        by_rank = sorted(
+            self.connections, key=lambda connection: (connection.has_sent_request, connection.last_read_ns)
+        )
         ended = 0
         for connection in by_rank:
             if ended == GIVE_WAY:
                 break
-            ended += connection.end_if_idle(now - YOUNG)
+            ended += connection.close_if_idle(now - YOUNG)
 
     async def _sweep(self) -> None:
         """Ends what takes too long. One look at all connections now and then costs less than a timer for each
         read and write; a time-out may come late by a quarter."""
         limits = self.limits
-        every = min(limits.idle, limits.slow, limits.write) / 4e9
+        every = min(limits.idle_timeout_ns, limits.receive_timeout_ns, limits.write_timeout_ns) / 4e9
         while True:
             await anyio.sleep(min(max(every, 0.01), 1.0))
             now = monotonic_ns()
             for connection in list(self.connections):
-                connection.look(now)
+                connection.close_if_overdue(now)
 
     def drain(self) -> None:
-        self.draining = True
+        self.is_draining = True
         self._stop.set()
 
     def abort(self) -> None:
@@ -177,8 +192,10 @@
 
     async def _connected(self, stream: SocketStream) -> None:
         connection = Connection(self, stream)
-        if len(self.connections) >= self.limits.connections:
-            await connection.reject(self.bad(503, f"more than {self.limits.connections} connections"))
+        if len(self.connections) >= self.limits.max_connections:
+            await connection.reject(
+                self.make_error_reply(503, f"more than {self.limits.max_connections} connections")
+            )
             return
         self.connections.add(connection)
         try:
@@ -189,7 +206,7 @@
     def crash(self, error: Exception) -> Reply:
         """What a client is told of a fault of ours, whatever else fails."""
         try:
-            return self.crashed(error)
+            return self.make_fault_reply(error)
         except Exception:
             return Reply(500, [])
 
@@ -203,14 +220,14 @@
         self.limits = server.limits
         self.reader = Reader(self.limits.message, requests=True)
         self.slots: deque[_Slot] = deque()
-        self.writing = 0  # since when
-        self.read = monotonic_ns()  # when there was last something, or the message at hand had begun
+        self.write_started_ns = 0  # since when
+        self.last_read_ns = monotonic_ns()  # when there was last something, or the message at hand had begun
         self.scope = anyio.CancelScope()
-        self.reading = anyio.CancelScope()
-        self.has_spoken = False
-        self.is_ending = False  # it was idle, and closes once what crosses that is answered
-        self.slow = False
-        self.last = False  # nothing more is read
+        self.read_scope = anyio.CancelScope()
+        self.has_sent_request = False
+        self.is_closing = False  # it was idle, and closes once what crosses that is answered
+        self.is_too_slow = False
+        self.has_last_request = False  # nothing more is read
         self._unbegun = 0  # requests that were read, and wait for one before them to be answered
         self._unread_since = 0  # since when more may wait to be read than is read ahead
         self._ahead: deque[_Received] = deque()  # what was read meanwhile
@@ -237,27 +254,27 @@
         """As where its end was read: all its requests are cancelled, from the next turn of the loop on."""
         self.scope.cancel()
 
-    def end_if_idle(self, before: int) -> bool:
+    def close_if_idle(self, before: int) -> bool:
         """Ends it if no request is open or unread, unless it is new since `before` (ns) and has not spoken.
         Only reading is cancelled: a request that the event loop has read in this turn is answered still."""
-        is_young = not self.has_spoken and self.read > before
-        if self.is_ending or self.slots or is_young or not self._has_nothing_unread():
+        is_young = not self.has_sent_request and self.last_read_ns > before
+        if self.is_closing or self.slots or is_young or not self._has_nothing_unread():
             return False
-        self.is_ending = True
-        self.reading.cancel()
+        self.is_closing = True
+        self.read_scope.cancel()
         return True
 
-    def look(self, now: int) -> None:
+    def close_if_overdue(self, now: int) -> None:
         """The sweeper's: ends the connection of a peer that does not read, send on or ask again."""
-        if self.writing:
-            if now - self.writing > self.limits.write:
+        if self.write_started_ns:
+            if now - self.write_started_ns > self.limits.write_timeout_ns:
                 self.scope.cancel()
         elif self.reader.in_message:
-            if now - self.read > self.limits.slow:
-                self.slow = True
-                self.reading.cancel()
-        elif not self.slots and now - self.read > self.limits.idle:
-            self.end_if_idle(now)
+            if now - self.last_read_ns > self.limits.receive_timeout_ns:
+                self.is_too_slow = True
+                self.read_scope.cancel()
+        elif not self.slots and now - self.last_read_ns > self.limits.idle_timeout_ns:
+            self.close_if_idle(now)
 
     async def reject(self, reply: Reply) -> None:
         """Answers before anything was read, and closes."""
@@ -271,47 +288,47 @@
                 async with anyio.create_task_group() as group:
                     bad = None
                     try:
-                        with self.reading:
+                        with self.read_scope:
                             bad = await self._read(group)
                     except GONE:
                         group.cancel_scope.cancel()
                         return
-                    if self.slow:
-                        bad = BadMessage(408, "the message took too long to arrive")
+                    if self.is_too_slow:
+                        bad = InvalidMessageError(408, "the message took too long to arrive")
                     if bad is not None:
                         slot = _Slot(True)
                         self.slots.append(slot)
-                        await self._put(slot, self.server.bad(bad.status, bad.detail))
+                        await self._put(slot, self.server.make_error_reply(bad.status, bad.detail))
                     while self.slots:  # a last request is out: a peer that leaves is still to be noticed
                         try:
                             await self.stream.receive()
                         except GONE:
                             break
                     group.cancel_scope.cancel()
-                if self.last:
+                if self.has_last_request:
                     await self._linger()
         finally:
             await anyio.aclose_forcefully(self.stream)
 
-    async def _read(self, group: anyio.abc.TaskGroup) -> BadMessage | None:
+    async def _read(self, group: anyio.abc.TaskGroup) -> InvalidMessageError | None:
         """Reads and begins requests until the last one; returns what made the bytes unreadable."""
         reader, slots = self.reader, self.slots
         group.start_soon(self._work)
-        while not self.last:
+        while not self.has_last_request:
             waiting = reader.in_message
             received = await self._receive()
             if not waiting:
-                self.read = received.read_ns
+                self.last_read_ns = received.read_ns
             messages, bad = self._parse(received.data)
-            self.has_spoken = self.has_spoken or bool(messages)
+            self.has_sent_request = self.has_sent_request or bool(messages)
             self._unbegun = len(messages)
             for message in messages:
                 message.peer = self
                 # one read holds far more small requests than may be begun at a time
                 await self._wait_for_slot()
                 self._unbegun -= 1
-                self.last = self.last or not message.keep_alive
-                slot = _Slot(self.last)
+                self.has_last_request = self.has_last_request or not message.keep_alive
+                slot = _Slot(self.has_last_request)
                 slots.append(slot)
                 if self._idle:
                     self._idle = False
@@ -319,23 +336,23 @@
                     self._ready.set()
                 else:
                     group.start_soon(self._answer, message, received.arrived_ns, slot)
-                if self.last:
+                if self.has_last_request:
                     self._unbegun = 0  # whoever says that a request is the last one sends none behind it
                     return None
             if bad is not None:
-                self.last = True
+                self.has_last_request = True
                 return bad
-            if reader.continues and not slots:
-                reader.continues = False
+            if reader.expects_continue and not slots:
+                reader.expects_continue = False
                 await self.stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
         return None
 
-    def _parse(self, data: bytes) -> tuple[list[Message], BadMessage | None]:
+    def _parse(self, data: bytes) -> tuple[list[Message], InvalidMessageError | None]:
         """The messages that ended in these bytes, and what made the rest unreadable."""
         try:
             return self.reader.feed(data), None
-        except BadMessage as error:
-            return self.reader.done, error
+        except InvalidMessageError as error:
+            return self.reader.completed, error
 
     async def _receive(self) -> _Received:
         """The next bytes, also of what was read ahead."""
@@ -346,19 +363,19 @@
         return received
 
     async def _receive_unread(self) -> _Received:
-        data = await self.stream.receive(READ)
+        data = await self.stream.receive(READ_BYTES)
         now = monotonic_ns()
-        arrived = self.server.arrival(now)
+        arrived = self.server.earliest_arrival_ns(now)
         if self._unread_since:
             arrived = min(arrived, self._unread_since)
-            if len(data) < READ and not readable(self._socket):
+            if len(data) < READ_BYTES and not readable(self._socket):
                 self._unread_since = 0
         return _Received(data, now, arrived)
 
     async def _wait_for_slot(self) -> None:
         """Reads ahead meanwhile, and asks the socket: the client may leave. Raises EndOfStream, or what else
         the stream does."""
-        while len(self.slots) >= self.limits.pipelined:
+        while len(self.slots) >= self.limits.max_pipelined:
             with anyio.move_on_after(HANGUP_CHECK_SECONDS) as self._waiting:
                 if self._ahead_bytes >= READ_AHEAD:
                     self._unread_since = self._unread_since or self._ahead[-1].read_ns
@@ -390,12 +407,12 @@
 
     async def _put(self, slot: _Slot, reply: Reply) -> None:
         slot.reply = reply
-        if self.writing:
+        if self.write_started_ns:
             return
-        self.writing = monotonic_ns()
+        self.write_started_ns = monotonic_ns()
         try:
             while self.slots and (first := self.slots[0]).reply is not None:
-                self.is_ending = self.is_ending or first.close or first.reply.close
+                self.is_closing = self.is_closing or first.close or first.reply.close
                 close = self._closes_behind_first()
                 try:
                     await self.write(first.reply, close)
@@ -409,13 +426,13 @@
                 self.slots.popleft()
                 self._waiting.cancel()
                 if close and not self.slots:
-                    self.last = True
+                    self.has_last_request = True
                     await self._linger()
                     self.scope.cancel()
                     return
         finally:
-            self.writing = 0
-            self.read = monotonic_ns()
+            self.write_started_ns = 0
+            self.last_read_ns = monotonic_ns()
 
     def _closes_behind_first(self) -> bool:
         """Whether the first response is the last one. None is as long as more requests are open or unread: a
@@ -424,7 +441,7 @@
             return False
         if self.slots[0].close:
             return True
-        return (self.is_ending or self.server.draining) and self._has_nothing_unread()
+        return (self.is_closing or self.server.is_draining) and self._has_nothing_unread()
 
     async def write(self, reply: Reply, close: bool) -> None:
         headers = reply.headers
@@ -434,9 +451,9 @@
         await self.stream.send(response(reply.status, [*headers, (b"transfer-encoding", b"chunked")], None))
         async with aclosing(reply.body) as parts:  # its end is told also where the peer has gone
             async for part in parts:
-                self.writing = monotonic_ns()
+                self.write_started_ns = monotonic_ns()
                 await self.stream.send(chunk(part))
-                self.writing = 1 << 62  # between two parts nobody is to blame
+                self.write_started_ns = 1 << 62  # between two parts nobody is to blame
         await self.stream.send(chunk(b""))
 
     def _whole(self, reply: Reply, body: bytes, close: bool) -> bytes:
--- a/martenlead/events/stream_listener.py
+++ b/martenlead/events/stream_listener.py
@@ -27,7 +27,7 @@
     def __init__(self, sock: socket.socket, clients: ClientDescriptors = PROCESS_CLIENTS) -> None:
         self.sock, self.clients = sock, clients
         self.on_full: Callable[[], None] = lambda: None  # called where a connection waits and has no room
-        self.open = 0  # connections of this listener
+        self.open_connections = 0  # connections of this listener
         self._log = structlog.get_logger()
         self._listener: Listener | None = None
         self._closed = anyio.Event()
@@ -73,17 +73,17 @@
             listener.close()
 
     def _has_room(self, accepting: int) -> bool:
-        has_room = self.clients.has_room(self.open + accepting)
+        has_room = self.clients.has_room(self.open_connections + accepting)
         if not has_room:
             self.on_full()
         return has_room
 
     def _take(self) -> None:
-        self.open += 1
+        self.open_connections += 1
         self.clients.take()
 
     def _release(self) -> None:
-        self.open -= 1
+        self.open_connections -= 1
         self.clients.release()
 
     async def _handle(self, handler: Handler, stream: SocketStream) -> None:
@@ -99,7 +99,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no connection is open or about to be."""
-        return not self.open and (self._listener is None or not self._listener.accepting)
+        return not self.open_connections and (self._listener is None or not self._listener.accepting)
 
     @property
     def is_full(self) -> bool:
--- a/martenlead/layers/agent.py
+++ b/martenlead/layers/agent.py
@@ -29,9 +29,9 @@
 from msgspec import Meta
 
 from martenlead.events import http
-from martenlead.events.client import End as SocketEnd
 from martenlead.events.client import Exchange, Pool
-from martenlead.events.http import Limits, Message
+from martenlead.events.client import ExchangeEnd as SocketEnd
+from martenlead.events.http import Message, MessageLimits
 from martenlead.events.problem import problem
 from martenlead.events.server import Reply, Server, ServerLimits, StreamListener
 from martenlead.layers.cache import Cache, NoRoom
@@ -50,10 +50,10 @@
     unpack,
 )
 from martenlead.layers.naming import AskName, Heard, Names, Release, Resolved
-from martenlead.runnerlink import roster
-from martenlead.runnerlink.follow import follow
 from martenlead.system.durable_file import Backoff, read_if_there, remove_leftovers, replace_file
 from martenlead.system.state_saver import SaveHealth, StateSaver
+from martenlead.upstream import endpoints
+from martenlead.upstream.endpoint_watch import watch_endpoints
 
 WORD = b"martenlead-layers"
 WORDS = {b"busy": End.BUSY, b"wait": End.WAIT, b"away": End.AWAY, b"missing": End.MISSING}
@@ -149,8 +149,14 @@
     ) -> None:
         self.settings, self.cache, self.clock = settings, cache, clock
         self.chooser = Chooser(settings.mark, settings.seed or settings.mark, settings.uploads, clock)
-        limits = Limits(body=LARGEST_CHUNK)
-        self.vault = Pool(settings.vault.host, settings.vault.port, most=256, connect=CONNECT, limits=limits)
+        limits = MessageLimits(body_bytes=LARGEST_CHUNK)
+        self.vault = Pool(
+            settings.vault.host,
+            settings.vault.port,
+            connection_limit=256,
+            connect_timeout_ns=CONNECT,
+            limits=limits,
+        )
         self.pools: dict[int, Pool] = {}
         self.limits = limits
         self.members(settings.members)
@@ -164,14 +170,14 @@
         self._read_names()
         self.saves = Counter[str]()  # of names, by their outcome
         self.names_saver = self._make_names_saver()
-        self.list = roster.List()
+        self.list = endpoints.EndpointList()
         self.loading = 0
         self.loads: dict[str, int] = {}  # by how they ended
         self.server = Server(
             self.handle,
             ServerLimits(limits),
-            bad=lambda status, why: problem(status, "Not taken", why),
-            crashed=self.crashed,
+            make_error_reply=lambda status, why: problem(status, "Not taken", why),
+            make_fault_reply=self.crashed,
         )
 
     def crashed(self, error: BaseException) -> Reply:
@@ -185,15 +191,19 @@
             pool = self.pools.get(member.mark)
             if pool is None or (pool.host, pool.port) != (member.host, member.port):
                 self.pools[member.mark] = Pool(
-                    member.host, member.port, most=64, connect=CONNECT, limits=self.limits
+                    member.host,
+                    member.port,
+                    connection_limit=64,
+                    connect_timeout_ns=CONNECT,
+                    limits=self.limits,
                 )
 
-    def _listed(self, news: roster.News) -> None:
+    def _listed(self, news: endpoints.EndpointUpdate) -> None:
         """A box that drains still has its chunks; one that is gone is asked nothing."""
         found = [
-            Member(mark=mark_of(line.id), host=line.host, port=line.layers)
-            for line in self.list.lines.values()
-            if line.layers
+            Member(mark=mark_of(line.id), host=line.host, port=line.agent_port)
+            for line in self.list.endpoints.values()
+            if line.agent_port
         ]
         self.members([*self.settings.members, *found])
 
@@ -284,7 +294,7 @@
             return problem(400, "Not a load", str(error))
         if self.loading >= self.settings.loads:
             return problem(
-                503, "Not loaded", "too many loads are waited for", wait_ns=500 * MS, failure="busy"
+                503, "Not loaded", "too many loads are waited for", retry_after_ns=500 * MS, failure="busy"
             )
         self.loading += 1
         try:
@@ -603,18 +613,18 @@
         """Takes nothing new, and gives what is out its time."""
         self.server.drain()
         with anyio.move_on_after(self.settings.drain_ms / 1000):
-            while self.server.serving:
+            while self.server.active_listeners:
                 await anyio.sleep(0.005)
 
     async def _follow(self, link: RosterLink) -> None:
-        await follow(
+        await watch_endpoints(
             link,
             f"martenlead-layers/{self.settings.name}".encode(),
             self.list,
-            told=self._listed,
-            lost=lambda why: self.log.warning("no roster; the last list of boxes stands", why=why),
-            fault=lambda error: self.log.error("a fault of ours", exc_info=error),
-            pick=Random(self.settings.seed or self.settings.mark).random,
+            on_update=self._listed,
+            on_lost=lambda why: self.log.warning("no roster; the last list of boxes stands", why=why),
+            on_error=lambda error: self.log.error("a fault of ours", exc_info=error),
+            random=Random(self.settings.seed or self.settings.mark).random,
         )
 
 
--- a/martenlead/node/rpc.py
+++ b/martenlead/node/client_protocol.py
@@ -12,37 +12,44 @@
 
 import msgspec
 
-HEAD = 256  # bytes of a head: it has one field
-BODY = 16_384  # bytes of a task's body, by the protocol
-MESSAGE = 65_536  # a whole message: the body in base64, and fields
-LONGEST_WAIT = 3_600_000.0  # ms
-MOST_LANES, MOST_MB, MOST_COST = 4096, 1e9, 1e9
-
-PARSE, INVALID, NO_METHOD, PARAMS, FAILED, TURNED_BACK = -32700, -32600, -32601, -32602, -32000, -32001
+HEADER_BYTES_LIMIT = 256  # bytes of a head: it has one field
+BODY_BYTES_LIMIT = 16_384  # bytes of a task's body, by the protocol
+MESSAGE_BYTES_LIMIT = 65_536  # a whole message: the body in base64, and fields
+WAIT_LIMIT_MS = 3_600_000.0  # ms
+LANES_LIMIT, MEMORY_MB_LIMIT, COST_LIMIT_MS = 4096, 1e9, 1e9
+
+PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS, REQUEST_FAILED, REQUEST_REJECTED = (
+    -32700,
+    -32600,
+    -32601,
+    -32602,
+    -32000,
+    -32001,
+)
 
 _HEAD = re.compile(rb"content-length:[ \t]*([0-9]{1,10})[ \t]*", re.I)
 _HEX16 = re.compile(r"[0-9a-f]{16}").fullmatch
 _HEX32 = re.compile(r"[0-9a-f]{32}").fullmatch
 
 
-class BadFrame(Exception):
+class FramingError(Exception):
     """What cannot be framed: nothing behind it on that connection can be read. `done` came whole before."""
 
     def __init__(self, detail: str, done: list[bytes]) -> None:
         super().__init__(detail)
-        self.detail, self.done = detail, done
+        self.detail, self.complete_messages = detail, done
 
 
-class Frames:
+class MessageDecoder:
     """Bytes in, messages out."""
 
-    def __init__(self, longest: int = MESSAGE) -> None:
+    def __init__(self, longest: int = MESSAGE_BYTES_LIMIT) -> None:
         self.longest = longest
         self._held = b""
         self._length = -1
 
     @property
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         return bool(self._held) or self._length >= 0
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -52,10 +59,10 @@
         done: list[bytes] = []
         while True:
             if self._length < 0:
-                end = held.find(b"\r\n\r\n", at, at + HEAD + 4)
+                end = held.find(b"\r\n\r\n", at, at + HEADER_BYTES_LIMIT + 4)
                 if end < 0:
-                    if len(held) - at > HEAD:
-                        raise BadFrame("a head without an end", done)
+                    if len(held) - at > HEADER_BYTES_LIMIT:
+                        raise FramingError("a head without an end", done)
                     break
                 self._length = self._read_head(held[at:end], done)
                 at = end + 4
@@ -74,17 +81,17 @@
             if found is not None and length < 0:
                 length = int(found[1])
             elif found is not None or not re.fullmatch(rb"[A-Za-z-]+:[\t\x20-\x7e]*", line):
-                raise BadFrame("not a head", done)
+                raise FramingError("not a head", done)
             elif line[:15].lower() == b"content-length:":
-                raise BadFrame("a length that is none", done)
+                raise FramingError("a length that is none", done)
         if length < 0:
-            raise BadFrame("a head without a length", done)
+            raise FramingError("a head without a length", done)
         if length > self.longest:
-            raise BadFrame(f"at most {self.longest} bytes are taken", done)
+            raise FramingError(f"at most {self.longest} bytes are taken", done)
         return length
 
 
-class BadCall(Exception):
+class InvalidCallError(Exception):
     """A message that is read and not taken. `number` is its own where it has a usable one; `close` where
     answers could no longer be told apart."""
 
@@ -118,25 +125,25 @@
 
     number: int | None
     method: str
-    id: str
-    wait: int
+    request_id: str
+    time_left_ns: int
     tenant: str | None
-    again: bool
-    once: str | None
-    key: str
-    cost: float
+    is_retry: bool
+    idempotency_key: str | None
+    function: str
+    cost_seconds: float
     lanes: int
     memory_mb: float
-    blob: str
-    met: list[Any] = field(default_factory=list)  # the link's: connections that it was on
-    about: int | str | None = None  # of what takes a task back: the task's number, or its id
+    body_base64: str
+    used_connections: list[Any] = field(default_factory=list)  # the link's: connections that it was on
+    cancelled_id: int | str | None = None  # of what takes a task back: the task's number, or its id
 
 
 _decode = msgspec.json.Decoder(_Message).decode
-CONTROL = frozenset({"ping", "abort"})
+CONTROL_METHODS = frozenset({"ping", "abort"})
 
 
-def read(message: bytes) -> Call:
+def parse_call(message: bytes) -> Call:
     """Raises BadCall. Whether names are known is the door's to say."""
     try:
         told = _decode(message)
@@ -144,26 +151,28 @@
         raise _bad(message, str(error)) from None
     number, params = told.id, told.params
     if told.jsonrpc != "2.0" or (number is not None and not 0 < number < 1 << 53):
-        raise BadCall(INVALID, "not JSON-RPC 2.0")
-    if told.method in CONTROL:
+        raise InvalidCallError(INVALID_REQUEST, "not JSON-RPC 2.0")
+    if told.method in CONTROL_METHODS:
         about: int | str | None = params.id if params.id != "" else number
         if isinstance(about, str) and about.isdecimal() and not _HEX16(about):
             about = int(about[:16])
-        return Call(number, told.method, "", 0, None, False, None, "", 0.0, 1, 0.0, "", about=about)
+        return Call(number, told.method, "", 0, None, False, None, "", 0.0, 1, 0.0, "", cancelled_id=about)
     if number is None:
-        raise BadCall(INVALID, "a task without a number")
+        raise InvalidCallError(INVALID_REQUEST, "a task without a number")
     if not isinstance(params.id, str) or not _HEX16(params.id):
-        raise BadCall(PARAMS, "id: 16 hex digits were expected", number)
+        raise InvalidCallError(INVALID_PARAMS, "id: 16 hex digits were expected", number)
     if not _HEX16(params.key):
-        raise BadCall(PARAMS, "key: 16 hex digits were expected", number)
+        raise InvalidCallError(INVALID_PARAMS, "key: 16 hex digits were expected", number)
     if params.once is not None and not _HEX32(params.once):
-        raise BadCall(PARAMS, "once: 32 hex digits were expected", number)
-    if params.wait is None or not 0 <= params.wait <= LONGEST_WAIT:
-        raise BadCall(PARAMS, "wait: a number of milliseconds was expected", number)
-    if not 0 <= params.cost <= MOST_COST:
-        raise BadCall(PARAMS, "cost: a number was expected", number)
-    if not decoded(params.blob, BODY):
-        raise BadCall(PARAMS, f"blob: base64 of at most {BODY} bytes was expected", number)
+        raise InvalidCallError(INVALID_PARAMS, "once: 32 hex digits were expected", number)
+    if params.wait is None or not 0 <= params.wait <= WAIT_LIMIT_MS:
+        raise InvalidCallError(INVALID_PARAMS, "wait: a number of milliseconds was expected", number)
+    if not 0 <= params.cost <= COST_LIMIT_MS:
+        raise InvalidCallError(INVALID_PARAMS, "cost: a number was expected", number)
+    if not is_base64(params.blob, BODY_BYTES_LIMIT):
+        raise InvalidCallError(
+            INVALID_PARAMS, f"blob: base64 of at most {BODY_BYTES_LIMIT} bytes was expected", number
+        )
     lanes, memory_mb = _props(params.props, number)
     again = params.retry not in (0, "", "0", False)
     return Call(
@@ -182,7 +191,7 @@
     )
 
 
-def decoded(text: str, most: int) -> bool:
+def is_base64(text: str, most: int) -> bool:
     """Whether it is base64 of at most so many bytes."""
     if len(text) > most * 4 // 3 + 4:
         return False
@@ -200,14 +209,14 @@
             figure = float(value)
         except ValueError:
             figure = math.nan
-        if not 0 <= figure <= MOST_MB:
-            raise BadCall(PARAMS, f"props: {name[:20]!r} is no number that is taken", number)
+        if not 0 <= figure <= MEMORY_MB_LIMIT:
+            raise InvalidCallError(INVALID_PARAMS, f"props: {name[:20]!r} is no number that is taken", number)
         if name == "lanes":
             lanes = figure
         elif name == "memory_mb":
             memory_mb = figure
-    if not 1 <= lanes <= MOST_LANES:
-        raise BadCall(PARAMS, f"props: lanes from 1 to {MOST_LANES} were expected", number)
+    if not 1 <= lanes <= LANES_LIMIT:
+        raise InvalidCallError(INVALID_PARAMS, f"props: lanes from 1 to {LANES_LIMIT} were expected", number)
     return int(lanes), memory_mb
 
 
@@ -215,19 +224,23 @@
     id: Any = None
 
 
-def _bad(message: bytes, detail: str) -> BadCall:
+def _bad(message: bytes, detail: str) -> InvalidCallError:
     """Why it could not be read, under its own number if at least that can be."""
     try:
         number = msgspec.json.decode(message, type=_Numbered).id
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        return BadCall(PARSE, "not JSON")
+        return InvalidCallError(PARSE_ERROR, "not JSON")
     usable = type(number) is int and 0 < number < 1 << 53
-    return BadCall(PARAMS, detail[:200], number) if usable else BadCall(INVALID, detail[:200])
+    return (
+        InvalidCallError(INVALID_PARAMS, detail[:200], number)
+        if usable
+        else InvalidCallError(INVALID_REQUEST, detail[:200])
+    )
 
 
-def unread(message: bytes) -> BadCall:
+def unparsed_call_error(message: bytes) -> InvalidCallError:
     """For a message that a fault of ours kept from being read: nothing was done for it, it may come again."""
-    return BadCall(TURNED_BACK, "a fault of the dispatcher", _bad(message, "").number)
+    return InvalidCallError(REQUEST_REJECTED, "a fault of the dispatcher", _bad(message, "").number)
 
 
 def _frame(body: bytes) -> bytes:
