--- a/martenlead/node/config.py
+++ b/martenlead/node/config.py
@@ -9,15 +9,15 @@
 import msgspec
 from msgspec import Meta
 
-from martenlead.benchlink.settings import BadSettings, Profile, ns
-from martenlead.edge.records import About
-from martenlead.node.journal import Known, Places
-from martenlead.runnerlink.roster import News
+from martenlead.edge.records import DispatcherSettings
+from martenlead.node.journal import InitialMembership, JournalTables
+from martenlead.simulator_adapter.settings import Profile, SettingsError, seconds_to_ns
+from martenlead.upstream.endpoints import EndpointUpdate
 
-MODELS_PER_MB = 20  # models known at once: some KB each, with their copies
+FUNCTIONS_PER_MB = 20  # models known at once: some KB each, with their copies
 
 
-class BadConfig(Exception):
+class ConfigError(Exception):
     """Nothing can be served with it."""
 
 
@@ -27,71 +27,78 @@
     sockets: Annotated[int, Meta(gt=0)] = 1024
 
 
-class File(msgspec.Struct):
+class ConfigFile(msgspec.Struct):
     name: str
     listen: str
     journal: str
     seed: str = "0"
     limits: Limits = msgspec.field(default_factory=Limits)
-    known: Known = msgspec.field(default_factory=Known)
+    known: InitialMembership = msgspec.field(default_factory=InitialMembership)
     settings: dict[str, Any] = {}
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Raises BadConfig."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise BadConfig(f"{text[:80]!r} is no address")
+        raise ConfigError(f"{text[:80]!r} is no address")
     return host, int(port)
 
 
 @dataclass(slots=True)
-class Conn:
+class ConnectionSettings:
     """What the settings say of connections to runners. Times are ns."""
 
-    streams: int
-    connect: int
-    idle: int
-    order: int
+    calls_per_connection: int
+    connect_timeout_ns: int
+    idle_timeout_ns: int
+    load_timeout_ns: int
 
 
 @dataclass(slots=True)
-class Config:
-    listen: tuple[str, int]
-    journal: tuple[str, int]
+class NodeConfig:
+    listen_address: tuple[str, int]
+    journal_address: tuple[str, int]
     limits: Limits
-    known: list[News]
-    about: About
-    places: Places
-    conn: Conn
+    initial_updates: list[EndpointUpdate]
+    dispatcher_settings: DispatcherSettings
+    tables: JournalTables
+    connection_settings: ConnectionSettings
 
 
-def read(path: Path) -> Config:
+def read_config(path: Path) -> NodeConfig:
     """Raises BadConfig."""
     try:
-        file = msgspec.json.decode(path.read_bytes(), type=File)
+        file = msgspec.json.decode(path.read_bytes(), type=ConfigFile)
         profile = Profile(file.settings)
-        allowed = profile.told.allowed
-        if len(profile.hard) < len(profile.offerings):
-            raise BadSettings("a class has no give-up")
-        places = Places(profile.told.azs or [], profile.kinds, profile.memory, profile.silent_weights)
-        about = About(
+        allowed = profile.decoded.allowed
+        if len(profile.deadlines_ns) < len(profile.request_classes):
+            raise SettingsError("a class has no give-up")
+        places = JournalTables(
+            profile.decoded.azs or [],
+            profile.machine_kinds,
+            profile.memory_mb_by_kind,
+            profile.has_silent_weights,
+        )
+        about = DispatcherSettings(
             name=file.name,
             seed=int(file.seed, 16),
-            settings=profile.settings,
-            offerings=profile.offerings,
-            customers=profile.customers,
-            hard=profile.hard,
-            margin=0,
-            models=max(100, int(file.limits.memory_mb * MODELS_PER_MB)),
+            policy_settings=profile.settings,
+            request_classes=profile.request_classes,
+            tenants=profile.tenants,
+            deadlines_ns=profile.deadlines_ns,
+            deadline_margin_ns=0,
+            function_limit=max(100, int(file.limits.memory_mb * FUNCTIONS_PER_MB)),
         )
-        conn = Conn(
+        conn = ConnectionSettings(
             allowed.streams_per_conn or 1,
-            ns(allowed.connect_timeout or 0.25),
-            ns(allowed.conn_idle or 30.0),
-            ns(profile.order_limit or 10.0),
+            seconds_to_ns(allowed.connect_timeout or 0.25),
+            seconds_to_ns(allowed.conn_idle or 30.0),
+            seconds_to_ns(profile.load_timeout_seconds or 10.0),
+        )
+        known = file.known.to_updates(places)
+        return NodeConfig(
+            parse_address(file.listen), parse_address(file.journal), file.limits, known, about, places, conn
         )
-        known = file.known.news(places)
-        return Config(address(file.listen), address(file.journal), file.limits, known, about, places, conn)
     except (OSError, ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as error:
-        raise BadConfig(f"{type(error).__name__}: {error}"[:300]) from None
+        raise ConfigError(f"{type(error).__name__}: {error}"[:300]) from None
--- a/martenlead/node/journal.py
+++ b/martenlead/node/journal.py
@@ -9,31 +9,31 @@
 
 import msgspec
 
-from martenlead.runnerlink.roster import Line, News
+from martenlead.upstream.endpoints import Endpoint, EndpointUpdate
 
 _HEAD = struct.Struct(">IQB")
 _RECORD = struct.Struct(">I4sHBBBHIQ")
-NUMBER = struct.Struct(">Q")
+EVENT_NUMBER = struct.Struct(">Q")
 NOTHING, WHOLE, CHANGES = 0, 1, 2
-STATES = ("up", "draining", "gone")
-NAMED = {"in_service": "up", "terminating": "draining", "terminated": "gone"}
-LONGEST = 9 + 27 * 20_000
+WORKER_STATES = ("up", "draining", "gone")
+STATE_BY_PHASE = {"in_service": "up", "terminating": "draining", "terminated": "gone"}
+FRAME_BYTES_LIMIT = 9 + 27 * 20_000
 
 
-class BadFrame(Exception):
+class JournalFrameError(Exception):
     """The stream cannot be read on from here."""
 
 
 @dataclass(slots=True)
-class Places:
+class JournalTables:
     """The settings' lists that records point into, and MB by kind. `silent`: weights are not told."""
 
     zones: list[str]
     kinds: list[str]
     memory_mb: dict[str, float]
-    silent: bool
+    hides_weights: bool
 
-    def line(
+    def make_endpoint(
         self,
         id: str,
         host: str,
@@ -44,10 +44,10 @@
         weight: float,
         state: Any,
         started: int,
-    ) -> Line:
+    ) -> Endpoint:
         """`started` is a Unix ms of the source's clock, 0 for long past; it stands in `start`, and
         `worker_age.WorkerAges` turns it into an age."""
-        return Line(
+        return Endpoint(
             id=id,
             host=host,
             port=port,
@@ -55,26 +55,26 @@
             cell=cell,
             kind=kind,
             memory_mb=self.memory_mb.get(kind, 1.0),
-            weight=0.0 if self.silent else weight,
+            weight=0.0 if self.hides_weights else weight,
             state=state,
-            start=str(started),
+            incarnation=str(started),
         )
 
 
-class Frames:
+class FrameDecoder:
     """Bytes in, news out; the empty frame is news without runners."""
 
-    def __init__(self, places: Places) -> None:
-        self.places = places
+    def __init__(self, places: JournalTables) -> None:
+        self.tables = places
         self._held = b""
 
-    def feed(self, data: bytes) -> list[News]:
+    def feed(self, data: bytes) -> list[EndpointUpdate]:
         """Raises BadFrame."""
         held, at, told = self._held + data, 0, []
         while len(held) - at >= 4:
             length = int.from_bytes(held[at : at + 4], "big")
-            if not 9 <= length <= LONGEST:
-                raise BadFrame(f"a frame of {length} bytes")
+            if not 9 <= length <= FRAME_BYTES_LIMIT:
+                raise JournalFrameError(f"a frame of {length} bytes")
             if len(held) - at - 4 < length:
                 break
             told.append(self._read(held[at : at + 4 + length]))
@@ -82,21 +82,21 @@
         self._held = held[at:]
         return told
 
-    def _read(self, frame: bytes) -> News:
+    def _read(self, frame: bytes) -> EndpointUpdate:
         _, number, kind = _HEAD.unpack_from(frame)
         if kind == NOTHING:
-            return News(number)
+            return EndpointUpdate(number)
         if kind not in (WHOLE, CHANGES) or (len(frame) - _HEAD.size) % _RECORD.size:
-            raise BadFrame("an event that is none")
+            raise JournalFrameError("an event that is none")
         lines = []
-        places = self.places
+        places = self.tables
         for id, address, port, state, zone, kind_, cell, weight, started in _RECORD.iter_unpack(
             frame[_HEAD.size :]
         ):
-            if state >= len(STATES) or zone >= len(places.zones) or kind_ >= len(places.kinds):
-                raise BadFrame("a record that is none")
+            if state >= len(WORKER_STATES) or zone >= len(places.zones) or kind_ >= len(places.kinds):
+                raise JournalFrameError("a record that is none")
             lines.append(
-                places.line(
+                places.make_endpoint(
                     f"s-{id:08x}",
                     inet_ntoa(address),
                     port,
@@ -104,11 +104,11 @@
                     places.kinds[kind_],
                     cell,
                     weight / 1000,
-                    STATES[state],
+                    WORKER_STATES[state],
                     started,
                 )
             )
-        return News(number, kind == WHOLE, lines)
+        return EndpointUpdate(number, kind == WHOLE, lines)
 
 
 class _Member(msgspec.Struct):
@@ -132,23 +132,23 @@
     hosts: _Hosts | None = None
 
 
-class Known(msgspec.Struct):
+class InitialMembership(msgspec.Struct):
     """`known` of the configuration."""
 
     pos: int = 0
     entries: list[_Entry] = []
 
-    def news(self, places: Places) -> list[News]:
+    def to_updates(self, places: JournalTables) -> list[EndpointUpdate]:
         told = []
         for entry in self.entries:
             lines = []
             for m in entry.hosts.members if entry.hosts is not None else ():
                 host, _, port = m.host_port.rpartition(":")
-                state = NAMED.get(m.phase, "up")
+                state = STATE_BY_PHASE.get(m.phase, "up")
                 lines.append(
-                    places.line(
+                    places.make_endpoint(
                         m.id, host, int(port), m.locality, m.flavor, m.cell, m.size, state, m.up_since_ms
                     )
                 )
-            told.append(News(entry.pos, entry.hosts is not None and entry.hosts.complete, lines))
+            told.append(EndpointUpdate(entry.pos, entry.hosts is not None and entry.hosts.complete, lines))
         return told
--- a/martenlead/node/sockets.py
+++ b/martenlead/node/sockets.py
@@ -5,18 +5,18 @@
 import select
 from typing import Any
 
-from martenlead.edge.client import Pending
+from martenlead.edge.cancellation import UnreadInput
 from martenlead.system.sockets import ENDED, HALF_CLOSED, descriptor, poll, readable
 
 __all__ = ["descriptor", "pending", "readable"]
 
 
-def pending(transport: Any) -> Pending:
+def pending(transport: Any) -> UnreadInput:
     """What waits on a connection. One that is closed here has ended as well."""
     number = descriptor(transport)
     if number < 0 or transport.is_closing():
-        return Pending.END
+        return UnreadInput.END
     found = poll(number, select.POLLIN | HALF_CLOSED)
     if found & ENDED:
-        return Pending.END
-    return Pending.BYTES if found else Pending.NOTHING
+        return UnreadInput.END
+    return UnreadInput.BYTES if found else UnreadInput.NOTHING
--- a/martenlead/node/worker_age.py
+++ b/martenlead/node/worker_age.py
@@ -36,15 +36,23 @@
 
 from collections import OrderedDict, deque
 
-from martenlead.runnerlink.roster import Line, News
-
-MS = 1_000_000  # ns
-LONG_PAST = "0"  # the stamp of a worker whose start no longer matters
-PROMPT = 1_600 * MS  # silence up to which an event counts as prompt: an empty frame is due each second
-HELD_BACK = 2_000 * MS  # beside that silence: the page counts what a source holds back as told by then
-USUAL_DELAY = 500 * MS  # of a prompt event; a longer least delay is taken for an offset of the clocks
-REMEMBERED = 8  # additions that the estimate of the offset is made of, so that it follows a step of the clock
-RETURNING = 1024  # workers that went and whose start is still known, should they return
+from martenlead.upstream.endpoints import Endpoint, EndpointUpdate
+
+NS_PER_MS = 1_000_000  # ns
+LONG_PAST_START = "0"  # the stamp of a worker whose start no longer matters
+PROMPT_SILENCE_NS = (
+    1_600 * NS_PER_MS
+)  # silence up to which an event counts as prompt: an empty frame is due each second
+SOURCE_DELAY_LIMIT_NS = (
+    2_000 * NS_PER_MS
+)  # beside that silence: the page counts what a source holds back as told by then
+USUAL_DELAY_NS = (
+    500 * NS_PER_MS
+)  # of a prompt event; a longer least delay is taken for an offset of the clocks
+OFFSET_SAMPLES = (
+    8  # additions that the estimate of the offset is made of, so that it follows a step of the clock
+)
+GONE_WORKERS_LIMIT = 1024  # workers that went and whose start is still known, should they return
 
 
 class WorkerAges:
@@ -52,63 +60,65 @@
     start."""
 
     def __init__(self) -> None:
-        self._up_to_date: int | None = None  # when the source last said that it had nothing newer
-        self._seeming: deque[int] = deque(maxlen=REMEMBERED)  # ages that added workers seemed to have
+        self._confirmed_ns: int | None = None  # when the source last said that it had nothing newer
+        self._apparent_ages_ns: deque[int] = deque(
+            maxlen=OFFSET_SAMPLES
+        )  # ages that added workers seemed to have
         self._starts: dict[str, tuple[str, int]] = {}  # by id: the stamp, and when that was by our clock
         self._gone: OrderedDict[tuple[str, str], int] = OrderedDict()  # the same of workers that went
 
     @property
-    def offset(self) -> int:
+    def offset_ns(self) -> int:
         """By how much our clock is taken to be ahead of the source's."""
-        least = min(self._seeming, default=0)
-        return least if least < 0 or least > USUAL_DELAY else 0
+        least = min(self._apparent_ages_ns, default=0)
+        return least if least < 0 or least > USUAL_DELAY_NS else 0
 
     def confirm(self, now: int) -> None:
         """The source has said that it has nothing newer than what we were told."""
-        self._up_to_date = now
+        self._confirmed_ns = now
 
-    def date(self, news: News, now: int) -> None:
+    def fill_ages(self, news: EndpointUpdate, now: int) -> None:
         """Fills in `age_ms` of each line."""
-        lines = news.runners or []
-        if news.whole:
+        lines = news.endpoints or []
+        if news.is_snapshot:
             listed = {line.id for line in lines}
             for id in [id for id in self._starts if id not in listed]:
                 self._leave(id)
-        added = [line for line in lines if is_dated(line) and self._start_of(line) is None]
-        silence = None if self._up_to_date is None else now - self._up_to_date
+        added = [line for line in lines if has_start(line) and self._start_of(line) is None]
+        silence = None if self._confirmed_ns is None else now - self._confirmed_ns
         if added and silence is not None:
-            self._learn(min(now - stamp(line) for line in added), silence)
+            self._learn(min(now - start_ns(line) for line in added), silence)
         for line in lines:
             line.age_ms = self._age(line, now, silence)
 
-    def _age(self, line: Line, now: int, silence: int | None) -> float | None:
+    def _age(self, line: Endpoint, now: int, silence: int | None) -> float | None:
         if line.state == "gone":
             self._leave(line.id)
-        if not is_dated(line):
+        if not has_start(line):
             return None
         start = self._start_of(line)
         if start is None:
-            start = now - self._age_of_added(now - stamp(line), silence)
-        self._starts[line.id] = line.start, start
-        return (now - start) / MS
+            start = now - self._age_of_added(now - start_ns(line), silence)
+        self._starts[line.id] = line.incarnation, start
+        return (now - start) / NS_PER_MS
 
     def _age_of_added(self, seeming: int, silence: int | None) -> int:
         if silence is None:
             return max(0, seeming)
-        age = max(0, seeming - self.offset)
-        return age if age <= silence + HELD_BACK else 0
+        age = max(0, seeming - self.offset_ns)
+        return age if age <= silence + SOURCE_DELAY_LIMIT_NS else 0
 
     def _learn(self, least: int, silence: int) -> None:
         """Takes in the least age that workers added together seem to have."""
-        if least - self.offset > silence + HELD_BACK:
-            self._seeming.clear()  # the source's clock was stepped since
-        if silence <= PROMPT or least < self.offset:
-            self._seeming.append(least)
+        if least - self.offset_ns > silence + SOURCE_DELAY_LIMIT_NS:
+            self._apparent_ages_ns.clear()  # the source's clock was stepped since
+        if silence <= PROMPT_SILENCE_NS or least < self.offset_ns:
+            self._apparent_ages_ns.append(least)
 
-    def _start_of(self, line: Line) -> int | None:
+    def _start_of(self, line: Endpoint) -> int | None:
         """When this incarnation started, if it was listed before."""
         known, start = self._starts.get(line.id, ("", 0))
-        return start if known == line.start else self._gone.get((line.id, line.start))
+        return start if known == line.incarnation else self._gone.get((line.id, line.incarnation))
 
     def _leave(self, id: str) -> None:
         found = self._starts.pop(id, None)
@@ -116,14 +126,14 @@
             return
         known, start = found
         self._gone[id, known] = start
-        if len(self._gone) > RETURNING:
+        if len(self._gone) > GONE_WORKERS_LIMIT:
             self._gone.popitem(last=False)
 
 
-def is_dated(line: Line) -> bool:
-    return line.state != "gone" and line.start != LONG_PAST
+def has_start(line: Endpoint) -> bool:
+    return line.state != "gone" and line.incarnation != LONG_PAST_START
 
 
-def stamp(line: Line) -> int:
+def start_ns(line: Endpoint) -> int:
     """The start of a worker as it was told."""
-    return int(line.start) * MS
+    return int(line.incarnation) * NS_PER_MS
--- a/martenlead/node/lines.py
+++ b/martenlead/node/worker_protocol.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from martenlead.node.rpc import decoded
+from martenlead.node.client_protocol import is_base64
 from martenlead.policy.types import Result, Warmth
 
-LONGEST = 131_072  # bytes of a line
+LINE_BYTES_LIMIT = 131_072  # bytes of a line
 
-RESULTS = {
+RESULT_BY_WORD = {
     "DONE": Result.SUCCEEDED,
     "LACK": Result.FUNCTION_MISSING,
     "WAIT": Result.AT_CAPACITY,
@@ -24,7 +24,7 @@
 nothing ran; a connection that ended or brought what cannot be read
 is BROKEN, one that stayed silent SILENT, and a hand-off taken back CALLED_OFF: all may have run."""
 
-WARMTH = {
+WARMTH_BY_NOTE = {
     "resident": Warmth.WARM,
     "booted": Warmth.STARTED_LOAD,
     "rode": Warmth.AWAITED_LOAD,
@@ -32,18 +32,18 @@
 }
 
 
-class BadLine(Exception):
+class InvalidLineError(Exception):
     """Nothing on that connection can be trusted any more. `done` came whole before."""
 
     def __init__(self, detail: str, done: list[bytes]) -> None:
         super().__init__(detail)
-        self.done = done
+        self.complete_lines = done
 
 
-class Lines:
+class LineDecoder:
     """Bytes in, whole lines out."""
 
-    def __init__(self, longest: int = LONGEST) -> None:
+    def __init__(self, longest: int = LINE_BYTES_LIMIT) -> None:
         self.longest = longest
         self._held: list[bytes] = []
         self._size = 0
@@ -56,12 +56,12 @@
             self._held, self._size = [], 0
         for at, line in enumerate(done):
             if len(line) > self.longest:
-                raise BadLine("a line that is too long", done[:at])
+                raise InvalidLineError("a line that is too long", done[:at])
         if rest:
             self._held.append(rest)
             self._size += len(rest)
             if self._size > self.longest:
-                raise BadLine("a line without an end", done)
+                raise InvalidLineError("a line without an end", done)
         return done
 
 
@@ -78,34 +78,34 @@
 
 
 @dataclass(slots=True)
-class Word:
+class WorkerResponse:
     """An answer: its word, under which id, its note, how many copies stand, and the body in base64."""
 
     word: str
-    txn: str
-    why: str
-    copies: int
-    raw: str
+    call_id: str
+    note: str
+    replicas: int
+    body_base64: str
 
 
 _decode = msgspec.json.Decoder(_Line).decode
 
 
-def read(line: bytes, body: int) -> Word:
+def parse_response(line: bytes, body: int) -> WorkerResponse:
     """Raises BadLine for what is no answer at all. Bodies of at most `body` bytes are taken."""
     try:
         told = _decode(line)
         copies = int(float(told.props.instances))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError, OverflowError) as error:
-        raise BadLine(str(error)[:200], []) from None
-    if told.m not in RESULTS and told.m != "FIT":
-        raise BadLine("an unknown word", [])
-    if not decoded(told.raw, body):
-        raise BadLine("a body that is no base64", [])
-    return Word(told.m, str(told.txn), told.props.why, max(0, copies), told.raw)
+        raise InvalidLineError(str(error)[:200], []) from None
+    if told.m not in RESULT_BY_WORD and told.m != "FIT":
+        raise InvalidLineError("an unknown word", [])
+    if not is_base64(told.raw, body):
+        raise InvalidLineError("a body that is no base64", [])
+    return WorkerResponse(told.m, str(told.txn), told.props.why, max(0, copies), told.raw)
 
 
-def do(txn: str, offering: str, model: str, ttl: int, once: str | None, raw: str) -> bytes:
+def encode_attempt(txn: str, offering: str, model: str, ttl: int, once: str | None, raw: str) -> bytes:
     """Hands a task off. `ttl` in ms. Id, names and body were checked at the door: none needs an escape but
     the offering, which is the settings' own."""
     dedupe = b"" if once is None else b',"dedupe":"%b"' % once.encode()
@@ -119,11 +119,11 @@
     )
 
 
-def undo(txn: str) -> bytes:
+def encode_cancel(txn: str) -> bytes:
     return b'{"m":"UNDO","txn":"%b"}\n' % txn.encode()
 
 
-def pin(txn: str, model: str, copies: int) -> bytes:
+def encode_load_request(txn: str, model: str, copies: int) -> bytes:
     return b'{"m":"PIN","txn":"%b","props":{"name":"%b","instances":%d}}\n' % (
         txn.encode(),
         model.encode(),
--- a/martenlead/planner/frames.py
+++ b/martenlead/planner/frames.py
@@ -13,12 +13,12 @@
 
 from martenlead.capture import events as ev
 
-LEAST, MOST = 1, 2  # versions that this program speaks; 2 has `Recall`
-LONGEST = 64 * 1024 * 1024
-HEAD = 8
+LOWEST_VERSION, HIGHEST_VERSION = 1, 2  # versions that this program speaks; 2 has `Recall`
+MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
+HEADER_BYTES = 8
 
 
-class BadFrame(Exception):
+class FrameError(Exception):
     """What came is no frame of this protocol; says why."""
 
 
@@ -29,11 +29,11 @@
 class Hello(Message, frozen=True, tag=0):
     """The edge's first. `life` names this life of its process, `module` the text of its decisions."""
 
-    least: int
-    most: int
-    edge: str
-    life: str
-    module: str
+    lowest_version: int
+    highest_version: int
+    edge_name: str
+    incarnation: str
+    policy_hash: str
 
 
 class Welcome(Message, frozen=True, tag=1):
@@ -41,9 +41,9 @@
     for none."""
 
     version: int
-    planner: str
-    life: str
-    last: int
+    planner_name: str
+    incarnation: str
+    last_sequence: int
 
 
 class Lease(Message, frozen=True, tag=2):
@@ -52,15 +52,15 @@
     first."""
 
     epoch: int
-    for_ms: float
-    resumes: bool = False
+    duration_ms: float
+    is_resumed: bool = False
 
 
 class Snapshot(Message, frozen=True, tag=3):
     """All that the edge's module knows, as of after the events numbered `seq`."""
 
-    seq: int
-    t: int
+    sequence: int
+    edge_time_ns: int
     state: dict[str, Any]
 
 
@@ -68,111 +68,122 @@
     """What the edge's module was told and decided since the events before; none keeps the link alive. `t` is
     the edge's clock."""
 
-    seq: int
-    t: int
-    events: list[ev.Any_]
+    sequence: int
+    edge_time_ns: int
+    events: list[ev.AnyEvent]
 
 
-class Beat(Message, frozen=True, tag=5):
+class Heartbeat(Message, frozen=True, tag=5):
     """From the planner: it lives, and has the events up to `seq`."""
 
     epoch: int
-    seq: int
+    sequence: int
 
 
-class Decide(Message, frozen=True, tag=6):
+class PlanUpdate(Message, frozen=True, tag=6):
     """From the planner, on the events up to `seq`: orders by the planner's numbers, and which copies are held
     from now on and which no longer. With `whole` all that are held are named."""
 
     epoch: int
-    seq: int
-    orders: list[tuple[int, int, int]]  # number, runner, model
-    held: list[tuple[int, int, bool]]  # runner, model
-    whole: bool = False
+    sequence: int
+    load_requests: list[tuple[int, int, int]]  # number, runner, model
+    retained: list[tuple[int, int, bool]]  # runner, model
+    is_complete: bool = False
 
 
-class Need(Message, frozen=True, tag=7):
+class ResyncRequest(Message, frozen=True, tag=7):
     """From the planner: events are missing, send all that is known."""
 
-    why: str
+    reason: str
 
 
-Copy = tuple[str, str, int, float, float]
+RetainedReplica = tuple[str, str, int, float, float]
 
 
-class Recall(Message, frozen=True, tag=8):
+class RestoreReplicas(Message, frozen=True, tag=8):
     """From the planner, to an edge that has just started: copies that it held in its life before, to be asked
     for. Runner, model, lanes, memory_mb, ms since they were last used."""
 
     epoch: int
-    copies: list[Copy]
+    replicas: list[RetainedReplica]
 
 
-class Refuse(Message, frozen=True, tag=9):
+class LinkRefused(Message, frozen=True, tag=9):
     """Either's last: why it goes on with this link no further."""
 
-    why: str
-
-
-Any_ = Hello | Welcome | Lease | Snapshot | Events | Beat | Decide | Need | Recall | Refuse
+    reason: str
+
+
+AnyMessage = (
+    Hello
+    | Welcome
+    | Lease
+    | Snapshot
+    | Events
+    | Heartbeat
+    | PlanUpdate
+    | ResyncRequest
+    | RestoreReplicas
+    | LinkRefused
+)
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Any_).decode
+_decode = msgspec.msgpack.Decoder(AnyMessage).decode
 
 
-def frame(message: Message) -> bytes:
+def encode_frame(message: Message) -> bytes:
     payload = _encode(message)
     return len(payload).to_bytes(4, "big") + crc32(payload).to_bytes(4, "big") + payload
 
 
-def common(least: int, most: int) -> int | None:
+def choose_version(least: int, most: int) -> int | None:
     """The version to be spoken with one that speaks from `least` to `most`; None where there is none."""
-    version = min(most, MOST)
-    return version if version >= max(least, LEAST) else None
+    version = min(most, HIGHEST_VERSION)
+    return version if version >= max(least, LOWEST_VERSION) else None
 
 
-class Reader:
+class FrameReader:
     """Bytes in, messages out."""
 
-    def __init__(self, longest: int = LONGEST) -> None:
+    def __init__(self, longest: int = MAX_PAYLOAD_BYTES) -> None:
         self.longest = longest
         self._left = bytearray()
 
-    def feed(self, data: bytes) -> list[Any_]:
+    def feed(self, data: bytes) -> list[AnyMessage]:
         """Raises `BadFrame`; nothing more is to be read then."""
         self._left += data
-        found: list[Any_] = []
-        while len(self._left) >= HEAD:
+        found: list[AnyMessage] = []
+        while len(self._left) >= HEADER_BYTES:
             size = int.from_bytes(self._left[:4], "big")
             if size > self.longest:
-                raise BadFrame(f"a frame of {size} bytes, {self.longest} at most were expected")
-            if len(self._left) < HEAD + size:
+                raise FrameError(f"a frame of {size} bytes, {self.longest} at most were expected")
+            if len(self._left) < HEADER_BYTES + size:
                 break
-            payload = bytes(self._left[HEAD : HEAD + size])
+            payload = bytes(self._left[HEADER_BYTES : HEADER_BYTES + size])
             if crc32(payload) != int.from_bytes(self._left[4:8], "big"):
-                raise BadFrame("a frame whose checksum is another")
-            del self._left[: HEAD + size]
+                raise FrameError("a frame whose checksum is another")
+            del self._left[: HEADER_BYTES + size]
             try:
                 found.append(_decode(payload))
             except (msgspec.DecodeError, ValueError) as error:
-                raise BadFrame(f"no message of this protocol: {error}") from None
+                raise FrameError(f"no message of this protocol: {error}") from None
         return found
 
 
 __all__ = [
-    "Any_",
-    "BadFrame",
-    "Beat",
-    "Copy",
-    "Decide",
+    "AnyMessage",
     "Events",
+    "FrameError",
+    "FrameReader",
+    "Heartbeat",
     "Hello",
     "Lease",
-    "Need",
-    "Reader",
-    "Recall",
-    "Refuse",
+    "LinkRefused",
+    "PlanUpdate",
+    "RestoreReplicas",
+    "ResyncRequest",
+    "RetainedReplica",
     "Snapshot",
     "Welcome",
-    "common",
-    "frame",
+    "choose_version",
+    "encode_frame",
 ]
--- a/martenlead/planner/link.py
+++ b/martenlead/planner/link.py
@@ -19,42 +19,42 @@
 
 from martenlead.capture import events as ev
 from martenlead.planner import frames as fr
-from martenlead.planner.mirror import Clock, Lost, Mirror
-
-MS = 1_000_000
-FULL = 512  # events that become a frame without waiting for more, also while there is no planner
-WANTED = 2000 * MS  # after which a state that has not come is asked for again
-STUCK = 4  # leases for which a planner may live and take nothing in
-TOLD = (  # what a planner needs to hear of
-    ev.Take,
-    ev.HandedOff,
-    ev.Answered,
-    ev.Closed,
-    ev.NewRunner,
-    ev.Roster,
-    ev.Tick,
-    ev.Carry,
-    ev.Ordered,
-    ev.OrderEnded,
-    ev.Recalled,
+from martenlead.planner.policy_replica import EdgeClock, OutOfSyncError, PolicyReplica
+
+NS_PER_MS = 1_000_000
+EVENTS_PER_FRAME = 512  # events that become a frame without waiting for more, also while there is no planner
+SNAPSHOT_TIMEOUT_NS = 2000 * NS_PER_MS  # after which a state that has not come is asked for again
+STALLED_LEASES = 4  # leases for which a planner may live and take nothing in
+PLANNER_EVENTS = (  # what a planner needs to hear of
+    ev.RequestAccepted,
+    ev.AttemptStarted,
+    ev.AttemptEnded,
+    ev.RequestClosed,
+    ev.WorkerAdded,
+    ev.WorkersUpdated,
+    ev.TickChanged,
+    ev.LoadPlanned,
+    ev.LoadRequested,
+    ev.LoadEnded,
+    ev.ReplicaConfirmed,
 )
 
 
-class Broken(Exception):
+class LinkProtocolError(Exception):
     """The connection is of no use any more; says why."""
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class SessionLimits:
     """Times in ns."""
 
-    lease: int = 1500 * MS
+    lease: int = 1500 * NS_PER_MS
     outbox: int = 8_388_608
-    snapshot: int = 500 * MS
-    speaks: int = fr.MOST
+    snapshot: int = 500 * NS_PER_MS
+    speaks: int = fr.HIGHEST_VERSION
 
 
-class EdgeEnd:
+class EdgeSession:
     """The edge's end. `put` is all that happens on a task's path; it never waits and holds `outbox` bytes at
     most."""
 
@@ -65,27 +65,27 @@
         module: str,
         clock: Callable[[], int],
         snapshot: Callable[[], tuple[dict[str, Any], set[int]]],
-        limits: Limits,
+        limits: SessionLimits,
     ) -> None:
         """`snapshot` gives all that the module knows, and the numbers of the models in it."""
-        self.name, self.life, self.module = name, life, module
-        self.clock, self.snapshot, self.limits = clock, snapshot, limits
+        self.edge_name, self.incarnation, self.policy_hash = name, life, module
+        self.clock, self.take_snapshot, self.limits = clock, snapshot, limits
         self.epoch = 0
-        self.until = 0  # when the lease runs out
+        self.lease_end_ns = 0  # when the lease runs out
         self.state = "down"  # greeting, up
-        self.planner = self.planner_life = ""
+        self.planner_name = self.planner_incarnation = ""
         self.version = 0
-        self.seq = self.acked = 0
+        self.last_sequence = self.acknowledged_sequence = 0
         self.counts: Counter[str] = Counter()
-        self.decided: deque[fr.Decide | fr.Recall] = deque()
+        self.pending_decisions: deque[fr.PlanUpdate | fr.RestoreReplicas] = deque()
         self._recording = False
         self._stale = False
-        self._batch: list[ev.Any_] = []
+        self._batch: list[ev.AnyEvent] = []
         self._outbox: deque[tuple[int, bytes]] = deque()
         self._bytes = 0
         self._sent = 0  # number of the last events that went out on this connection
         self._control: deque[bytes] = deque()
-        self._models: dict[int, ev.NewModel] = {}
+        self._models: dict[int, ev.FunctionAdded] = {}
         self._known: set[int] = set()  # models that the planner knows of
         self._snapped = -1 << 62
         self._snapped_seq = 0
@@ -94,27 +94,31 @@
 
     # -- what the module is told and decides, as it happens
 
-    def put(self, event: ev.Event) -> None:
-        if isinstance(event, ev.NewModel):
-            self._models[event.model] = event
-        if not self._recording or not isinstance(event, TOLD):
+    def record_event(self, event: ev.CaptureEvent) -> None:
+        if isinstance(event, ev.FunctionAdded):
+            self._models[event.function] = event
+        if not self._recording or not isinstance(event, PLANNER_EVENTS):
             return
-        number = getattr(event, "model", -1) if isinstance(event, (ev.Take, ev.Carry, ev.Recalled)) else -1
+        number = (
+            getattr(event, "function", -1)
+            if isinstance(event, (ev.RequestAccepted, ev.LoadPlanned, ev.ReplicaConfirmed))
+            else -1
+        )
         if number >= 0 and number not in self._known:
             self._known.add(number)
             self._batch.append(self._models[number])
         self._batch.append(event)
-        if len(self._batch) >= FULL:
+        if len(self._batch) >= EVENTS_PER_FRAME:
             self.flush()
 
     def flush(self) -> None:
         """What was told since goes into the outbox, as one frame."""
         if not self._batch:
             return
-        self.seq += 1
-        data = fr.frame(fr.Events(self.seq, self.clock(), self._batch))
+        self.last_sequence += 1
+        data = fr.encode_frame(fr.Events(self.last_sequence, self.clock(), self._batch))
         self._batch = []
-        self._outbox.append((self.seq, data))
+        self._outbox.append((self.last_sequence, data))
         self._bytes += len(data)
         self.counts["bytes"] += len(data)
         if self._bytes > self.limits.outbox:
@@ -130,96 +134,102 @@
 
     # -- the connection
 
-    def leased(self) -> bool:
-        return self.state == "up" and self.clock() < self.until
+    def is_leased(self) -> bool:
+        return self.state == "up" and self.clock() < self.lease_end_ns
 
-    def connected(self) -> None:
+    def connection_made(self) -> None:
         self.state = "greeting"
-        self.until = self.clock() + self.limits.lease
+        self.lease_end_ns = self.clock() + self.limits.lease
         self._control.clear()
-        hello = fr.Hello(fr.LEAST, self.limits.speaks, self.name, self.life, self.module)
-        self._control.append(fr.frame(hello))
+        hello = fr.Hello(
+            fr.LOWEST_VERSION, self.limits.speaks, self.edge_name, self.incarnation, self.policy_hash
+        )
+        self._control.append(fr.encode_frame(hello))
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """The connection is gone; what is kept may be sent on the next."""
         self.state = "down"
         self._control.clear()
-        self.decided.clear()
+        self.pending_decisions.clear()
 
-    def received(self, message: fr.Any_) -> None:
+    def receive_message(self, message: fr.AnyMessage) -> None:
         """Raises `Broken`."""
         match message:
             case fr.Welcome() if self.state == "greeting":
                 self._welcomed(message)
-            case fr.Beat(epoch=epoch, seq=seq) if self.state == "up":
+            case fr.Heartbeat(epoch=epoch, sequence=seq) if self.state == "up":
                 if epoch == self.epoch:
                     self._beaten(seq)
-            case fr.Decide(epoch=epoch) | fr.Recall(epoch=epoch):
-                if epoch != self.epoch or not self.leased():
+            case fr.PlanUpdate(epoch=epoch) | fr.RestoreReplicas(epoch=epoch):
+                if epoch != self.epoch or not self.is_leased():
                     self.counts["fenced"] += 1
-                elif isinstance(message, fr.Decide) and message.seq < self._snapped_seq:
+                elif isinstance(message, fr.PlanUpdate) and message.sequence < self._snapped_seq:
                     self.counts["outdated"] += 1  # decided before the planner knew all that it knows now
                 else:
-                    self.decided.append(message)
-            case fr.Need():
+                    self.pending_decisions.append(message)
+            case fr.ResyncRequest():
                 self.counts["needs"] += 1
                 self._forget()
-            case fr.Refuse(why=why):
-                raise Broken(f"the planner refuses: {why}")
+            case fr.LinkRefused(reason=why):
+                raise LinkProtocolError(f"the planner refuses: {why}")
             case _:
-                raise Broken(f"{type(message).__name__} was not expected while {self.state}")
+                raise LinkProtocolError(f"{type(message).__name__} was not expected while {self.state}")
 
     def _welcomed(self, message: fr.Welcome) -> None:
-        if not fr.LEAST <= message.version <= self.limits.speaks:
-            raise Broken(f"the planner speaks version {message.version}")
-        first = self._outbox[0][0] if self._outbox else self.seq + 1
+        if not fr.LOWEST_VERSION <= message.version <= self.limits.speaks:
+            raise LinkProtocolError(f"the planner speaks version {message.version}")
+        first = self._outbox[0][0] if self._outbox else self.last_sequence + 1
         resumes = (
             self._recording
-            and message.life == self.planner_life
-            and message.last >= 0
-            and first <= message.last + 1 <= self.seq + 1
+            and message.incarnation == self.planner_incarnation
+            and message.last_sequence >= 0
+            and first <= message.last_sequence + 1 <= self.last_sequence + 1
+        )
+        self.planner_name, self.planner_incarnation, self.version = (
+            message.planner_name,
+            message.incarnation,
+            message.version,
         )
-        self.planner, self.planner_life, self.version = message.planner, message.life, message.version
         self.state = "up"
         self.epoch += 1  # whatever still comes of a connection before is of an epoch before
         now = self.clock()
-        self.until, self._leased, self._moved, self._heard = now + self.limits.lease, now, now, 0
-        self._control.append(fr.frame(fr.Lease(self.epoch, self.limits.lease / MS, resumes)))
+        self.lease_end_ns, self._leased, self._moved, self._heard = now + self.limits.lease, now, now, 0
+        self._control.append(fr.encode_frame(fr.Lease(self.epoch, self.limits.lease / NS_PER_MS, resumes)))
         if resumes:
             self.counts["resumed"] += 1
-            self._acknowledged(message.last)
-            self._sent = message.last
+            self._acknowledged(message.last_sequence)
+            self._sent = message.last_sequence
         else:
             self._forget()
 
     def _beaten(self, seq: int) -> None:
         now = self.clock()
-        self.until = now + self.limits.lease
+        self.lease_end_ns = now + self.limits.lease
         if seq > self._heard or seq >= self._sent:
             self._heard, self._moved = seq, now
-        elif now - self._moved > STUCK * self.limits.lease:
-            raise Broken("the planner lives and takes nothing in")
+        elif now - self._moved > STALLED_LEASES * self.limits.lease:
+            raise LinkProtocolError("the planner lives and takes nothing in")
         self._acknowledged(seq)
 
-    def proven(self) -> bool:
+    def is_established(self) -> bool:
         """Whether the planner at hand has kept its lease for a while: one that breaks off is asked again
         first then, else the next in the list."""
         now = self.clock()
-        stuck = now - self._moved > STUCK * self.limits.lease
+        stuck = now - self._moved > STALLED_LEASES * self.limits.lease
         return self.state == "up" and now - self._leased > self.limits.lease and not stuck
 
     def _acknowledged(self, seq: int) -> None:
         while self._outbox and self._outbox[0][0] <= seq:
             self._bytes -= len(self._outbox.popleft()[1])
-        self.acked = max(self.acked, seq)
+        self.acknowledged_sequence = max(self.acknowledged_sequence, seq)
 
-    def next(self) -> bytes | None:
+    def next_frame(self) -> bytes | None:
         """The next frame to be written, None if there is none now. Raises `Broken` when the planner's time is
         over."""
         if self.state == "down":
             return None
-        if self.clock() >= self.until:
-            raise Broken("the planner has not answered in time")
+        if self.clock() >= self.lease_end_ns:
+            raise LinkProtocolError("the planner has not answered in time")
         if self._control:
             return self._control.popleft()
         if self.state != "up":
@@ -234,31 +244,33 @@
         return None
 
     def _snap(self) -> bytes:
-        state, self._known = self.snapshot()
+        state, self._known = self.take_snapshot()
         self._snapped = self.clock()
         self._stale, self._recording = False, True
-        self.seq += 1  # its own, so that what was decided before it can be told from what comes after
-        self._snapped_seq = self._sent = self.acked = self.seq
+        self.last_sequence += (
+            1  # its own, so that what was decided before it can be told from what comes after
+        )
+        self._snapped_seq = self._sent = self.acknowledged_sequence = self.last_sequence
         self.counts["snapshots"] += 1
-        return fr.frame(fr.Snapshot(self.seq, self.clock(), state))
+        return fr.encode_frame(fr.Snapshot(self.last_sequence, self.clock(), state))
 
-    def told(self) -> dict[str, Any]:
+    def report_status(self) -> dict[str, Any]:
         """For operators."""
         now = self.clock()
         return {
-            "planner": self.planner,
+            "planner": self.planner_name,
             "state": self.state,
             "version": self.version,
             "epoch": self.epoch,
-            "lease_ms": max(0.0, (self.until - now) / MS) if self.state == "up" else 0.0,
-            "events": self.seq,
-            "unacknowledged": self.seq - self.acked,
+            "lease_ms": max(0.0, (self.lease_end_ns - now) / NS_PER_MS) if self.state == "up" else 0.0,
+            "events": self.last_sequence,
+            "unacknowledged": self.last_sequence - self.acknowledged_sequence,
             "outbox_bytes": self._bytes,
             **{f"link_{name}": n for name, n in sorted(self.counts.items())},
         }
 
 
-class PlannerEnd:
+class PlannerSession:
     """A planner's end, for one edge; lives on when the connection breaks."""
 
     def __init__(
@@ -267,140 +279,152 @@
         life: str,
         clock: Callable[[], int],
         numbers: Callable[[], int],
-        recall: Callable[[str], list[fr.Copy]] | None = None,
-        beat: int = 200 * MS,
-        speaks: int = fr.MOST,
+        recall: Callable[[str], list[fr.RetainedReplica]] | None = None,
+        beat: int = 200 * NS_PER_MS,
+        speaks: int = fr.HIGHEST_VERSION,
     ) -> None:
         """`recall` gives what is known to have been held for an edge of that name, in a life before."""
-        self.planner, self.life, self.own, self.numbers = planner, life, clock, numbers
-        self.recall, self.beat, self.speaks = recall, beat, speaks
-        self.edge = self.edge_life = ""
+        self.planner_name, self.incarnation, self.own_clock, self.next_number = planner, life, clock, numbers
+        self.find_earlier_replicas, self.beat, self.speaks = recall, beat, speaks
+        self.edge_name = self.edge_incarnation = ""
         self.epoch = -1
-        self.last = -1
-        self.mirror: Mirror | None = None
-        self.clock = Clock(clock)
+        self.last_sequence = -1
+        self.policy_replica: PolicyReplica | None = None
+        self.edge_clock = EdgeClock(clock)
         self.counts: Counter[str] = Counter()
         self.version = 0
         self._out: deque[bytes] = deque()
         self._beaten = -1 << 62
         self._wants = clock()  # a state, since when
 
-    def connected(self) -> None:
+    def connection_made(self) -> None:
         """A new connection: whatever stood to be written on the last is void."""
         self._out.clear()
         self.epoch = -1
 
-    def received(self, message: fr.Any_) -> None:
+    def receive_message(self, message: fr.AnyMessage) -> None:
         """Raises `Broken`."""
         match message:
             case fr.Hello():
                 self._greeted(message)
-            case fr.Lease(epoch=epoch, resumes=resumes):
+            case fr.Lease(epoch=epoch, is_resumed=resumes):
                 self.epoch = epoch
                 self._beaten = -1 << 62
                 if not resumes:
-                    self.mirror, self._wants = None, self.own()
-                elif self.mirror is not None:
-                    self.mirror.resumed()
-            case fr.Snapshot(seq=seq, t=t, state=state):
+                    self.policy_replica, self._wants = None, self.own_clock()
+                elif self.policy_replica is not None:
+                    self.policy_replica.resume()
+            case fr.Snapshot(sequence=seq, edge_time_ns=t, state=state):
                 self._snapped(seq, t, state)
-            case fr.Events(seq=seq, t=t, events=events):
+            case fr.Events(sequence=seq, edge_time_ns=t, events=events):
                 self._events(seq, t, events)
-            case fr.Refuse(why=why):
-                raise Broken(f"the edge refuses: {why}")
+            case fr.LinkRefused(reason=why):
+                raise LinkProtocolError(f"the edge refuses: {why}")
             case _:
-                raise Broken(f"{type(message).__name__} is not for a planner")
+                raise LinkProtocolError(f"{type(message).__name__} is not for a planner")
 
     def _greeted(self, message: fr.Hello) -> None:
-        most = min(message.most, self.speaks)
-        if most < max(message.least, fr.LEAST):
-            raise Broken(f"no common version: {message.least} to {message.most} is spoken there")
+        most = min(message.highest_version, self.speaks)
+        if most < max(message.lowest_version, fr.LOWEST_VERSION):
+            raise LinkProtocolError(
+                f"no common version: {message.lowest_version} to {message.highest_version} is spoken there"
+            )
         self.version = most
-        if message.life != self.edge_life:
-            self.mirror, self.last = None, -1
-            self.clock = Clock(self.own)
-        self.edge, self.edge_life = message.edge, message.life
-        last = self.last if self.mirror is not None else -1
-        self._out.append(fr.frame(fr.Welcome(most, self.planner, self.life, last)))
+        if message.incarnation != self.edge_incarnation:
+            self.policy_replica, self.last_sequence = None, -1
+            self.edge_clock = EdgeClock(self.own_clock)
+        self.edge_name, self.edge_incarnation = message.edge_name, message.incarnation
+        last = self.last_sequence if self.policy_replica is not None else -1
+        self._out.append(fr.encode_frame(fr.Welcome(most, self.planner_name, self.incarnation, last)))
 
     def _snapped(self, seq: int, t: int, state: dict[str, Any]) -> None:
-        self.clock.told(t)
+        self.edge_clock.record_edge_time(t)
         self.counts["snapshots"] += 1
         try:
-            self.mirror = Mirror(state, max(t, self.clock()), self.numbers)
-        except Lost as error:
-            raise Broken(str(error)) from None
-        self.last = seq
-        if self.recall is not None and self.version >= 2 and not self.mirror.held():
-            copies = self.recall(self.edge)
+            self.policy_replica = PolicyReplica(state, max(t, self.edge_clock()), self.next_number)
+        except OutOfSyncError as error:
+            raise LinkProtocolError(str(error)) from None
+        self.last_sequence = seq
+        if (
+            self.find_earlier_replicas is not None
+            and self.version >= 2
+            and not self.policy_replica.list_retained()
+        ):
+            copies = self.find_earlier_replicas(self.edge_name)
             if copies:
                 self.counts["recalled"] += len(copies)
-                self._out.append(fr.frame(fr.Recall(self.epoch, copies)))
+                self._out.append(fr.encode_frame(fr.RestoreReplicas(self.epoch, copies)))
 
-    def _events(self, seq: int, t: int, events: list[ev.Any_]) -> None:
-        self.clock.told(t)
-        if self.mirror is None:
+    def _events(self, seq: int, t: int, events: list[ev.AnyEvent]) -> None:
+        self.edge_clock.record_edge_time(t)
+        if self.policy_replica is None:
             return  # a state is on its way
-        if seq <= self.last:
+        if seq <= self.last_sequence:
             self.counts["again"] += 1
             return
-        if seq != self.last + 1:
-            self._need(f"{self.last} and then {seq}")
+        if seq != self.last_sequence + 1:
+            self._need(f"{self.last_sequence} and then {seq}")
             return
         try:
-            self.mirror.feed(events)
-        except Lost as error:
+            self.policy_replica.apply_events(events)
+        except OutOfSyncError as error:
             self._need(str(error))
             return
-        self.last = seq
+        self.last_sequence = seq
 
     def _need(self, why: str) -> None:
-        self.mirror = None
-        self._wants = self.own()
+        self.policy_replica = None
+        self._wants = self.own_clock()
         self.counts["needed"] += 1
-        self._out.append(fr.frame(fr.Need(why)))
+        self._out.append(fr.encode_frame(fr.ResyncRequest(why)))
 
-    def due(self) -> int:
+    def next_due_ns(self) -> int:
         """When there is next something to be done without a message, on the own clock."""
         beat = self._beaten + self.beat
-        due = self.mirror.due() if self.mirror is not None else None
-        return beat if due is None else min(beat, due - self.clock.ahead)
+        due = self.policy_replica.next_due_ns() if self.policy_replica is not None else None
+        return beat if due is None else min(beat, due - self.edge_clock.offset_ns)
 
     def poll(self) -> None:
         """Lets the module plan, and says what it decided."""
         if self.epoch < 0:
             return
-        if self.mirror is None and self.own() >= self._wants + WANTED:
+        if self.policy_replica is None and self.own_clock() >= self._wants + SNAPSHOT_TIMEOUT_NS:
             self._need("the state has not come")
-        if self.mirror is not None:
+        if self.policy_replica is not None:
             try:
-                self.mirror.advance(self.clock())
+                self.policy_replica.advance(self.edge_clock())
             except Exception as error:  # a fault of the module's costs a new state, not the planner
                 self._need(f"{type(error).__name__} {error}")
-        if self.mirror is not None:
-            decided = self.mirror.taken()
+        if self.policy_replica is not None:
+            decided = self.policy_replica.take_changes()
             if decided:
-                self.counts["orders"] += len(decided.orders)
-                told = fr.Decide(self.epoch, self.last, decided.orders, decided.held, decided.whole)
-                self._out.append(fr.frame(told))
-        if self.own() >= self._beaten + self.beat:
-            self._beaten = self.own()
-            self._out.append(fr.frame(fr.Beat(self.epoch, max(self.last, 0))))
-
-    def next(self) -> bytes | None:
+                self.counts["orders"] += len(decided.load_requests)
+                told = fr.PlanUpdate(
+                    self.epoch,
+                    self.last_sequence,
+                    decided.load_requests,
+                    decided.retained,
+                    decided.is_complete,
+                )
+                self._out.append(fr.encode_frame(told))
+        if self.own_clock() >= self._beaten + self.beat:
+            self._beaten = self.own_clock()
+            self._out.append(fr.encode_frame(fr.Heartbeat(self.epoch, max(self.last_sequence, 0))))
+
+    def next_frame(self) -> bytes | None:
         return self._out.popleft() if self._out else None
 
-    def told(self) -> dict[str, Any]:
+    def report_status(self) -> dict[str, Any]:
         """For operators."""
-        mirror = self.mirror
+        mirror = self.policy_replica
         return {
-            "edge": self.edge,
+            "edge": self.edge_name,
             "version": self.version,
             "epoch": self.epoch,
-            "events": self.last,
+            "events": self.last_sequence,
             "mirrors": mirror is not None,
-            "held": len(mirror.held()) if mirror else 0,
-            "orders_out": len(mirror.orders) if mirror else 0,
-            "tasks": mirror.tasks_seen if mirror else 0,
+            "held": len(mirror.list_retained()) if mirror else 0,
+            "orders_out": len(mirror.load_requests) if mirror else 0,
+            "tasks": mirror.request_count if mirror else 0,
             **{f"link_{name}": n for name, n in sorted(self.counts.items())},
         }
--- a/martenlead/planner/snapshot.py
+++ b/martenlead/planner/snapshot.py
@@ -17,7 +17,7 @@
 from martenlead.policy.types import Attempt, Request, Result, Settings, Tenant
 
 NUMBERS = (int, float, bool)
-NOT_OURS = {"now_ns"}  # made anew by whoever reads
+OMITTED_FIELDS = {"now_ns"}  # made anew by whoever reads
 
 
 # the wire's names of fields, where they are others than here; docs/protocol-plan.md
@@ -76,17 +76,17 @@
 }
 
 
-def parts_of(policy: Policy) -> list[Any]:
+def list_field_owners(policy: Policy) -> list[Any]:
     """The objects of a policy whose fields are the wire's fields of one."""
     state = policy.state
     return [state, state.traffic, state.latencies, policy.scaling, policy.load_budget]
 
 
-def fields_of(thing: Any, names: Mapping[str, str]) -> dict[str, Any]:
+def pack_fields(thing: Any, names: Mapping[str, str]) -> dict[str, Any]:
     """Numbers, histograms and rows of numbers of an object, by the wire's names."""
     told: dict[str, Any] = {}
     for name, value in vars(thing).items():
-        if name in NOT_OURS:
+        if name in OMITTED_FIELDS:
             continue
         wire = names.get(name, name)
         if isinstance(value, NUMBERS):
@@ -98,11 +98,11 @@
     return told
 
 
-def put_fields(thing: Any, told: Mapping[str, Any], names: Mapping[str, str]) -> None:
+def unpack_fields(thing: Any, told: Mapping[str, Any], names: Mapping[str, str]) -> None:
     """The other way round; what does not fit is passed over."""
     for name, here in list(vars(thing).items()):
         wire = names.get(name, name)
-        if name in NOT_OURS or wire not in told:
+        if name in OMITTED_FIELDS or wire not in told:
             continue
         value = told[wire]
         if isinstance(here, LatencyHistogram):
@@ -120,9 +120,9 @@
             setattr(thing, name, type(here)(value) if isinstance(here, bool) else value)
 
 
-def take(
+def take_snapshot(
     policy: Policy,
-    start: ev.Start,
+    start: ev.RunStarted,
     runners: Mapping[Any, int],
     models: Mapping[Any, int],
     tasks: Mapping[Request, int],
@@ -136,12 +136,16 @@
     if len(lively) > most:
         out = {t.function for t in tasks}
         weight = {
-            f: (any(r.is_retained for r in f.replicas.values()), f in out, f.rated_requests + f.new_requests[1])
+            f: (
+                any(r.is_retained for r in f.replicas.values()),
+                f in out,
+                f.rated_requests + f.new_requests[1],
+            )
             for f in lively
         }
         lively = sorted(lively, key=weight.__getitem__, reverse=True)[:most]
     written = set(lively)
-    own = [fields_of(part, POLICY_NAMES) for part in parts_of(policy)]
+    own = [pack_fields(part, POLICY_NAMES) for part in list_field_owners(policy)]
     offerings = {id(o): n for n, o in enumerate(policy.settings.request_classes)}
     return {
         "settings": {
@@ -149,12 +153,12 @@
             "tick": policy.settings.tick_ns,
         },  # as stated: who plans now is no matter
         "seed": start.seed,
-        "customers": start.customers,
+        "customers": start.tenants,
         "brain": {name: value for part in own for name, value in part.items()},
         "served": [[customers[c], n] for c, n in policy.tenant_shares.requests_in_period.items()],
         "rates": [[customers[c], n] for c, n in policy.tenant_shares.requests_per_second.items()],
         "runners": [
-            [n, names[0][r], ev.pack_facts(r.facts), r.is_listed, fields_of(r, WORKER_NAMES)]
+            [n, names[0][r], ev.pack_facts(r.facts), r.is_listed, pack_fields(r, WORKER_NAMES)]
             for r, n in runners.items()
         ],
         "models": [
@@ -164,9 +168,9 @@
                 f"{m.facts.mark:x}",
                 m.facts.lanes,
                 m.facts.memory_mb,
-                fields_of(m, FUNCTION_NAMES),
+                pack_fields(m, FUNCTION_NAMES),
                 runners[m.home] if m.home is not None else -1,
-                [[runners[r], fields_of(c, REPLICA_NAMES)] for r, c in m.replicas.items()],
+                [[runners[r], pack_fields(c, REPLICA_NAMES)] for r, c in m.replicas.items()],
             ]
             for m in lively
         ],
@@ -194,56 +198,60 @@
     return hand_off.result.value if hand_off.result is not None else ""
 
 
-class Restored:
+class RestoredPolicy:
     """An instance of the module, and the objects that numbers stand for."""
 
     def __init__(self, state: Mapping[str, Any], now: int, settings: Settings | None = None) -> None:
         """Raises KeyError, ValueError, TypeError or IndexError for what no edge writes."""
-        self.settings = settings or ev.settings_of(state["settings"])
+        self.settings = settings or ev.unpack_settings(state["settings"])
         self.policy = policy = Policy(self.settings, int(state["seed"]))
         policy.state.now_ns = now
-        self.customers = [Tenant(float(quota)) for _, quota in state["customers"]]
-        self.runners: dict[int, Any] = {}
-        self.models: dict[int, Any] = {}
-        self.tasks: dict[int, Request] = {}
+        self.tenants = [Tenant(float(quota)) for _, quota in state["customers"]]
+        self.workers: dict[int, Any] = {}
+        self.functions: dict[int, Any] = {}
+        self.requests: dict[int, Request] = {}
         self.names: dict[Any, str] = {}
         listed, facts = [], {}
         for number, name, packed, on, _ in state["runners"]:
-            facts[number] = ev.facts_of(ev.Facts(*packed) if isinstance(packed, list) else packed)
-            runner = self.runners[number] = policy.new_worker(facts[number])
+            facts[number] = ev.unpack_facts(
+                ev.PackedWorkerFacts(*packed) if isinstance(packed, list) else packed
+            )
+            runner = self.workers[number] = policy.new_worker(facts[number])
             self.names[runner] = name
             if on:
                 listed.append((runner, facts[number]))
         policy.update_workers(listed, True)
         for number, _, _, _, told in state["runners"]:
             known = {k: v for k, v in told.items() if k not in ("listed", "part")}
-            put_fields(self.runners[number], known, WORKER_NAMES)
+            unpack_fields(self.workers[number], known, WORKER_NAMES)
         for number, name, mark, lanes, memory, told, home, copies in state["models"]:
-            model = self.model(ev.NewModel(now, number, name, mark, lanes, memory))
-            put_fields(model, told, FUNCTION_NAMES)
-            model.home = self.runners[home] if home >= 0 else None
+            model = self.add_function(ev.FunctionAdded(now, number, name, mark, lanes, memory))
+            unpack_fields(model, told, FUNCTION_NAMES)
+            model.home = self.workers[home] if home >= 0 else None
             for at, fields in copies:
-                put_fields(policy.state.replica(model, self.runners[at]), fields, REPLICA_NAMES)
+                unpack_fields(policy.state.replica(model, self.workers[at]), fields, REPLICA_NAMES)
         own = {k: v for k, v in state["brain"].items() if k not in ("memory", "period", "soft")}
-        for part in parts_of(policy):
-            put_fields(part, own, POLICY_NAMES)
-        policy.tenant_shares.requests_in_period = {self.customers[n]: tasks for n, tasks in state["served"]}
-        policy.tenant_shares.requests_per_second = {self.customers[n]: rate for n, rate in state["rates"]}
+        for part in list_field_owners(policy):
+            unpack_fields(part, own, POLICY_NAMES)
+        policy.tenant_shares.requests_in_period = {self.tenants[n]: tasks for n, tasks in state["served"]}
+        policy.tenant_shares.requests_per_second = {self.tenants[n]: rate for n, rate in state["rates"]}
         for number, m, offering, customer, give_up, again, cost, hand_offs in state["tasks"]:
-            task = self.task(number, m, offering, customer, give_up, again, cost)
+            task = self.add_request(number, m, offering, customer, give_up, again, cost)
             for at, patience, sent, expected, result in hand_offs:
                 done = Result(result) if result else None
-                task.attempts.append(Attempt(task, self.runners[at], patience, sent, expected, done))
+                task.attempts.append(Attempt(task, self.workers[at], patience, sent, expected, done))
 
-    def model(self, event: ev.NewModel) -> Any:
-        model = self.models[event.model] = self.policy.new_function(ev.model_facts(event))
+    def add_function(self, event: ev.FunctionAdded) -> Any:
+        model = self.functions[event.function] = self.policy.new_function(ev.unpack_function_facts(event))
         self.names[model] = event.name
         return model
 
-    def task(
+    def add_request(
         self, number: int, model: int, offering: int, customer: int, give_up: int, again: bool, cost: float
     ) -> Request:
-        who = self.customers[customer] if customer >= 0 else None
-        task = Request(self.models[model], self.settings.request_classes[offering], who, give_up, again, cost)
-        self.tasks[number] = task
+        who = self.tenants[customer] if customer >= 0 else None
+        task = Request(
+            self.functions[model], self.settings.request_classes[offering], who, give_up, again, cost
+        )
+        self.requests[number] = task
         return task
--- a/martenlead/policy/attempts.py
+++ b/martenlead/policy/attempts.py
@@ -32,9 +32,16 @@
 
 ERRORS_LIMIT = 2  # workers where a request ended in an error: it would at the others too
 DEADLINE_MARGIN_TICKS = 3  # a final response has to be out, and not only decided, by the deadline
-MARGIN_SHARE = 0.5  # of a request's time that this may take: with more of it a late loop rejects all
-UNSHARED_TICK_NS = 10_000_000  # a tick up to which it is kept whole all the same: nothing is that quick
-OVERDUE_QUANTILE, OVERDUE_TIMES = 0.95, 3  # twice was too soon where a dispatcher seldom hears a worker
+MARGIN_SHARE = (
+    0.5  # of a request's time that this may take: with more of it a late loop rejects all
+)
+UNSHARED_TICK_NS = (
+    10_000_000  # a tick up to which it is kept whole all the same: nothing is that quick
+)
+OVERDUE_QUANTILE, OVERDUE_TIMES = (
+    0.95,
+    3,
+)  # twice was too soon where a dispatcher seldom hears a worker
 COST_REQUESTS = 60  # that the mean cost of a function's requests is taken from at most
 BURST_DEVIATIONS = 2  # that a one-second rate is above Rmax by, before it is more than chance
 
@@ -76,7 +83,9 @@
                 yield from self._load_first(request.function, worker)
             attempt = self.begin_attempt(request, worker, last_ns)
             yield attempt
-            while attempt.result is None and state.now_ns <= last_ns:  # never waits on past the deadline
+            while (
+                attempt.result is None and state.now_ns <= last_ns
+            ):  # never waits on past the deadline
                 overdue_ns = state.now_ns + self._patience_ns(request)
                 answer: AttemptResult | None = yield Wait(min(last_ns + tick_ns, overdue_ns))
                 if answer is not None and answer.is_final:
@@ -111,7 +120,9 @@
             return None
         worker = self.placement.choose_worker(request, tried)
         if worker is None and attempts and attempts[-1].result is Result.ERROR:
-            worker = self.placement.choose_worker(request, set())  # nobody else may: the same, once more
+            worker = self.placement.choose_worker(
+                request, set()
+            )  # nobody else may: the same, once more
         return worker
 
     def _load_first(self, function: Function, worker: Worker) -> Steps:
@@ -136,7 +147,10 @@
             return Fail(request)
         return Reject(
             request,
-            min(self.state.settings.retry_after_limit_ns, request.request_class.latency_objective_ns // 2),
+            min(
+                self.state.settings.retry_after_limit_ns,
+                request.request_class.latency_objective_ns // 2,
+            ),
         )
 
     # -- its parts
@@ -150,7 +164,9 @@
         self.load_budget.record_request()
         state.note_request(function)
         function.requests += 1
-        function.mean_cost += (request.cost - function.mean_cost) / min(function.requests, COST_REQUESTS)
+        function.mean_cost += (request.cost - function.mean_cost) / min(
+            function.requests, COST_REQUESTS
+        )
         function.last_request_ns = state.now_ns
         request.is_deferrable = request.is_retry or self.tenant_shares.is_over(request.tenant)
         if request.tenant:
@@ -186,7 +202,9 @@
         self.concurrency.record_attempt(worker)
         by_ns = self.repeats.begin_by_ns(request)
         is_warm = int(state.is_warm(replica))
-        attempt = Attempt(request, worker, last_ns - state.now_ns, state.now_ns, is_warm, begin_by_ns=by_ns)
+        attempt = Attempt(
+            request, worker, last_ns - state.now_ns, state.now_ns, is_warm, begin_by_ns=by_ns
+        )
         if not replica.is_loaded and not replica.load_requested_ns:
             replica.load_requested_ns = state.now_ns
         worker.warm_in_flight += attempt.expects_warm
--- a/martenlead/policy/candidates.py
+++ b/martenlead/policy/candidates.py
@@ -23,7 +23,9 @@
 CANDIDATES = 32  # workers that a function looks at beyond those it has replicas on
 DRAWS = 4  # for each candidate: a draw may name a worker that was drawn before
 LEAST_WEIGHT = 1e-9  # a worker that is told to have none is ranked all the same
-CHOICE = Struct("<QQQ")  # what a choice is hashed from: function, number of its draw, node or worker
+CHOICE = Struct(
+    "<QQQ"
+)  # what a choice is hashed from: function, number of its draw, node or worker
 
 
 def score(mixed: int, weight: float) -> float:
@@ -66,7 +68,9 @@
         self.version += 1
         self.memory += memory
         node = self._leaf(worker)
-        self._weights[node] = math.fsum(max(w.facts.weight, LEAST_WEIGHT) for w in self._leaves[node])
+        self._weights[node] = math.fsum(
+            max(w.facts.weight, LEAST_WEIGHT) for w in self._leaves[node]
+        )
         while node > 1:
             node //= 2
             self._weights[node] = self._weights[2 * node] + self._weights[2 * node + 1]
--- a/martenlead/policy/earlier_run.py
+++ b/martenlead/policy/earlier_run.py
@@ -14,7 +14,9 @@
 def restore(state: State, load_budget: LoadBudget, past: EarlierRun) -> None:
     """Once, before the first request."""
     traffic = state.traffic
-    traffic.succeeded_per_second = max(traffic.succeeded_per_second, past.succeeded_per_second * past.weight)
+    traffic.succeeded_per_second = max(
+        traffic.succeeded_per_second, past.succeeded_per_second * past.weight
+    )
     traffic.new_requests_per_second = max(
         traffic.new_requests_per_second, past.new_requests_per_second * past.weight
     )
--- a/martenlead/policy/engine.py
+++ b/martenlead/policy/engine.py
@@ -100,7 +100,10 @@
         self.policy.record_load_end(LoadRequest(worker, function, 0), result, replicas)
         replica = self.policy.state.replica(function, worker)
         if replica.is_loaded:
-            replica.is_retained, replica.last_used_ns = True, max(replica.last_used_ns, last_used_ns)
+            replica.is_retained, replica.last_used_ns = (
+                True,
+                max(replica.last_used_ns, last_used_ns),
+            )
 
     def close_request(self, request: Request) -> None:
         """The request has its final response, or its client has left."""
--- a/martenlead/policy/latency.py
+++ b/martenlead/policy/latency.py
@@ -14,7 +14,9 @@
 
 MILLISECOND = 1_000_000
 SECOND = 1000 * MILLISECOND
-USUAL_RATIO = SECOND // 10  # how a response that took as long as usual is noted in a histogram of ratios
+USUAL_RATIO = (
+    SECOND // 10
+)  # how a response that took as long as usual is noted in a histogram of ratios
 BINS = 24  # the last begins at 11 s, beyond any latency objective that a response still meets
 LOG_BIN_RATIO = math.log(
     1.5
@@ -90,4 +92,6 @@
     def pace(self, ratios: LatencyHistogram) -> float:
         """How many times longer than usual a worker takes: slow cores and others' requests both show."""
         mean = self.warm_run_ns(ratios)
-        return (PRIOR_RESPONSES + mean * ratios.total / USUAL_RATIO) / (PRIOR_RESPONSES + ratios.total)
+        return (PRIOR_RESPONSES + mean * ratios.total / USUAL_RATIO) / (
+            PRIOR_RESPONSES + ratios.total
+        )
--- a/martenlead/policy/load_budget.py
+++ b/martenlead/policy/load_budget.py
@@ -32,7 +32,9 @@
         self._forget_before(since)
         given = len(self.load_times_ns)
         given += sum(at < since - 2 * settings.tick_ns for at in self.loads_in_flight.values())
-        budget = settings.free_loads_per_window + settings.loads_per_request * len(self.request_times_ns)
+        budget = settings.free_loads_per_window + settings.loads_per_request * len(
+            self.request_times_ns
+        )
         return state.accepts_work(worker) and given + 1 <= share * budget
 
     def _forget_before(self, since: int) -> None:
@@ -46,7 +48,8 @@
             del self.loads_in_flight[oldest]  # its end was never told
         while (
             self.request_times_ns
-            and self.request_times_ns[0] < since + settings.connect_timeout_ns + 2 * settings.tick_ns
+            and self.request_times_ns[0]
+            < since + settings.connect_timeout_ns + 2 * settings.tick_ns
         ):
             self.request_times_ns.popleft()
 
--- a/martenlead/policy/outliers.py
+++ b/martenlead/policy/outliers.py
@@ -10,7 +10,9 @@
 from martenlead.policy.state import State, Worker
 from martenlead.policy.types import Attempt, RequestClass, Result
 
-WORKER_ERRORS = frozenset({Result.ERROR, Result.CONNECTION_LOST})  # the worker's fault, or else the request's
+WORKER_ERRORS = frozenset(
+    {Result.ERROR, Result.CONNECTION_LOST}
+)  # the worker's fault, or else the request's
 NOT_REACHED = frozenset({Result.UNREACHABLE, Result.CONNECTION_LOST})
 UNANSWERED_LIMIT = 2  # attempts in a row without any word: one may be lost by chance
 TRIAL_INTERVAL = SECOND  # between two attempts at an ejected worker
@@ -26,7 +28,9 @@
     With less time than half of the latency objective it may have dropped the request without a word.
     """
     had_time = attempt.timeout_ns >= attempt.request.request_class.latency_objective_ns // 2
-    is_silent = attempt.result is Result.NO_RESPONSE and attempt.worker.last_response_ns < attempt.sent_ns
+    is_silent = (
+        attempt.result is Result.NO_RESPONSE and attempt.worker.last_response_ns < attempt.sent_ns
+    )
     return had_time and is_silent
 
 
@@ -49,7 +53,10 @@
         if worker.unanswered_in_a_row >= UNANSWERED_LIMIT:
             return now < worker.overdue_since_ns + TRIAL_INTERVAL
         silent_ns = now - max(worker.last_response_ns, worker.overdue_since_ns)
-        return worker.in_flight > 0 and silent_ns > SILENT_OBJECTIVES * self.state.shortest_objective_ns
+        return (
+            worker.in_flight > 0
+            and silent_ns > SILENT_OBJECTIVES * self.state.shortest_objective_ns
+        )
 
     def is_failing(self, worker: Worker, request_class: RequestClass | None = None) -> bool:
         """Whether too many responses, of this class or of any, were errors.
@@ -83,4 +90,6 @@
             worker.last_error_ns = self.state.now_ns if is_error else worker.last_error_ns
         elif len(earlier) == 1 and earlier[0].worker is not worker:
             first = earlier[0].worker.error_shares
-            first[request.request_class] = max(0.0, first.get(request.request_class, 0.0) - ERROR_WEIGHT)
+            first[request.request_class] = max(
+                0.0, first.get(request.request_class, 0.0) - ERROR_WEIGHT
+            )
--- a/martenlead/policy/placement.py
+++ b/martenlead/policy/placement.py
@@ -53,7 +53,9 @@
         warm = [r for r in fitting if self.state.is_warm(r)]
         warm = [r for r in warm if r.is_retained] or warm  # what no load request holds may lapse
         for replica in warm:
-            is_free_home = replica.worker is function.home and replica.in_flight < function.facts.lanes
+            is_free_home = (
+                replica.worker is function.home and replica.in_flight < function.facts.lanes
+            )
             if is_free_home and not self.is_crowded(replica.worker):
                 return replica.worker
         holders = [r for r in warm if not self.is_crowded(r.worker)] or warm or fitting
@@ -68,16 +70,22 @@
         known = [
             replica
             for replica in function.replicas.values()
-            if (state.is_warm(replica) or replica.load_requested_ns) and outliers.is_usable(replica.worker)
+            if (state.is_warm(replica) or replica.load_requested_ns)
+            and outliers.is_usable(replica.worker)
         ]
-        erring = [a.worker for a in request.attempts if a.result is Result.ERROR]  # not for lack of room
+        erring = [
+            a.worker for a in request.attempts if a.result is Result.ERROR
+        ]  # not for lack of room
         return [
             replica
             for replica in known
-            if replica.worker not in erring and not outliers.is_failing(replica.worker, request.request_class)
+            if replica.worker not in erring
+            and not outliers.is_failing(replica.worker, request.request_class)
         ]
 
-    def _next_candidate(self, request: Request, excluded: set[Worker], holders: int) -> Worker | None:
+    def _next_candidate(
+        self, request: Request, excluded: set[Worker], holders: int
+    ) -> Worker | None:
         is_short_list = len(self.state.workers) <= RANKED_WHOLE
         for worker in self.candidates(request.function, holders):
             if holders and is_short_list and not self.slow_start.is_warming_up(worker):
@@ -131,7 +139,12 @@
                 break
             if not self._may_hold(worker):
                 continue
-            if replica and state.is_warm(replica) and not replica.is_retained and not self.is_crowded(worker):
+            if (
+                replica
+                and state.is_warm(replica)
+                and not replica.is_retained
+                and not self.is_crowded(worker)
+            ):
                 return worker  # what is loaded already costs no load
             retry_ns = replica.load_failed_ns + state.settings.keep_alive_ns // 2 if replica else 0
             if replica is None or not (replica.is_retained or state.now_ns < retry_ns):
--- a/martenlead/policy/policy.py
+++ b/martenlead/policy/policy.py
@@ -69,9 +69,16 @@
         self.placement = self.placement_type(
             self.state, self.outliers, self.slow_start, self.concurrency, self.repeats
         )
-        self.scaling = ReplicaScaling(self.state, self.placement, self.load_budget, self.tenant_shares)
+        self.scaling = ReplicaScaling(
+            self.state, self.placement, self.load_budget, self.tenant_shares
+        )
         self.attempts = Attempts(
-            self.state, self.placement, self.scaling, self.load_budget, self.concurrency, self.tenant_shares
+            self.state,
+            self.placement,
+            self.scaling,
+            self.load_budget,
+            self.concurrency,
+            self.tenant_shares,
         )
         self.results = Results(self.state, self.outliers, self.concurrency)
 
@@ -79,7 +86,10 @@
 
     def background(self) -> list[Steps]:
         """What runs as long as the dispatcher does."""
-        return [self.scaling.run(), *([self._ask_for_workers()] if self.settings.lists_workers else [])]
+        return [
+            self.scaling.run(),
+            *([self._ask_for_workers()] if self.settings.lists_workers else []),
+        ]
 
     def _ask_for_workers(self) -> Steps:
         while True:
--- a/martenlead/policy/repeats.py
+++ b/martenlead/policy/repeats.py
@@ -8,7 +8,9 @@
 from martenlead.policy.state import State, Worker
 from martenlead.policy.types import NEVER_RAN, Attempt, DeduplicationScope, Effect, Request
 
-WINDOW_MARGIN_TICKS = 4  # a repeat has to begin, and not only to leave, inside the idempotency window
+WINDOW_MARGIN_TICKS = (
+    4  # a repeat has to begin, and not only to leave, inside the idempotency window
+)
 
 
 class RepeatGuard:
@@ -25,7 +27,10 @@
         request_class = request.request_class
         if not may_have_run or request_class.effect is Effect.IDEMPOTENT:
             return True
-        if self.state.now_ns >= self.begin_by_ns(request) or request_class.effect is Effect.NON_IDEMPOTENT:
+        if (
+            self.state.now_ns >= self.begin_by_ns(request)
+            or request_class.effect is Effect.NON_IDEMPOTENT
+        ):
             return False
         first, other = may_have_run[0].worker.facts, worker.facts
         is_same = first.zone == other.zone and (
--- a/martenlead/policy/replica_scaling.py
+++ b/martenlead/policy/replica_scaling.py
@@ -21,19 +21,27 @@
 from martenlead.policy.types import LoadRequest, Result, Steps, Wait
 
 ADD_ABOVE, RELEASE_BELOW = 0.8, 0.6  # of Rmax: the design's dead band
-NEW_REPLICAS = 2  # a function and period, as the design starts; as many again as are held, once that is more
+NEW_REPLICAS = (
+    2  # a function and period, as the design starts; as many again as are held, once that is more
+)
 FIRST_PERIOD = SECOND // 4  # of a dispatcher that has just begun, which holds nothing yet
-RATE_REQUESTS = 16  # that a function's rate is taken from: fewer tell more of chance than of the rate
+RATE_REQUESTS = (
+    16  # that a function's rate is taken from: fewer tell more of chance than of the rate
+)
 RATE_PERIODS = 8  # or else as many periods: demand of long ago is no demand
 REQUESTS_OF_A_GAP = 2  # at least, before anything is known of the time between them
 RETAINED_GAPS = 6  # mean gaps between requests that a last replica is held for
 RENEWING_DISPATCHERS = 3  # that renew a replica, of all that hold it: one or two may be away
 FULL_ANSWERS_LIMIT = 2  # in a row: from there on a worker has no capacity to count on
 KNOWN_RESPONSES = 3  # of a replica's own, that its latency is taken from; before, the function's is
-SLOW_REPLICA = 1.5  # times the function's own latency: where all are slow, that is no reason to load more
+SLOW_REPLICA = (
+    1.5  # times the function's own latency: where all are slow, that is no reason to load more
+)
 GUESSED_OBJECTIVE_PART = 4  # of the objective: the latency of a function of which nothing is known
 FAIR_SHARE = 0.5  # of a worker's part of all requests: what one replica counts for at most
-SORTED_FUNCTIONS = 1024  # up to which those with most requests are checked first; beyond, the last asked for
+SORTED_FUNCTIONS = (
+    1024  # up to which those with most requests are checked first; beyond, the last asked for
+)
 SLICE_FUNCTIONS = 64  # that are checked at once, so that a check of thousands holds up no request
 SLICE_INTERVAL = MILLISECOND
 KNOWN_PACE_RESPONSES = 4  # that tell a worker's pace: where few come, they are kept for longer
@@ -44,7 +52,11 @@
     """The periodic check of all functions, and the load requests that come of it."""
 
     def __init__(
-        self, state: State, placement: Placement, load_budget: LoadBudget, tenant_shares: TenantShares
+        self,
+        state: State,
+        placement: Placement,
+        load_budget: LoadBudget,
+        tenant_shares: TenantShares,
     ) -> None:
         self.state = state
         self.placement = placement
@@ -79,7 +91,9 @@
         state.traffic.end_period(state.settings, self.last_period_ns)
         self.slow_start.end_period()
         self.tenant_shares.end_period(self.last_period_ns)
-        for worker in [w for w in state.paced_workers if w.latency_ratio.total > KNOWN_PACE_RESPONSES]:
+        for worker in [
+            w for w in state.paced_workers if w.latency_ratio.total > KNOWN_PACE_RESPONSES
+        ]:
             worker.latency_ratio.halve()
         state.paced_workers = {
             w: None for w in state.paced_workers if w.latency_ratio.total > KNOWN_PACE_RESPONSES
@@ -121,7 +135,9 @@
         replicas = function.replicas.values()
         retained = [r for r in replicas if r.is_retained and self.outliers.is_usable(r.worker)]
         capacity = sum(self.capacity(r) for r in retained)  # Rmax
-        capacity = yield from self._add_replicas(function, expected * (1 - chance), retained, capacity)
+        capacity = yield from self._add_replicas(
+            function, expected * (1 - chance), retained, capacity
+        )
         may_release = not function.replicas_added and len(retained) > 1
         if may_release and expected * (1 + chance) < RELEASE_BELOW * capacity:
             self._release_weakest(function, expected, retained, capacity)
@@ -136,7 +152,11 @@
         """Holds more replicas, up to the bound of a period; gives Rmax with them."""
         state, limit = self.state, max(NEW_REPLICAS, len(retained))
         while expected >= ADD_ABOVE * capacity and function.replicas_added < limit:
-            worker = self.placement.choose_worker_for_replica(function) if self.is_worthwhile(function) else None
+            worker = (
+                self.placement.choose_worker_for_replica(function)
+                if self.is_worthwhile(function)
+                else None
+            )
             if worker is None:
                 break
             replica = state.replica(function, worker)
@@ -144,7 +164,8 @@
                 break
             replica.is_retained = True
             if not (
-                replica.is_loaded and replica.last_used_ns + state.settings.keep_alive_ns // 2 > state.now_ns
+                replica.is_loaded
+                and replica.last_used_ns + state.settings.keep_alive_ns // 2 > state.now_ns
             ):
                 yield self.request_load(replica)
             capacity += self.capacity(replica)
@@ -156,8 +177,12 @@
         self, function: Function, expected: float, retained: list[Replica], capacity: float
     ) -> None:
         """Of equals the last of the shared order, so that dispatchers end with the same replicas."""
-        places = {worker: n for n, worker in enumerate(self.placement.candidates(function, len(retained)))}
-        weakest = min(retained, key=lambda r: (self.capacity(r), -places.get(r.worker, len(places))))
+        places = {
+            worker: n for n, worker in enumerate(self.placement.candidates(function, len(retained)))
+        }
+        weakest = min(
+            retained, key=lambda r: (self.capacity(r), -places.get(r.worker, len(places)))
+        )
         if expected <= ADD_ABOVE * (capacity - self.capacity(weakest)):
             weakest.is_retained = False
             retained.remove(weakest)
@@ -169,7 +194,9 @@
             if idle_ns <= state.settings.keep_alive_ns // 2 or replica.load_requested_ns:
                 continue
             if state.random() * state.settings.dispatchers > RENEWING_DISPATCHERS:
-                replica.last_used_ns = state.now_ns  # all hold the same: the renewals are the fleet's
+                replica.last_used_ns = (
+                    state.now_ns
+                )  # all hold the same: the renewals are the fleet's
             elif self.load_budget.allows(replica.worker):
                 yield self.request_load(replica)
             elif idle_ns > state.settings.keep_alive_ns:
@@ -180,7 +207,10 @@
         if function.requests < REQUESTS_OF_A_GAP:
             return False
         gap_ns = (function.last_request_ns - function.first_request_ns) // (function.requests - 1)
-        limit_ns = min(max(self.state.check_period_ns, RETAINED_GAPS * gap_ns), self.worthwhile_idle_ns(function))
+        limit_ns = min(
+            max(self.state.check_period_ns, RETAINED_GAPS * gap_ns),
+            self.worthwhile_idle_ns(function),
+        )
         return self.state.now_ns - function.last_request_ns < limit_ns
 
     def worthwhile_idle_ns(self, function: Function) -> float:
@@ -231,7 +261,9 @@
         if replica.is_loaded and not was_loaded:
             retained = sum(r.is_retained for r in replica.function.replicas.values())
             if self.state.random() * retained < 1:
-                replica.function.home = replica.worker  # else all that hold the same stick to the first
+                replica.function.home = (
+                    replica.worker
+                )  # else all that hold the same stick to the first
         if result in ANSWERED:
             self.outliers.record_word(load.worker)
         if not replica.is_loaded:
--- a/martenlead/policy/results.py
+++ b/martenlead/policy/results.py
@@ -87,4 +87,6 @@
             function.home = None  # of many dispatchers, each moves on by what it meets itself
         for histogram in (replica.latency, function.latency, state.latencies.all_functions):
             histogram.add(latency_ns)
-        self.concurrency.record_latency(worker, latency_ns, request.request_class.latency_objective_ns)
+        self.concurrency.record_latency(
+            worker, latency_ns, request.request_class.latency_objective_ns
+        )
--- a/martenlead/policy/slow_start.py
+++ b/martenlead/policy/slow_start.py
@@ -13,8 +13,12 @@
 from martenlead.policy.state import PEAK_RATE_KEPT, State, Worker
 from martenlead.policy.types import WorkerState
 
-UNKNOWN_RATE_PER_SECOND = 0.5  # of all dispatchers, at a worker: three in its window are always allowed
-LEAST_CAPACITY = 0.48  # of what its weight says: it may do half, and the sum over many dispatchers is chance
+UNKNOWN_RATE_PER_SECOND = (
+    0.5  # of all dispatchers, at a worker: three in its window are always allowed
+)
+LEAST_CAPACITY = (
+    0.48  # of what its weight says: it may do half, and the sum over many dispatchers is chance
+)
 
 
 class SlowStart:
@@ -60,7 +64,9 @@
         if not self.is_warming_up(worker):
             return 1.0
         settings = self.state.settings
-        age_ns = max(0, self.state.now_ns - worker.facts.started_ns)  # clocks of workers may be ahead
+        age_ns = max(
+            0, self.state.now_ns - worker.facts.started_ns
+        )  # clocks of workers may be ahead
         return settings.slow_start_share + self._growth_per_ns() * age_ns
 
     def _growth_per_ns(self) -> float:
--- a/martenlead/policy/state.py
+++ b/martenlead/policy/state.py
@@ -18,11 +18,17 @@
 from martenlead.policy.types import FunctionFacts, RequestClass, Settings, WorkerFacts, WorkerState
 
 LONG_AGO = -1 << 62  # before any time of a clock
-FIRST_CONCURRENCY = 16.0  # attempts at one worker, of all dispatchers together, until its responses tell more
+FIRST_CONCURRENCY = (
+    16.0  # attempts at one worker, of all dispatchers together, until its responses tell more
+)
 FIRST_RETRY_BUDGET = 1.0  # one retry may go to a worker that has not responded yet
-FUNCTION_REPLICAS_KEPT = 64  # beyond, replicas out of use are forgotten: workers come and go without end
+FUNCTION_REPLICAS_KEPT = (
+    64  # beyond, replicas out of use are forgotten: workers come and go without end
+)
 FADED_REQUESTS = 0.01  # in what a function's rate is taken from; below, the function is forgotten
-RENEWALS_A_KEEP_ALIVE = 4  # periodic checks within a keep-alive: a renewal may fail and be tried again
+RENEWALS_A_KEEP_ALIVE = (
+    4  # periodic checks within a keep-alive: a renewal may fail and be tried again
+)
 PEAK_RATE_KEPT = 0.99  # a period: the best rate has to outlast a release, in which less succeeds
 SHARE_PERIODS = 8  # of a mean: an overload of seconds shows in it, the noise of one period does not
 SHARE_REQUESTS = 16  # of fewer the best share of the last periods is mostly chance
@@ -66,10 +72,14 @@
         self.last_response_ns = now_ns
         self.limit_cut_ns = 0
         self.overdue_since_ns = 0  # a response is awaited at least since then
-        self.next_attempt_ns = 0  # no attempt before: a warming worker's share, or a limit below one
+        self.next_attempt_ns = (
+            0  # no attempt before: a warming worker's share, or a limit below one
+        )
         self.ramp_start_ns = 0  # the start of the process that `next_attempt_ns` was drawn for
         self.ramp_rate_per_second = 0.0  # once it is warm, that `next_attempt_ns` was set by
-        self.latency_ratio = LatencyHistogram()  # of USUAL_RATIO: a response that took as long as usual
+        self.latency_ratio = (
+            LatencyHistogram()
+        )  # of USUAL_RATIO: a response that took as long as usual
 
 
 class Function:
@@ -85,7 +95,10 @@
         self.last_request_ns = 0
         self.requests = 0
         self.second_start_ns = now_ns
-        self.new_requests = [0, 0]  # of this second and of this period; neither repeats nor over a share
+        self.new_requests = [
+            0,
+            0,
+        ]  # of this second and of this period; neither repeats nor over a share
         self.rated_requests = 0.0  # what the rate is taken from: as many within `rated_span_ns`
         self.rated_span_ns = 0
         self.mean_cost = 0.0  # of the hints that came with requests
@@ -100,7 +113,9 @@
         self.succeeded_per_second = 0.0
         self.peak_succeeded_per_second = 0.0
         self.new_requests_per_second = 0.0  # neither repeats nor over a tenant's share
-        self.equivalent_dispatchers: float = dispatchers  # how many like this one carry all requests
+        self.equivalent_dispatchers: float = (
+            dispatchers  # how many like this one carry all requests
+        )
         self.succeeded_in_period = 0
         self.new_requests_in_period = 0
         self.recent_new_requests = 0.0  # of about the last SHARE_PERIODS
@@ -115,7 +130,11 @@
         self.succeeded_per_second = (before + succeeded) / 2 if before else succeeded
         peak = PEAK_RATE_KEPT * self.peak_succeeded_per_second
         self.peak_succeeded_per_second = max(self.succeeded_per_second, peak)
-        new, self.new_requests_in_period, self.succeeded_in_period = self.new_requests_in_period, 0, 0
+        new, self.new_requests_in_period, self.succeeded_in_period = (
+            self.new_requests_in_period,
+            0,
+            0,
+        )
         per_second, before = new * SECOND / period_ns, self.new_requests_per_second
         self.new_requests_per_second = (before + per_second) / 2 if before else per_second
         # one that carries far more than its part must not take itself for the mean of many
@@ -128,7 +147,9 @@
 
         Of few requests the present share counts, as the best of them is chance.
         """
-        self.recent_new_requests += self.new_requests_in_period - self.recent_new_requests / SHARE_PERIODS
+        self.recent_new_requests += (
+            self.new_requests_in_period - self.recent_new_requests / SHARE_PERIODS
+        )
         self.recent_succeeded += self.succeeded_in_period - self.recent_succeeded / SHARE_PERIODS
         requests = max(self.recent_new_requests, 1.0)
         share = min(1.0, self.recent_succeeded / requests)
@@ -145,19 +166,25 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
-        self.random = Random(seed).random  # in [0, 1); the order of its draws is part of every decision
+        self.random = Random(
+            seed
+        ).random  # in [0, 1); the order of its draws is part of every decision
         self.now_ns = 0
         self.index = CandidateIndex()
         self.workers: list[Worker] = self.index.workers
         self.highest_weight = 0.0  # of all workers together, the most that took requests lately
-        self.limited_workers: dict[Worker, None] = {}  # listed, and draining or started a short time ago
+        self.limited_workers: dict[
+            Worker, None
+        ] = {}  # listed, and draining or started a short time ago
         self.functions: dict[Function, None] = {}  # the last asked for stands last
         self.paced_workers: dict[Worker, None] = {}  # that responded lately
         self.latencies = LatencyEstimates(settings)
         self.traffic = Traffic(settings.dispatchers)
         self.warm_in_flight = 0  # at all workers
         self.check_period_ns = max(SECOND, settings.keep_alive_ns // RENEWALS_A_KEEP_ALIVE)
-        objectives = (request_class.latency_objective_ns for request_class in settings.request_classes)
+        objectives = (
+            request_class.latency_objective_ns for request_class in settings.request_classes
+        )
         self.shortest_objective_ns = min(objectives, default=SECOND)
 
     # -- workers
@@ -242,7 +269,11 @@
 
     def forget_unused(self, function: Function) -> None:
         """Workers that are gone and functions that nobody asks for come without end."""
-        used = {w for w, r in function.replicas.items() if r.is_retained or r.is_in_use or self.is_warm(r)}
+        used = {
+            w
+            for w, r in function.replicas.items()
+            if r.is_retained or r.is_in_use or self.is_warm(r)
+        }
         for worker in [w for w in function.replicas if w not in used]:
             if not worker.is_listed or len(function.replicas) > FUNCTION_REPLICAS_KEPT:
                 del function.replicas[worker], worker.replicas[function]
@@ -263,4 +294,6 @@
 
     def is_warm(self, replica: Replica) -> bool:
         """An idle replica may lapse once its keep-alive has passed: belief in it ends there too."""
-        return replica.is_loaded and self.now_ns < replica.last_used_ns + self.settings.keep_alive_ns
+        return (
+            replica.is_loaded and self.now_ns < replica.last_used_ns + self.settings.keep_alive_ns
+        )
--- a/martenlead/policy/types.py
+++ b/martenlead/policy/types.py
@@ -51,7 +51,9 @@
     FUNCTION_MISSING = "missing"
 
 
-NEVER_RAN = frozenset({Result.AT_CAPACITY, Result.UNREACHABLE, Result.NOT_SENT, Result.FUNCTION_MISSING})
+NEVER_RAN = frozenset(
+    {Result.AT_CAPACITY, Result.UNREACHABLE, Result.NOT_SENT, Result.FUNCTION_MISSING}
+)
 
 
 class Warmth(Enum):
--- a/martenlead/standins/client.py
+++ b/martenlead/standins/client.py
@@ -12,7 +12,7 @@
 
 from martenlead.events import http
 from martenlead.events.client import Pool
-from martenlead.events.cloudevent import Event, write, write_json
+from martenlead.events.cloudevent import Event, encode_event, encode_json_event
 from martenlead.standins.demand import Call, Demand
 from martenlead.standins.life import epoch, for_seconds, on_cue, ready, until
 from martenlead.standins.record import Recorder
@@ -27,7 +27,10 @@
     def __init__(self, settings: Clients) -> None:
         self.settings = settings
         self.record = Recorder(settings.record)
-        self.pools = [Pool(e.host, e.port, most=8192, idle=20_000_000_000) for e in settings.edges]
+        self.pools = [
+            Pool(e.host, e.port, connection_limit=8192, idle_timeout_ns=20_000_000_000)
+            for e in settings.edges
+        ]
         self.demand = Demand(settings, len(self.pools), monotonic_ns)
 
     async def arrivals(self, begin: int, group: anyio.abc.TaskGroup) -> None:
@@ -88,9 +91,9 @@
         if call.appointment:
             event.attributes["appointment"] = call.appointment
         if told.structured:
-            headers, body = [(b"content-type", b"application/cloudevents+json")], write_json(event)
+            headers, body = [(b"content-type", b"application/cloudevents+json")], encode_json_event(event)
         else:
-            headers, body = write(event)
+            headers, body = encode_event(event)
         pool = self.pools[at]
         about: dict[str, Any] = {"try": name, "id": str(call.number), "edge": at}
         self.record(
@@ -106,10 +109,10 @@
         )
         slack = 0 if leaves < give_up else settings.slack_ms / 1000
         exchange = None
-        strays = pool.strays
+        strays = pool.stray_responses
         with anyio.move_on_after(max(0.0, leaves - monotonic_ns()) / 1e9 + slack):
             exchange = await pool.exchange(http.request(b"POST", b"/", b"edge", headers, body))
-        if pool.strays > strays:
+        if pool.stray_responses > strays:
             self.record("stray", edge=at)
         if exchange is None:
             self.record("left" if leaves < give_up else "no answer", **about)
@@ -145,9 +148,9 @@
             await self.arrivals(begin, group)
         strays = 0
         for pool in self.pools:
-            before = pool.strays
+            before = pool.stray_responses
             await pool.close()
-            strays += pool.strays - before
+            strays += pool.stray_responses - before
         if strays:
             self.record("stray", edge=-1)
         self.record("over")
--- a/martenlead/standins/life.py
+++ b/martenlead/standins/life.py
@@ -57,7 +57,7 @@
 def server(handler: Callable[[Message, int], Awaitable[Reply]], connections: int = 4096) -> Server:
     return Server(
         handler,
-        ServerLimits(connections=connections),
-        bad=lambda status, detail: plain(status, detail),
-        crashed=lambda error: plain(500, repr(error)),
+        ServerLimits(max_connections=connections),
+        make_error_reply=lambda status, detail: plain(status, detail),
+        make_fault_reply=lambda error: plain(500, repr(error)),
     )
--- a/martenlead/standins/runner.py
+++ b/martenlead/standins/runner.py
@@ -17,7 +17,7 @@
 
 from martenlead.events import http
 from martenlead.events.client import Pool
-from martenlead.events.cloudevent import BadEvent, Event, read, write
+from martenlead.events.cloudevent import Event, InvalidEventError, decode_event, encode_event
 from martenlead.events.http import Message
 from martenlead.events.server import Reply, Server, listen
 from martenlead.standins.life import epoch, for_seconds, on_cue, plain, ready, server
@@ -106,8 +106,8 @@
         if message.method != b"POST" or message.target != b"/":
             return plain(404)
         try:
-            event = read(message.headers, message.body)
-        except BadEvent as error:
+            event = decode_event(message.headers, message.body)
+        except InvalidEventError as error:
             return plain(400, str(error))
         return await self.task(edge, event)
 
@@ -165,7 +165,7 @@
             return self.never(503, "draining", about)
         marks = self.host.marks(self.part, offering)
         if marks is not None:
-            known = marks.find(event.mark, int(offering.window_ms * 1e6))
+            known = marks.find(event.identity, int(offering.window_ms * 1e6))
             if known is not None:
                 await known.wait()
                 self.record("repeat", **about)
@@ -218,7 +218,7 @@
         self, copies: Copies, event: Event, offering: OfferingPart, about: dict[str, Any], done: anyio.Event
     ) -> None:
         marks = self.host.marks(self.part, offering)
-        known = marks.begin(event.mark) if marks is not None else None
+        known = marks.begin(event.identity) if marks is not None else None
         life = self.life
         self.record("ran", id=event.text("id"), **about)
         asked = float(event.text("costms") or offering.work_ms)
@@ -244,7 +244,7 @@
         for name in ("traceparent", "tracestate"):
             if name in event.attributes:
                 result.attributes[name] = event.attributes[name]
-        headers, body = write(result)
+        headers, body = encode_event(result)
         reply = self.told(Reply(200, headers, body), copy)
         if self.chance.random() < self.garbage:
             reply.headers.append((b"content-length", b"nonsense"))
@@ -429,10 +429,12 @@
         self.settings = settings
         self.record = Recorder(settings.record)
         self.offerings = {o.name: o for o in settings.offerings}
-        self.vault = Pool(settings.vault.host, settings.vault.port, most=4096) if settings.vault else None
-        limits = http.Limits(body=1 << 28)
+        self.vault = (
+            Pool(settings.vault.host, settings.vault.port, connection_limit=4096) if settings.vault else None
+        )
+        limits = http.MessageLimits(body_bytes=1 << 28)
         depot = settings.depot
-        self.depot = Pool(depot.host, depot.port, most=4096, limits=limits) if depot else None
+        self.depot = Pool(depot.host, depot.port, connection_limit=4096, limits=limits) if depot else None
         self._agents: dict[str, Pool] = {}
         self.runners = {part.name: Runner(part, self) for part in settings.runners}
         self._marks: dict[Any, Marks] = {}
@@ -443,7 +445,7 @@
         """The agent on a runner's box."""
         assert part.agent is not None
         if part.name not in self._agents:
-            self._agents[part.name] = Pool(part.agent.host, part.agent.port, most=256)
+            self._agents[part.name] = Pool(part.agent.host, part.agent.port, connection_limit=256)
         return self._agents[part.name]
 
     def way(self) -> str:
--- a/martenlead/runnerlink/follow.py
+++ b/martenlead/upstream/endpoint_watch.py
@@ -10,14 +10,20 @@
 import msgspec
 
 from martenlead.events import http
-from martenlead.events.client import lines
-from martenlead.runnerlink import roster
+from martenlead.events.client import read_lines
+from martenlead.upstream import endpoints
 
-LONGEST = 16 * 1024 * 1024
-GONE = (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
+MAX_LINE_BYTES = 16 * 1024 * 1024
+STREAM_ERRORS = (
+    OSError,
+    TimeoutError,
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)
 
 
-class Link(Protocol):
+class WatchSettings(Protocol):
     """Where the roster is. Times are ms: `quiet_ms` without a byte breaks the stream, `retry_ms` is the first
     wait before it is asked for again; waits double up to twenty of it."""
 
@@ -31,15 +37,15 @@
     def retry_ms(self) -> float: ...
 
 
-async def follow(
-    link: Link,
+async def watch_endpoints(
+    link: WatchSettings,
     agent: bytes,
-    known: roster.List,
+    known: endpoints.EndpointList,
     *,
-    told: Callable[[roster.News], None],
-    lost: Callable[[str], None],
-    fault: Callable[[Exception], None],
-    pick: Callable[[], float],
+    on_update: Callable[[endpoints.EndpointUpdate], None],
+    on_lost: Callable[[str], None],
+    on_error: Callable[[Exception], None],
+    random: Callable[[], float],
 ) -> None:
     """Never returns. `told` hears of each change in order, after `known` has it; `lost` of each break, and
     why; `fault` of an error in `told`, which makes the whole list be asked for. `pick` draws from [0, 1)."""
@@ -49,25 +55,29 @@
         ask = http.request(b"GET", b"/roster?after=%d" % known.version, host, [(b"user-agent", agent)])
         try:
             quiet = link.quiet_ms / 1000
-            async with aclosing(lines(link.host, link.port, ask, quiet=quiet, longest=LONGEST)) as stream:
+            async with aclosing(
+                read_lines(
+                    link.host, link.port, ask, silence_timeout_seconds=quiet, max_line_bytes=MAX_LINE_BYTES
+                )
+            ) as stream:
                 async for line in stream:
-                    news = roster.decode(line)
-                    if known.told(news):
-                        told(news)
+                    news = endpoints.decode_update(line)
+                    if known.apply(news):
+                        on_update(news)
                     wait = link.retry_ms / 1000
             why = "the stream ended"
-        except roster.Gap as gap:
+        except endpoints.MissingVersionError as gap:
             why = str(gap)
             known.version = 0
-        except GONE as error:
+        except STREAM_ERRORS as error:
             why = f"{type(error).__name__} {error}".strip()
-        except (http.BadMessage, msgspec.DecodeError) as error:
+        except (http.InvalidMessageError, msgspec.DecodeError) as error:
             why = str(error)
             known.version = 0
         except Exception as error:  # a line that makes no sense must not end the program
             why = "a fault of ours"
-            fault(error)
+            on_error(error)
             known.version = 0
-        lost(why)
-        await anyio.sleep(wait * (0.5 + pick()))
+        on_lost(why)
+        await anyio.sleep(wait * (0.5 + random()))
         wait = min(2 * wait, link.retry_ms / 50)
--- a/martenlead/runnerlink/heard.py
+++ b/martenlead/upstream/outcome.py
@@ -9,15 +9,15 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class UpstreamOutcome:
     """The result, the copy that a task met, and whether the runner says that it drains. `content` is the
     answer as the door that asked writes it on; `copies` stand after an order."""
 
     result: Result
     warmth: Warmth = Warmth.UNKNOWN
-    drains: bool = False
-    content: Any = None
-    why: str = ""
-    failure: str = ""  # of a load
-    copies: int = 0
-    report: dict[str, float] = field(default_factory=dict)
+    is_draining: bool = False
+    response: Any = None
+    reason: str = ""
+    load_failure: str = ""  # of a load
+    replicas: int = 0
+    load_report: dict[str, float] = field(default_factory=dict)
--- a/support/attempt_hooks.py
+++ b/support/attempt_hooks.py
@@ -8,14 +8,14 @@
 
 def before_attempt(link: Any, which: int, act: Callable[[], None]) -> None:
     """Calls `act` as the attempt of that place, from 0, has been decided and has not left."""
-    real = link.hand_off
+    real = link.send_attempt
     attempts = 0
 
-    def hand_off(attempt: Any) -> None:
+    def send_attempt(attempt: Any) -> None:
         nonlocal attempts
         if attempts == which:
             act()
         attempts += 1
         real(attempt)
 
-    link.hand_off = hand_off
+    link.send_attempt = send_attempt
--- a/support/crowd.py
+++ b/support/crowd.py
@@ -8,7 +8,15 @@
 from random import Random
 from typing import Any
 
-from martenlead.admission.gate import MS, SECOND, End, Gate, Limits, State, Ticket
+from martenlead.admission.controller import (
+    MS,
+    SECOND,
+    AdmissionController,
+    AdmissionLimits,
+    QueuedRequest,
+    QueueState,
+    ServiceResult,
+)
 
 
 @dataclass
@@ -41,9 +49,9 @@
         self.chance = Random(seed)
         self.places: dict[str, int] = defaultdict(lambda: places)
         self.busy: Counter[str] = Counter()
-        told = Limits(**limits)
+        told = AdmissionLimits(**limits)
         self.gates = [
-            Gate(told, lambda: self.now, Random(seed * 1000 + n), self._room)
+            AdmissionController(told, lambda: self.now, Random(seed * 1000 + n), self._room)
             for n in range(doors if queues else 0)
         ]
         self.gate = self.gates[0] if queues else None
@@ -54,7 +62,7 @@
         self.work_in_time: Counter[str] = Counter()
         self.ends: Counter[str] = Counter()
         self.told = self.came = self.met = 0
-        self.about: dict[int, tuple[Ticket, Any]] = {}
+        self.about: dict[int, tuple[QueuedRequest, Any]] = {}
         self.sat_on = 0  # the longest that a task waited and was turned back then, ns
         self.series: Counter[int] = Counter()
         for customer in customers:
@@ -62,14 +70,14 @@
         self.customers = customers
         self._sweeps()
 
-    def _room(self, ticket: Ticket) -> bool:
-        return self.busy[ticket.model] < self.places[ticket.model]
+    def _room(self, ticket: QueuedRequest) -> bool:
+        return self.busy[ticket.function] < self.places[ticket.function]
 
     def _sweeps(self) -> None:
         """Room that comes with time alone: the door looks for it now and then."""
         if self.gates:
             for gate in self.gates:
-                self._changed(gate.sweep())
+                self._changed(gate.admit_waiting())
             self.at(self.now + 10 * MS, self._sweeps)
 
     def at(self, when: int, what: Any) -> None:
@@ -96,7 +104,7 @@
         client = "flood" if flood else f"c{self.chance.randrange(customer.clients)}"
         self._tries(customer, client, self._marks, 1, False, self._door())
 
-    def _door(self) -> Gate | None:
+    def _door(self) -> AdmissionController | None:
         """The first has half again as much as the last, and who is the first moves on every ten seconds."""
         if not self.gates:
             return None
@@ -105,63 +113,69 @@
         return self.gates[(at + self.now // (10 * SECOND) * (count // 3 + 1)) % count]
 
     def _tries(
-        self, customer: Customer, client: str, mark: int, tries: int, appointed: bool, gate: Gate | None
+        self,
+        customer: Customer,
+        client: str,
+        mark: int,
+        tries: int,
+        appointed: bool,
+        gate: AdmissionController | None,
     ) -> None:
         came = self.now
         soft = came + int(customer.soft * SECOND)
         self.came += appointed
         if gate is None:
-            ticket = Ticket(
+            ticket = QueuedRequest(
                 customer.model, "o", customer.name, 0, mark, customer.work, 100, came, soft, soft, False
             )
-            ticket.state = State.INSIDE
+            ticket.state = QueueState.ADMITTED
         else:
             give_up = came + int(4 * customer.soft * SECOND)
-            ticket = gate.arrive(
+            ticket = gate.submit(
                 customer.model, "o", customer.name, client, mark, customer.work, 100, soft, give_up, tries > 1
             )
         about = customer, client, mark, tries, came, appointed, gate
-        if ticket.state is State.INSIDE:
+        if ticket.state is QueueState.ADMITTED:
             self._inside(ticket, about)
-        elif ticket.state is State.BACK:
-            self._back(ticket.wait, about)
+        elif ticket.state is QueueState.REJECTED:
+            self._back(ticket.retry_after_ns, about)
         else:
             self._waiting(ticket, about)
 
-    def _waiting(self, ticket: Ticket, about: Any) -> None:
+    def _waiting(self, ticket: QueuedRequest, about: Any) -> None:
         self.about[id(ticket)] = ticket, about
 
         def late() -> None:
-            if ticket.state is State.WAITS:
+            if ticket.state is QueueState.QUEUED:
                 about[6].expire(ticket)
                 self._changed([ticket])
 
-        self.at(ticket.until, late)
+        self.at(ticket.start_by_ns, late)
 
-    def _changed(self, tickets: list[Ticket]) -> None:
+    def _changed(self, tickets: list[QueuedRequest]) -> None:
         for ticket in tickets:
             _, about = self.about.pop(id(ticket))
-            if ticket.state is State.INSIDE:
+            if ticket.state is QueueState.ADMITTED:
                 self._inside(ticket, about)
             else:
                 self.sat_on = max(self.sat_on, self.now - about[4])
-                self._back(ticket.wait, about)
+                self._back(ticket.retry_after_ns, about)
 
-    def _inside(self, ticket: Ticket, about: Any) -> None:
+    def _inside(self, ticket: QueuedRequest, about: Any) -> None:
         customer = about[0]
         model = customer.model
         if self.busy[model] >= self.places[model]:
-            self._over(ticket, End.NO_ROOM, about[6])
-            self._back(ticket.wait if about[6] else int(500 * MS), about)
+            self._over(ticket, ServiceResult.NO_CAPACITY, about[6])
+            self._back(ticket.retry_after_ns if about[6] else int(500 * MS), about)
             return
         self.busy[model] += 1
         gate = about[6]
         if gate is not None:
-            self.at(self.now, lambda: self._changed(gate.begun(ticket)))
+            self.at(self.now, lambda: self._changed(gate.confirm_admission(ticket)))
         took = int(customer.work * self.chance.uniform(0.7, 1.3) * SECOND)
         self.at(self.now + took, lambda: self._done(ticket, about))
 
-    def _done(self, ticket: Ticket, about: Any) -> None:
+    def _done(self, ticket: QueuedRequest, about: Any) -> None:
         customer, _, _, _, came, appointed, gate = about
         self.busy[customer.model] -= 1
         good = self.now <= came + customer.soft * SECOND
@@ -171,11 +185,11 @@
             self.series[self.now // SECOND] += 1
         self.met += appointed and good
         self.ends["satisfied" if good else "late"] += 1
-        self._over(ticket, End.SATISFIED, gate)
+        self._over(ticket, ServiceResult.SUCCEEDED, gate)
 
-    def _over(self, ticket: Ticket, end: End, gate: Gate | None) -> None:
+    def _over(self, ticket: QueuedRequest, end: ServiceResult, gate: AdmissionController | None) -> None:
         if gate is not None:
-            self._changed(gate.ended(ticket, end))
+            self._changed(gate.complete(ticket, end))
 
     def _back(self, wait: int, about: Any) -> None:
         customer, client, mark, tries, _, _, gate = about
@@ -192,4 +206,4 @@
         return self.in_time[name] / max(1, self.asked[name])
 
 
-__all__ = ["MS", "Crowd", "Customer", "End"]
+__all__ = ["MS", "Crowd", "Customer", "ServiceResult"]
--- a/support/fleet.py
+++ b/support/fleet.py
@@ -12,16 +12,16 @@
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-from martenlead.config.edge import Edge, check
+from martenlead.config.edge import EdgeSettings, check_edge_settings
 from martenlead.config.load import decode
-from martenlead.edge import httplink
-from martenlead.edge.border import Tape
+from martenlead.edge import http_upstream as httplink
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.edge.door import Door
+from martenlead.edge.listener import EventListener
+from martenlead.edge.policy_boundary import Recorder
 from martenlead.events import http
 from martenlead.events.client import Exchange, Pool
-from martenlead.events.cloudevent import Event, Value, write
-from martenlead.events.http import BadMessage, Limits, Message, Reader
+from martenlead.events.cloudevent import AttributeValue, Event, encode_event
+from martenlead.events.http import InvalidMessageError, Message, MessageLimits, Reader
 from martenlead.events.server import Reply, Server, ServerLimits, listen
 
 Part = Callable[["Runner", SocketStream, Message], Awaitable[None]]
@@ -42,7 +42,7 @@
 
 async def satisfied(_runner: Runner, stream: SocketStream, _message: Message) -> None:
     event = Event({"specversion": "1.0", "id": "r", "source": "/r", "type": "t"}, b"{}", "application/json")
-    headers, body = write(event)
+    headers, body = encode_event(event)
     await stream.send(http.response(200, [*headers, (b"martenlead-copy", b"warm")], body))
 
 
@@ -111,13 +111,18 @@
             )
             await anyio.aclose_forcefully(stream)
             return
-        reader = Reader(Limits(), requests=True)
+        reader = Reader(MessageLimits(), requests=True)
         async with stream:
             try:
                 while True:
                     for message in reader.feed(await stream.receive()):
                         await self.play(stream, message)
-            except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, BadMessage):
+            except (
+                anyio.EndOfStream,
+                anyio.BrokenResourceError,
+                anyio.ClosedResourceError,
+                InvalidMessageError,
+            ):
                 return
 
     async def play(self, stream: SocketStream, message: Message) -> None:
@@ -142,9 +147,9 @@
         self.version = 1
         self.states = dict.fromkeys(self.runners, "up")
         self._news: list[Any] = []
-        self.edge: Edge
+        self.edge: EdgeSettings
         self.dispatcher: Dispatcher
-        self.door: Door
+        self.door: EventListener
         self.port = 0
         self.roster_port = 0
         self.group: Any = None
@@ -187,7 +192,7 @@
         return Reply(200, [], lines())
 
     async def call(
-        self, kind: str = "estimate", *, left: float | None = 1500, ident: str = "", **more: Value
+        self, kind: str = "estimate", *, left: float | None = 1500, ident: str = "", **more: AttributeValue
     ) -> tuple[int, dict[str, Any]]:
         """One task; the status and the answer's JSON."""
         exchange = await self.exchange(kind, left=left, ident=ident, **more)
@@ -195,10 +200,10 @@
         return exchange.message.status, json.loads(exchange.message.body or b"{}")
 
     async def exchange(
-        self, kind: str = "estimate", *, left: float | None = 1500, ident: str = "", **more: Value
+        self, kind: str = "estimate", *, left: float | None = 1500, ident: str = "", **more: AttributeValue
     ) -> Exchange:
         self.count += 1
-        attributes: dict[str, Value] = {
+        attributes: dict[str, AttributeValue] = {
             "specversion": "1.0",
             "id": ident or f"t{self.count}",
             "source": "/c",
@@ -207,7 +212,7 @@
         }
         if left is not None:
             attributes["timeleftms"] = int(left)
-        headers, body = write(Event({**attributes, **more}, b"{}", "application/json"))
+        headers, body = encode_event(Event({**attributes, **more}, b"{}", "application/json"))
         with anyio.fail_after(10):
             return await self.pool.exchange(http.request(b"POST", b"/", b"edge", headers, body))
 
@@ -229,7 +234,7 @@
 async def fleet(
     parts: dict[str, list[Part]] | None = None,
     zones: dict[str, str] | None = None,
-    tape: Tape | None = None,
+    tape: Recorder | None = None,
     **settings: Any,
 ) -> AsyncIterator[Fleet]:
     f = Fleet(parts or {"a": [satisfied], "b": [satisfied]}, zones or {})
@@ -241,7 +246,10 @@
             await anyio.sleep(0.001)
         listener, f.roster_port = await listen("127.0.0.1", 0)
         stub = Server(
-            f.roster, ServerLimits(), bad=lambda s, d: Reply(s, []), crashed=lambda e: Reply(500, [])
+            f.roster,
+            ServerLimits(),
+            make_error_reply=lambda s, d: Reply(s, []),
+            make_fault_reply=lambda e: Reply(500, []),
         )
         f.roster_scope = anyio.CancelScope()
 
@@ -253,14 +261,14 @@
 
         group.start_soon(serve_roster)
         config = {"seed": 5, "roster": {"port": f.roster_port}, "offerings": OFFERINGS, **settings}
-        f.edge = check(decode(config, Edge, "test"), "test")
+        f.edge = check_edge_settings(decode(config, EdgeSettings, "test"), "test")
         f.dispatcher = httplink.dispatcher(f.edge, tape=tape)
-        f.door = Door(f.dispatcher, f.edge)
+        f.door = EventListener(f.dispatcher, f.edge)
         group.start_soon(f.dispatcher.run)
         door, f.port = await listen("127.0.0.1", 0)
         group.start_soon(f.door.server.serve, door)
-        f.pool = Pool("127.0.0.1", f.port, most=5000, connect=10_000_000_000)
+        f.pool = Pool("127.0.0.1", f.port, connection_limit=5000, connect_timeout_ns=10_000_000_000)
         with anyio.fail_after(5):
-            await f.dispatcher.listed.wait()
+            await f.dispatcher.snapshot_received.wait()
         yield f
         group.cancel_scope.cancel()
--- a/support/planned.py
+++ b/support/planned.py
@@ -8,11 +8,11 @@
 
 import anyio
 
-from martenlead.config.edge import Edge
+from martenlead.config.edge import EdgeSettings
 from martenlead.config.load import decode
 from martenlead.events.server import listen
-from martenlead.planner.edgeside import EdgeSide
-from martenlead.planner.serve import Planner, PlannerSettings
+from martenlead.planner.planner_client import PlannerClient
+from martenlead.planner.server import Planner, PlannerSettings
 from support.fleet import OFFERINGS, Fleet, fleet
 
 RATION = {"ration": {"window_ms": 5000, "free": 20, "share": 0.5}}
@@ -26,7 +26,9 @@
 
 
 @asynccontextmanager
-async def planned(ports: list[int], name: str = "edge", **link: Any) -> AsyncIterator[tuple[Fleet, EdgeSide]]:
+async def planned(
+    ports: list[int], name: str = "edge", **link: Any
+) -> AsyncIterator[tuple[Fleet, PlannerClient]]:
     """A fleet whose edge is planned for at these ports."""
     told = {
         "name": name,
@@ -36,10 +38,10 @@
         "models": RATION,
         "planner": {"at": [{"port": p} for p in ports], "lease_ms": 400, "retry_ms": 20, **link},
     }
-    edge = decode(told, Edge, "test")
+    edge = decode(told, EdgeSettings, "test")
     assert edge.planner is not None
-    side = EdgeSide(edge, edge.planner)
-    async with fleet(tape=side.tape, models=RATION, name=name) as f, anyio.create_task_group() as group:  # type: ignore[arg-type]
+    side = PlannerClient(edge, edge.planner)
+    async with fleet(tape=side.recorder, models=RATION, name=name) as f, anyio.create_task_group() as group:  # type: ignore[arg-type]
         group.start_soon(side.run, f.dispatcher)
         yield f, side
         group.cancel_scope.cancel()
--- a/tests/test_answer_before_close.py
+++ b/tests/test_answer_before_close.py
@@ -14,8 +14,8 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from martenlead.node import rpc
-from martenlead.node.door import ERRORS, Client, Door
+from martenlead.node import client_protocol as rpc
+from martenlead.node.client_connection import ERRORS_PER_CONNECTION, ClientConnection, RpcListener
 from support.fleet import until
 from tests.nodes import Caller, Play, after, done, message, play, silent, word
 
@@ -47,12 +47,12 @@
     return sorted(told, key=lambda pair: pair[0] or 0)
 
 
-async def connected(p: Play) -> tuple[Caller, Client]:
+async def connected(p: Play) -> tuple[Caller, ClientConnection]:
     """A client, and the node's side of its connection."""
-    before = set(p.node.door.clients)
+    before = set(p.node.listener.clients)
     client = await p.client()
-    await until(lambda: set(p.node.door.clients) - before)
-    (own,) = set(p.node.door.clients) - before
+    await until(lambda: set(p.node.listener.clients) - before)
+    (own,) = set(p.node.listener.clients) - before
     return client, own
 
 
@@ -80,7 +80,7 @@
     async with play(tmp_path, {"a": [after(WORK, done)]}) as p:
         client, own = await connected(p)
         await client.send(client.task() + NO_JSON + client.task())
-        await until(lambda: own.finishing)
+        await until(lambda: own.finishing_since_ns)
         await client.ask()
         assert await answers(client) == [
             (None, "error -32700"),
@@ -101,7 +101,7 @@
             client.stream.extra(SocketAttribute.raw_socket).fileno(), client.task()
         )  # without a turn of the loop
         own.data_received(NO_JSON)
-        assert not own.over and own.finishing  # what is unread is read first
+        assert not own.is_closed and own.finishing_since_ns  # what is unread is read first
         assert await answers(client) == [(None, "error -32700"), (2, "turned back")]
 
 
@@ -110,29 +110,29 @@
         client = await p.client()
         await client.ask()
         await until(p.did)
-        for _ in range(ERRORS + 1):
+        for _ in range(ERRORS_PER_CONNECTION + 1):
             await client.ask(UNKNOWN_METHOD)
         await client.ask()
         told = await answers(client)
-        bad = [(number, "error -32601") for number in range(2, ERRORS + 3)]
-        assert told == [(1, "satisfied"), *bad, (ERRORS + 3, "turned back")]
+        bad = [(number, "error -32601") for number in range(2, ERRORS_PER_CONNECTION + 3)]
+        assert told == [(1, "satisfied"), *bad, (ERRORS_PER_CONNECTION + 3, "turned back")]
 
 
 async def test_a_client_that_reads_late_has_all_its_answers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It reads nothing for longer than a client that has left, and asks for more than the bound meanwhile."""
-    monkeypatch.setattr("martenlead.node.door.SLOW", 100_000_000)
+    monkeypatch.setattr("martenlead.node.client_connection.STALLED_CLIENT_TIMEOUT_NS", 100_000_000)
     async with play(tmp_path, {"a": [after(1200, done)]}) as p:
         client, own = await connected(p)
         await client.ask()
         await until(p.did)
         filler = b" " * 8_000_000  # more than the machine's buffers hold
         own.write(filler)
-        await until(lambda: own.stuck)
-        for _ in range(ERRORS + 5):
+        await until(lambda: own.write_blocked_since_ns)
+        for _ in range(ERRORS_PER_CONNECTION + 5):
             await client.ask()
-        await until(lambda: own.finishing)
+        await until(lambda: own.finishing_since_ns)
         await anyio.sleep(0.6)  # the sweep comes by
         got = 0
         with anyio.fail_after(5):
@@ -140,7 +140,7 @@
                 part = await client.stream.receive()
                 got += len(part)
         client.held = part[len(part) - (got - len(filler)) :] if got > len(filler) else b""
-        refused = [(number, "turned back") for number in range(2, ERRORS + 7)]
+        refused = [(number, "turned back") for number in range(2, ERRORS_PER_CONNECTION + 7)]
         assert await answers(client) == [(1, "satisfied"), *refused]
         assert len(p.did()) == 1
 
@@ -148,7 +148,7 @@
 async def test_a_newcomer_to_a_full_table_is_refused_and_not_dropped(tmp_path: Path) -> None:
     """Each place is of a client with an open request. Who says nothing is let go, too."""
     async with play(tmp_path, {"a": [after(600, done)]}) as p:
-        p.node.door.connections = 1
+        p.node.listener.connection_limit = 1
         first = await p.client()
         await first.ask(wait=1900)
         await until(p.did)
@@ -165,20 +165,20 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Once as the message is read, once as it is taken: each has its answer, and the connection goes on."""
-    read, take = rpc.read, Door._take
+    read, take = rpc.parse_call, RpcListener._accept_request
 
     def faulty_read(data: bytes) -> Any:
         if b'"id": 2,' in data:
             raise KeyError("a fault of ours")
         return read(data)
 
-    def faulty_take(door: Door, client: Client, call: Any, *more: Any) -> None:
+    def faulty_take(door: RpcListener, client: ClientConnection, call: Any, *more: Any) -> None:
         if call.number == 3:
             raise KeyError("a fault of ours")
         take(door, client, call, *more)
 
-    monkeypatch.setattr(rpc, "read", faulty_read)
-    monkeypatch.setattr(Door, "_take", faulty_take)
+    monkeypatch.setattr(rpc, "parse_call", faulty_read)
+    monkeypatch.setattr(RpcListener, "_accept_request", faulty_take)
     async with play(tmp_path, {"a": [after(WORK, done)]}) as p:
         client = await p.client()
         await client.send(b"".join(client.task() for _ in range(4)))
@@ -200,10 +200,10 @@
         def feed(_data: bytes) -> list[bytes]:
             raise KeyError("a fault of ours")
 
-        monkeypatch.setattr(own.frames, "feed", feed)
+        monkeypatch.setattr(own.decoder, "feed", feed)
         if how == "before an attempt":
             os.write(client.stream.extra(SocketAttribute.raw_socket).fileno(), client.task())
-            assert own.read_pending() and own.finishing
+            assert own.read_unread_input() and own.finishing_since_ns
         else:
             await client.ask()
         assert await answers(client) == [(1, "satisfied")]
@@ -214,10 +214,10 @@
     async with play(tmp_path, {"a": [silent]}) as p:
         client, own = await connected(p)
         await client.send(client.task() + NO_JSON)
-        await until(lambda: own.finishing and p.did())
+        await until(lambda: own.finishing_since_ns and p.did())
         await client.stream.aclose()
         await until(lambda: p.node.dispatcher.counts["final", "left"] == 1)
-        await until(lambda: not p.node.door.clients and not p.node.door.closing)
+        await until(lambda: not p.node.listener.clients and not p.node.listener.closing)
 
 
 async def test_a_connection_that_cannot_be_written_to_costs_no_other_anything(tmp_path: Path) -> None:
@@ -230,6 +230,6 @@
         await until(lambda: len(p.did()) == 2)
         own.transport.abort()
         own.write(b"dropped")
-        own.end()
+        own.start_lingering_close()
         assert word(await other.answer()) == "satisfied"
         assert not [key for key in p.node.dispatcher.counts if key[0] == "fault"]
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -24,10 +24,16 @@
 from martenlead.capture import events as ev
 from martenlead.capture import format as fm
 from martenlead.capture.checkpoint import Checkpoint, load
-from martenlead.capture.explain import books, explain_task
-from martenlead.capture.replay import Replayer, checkpoint_between, replay, setting, what_if
-from martenlead.capture.store import Busy, Store, StoreSettings, runs
-from martenlead.capture.tape import Tape
+from martenlead.capture.explain import explain_request, summarize_outcomes
+from martenlead.capture.recorder import CaptureRecorder
+from martenlead.capture.replay import (
+    Replayer,
+    compare_with_change,
+    parse_setting_change,
+    replay,
+    write_checkpoint_between,
+)
+from martenlead.capture.writer import AlreadyLockedError, CaptureSettings, CaptureWriter, find_runs
 from martenlead.cli.main import commands
 from martenlead.policy.policy import Policy
 from support.fleet import after, closes, draining, error, fleet, full, satisfied, silent
@@ -38,11 +44,11 @@
 ADVANCES = st.lists(st.builds(ev.Advance, st.integers(0, 2**40)), min_size=1, max_size=30)
 
 
-async def played(**settings: Any) -> list[ev.Event]:
+async def played(**settings: Any) -> list[ev.CaptureEvent]:
     """A short troubled life of a real edge, on tape."""
-    events: list[ev.Event] = []
+    events: list[ev.CaptureEvent] = []
     parts = {"a": [satisfied, error, closes, after(50, satisfied)], "b": [full, satisfied, draining]}
-    async with fleet(parts, tape=Tape(events.append, "edge"), **settings) as f:
+    async with fleet(parts, tape=CaptureRecorder(events.append, "edge"), **settings) as f:
         async with anyio.create_task_group() as group:
             for n in range(40):
                 kind = ("estimate", "post", "notice")[n % 3]
@@ -62,15 +68,19 @@
     events = await played()
     outcome = replay(events)
     assert outcome.divergence is None
-    assert (outcome.events, outcome.stopped) == (len(events), "")
+    assert (outcome.events, outcome.stop_reason) == (len(events), "")
     assert outcome.decisions > 40
 
 
 async def test_nothing_reaches_the_module_around_the_border(monkeypatch: pytest.MonkeyPatch) -> None:
     calls: Counter[str] = Counter()
-    inputs = {"record_result": ev.Answered, "record_load_end": ev.OrderEnded, "update_workers": ev.Roster}
-    inputs |= {"close_request": ev.Closed, "handle_request": ev.Take}
-    inputs |= {"new_worker": ev.NewRunner, "new_function": ev.NewModel}
+    inputs = {
+        "record_result": ev.AttemptEnded,
+        "record_load_end": ev.LoadEnded,
+        "update_workers": ev.WorkersUpdated,
+    }
+    inputs |= {"close_request": ev.RequestClosed, "handle_request": ev.RequestAccepted}
+    inputs |= {"new_worker": ev.WorkerAdded, "new_function": ev.FunctionAdded}
     for name in inputs:
         plain = getattr(Policy, name)
 
@@ -86,9 +96,9 @@
 
 @pytest.mark.parametrize("path", sorted(CAPTURES.glob("*.mlc")), ids=lambda path: path.name.split("-17")[0])
 def test_past_failures_decide_the_same(path: Path) -> None:
-    outcome = replay(runs([path])[0].events())
+    outcome = replay(find_runs([path])[0].events())
     assert outcome.divergence is None
-    assert outcome.stopped == ""
+    assert outcome.stop_reason == ""
     assert outcome.decisions > 20
 
 
@@ -121,39 +131,50 @@
 
 
 def test_the_first_decision_that_differs_is_shown_with_what_was_before() -> None:
-    events = list(runs([CAPTURES])[0].events())
-    place = next(n for n, e in enumerate(events) if isinstance(e, ev.HandedOff) and n > 60)
+    events = list(find_runs([CAPTURES])[0].events())
+    place = next(n for n, e in enumerate(events) if isinstance(e, ev.AttemptStarted) and n > 60)
     then = events[place]
-    assert isinstance(then, ev.HandedOff)
-    changed = ev.HandedOff(then.task, then.hand_off, then.runner + 1, then.patience)
+    assert isinstance(then, ev.AttemptStarted)
+    changed = ev.AttemptStarted(then.request, then.attempt, then.worker + 1, then.timeout_ns)
     outcome = replay([*events[:place], changed, *events[place + 1 :]])
     assert outcome.divergence is not None
-    assert (outcome.divergence.place, outcome.divergence.recorded) == (place, changed)
-    assert outcome.divergence.made == then
-    assert outcome.divergence.before == events[place - 20 : place]
+    assert (outcome.divergence.position, outcome.divergence.recorded) == (place, changed)
+    assert outcome.divergence.replayed == then
+    assert outcome.divergence.preceding == events[place - 20 : place]
     left_out = replay([*events[:place], *events[place + 1 :]])
     assert left_out.divergence is not None
-    assert (left_out.divergence.recorded, left_out.divergence.made) == (None, then)
+    assert (left_out.divergence.recorded, left_out.divergence.replayed) == (None, then)
 
 
 def test_answers_late_twice_and_out_of_order_are_borne() -> None:
-    events = list(runs([CAPTURES])[0].events())
-    answers = [e for e in events if isinstance(e, ev.Answered)]
-    end = max(e.t for e in events if isinstance(e, ev.Input))
+    events = list(find_runs([CAPTURES])[0].events())
+    answers = [e for e in events if isinstance(e, ev.AttemptEnded)]
+    end = max(e.time_ns for e in events if isinstance(e, ev.InputEvent))
     odd = [
         *events,
-        *(ev.Answered(end + 1, a.task, a.hand_off, a.result, True, a.warmth, a.lag) for a in answers),
+        *(
+            ev.AttemptEnded(end + 1, a.request, a.attempt, a.result, True, a.warmth, a.latency_ns)
+            for a in answers
+        ),
     ]
     assert replay(odd).divergence is None
     swapped = Replayer()
     for event in sorted(
-        (e for e in events if isinstance(e, ev.Input)), key=lambda e: (e.t // 5_000_000, -e.t)
+        (e for e in events if isinstance(e, ev.InputEvent)),
+        key=lambda e: (e.time_ns // 5_000_000, -e.time_ns),
     ):
         if not isinstance(
-            event, ev.Start | ev.NewRunner | ev.NewModel | ev.Roster | ev.Begin | ev.Take | ev.Closed
+            event,
+            ev.RunStarted
+            | ev.WorkerAdded
+            | ev.FunctionAdded
+            | ev.WorkersUpdated
+            | ev.EngineStarted
+            | ev.RequestAccepted
+            | ev.RequestClosed,
         ):
             swapped.start and swapped.feed(event)
-        elif isinstance(event, ev.Start) or swapped.start:
+        elif isinstance(event, ev.RunStarted) or swapped.start:
             try:
                 swapped.feed(event)
             except (IndexError, KeyError):
@@ -161,72 +182,79 @@
 
 
 def test_a_what_if_claims_only_what_it_can_know() -> None:
-    events = list(runs([CAPTURES / "garbage-1796000000000000000-000000.mlc"])[0].events())
-    same = what_if(events, lambda settings: settings)
-    assert (same.elsewhere, same.not_sent, same.sent, same.then) == (0, 0, 0, same.now)
-    once = what_if(events, setting("hand_offs=1"))
-    assert once.now["HandedOff"] < once.then["HandedOff"]
+    events = list(find_runs([CAPTURES / "garbage-1796000000000000000-000000.mlc"])[0].events())
+    same = compare_with_change(events, lambda settings: settings)
+    assert (same.moved, same.no_longer_sent, same.newly_sent, same.recorded_counts) == (
+        0,
+        0,
+        0,
+        same.replayed_counts,
+    )
+    once = compare_with_change(events, parse_setting_change("hand_offs=1"))
+    assert once.replayed_counts["HandedOff"] < once.recorded_counts["HandedOff"]
     for bad in ("nothing=1", "hand_offs=many", "twice_out=1"):
         with pytest.raises(ValueError, match=bad.partition("=")[0]):
-            what_if(events, setting(bad))
+            compare_with_change(events, parse_setting_change(bad))
 
 
 def test_the_story_of_a_task_and_the_causes_of_all() -> None:
-    events = list(runs([CAPTURES / "answer-lost-1796000000000000000-000000.mlc"])[0].events())
-    told = books(events)
-    assert sum(told.finals.values()) == told.tasks == sum(isinstance(e, ev.Take) for e in events)
-    cause, names = next((cause, names) for cause, names in told.names.items() if cause[0] != "satisfied")
-    story = explain_task(events, names[0])
+    events = list(find_runs([CAPTURES / "answer-lost-1796000000000000000-000000.mlc"])[0].events())
+    told = summarize_outcomes(events)
+    assert (
+        sum(told.outcomes.values()) == told.requests == sum(isinstance(e, ev.RequestAccepted) for e in events)
+    )
+    cause, names = next((cause, names) for cause, names in told.examples.items() if cause[0] != "satisfied")
+    story = explain_request(events, names[0])
     text = "\n".join(line.split("ms  ")[-1].strip() for line in story)
     assert "ms left" in text
     assert "hand-off 0 to runner-" in text
     assert f"over: {cause[0]}" in text
     assert "credit" in text
-    assert explain_task(events, "nobody") == []
+    assert explain_request(events, "nobody") == []
 
 
 # -- the format
 
 
-def segment(*batches: list[ev.Event], index: bool = True) -> bytes:
-    packer, data, entries = fm.Packer(), fm.write_head(0, 7, 0), []
+def segment(*batches: list[ev.CaptureEvent], index: bool = True) -> bytes:
+    packer, data, entries = fm.FrameEncoder(), fm.pack_header(0, 7, 0), []
     for batch in batches:
-        entries.append(fm.entry(len(data), batch))
-        data += packer.events(batch)
-    return data + (packer.index(entries) if index else b"")
+        entries.append(fm.index_entry(len(data), batch))
+        data += packer.pack_events(batch)
+    return data + (packer.pack_index(entries) if index else b"")
 
 
-def read(data: bytes) -> list[ev.Event]:
+def read(data: bytes) -> list[ev.CaptureEvent]:
     return [event for frame in fm.Segment(data).frames() for event in frame.events()]
 
 
 @given(st.lists(ADVANCES, min_size=1, max_size=4))
-def test_what_was_written_is_read(batches: list[list[ev.Event]]) -> None:
+def test_what_was_written_is_read(batches: list[list[ev.CaptureEvent]]) -> None:
     assert read(segment(*batches)) == [event for batch in batches for event in batch]
     assert fm.Segment(segment(*batches)).index() == fm.Segment(segment(*batches, index=False)).index()
 
 
 def test_cut_at_any_byte_it_gives_all_whole_frames_before() -> None:
-    batches: list[list[ev.Event]] = [[ev.Advance(n * 10 + m) for m in range(5)] for n in range(6)]
+    batches: list[list[ev.CaptureEvent]] = [[ev.Advance(n * 10 + m) for m in range(5)] for n in range(6)]
     data = segment(*batches)
-    ends = [entry.at for entry in fm.Segment(data).index()][1:]
-    for cut in range(fm.HEAD_SIZE, len(data)):
+    ends = [entry.offset for entry in fm.Segment(data).index()][1:]
+    for cut in range(fm.HEADER_BYTES, len(data)):
         whole = sum(end <= cut for end in ends) + (cut >= len(segment(*batches, index=False)))
         assert read(data[:cut]) == [event for batch in batches[:whole] for event in batch]
-    for cut in range(fm.HEAD_SIZE):
-        with pytest.raises(fm.BadCapture):
+    for cut in range(fm.HEADER_BYTES):
+        with pytest.raises(fm.CaptureFormatError):
             read(data[:cut])
 
 
 def test_a_flipped_bit_anywhere_never_gives_a_wrong_event() -> None:
-    batches: list[list[ev.Event]] = [[ev.Advance(n)] for n in range(4)]
+    batches: list[list[ev.CaptureEvent]] = [[ev.Advance(n)] for n in range(4)]
     data, all_events = segment(*batches), [event for batch in batches for event in batch]
     for at in range(len(data)):
         broken = bytearray(data)
         broken[at] ^= 0x10
         try:
             found = read(bytes(broken))
-        except fm.BadCapture:
+        except fm.CaptureFormatError:
             continue
         assert found == all_events[: len(found)]
 
@@ -234,24 +262,26 @@
 def test_a_newer_version_is_refused_by_name() -> None:
     data = bytearray(segment([ev.Advance(1)]))
     data[8] = fm.VERSION + 1
-    with pytest.raises(fm.BadCapture, match=f"version {fm.VERSION + 1} of the format.* up to {fm.VERSION}"):
+    with pytest.raises(
+        fm.CaptureFormatError, match=f"version {fm.VERSION + 1} of the format.* up to {fm.VERSION}"
+    ):
         read(bytes(data))
 
 
 # -- the folder
 
 
-def store(tmp_path: Path, **settings: Any) -> tuple[Store, list[str]]:
+def store(tmp_path: Path, **settings: Any) -> tuple[CaptureWriter, list[str]]:
     told: list[str] = []
-    made = Store(
-        StoreSettings(folder=str(tmp_path), **{"flush_ms": 5, **settings}),
+    made = CaptureWriter(
+        CaptureSettings(folder=str(tmp_path), **{"flush_ms": 5, **settings}),
         "edge",
         lambda what, _: told.append(what),
     )
     return made, told
 
 
-def settle(made: Store, written: int) -> None:
+def settle(made: CaptureWriter, written: int) -> None:
     end = time.monotonic() + 10
     while made.written < written and time.monotonic() < end:
         time.sleep(0.002)
@@ -261,18 +291,18 @@
 def test_segments_turn_over_and_the_oldest_go_first(tmp_path: Path) -> None:
     made, told = store(tmp_path, segment_bytes=500, total_bytes=4000, checkpoints=False)
     for n in range(100):
-        made.put(ev.NewModel(n, n, os.urandom(40).hex(), "0", 1, 1.0))
+        made.put(ev.FunctionAdded(n, n, os.urandom(40).hex(), "0", 1, 1.0))
         if n % 5 == 4:
             settle(made, n - 5)
     made.close()
     assert sum(p.stat().st_size for p in tmp_path.glob("*.mlc")) <= 4600
     assert "the oldest segment is removed" in told
-    (run,) = runs([tmp_path])
+    (run,) = find_runs([tmp_path])
     first, *rest = run.events()
     assert isinstance(first, ev.Gap)
-    assert "are gone" in first.why
-    assert [e.model for e in rest if isinstance(e, ev.NewModel)] == list(range(100))[-len(rest) :]
-    assert replay(run.events()).stopped.startswith("some events are missing")
+    assert "are gone" in first.reason
+    assert [e.function for e in rest if isinstance(e, ev.FunctionAdded)] == list(range(100))[-len(rest) :]
+    assert replay(run.events()).stop_reason.startswith("some events are missing")
 
 
 def test_a_full_queue_leaves_a_gap_and_never_waits(tmp_path: Path) -> None:
@@ -283,8 +313,8 @@
     made._queue.popleft()
     made.put(ev.Advance(99))
     made.close()
-    gap = next(e for e in runs([tmp_path])[0].events() if isinstance(e, ev.Gap))
-    assert (gap.t, gap.until, gap.dropped) == (10, 49, 40)
+    gap = next(e for e in find_runs([tmp_path])[0].events() if isinstance(e, ev.Gap))
+    assert (gap.time_ns, gap.until_ns, gap.dropped) == (10, 49, 40)
 
 
 def test_a_full_disk_is_told_left_as_a_gap_and_got_over(
@@ -307,22 +337,22 @@
     monkeypatch.undo()
     made.put(ev.Advance(4))
     made.close()
-    found = list(runs([tmp_path])[0].events())
+    found = list(find_runs([tmp_path])[0].events())
     assert [type(e).__name__ for e in found] == ["Advance", "Gap", "Advance"]
     assert isinstance(found[1], ev.Gap)
-    assert (found[1].t, found[1].dropped) == (2, 2)
+    assert (found[1].time_ns, found[1].dropped) == (2, 2)
     assert told == ["the capture is not written", "capture_resumed"]
 
 
 def test_two_of_one_name_are_refused_and_two_names_share_a_folder(tmp_path: Path) -> None:
     made, _ = store(tmp_path)
-    with pytest.raises(Busy, match="another dispatcher named edge writes there"):
+    with pytest.raises(AlreadyLockedError, match="another dispatcher named edge writes there"):
         store(tmp_path)
-    other = Store(StoreSettings(folder=str(tmp_path)), "other", lambda *_: None)
+    other = CaptureWriter(CaptureSettings(folder=str(tmp_path)), "other", lambda *_: None)
     for one in (made, other):
         one.put(ev.Advance(1))
         one.close()
-    assert [run.name for run in runs([tmp_path])] == ["edge", "other"]
+    assert [run.name for run in find_runs([tmp_path])] == ["edge", "other"]
     again, _ = store(tmp_path)
     again.close()
 
@@ -333,7 +363,7 @@
         made.put(ev.Advance(n))
         settle(made, n + 1)
     made.close()
-    (run,) = runs([tmp_path])
+    (run,) = find_runs([tmp_path])
     events = run.events()
     assert next(events) == ev.Advance(0)
     run.paths[1].unlink()
@@ -362,33 +392,33 @@
 
 @pytest.mark.parametrize("path", sorted(CAPTURES.glob("*.mlc")), ids=lambda path: path.name.split("-17")[0])
 def test_a_replay_goes_on_from_a_checkpoint_with_the_same_decisions(path: Path, tmp_path: Path) -> None:
-    events = list(runs([path])[0].events())
+    events = list(find_runs([path])[0].events())
     for place in range(50, len(events), max(1, len(events) // 8)):
-        checkpoint_between(events[:place], events[place:], tmp_path / "x.ckpt")
-        rest = list(dropwhile(lambda e: not isinstance(e, ev.Input), events[place:]))
+        write_checkpoint_between(events[:place], events[place:], tmp_path / "x.ckpt")
+        rest = list(dropwhile(lambda e: not isinstance(e, ev.InputEvent), events[place:]))
         outcome = replay([load(tmp_path / "x.ckpt"), *rest])
-        assert (outcome.divergence, outcome.stopped, outcome.events) == (None, "", len(rest) + 1)
+        assert (outcome.divergence, outcome.stop_reason, outcome.events) == (None, "", len(rest) + 1)
 
 
 def test_a_checkpoint_is_checked_and_of_one_module_only(tmp_path: Path) -> None:
-    events = list(runs([CAPTURES])[0].events())
+    events = list(find_runs([CAPTURES])[0].events())
     path = tmp_path / "x.ckpt"
-    checkpoint_between(events[:100], events[100:], path)
+    write_checkpoint_between(events[:100], events[100:], path)
     data = bytearray(path.read_bytes())
     data[len(data) // 2] ^= 1
     (tmp_path / "y.ckpt").write_bytes(data)
-    with pytest.raises(fm.BadCapture, match="not with its checksum"):
+    with pytest.raises(fm.CaptureFormatError, match="not with its checksum"):
         load(tmp_path / "y.ckpt")
     good = load(path)
-    with pytest.raises(fm.BadCapture, match="another version of the module"):
-        replay([Checkpoint(good.t, "other", good.state)])
+    with pytest.raises(fm.CaptureFormatError, match="another version of the module"):
+        replay([Checkpoint(good.time_ns, "other", good.state)])
     evil = zstandard.compress(pickle.dumps(os.system))
-    with pytest.raises(fm.BadCapture, match="none of ours"):
-        replay([Checkpoint(good.t, good.module, evil)])
+    with pytest.raises(fm.CaptureFormatError, match="none of ours"):
+        replay([Checkpoint(good.time_ns, good.policy_hash, evil)])
 
 
 def test_the_bound_on_disk_leaves_a_run_that_replays_from_its_checkpoint(tmp_path: Path) -> None:
-    events = list(runs([CAPTURES / "retry-abuse-1796000000000000000-000000.mlc"])[0].events())
+    events = list(find_runs([CAPTURES / "retry-abuse-1796000000000000000-000000.mlc"])[0].events())
     made, told = store(tmp_path, segment_bytes=6000, total_bytes=20_000)
     for n, event in enumerate(events):
         made.put(event)
@@ -399,13 +429,13 @@
     made.close()
     assert "the oldest segment is removed" in told
     assert "no checkpoint before the oldest segment goes" not in told
-    (run,) = runs([tmp_path])
+    (run,) = find_runs([tmp_path])
     assert run.paths[0].name.endswith("-000000.mlc") is False
     outcome = replay(run.events())
-    assert (outcome.divergence, outcome.stopped, outcome.resumed) == (None, "", True)
+    assert (outcome.divergence, outcome.stop_reason, outcome.is_resumed) == (None, "", True)
     assert outcome.decisions > 100
     run.paths[0].with_suffix(".ckpt").unlink()
-    assert "are gone" in replay(run.events()).stopped
+    assert "are gone" in replay(run.events()).stop_reason
 
 
 def test_a_bench_day_is_captured_where_asked_for_and_replays(tmp_path: Path) -> None:
@@ -447,20 +477,20 @@
     wire = b"".join(msgspec.json.encode(batch) + b"\n" for batch in batches)
     replies = []
     for more in ({}, {"MARTENLEAD_CAPTURE": str(tmp_path)}):
-        command = [sys.executable, "-m", "martenlead.benchlink"]
+        command = [sys.executable, "-m", "martenlead.simulator_adapter"]
         done = subprocess.run(
             command, input=wire, env={**os.environ, **more}, capture_output=True, check=True
         )
         replies.append(done.stdout)
     assert replies[0] == replies[1]
     assert b"panic" not in replies[0]
-    outcome = replay(runs([tmp_path])[0].events())
-    assert (outcome.divergence, outcome.stopped, outcome.tasks) == (None, "", 30)
+    outcome = replay(find_runs([tmp_path])[0].events())
+    assert (outcome.divergence, outcome.stop_reason, outcome.requests) == (None, "", 30)
 
 
 def test_a_capture_of_another_module_is_a_what_if_and_no_divergence(tmp_path: Path) -> None:
-    events = list(runs([CAPTURES])[0].events())
-    assert isinstance(events[0], ev.Start)
+    events = list(find_runs([CAPTURES])[0].events())
+    assert isinstance(events[0], ev.RunStarted)
     other = msgspec.structs.replace(events[0], module="another")
     made, _ = store(tmp_path)
     for event in [other, *events[1:]]:
@@ -475,13 +505,13 @@
 def test_the_index_tells_of_each_task_where_it_stands() -> None:
     data = (CAPTURES / "drain-1796000000000000000-000000.mlc").read_bytes()
     found = fm.Segment(data)
-    frames = {frame.at: frame for frame in found.frames()}
+    frames = {frame.offset: frame for frame in found.frames()}
     index = found.index()
-    assert found.closed
-    assert [entry.at for entry in index] == list(frames)
+    assert found.is_closed
+    assert [entry.offset for entry in index] == list(frames)
     for entry in index:
-        tasks = {n for event in frames[entry.at].events() if (n := ev.task_of(event)) is not None}
-        assert tasks == set(entry.tasks)
+        tasks = {n for event in frames[entry.offset].events() if (n := ev.request_number(event)) is not None}
+        assert tasks == set(entry.requests)
 
 
 def test_settings_of_another_version_are_read_as_far_as_they_are_known() -> None:
@@ -489,5 +519,5 @@
     told = ev.pack_settings(SETTINGS)
     newer = {**told, "a_setting_of_tomorrow": 1}
     older = {name: value for name, value in told.items() if name != "functions"}
-    assert ev.settings_of(newer).keep_alive_ns == SETTINGS.keep_alive_ns
-    assert ev.settings_of(older).function_limit == SETTINGS.function_limit
+    assert ev.unpack_settings(newer).keep_alive_ns == SETTINGS.keep_alive_ns
+    assert ev.unpack_settings(older).function_limit == SETTINGS.function_limit
--- a/tests/test_capture_disk_faults.py
+++ b/tests/test_capture_disk_faults.py
@@ -15,8 +15,8 @@
 
 from martenlead.capture import checkpoint as checkpoints
 from martenlead.capture import events as ev
-from martenlead.capture.store import Busy, StoreSettings, runs
-from martenlead.capture.store import Store as Captures
+from martenlead.capture.writer import AlreadyLockedError, CaptureSettings, find_runs
+from martenlead.capture.writer import CaptureWriter as Captures
 from martenlead.system.durable_file import Backoff
 from support.disk_faults import ERRNOS, DiskFaults
 from support.fleet import fleet, until
@@ -26,9 +26,9 @@
 
 
 def captures(root: Path, monkeypatch: pytest.MonkeyPatch, **more: Any) -> tuple[Captures, list[str]]:
-    monkeypatch.setattr("martenlead.capture.store.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.capture.writer.Backoff", QUICK)
     told: list[str] = []
-    settings = StoreSettings(folder=str(root), flush_ms=1, sync="flush", checkpoints=False, **more)
+    settings = CaptureSettings(folder=str(root), flush_ms=1, sync="flush", checkpoints=False, **more)
     return Captures(settings, "edge", lambda what, _: told.append(what)), told
 
 
@@ -49,10 +49,10 @@
 
 def read(root: Path) -> tuple[list[int], int]:
     """The times of the events that can be read, and how many are said to be lost."""
-    (run,) = runs([root])
+    (run,) = find_runs([root])
     events = list(run.events())
     gaps = [e for e in events if isinstance(e, ev.Gap)]
-    return [e.t for e in events if isinstance(e, ev.Advance)], sum(gap.dropped for gap in gaps)
+    return [e.time_ns for e in events if isinstance(e, ev.Advance)], sum(gap.dropped for gap in gaps)
 
 
 def calls_of_a_capture(root: Path, monkeypatch: pytest.MonkeyPatch) -> int:
@@ -136,7 +136,7 @@
         assert (made.failures >= 5, made.dropped) == (True, 0)
         disk.heal()
         put(made, 3, 2)
-        with pytest.raises(Busy):
+        with pytest.raises(AlreadyLockedError):
             captures(tmp_path / "captures", monkeypatch)
         made.close()
         assert read(tmp_path / "captures") == ([1, 2, 3, 4], 0)  # a run is replayed from its beginning only
@@ -154,9 +154,9 @@
         disk.heal()
         put(made, 4, 1)
         async with fleet() as f:
-            f.group.start_soon(made.report, f.dispatcher)
+            f.group.start_soon(made.publish_counters, f.dispatcher)
             await until(lambda: f.dispatcher.counts["capture", "written"])
-            counts = f.dispatcher.state()["counts"]
+            counts = f.dispatcher.report_status()["counts"]
         made.close()
     assert [counts[f"capture/{name}"] for name in ("written", "dropped", "unsynced")] == [3, 1, 0]
     assert counts["capture/failures"] >= 1
@@ -224,7 +224,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     told: list[str] = []
-    settings = StoreSettings(folder=str(tmp_path), flush_ms=1, sync="segment", checkpoints=False)
+    settings = CaptureSettings(folder=str(tmp_path), flush_ms=1, sync="segment", checkpoints=False)
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         made = Captures(settings, "edge", lambda what, _: told.append(what))
@@ -245,9 +245,9 @@
     made.close()
     middle = sorted(tmp_path.glob("*.mlc"))[1]
     middle.write_bytes(head)
-    (run,) = runs([tmp_path])
+    (run,) = find_runs([tmp_path])
     assert [type(e).__name__ for e in run.events()] == ["Advance", "Gap", "Advance"]
-    assert run.torn == len(head)
+    assert run.torn_bytes == len(head)
 
 
 def test_a_checkpoint_that_is_torn_does_not_hide_its_run(
@@ -258,6 +258,6 @@
     made.close()
     first, second, _ = sorted(tmp_path.glob("*.mlc"))
     first.unlink()
-    checkpoints.path_of(second).write_bytes(b"torn")
-    (run,) = runs([tmp_path])
+    checkpoints.checkpoint_path(second).write_bytes(b"torn")
+    (run,) = find_runs([tmp_path])
     assert [type(e).__name__ for e in run.events()] == ["Gap", "Advance", "Advance"]
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -15,9 +15,9 @@
 import anyio
 import pytest
 
-from martenlead.edge.client import Pending
-from martenlead.edge.records import Final
-from martenlead.node.runners import Conn
+from martenlead.edge.cancellation import UnreadInput
+from martenlead.edge.records import FinalOutcome
+from martenlead.node.worker_client import UpstreamConnection
 from martenlead.policy.types import Result
 from support.attempt_hooks import before_attempt
 from support.fleet import until
@@ -39,7 +39,7 @@
 @pytest.fixture(autouse=True)
 def small_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     """So that a cancel may lie behind more than a turn reads, and all of it in the machine's buffers."""
-    monkeypatch.setattr("martenlead.node.door.READ", READ_SIZE)
+    monkeypatch.setattr("martenlead.node.client_connection.READ_BYTES", READ_SIZE)
 
 
 class Blocking(Caller):
@@ -73,16 +73,16 @@
 async def warm(p: Play) -> None:
     """To each runner a connection stands idle, so that an attempt's line leaves as it is decided."""
     heard: list[Any] = []
-    known = p.node.dispatcher.known("0" * 15 + "1", 1, 100.0)
-    for box in p.node.dispatcher.boxes.values():
-        p.node.link.order(box, known, 0, heard.append)
-    await until(lambda: len(heard) == len(p.node.dispatcher.boxes))
+    known = p.node.dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0)
+    for box in p.node.dispatcher.workers.values():
+        p.node.worker_client.send_load_request(box, known, 0, heard.append)
+    await until(lambda: len(heard) == len(p.node.dispatcher.workers))
 
 
 async def is_over(p: Play) -> None:
     """The request was given up, nothing is out, and the node still serves."""
     await until(lambda: p.node.dispatcher.counts["final", "left"] == 1)
-    await until(lambda: not p.node.dispatcher._out and not p.node.dispatcher.held)
+    await until(lambda: not p.node.dispatcher._in_flight and not p.node.dispatcher.pending_requests)
     assert await (await p.client()).call(id="00000000000000bb") == "satisfied"
 
 
@@ -95,12 +95,12 @@
     async with play(tmp_path) as p:
         await warm(p)
         client = Blocking(p)
-        before_attempt(p.node.link, 0, lambda: client.leave(how))
+        before_attempt(p.node.worker_client, 0, lambda: client.leave(how))
         client.put(client.task("unsafe"))
         await until(lambda: p.node.dispatcher.counts["final", "left"] == 1)
         assert await (await p.client()).call() == "error -32602"  # its id is spent
         assert attempts(p) == []
-        assert not p.node.dispatcher._out and not p.node.door.ids
+        assert not p.node.dispatcher._in_flight and not p.node.listener.open_requests
         assert p.node.dispatcher.counts["hand-off", Result.NOT_SENT.value] == 1
         client.socket.close()
 
@@ -113,8 +113,8 @@
         client = Blocking(p)
         client.put(client.task("unsafe"))
         client.leave(how)
-        await until(lambda: f"{1:016x}" in p.node.door.spent)
-        await until(lambda: not p.node.dispatcher._out)
+        await until(lambda: f"{1:016x}" in p.node.listener.finished_ids)
+        await until(lambda: not p.node.dispatcher._in_flight)
         assert attempts(p) == []
         client.socket.close()
 
@@ -123,15 +123,15 @@
 async def test_left_as_a_further_attempt_begins(how: str, tmp_path: Path, monkeypatch: Any) -> None:
     """The runner's answer is read in the turn that the end of the client came in, before it."""
     async with play(tmp_path, {"a": [full, done], "b": [full, done]}) as p:
-        client, real = Blocking(p), Conn.data_received
+        client, real = Blocking(p), UpstreamConnection.data_received
 
-        def data_received(conn: Conn, data: bytes) -> None:
-            if p.node.dispatcher.held and client.socket.fileno() >= 0 and not left:
+        def data_received(conn: UpstreamConnection, data: bytes) -> None:
+            if p.node.dispatcher.pending_requests and client.socket.fileno() >= 0 and not left:
                 left.append(client.leave(how))
             real(conn, data)
 
         left: list[None] = []
-        monkeypatch.setattr(Conn, "data_received", data_received)
+        monkeypatch.setattr(UpstreamConnection, "data_received", data_received)
         await warm(p)  # after it: the faster event loop keeps what it calls of a connection
         client.put(client.task())
         await is_over(p)
@@ -142,15 +142,15 @@
 @pytest.mark.parametrize("how", LEAVES)
 async def test_left_as_the_connection_to_the_runner_is_up(how: str, tmp_path: Path, monkeypatch: Any) -> None:
     async with play(tmp_path) as p:
-        client, real = Blocking(p), Conn.connection_made
+        client, real = Blocking(p), UpstreamConnection.connection_made
 
-        def connection_made(conn: Conn, transport: Any) -> None:
+        def connection_made(conn: UpstreamConnection, transport: Any) -> None:
             if not left:
                 left.append(client.leave(how))
             real(conn, transport)
 
         left: list[None] = []
-        monkeypatch.setattr(Conn, "connection_made", connection_made)
+        monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
         client.put(client.task("unsafe"))
         await is_over(p)
         assert attempts(p) == []
@@ -171,13 +171,13 @@
     async with play(tmp_path, {"a": [part, done], "b": [part, done]}) as p:
         await warm(p)
         client = Blocking(p)
-        await until(lambda: p.node.door.clients)
-        (own,) = p.node.door.clients
+        await until(lambda: p.node.listener.clients)
+        (own,) = p.node.listener.clients
         client.put(client.task())
         await until(p.did)
         own.write(b" " * 8_000_000)  # more than the machine's buffers hold
-        await until(lambda: own.stuck)
-        before_attempt(p.node.link, 0, lambda: client.leave(how))
+        await until(lambda: own.write_blocked_since_ns)
+        before_attempt(p.node.worker_client, 0, lambda: client.leave(how))
         answered.set()
         await is_over(p)
         assert len(attempts(p)) == 1
@@ -189,10 +189,10 @@
     async with play(tmp_path, {"a": [done], "b": [done]}) as p:
         client = Blocking(p)
         first, second, third = client.task(), client.task(), client.task()
-        before_attempt(p.node.link, 0, lambda: client.put(second[:40]))
+        before_attempt(p.node.worker_client, 0, lambda: client.put(second[:40]))
         client.put(first)
         await until(lambda: p.did())
-        before_attempt(p.node.link, 0, lambda: client.put(third))
+        before_attempt(p.node.worker_client, 0, lambda: client.put(third))
         client.put(second[40:])
         client.socket.setblocking(False)
         got = b""
@@ -211,13 +211,13 @@
 ) -> None:
     async with play(tmp_path) as p:
         client = Blocking(p)
-        (box,) = p.node.dispatcher.boxes.values()
+        (box,) = p.node.dispatcher.workers.values()
 
         def goes() -> None:
             client.put(b"Content")
-            box.gone = True
+            box.is_gone = True
 
-        before_attempt(p.node.link, 0, goes)
+        before_attempt(p.node.worker_client, 0, goes)
         client.put(client.task("unsafe"))
         await until(lambda: p.node.dispatcher.counts["final", "turned back"] == 1)
         assert attempts(p) == []
@@ -251,20 +251,20 @@
         client = await p.client()
         await client.ask()
         await until(p.did)
-        (own,) = p.node.door.clients
-        (first,) = own.open.values()
+        (own,) = p.node.listener.clients
+        (first,) = own.open_requests.values()
         finals: list[Any] = []
-        real = p.node.dispatcher.take
+        real = p.node.dispatcher.accept
 
         def take(*args: Any, **more: Any) -> Any:
-            finals.append(first.final)
+            finals.append(first.outcome)
             return real(*args, **more)
 
-        p.node.dispatcher.take = take  # type: ignore[method-assign]
+        p.node.dispatcher.accept = take  # type: ignore[method-assign]
         about = {"id": 1}
         cancel = message({"jsonrpc": "2.0", "method": "abort", "params": about})
         own.data_received(client.task() + cancel)
-        assert finals == [Final.LEFT]
+        assert finals == [FinalOutcome.CLIENT_LEFT]
 
 
 async def test_a_client_that_never_stops_sending_costs_itself_its_time_and_others_nothing(
@@ -274,13 +274,13 @@
     async with play(tmp_path) as p:
         await warm(p)
         client = await p.client()
-        await until(lambda: p.node.door.clients)
-        (own,) = p.node.door.clients
-        monkeypatch.setattr(own, "pending", lambda: Pending.BYTES)
-        monkeypatch.setattr(own, "read_pending", lambda: False)
+        await until(lambda: p.node.listener.clients)
+        (own,) = p.node.listener.clients
+        monkeypatch.setattr(own, "peek_input", lambda: UnreadInput.BYTES)
+        monkeypatch.setattr(own, "read_unread_input", lambda: False)
         started = anyio.current_time()
         await client.ask(wait=400)
         assert await (await p.client()).call(id="00000000000000bb") == "satisfied"
         assert word(await client.answer()) == "turned back"
         assert anyio.current_time() - started < 0.6
-        assert attempts(p) == [] and not p.node.link._deferred
+        assert attempts(p) == [] and not p.node.worker_client._deferred
--- a/tests/test_cloudevent.py
+++ b/tests/test_cloudevent.py
@@ -9,16 +9,16 @@
 from hypothesis import strategies as st
 
 from martenlead.events.cloudevent import (
-    BadEvent,
     Event,
+    InvalidEventError,
+    decode_event,
     decode_value,
+    encode_event,
+    encode_json_event,
     encode_value,
     parse_time,
-    read,
-    write,
-    write_json,
 )
-from martenlead.events.http import BadMessage, Limits, Reader, chunk, request, response
+from martenlead.events.http import InvalidMessageError, MessageLimits, Reader, chunk, request, response
 
 TEXT = st.text(st.characters(exclude_categories=["Cs", "Cc"]), min_size=1)
 NAMES = st.from_regex(r"[a-z0-9]{1,20}", fullmatch=True).filter(
@@ -45,15 +45,17 @@
 
 @given(EVENTS)
 def test_binary_mode_there_and_back(event: Event) -> None:
-    headers, body = write(event)
-    back = read(headers, body)
+    headers, body = encode_event(event)
+    back = decode_event(headers, body)
     assert back.attributes == {name: event.text(name) for name in event.attributes}
     assert (back.data, back.content_type) == (event.data, event.content_type)
 
 
 @given(EVENTS)
 def test_structured_mode_there_and_back_keeps_types(event: Event) -> None:
-    back = read([(b"content-type", b"application/cloudevents+json; charset=utf-8")], write_json(event))
+    back = decode_event(
+        [(b"content-type", b"application/cloudevents+json; charset=utf-8")], encode_json_event(event)
+    )
     assert back == event
 
 
@@ -72,14 +74,16 @@
         [(b"ce-" + data, b"x")],
     ):
         try:
-            read(headers, data)
-        except BadEvent as error:
+            decode_event(headers, data)
+        except InvalidEventError as error:
             assert error.attribute is not None
 
 
 def structured(**members: object) -> Event:
     base = {"specversion": "1.0", "id": "1", "source": "/s", "type": "t"}
-    return read([(b"content-type", b"application/cloudevents+json")], json.dumps(base | members).encode())
+    return decode_event(
+        [(b"content-type", b"application/cloudevents+json")], json.dumps(base | members).encode()
+    )
 
 
 def test_data_in_the_json_format() -> None:
@@ -108,7 +112,7 @@
     ],
 )
 def test_what_the_json_format_forbids(members: dict[str, object], attribute: str) -> None:
-    with pytest.raises(BadEvent) as caught:
+    with pytest.raises(InvalidEventError) as caught:
         structured(**members)
     assert caught.value.attribute == attribute
 
@@ -117,20 +121,20 @@
     assert decode_value(b'"a \\"b\\" %E2%82%AC"', "x") == 'a "b" €'
     assert decode_value(b"%2520", "x") == "%20"
     for bad in (b"%", b"%f", b"%zz", b"%ff", b'"open'):
-        with pytest.raises(BadEvent):
+        with pytest.raises(InvalidEventError):
             decode_value(bad, "x")
 
 
 def test_absent_and_empty_data_differ() -> None:
     base = [(b"ce-specversion", b"1.0"), (b"ce-id", b"1"), (b"ce-source", b"/s"), (b"ce-type", b"t")]
-    assert read(base, b"").data is None
-    assert read([*base, (b"content-type", b"text/plain")], b"").data == b""
+    assert decode_event(base, b"").data is None
+    assert decode_event([*base, (b"content-type", b"text/plain")], b"").data == b""
 
 
 def test_times_are_rfc_3339() -> None:
     assert parse_time("2026-01-01T00:00:00.5Z") == parse_time("2026-01-01T01:00:00.5+01:00")
     for bad in ("2026-01-01", "2026-01-01 00:00:00Z", "2026-13-01T00:00:00Z", "x"):
-        with pytest.raises(BadEvent):
+        with pytest.raises(InvalidEventError):
             parse_time(bad)
 
 
@@ -142,7 +146,7 @@
     else:
         data = request(b"POST", b"/x", b"h", [(b"a", b"b")], body)
     data += request(b"GET", b"/y", b"h", [])
-    reader = Reader(Limits(), requests=True)
+    reader = Reader(MessageLimits(), requests=True)
     found, at = [], 0
     for step in [*cuts, len(data)]:
         found += reader.feed(data[at : at + step])
@@ -153,16 +157,16 @@
 @given(st.binary(max_size=400))
 def test_any_bytes_are_messages_or_one_bad_message(data: bytes) -> None:
     for requests in (True, False):
-        reader = Reader(Limits(head=100, body=100), requests=requests)
+        reader = Reader(MessageLimits(head_bytes=100, body_bytes=100), requests=requests)
         try:
             reader.feed(data)
-        except BadMessage as error:
+        except InvalidMessageError as error:
             assert 400 <= error.status < 600
-            with pytest.raises(BadMessage):
+            with pytest.raises(InvalidMessageError):
                 reader.feed(b"x")
 
 
 def test_interim_answers_are_passed_over() -> None:
-    reader = Reader(Limits(), requests=False)
+    reader = Reader(MessageLimits(), requests=False)
     found = reader.feed(b"HTTP/1.1 100 Continue\r\n\r\n" + response(200, [], b"x"))
     assert [(m.status, m.body) for m in found] == [(200, b"x")]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,8 +9,8 @@
 from click.testing import CliRunner
 
 from martenlead.cli.main import commands
-from martenlead.config.edge import Edge, read, settings
-from martenlead.config.load import BadConfig, load, schema
+from martenlead.config.edge import EdgeSettings, build_policy_settings, read_edge_settings
+from martenlead.config.load import ConfigError, build_json_schema, load
 from martenlead.days.script import Day, plan
 
 ROOT = Path(__file__).parent.parent
@@ -47,8 +47,8 @@
 )
 def test_what_is_wrong_is_one_line(tmp_path: Path, text: str, expected: str) -> None:
     path = write(tmp_path, text)
-    with pytest.raises(BadConfig) as caught:
-        read(path)
+    with pytest.raises(ConfigError) as caught:
+        read_edge_settings(path)
     assert str(caught.value).startswith(expected.format(path=path))
     assert "\n" not in str(caught.value)
 
@@ -58,14 +58,16 @@
     shown = CliRunner().invoke(commands, ["config", "show", str(path)])
     assert json.loads(shown.output)["limits"]["open_tasks"] == 4000
     assert CliRunner().invoke(commands, ["config", "check", str(path)]).output == f"{path}: good\n"
-    told, offerings, _ = settings(read(path))
+    told, offerings, _ = build_policy_settings(read_edge_settings(path))
     assert told.request_classes == list(offerings.values())
     assert told.retry_after_limit_ns == 500_000_000
 
 
 def test_the_schema_names_every_setting() -> None:
-    found = schema(Edge)
-    assert found["$defs"]["Edge"]["properties"].keys() == {f for f in Edge.__struct_fields__}
+    found = build_json_schema(EdgeSettings)
+    assert found["$defs"]["EdgeSettings"]["properties"].keys() == {
+        f for f in EdgeSettings.__struct_encode_fields__
+    }
 
 
 def test_every_script_and_example_can_be_read() -> None:
@@ -73,11 +75,11 @@
         made = plan(load(path, Day), 1)
         assert plan(load(path, Day), 1) == made
     for path in sorted((ROOT / "deploy" / "examples").glob("*.jsonnet")):
-        read(path)
+        read_edge_settings(path)
 
 
 def test_an_unknown_trouble_is_named(tmp_path: Path) -> None:
     path = write(tmp_path, "local d = import 'day.libsonnet'; d { troubles: [{ kind: 'storm', at_s: 1 }] }")
     result = CliRunner().invoke(commands, ["day", str(path)])
-    assert isinstance(result.exception, BadConfig)
+    assert isinstance(result.exception, ConfigError)
     assert "'storm' is no trouble" in str(result.exception)
