--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,9 +19,9 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from martenlead.edge import waits
-from martenlead.node import lines
-from martenlead.node.door import Client
+from martenlead.edge import timeouts as waits
+from martenlead.node import worker_protocol as lines
+from martenlead.node.client_connection import ClientConnection
 from martenlead.policy.types import Result
 from support.fleet import until
 from tests.nodes import (
@@ -49,13 +49,13 @@
 
 def late(p: Play) -> anyio.Event:
     """From now on connections to runners come up once this is set."""
-    gate, real = anyio.Event(), p.node.link._connect
+    gate, real = anyio.Event(), p.node.worker_client._connect
 
     async def connect(conn: Any) -> None:
         await gate.wait()
         await real(conn)
 
-    p.node.link._connect = connect  # type: ignore[method-assign]
+    p.node.worker_client._connect = connect  # type: ignore[method-assign]
     return gate
 
 
@@ -71,8 +71,8 @@
 
 def waiting(p: Play) -> list[Any]:
     """What waits for a connection that is not up."""
-    conns = [conn for way in p.node.link.ways for conn in way.conns if conn.transport is None]
-    return [sent for conn in conns for sent in conn.open.values()]
+    conns = [conn for way in p.node.worker_client.pools for conn in way.connections if conn.transport is None]
+    return [sent for conn in conns for sent in conn.outstanding_calls.values()]
 
 
 def abort(number: Any, own: int | None = None) -> bytes:
@@ -130,7 +130,7 @@
         await leave(client, how)
         await until(lambda: p.node.dispatcher.counts["final", "left"])
         gone.set()
-        await until(lambda: not p.node.dispatcher._out)
+        await until(lambda: not p.node.dispatcher._in_flight)
         assert await (await p.client()).call(id="00000000000000bb") == "satisfied"
         assert sorted(line[-2:] for line in p.did()) == ["01", "bb"]
 
@@ -147,10 +147,10 @@
         await client.ask(id="00000000000000aa")
         await until(p.did)
         await client.send(abort(about))
-        await until(lambda: not p.node.dispatcher.held)
-        assert len(p.node.dispatcher._out) == 1  # the runner is not free
+        await until(lambda: not p.node.dispatcher.pending_requests)
+        assert len(p.node.dispatcher._in_flight) == 1  # the runner is not free
         gone.set()
-        await until(lambda: not p.node.dispatcher._out)
+        await until(lambda: not p.node.dispatcher._in_flight)
         assert await client.call() == "satisfied"  # the next answer is the next task's
         assert (client.number, p.did("UNDO"), p.runners["a"].connections) == (2, [], 1)
 
@@ -180,7 +180,7 @@
             await three.send(abort(about))
             assert word(await three.answer()) == "error -32600"
             assert await three.answer() is None
-        assert len(p.node.dispatcher.held) == 1
+        assert len(p.node.dispatcher.pending_requests) == 1
         gone.set()
         assert word(await one.answer()) == "satisfied"
         await one.send(abort(1))
@@ -190,8 +190,8 @@
 async def test_taken_back_tasks_count_as_open_as_long_as_runners_may_be_at_them(tmp_path: Path) -> None:
     async with play(tmp_path, {"a": [silent], "b": [silent]}) as p:
         client = await p.client()
-        for box in p.node.dispatcher.boxes.values():
-            box.runner.concurrency_limit = 100.0
+        for box in p.node.dispatcher.workers.values():
+            box.policy_worker.concurrency_limit = 100.0
         for n in range(100):
             await client.ask(wait=1900)
             if n < 32:  # one by one, so that none is taken back in its own read
@@ -205,11 +205,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Hundreds at once come in several reads: who wrote them had none of the answers between."""
-    monkeypatch.setattr("martenlead.node.door.CROSSING", 1 << 62)  # no answer ever reaches it
+    monkeypatch.setattr(
+        "martenlead.node.client_connection.RESPONSE_TRANSIT_NS", 1 << 62
+    )  # no answer ever reaches it
     async with play(tmp_path) as p:
         client = await p.client()
-        for box in p.node.dispatcher.boxes.values():
-            box.runner.concurrency_limit = 100.0
+        for box in p.node.dispatcher.workers.values():
+            box.policy_worker.concurrency_limit = 100.0
         told = []
         for _ in range(5):
             for _ in range(20):
@@ -226,7 +228,7 @@
         async with play(tmp_path, {"a": [once(gone, full), done], "b": [once(gone, full), done]}) as p:
             client = await p.client()
             await until(lambda p=p: p.node.door.clients)  # type: ignore[misc]
-            (own,) = p.node.door.clients
+            (own,) = p.node.listener.clients
             await client.ask()
             await until(p.did)
             own.write(b" " * 8_000_000)  # more than the machine's buffers hold
@@ -234,23 +236,23 @@
             await leave(client, how)
             await until(lambda p=p: p.node.dispatcher.counts["final", "left"])  # type: ignore[misc]
             gone.set()
-            await until(lambda p=p: not p.node.dispatcher._out)  # type: ignore[misc]
+            await until(lambda p=p: not p.node.dispatcher._in_flight)  # type: ignore[misc]
             assert (how, len(p.did())) == (how, 1)
 
 
 async def test_a_client_that_asks_for_ever_more_and_reads_nothing_is_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.node.door.SLOW", 1 << 62)
+    monkeypatch.setattr("martenlead.node.client_connection.STALLED_CLIENT_TIMEOUT_NS", 1 << 62)
     async with play(tmp_path) as p:
         client = await p.client()
-        await until(lambda: p.node.door.clients)
-        (own,) = p.node.door.clients
+        await until(lambda: p.node.listener.clients)
+        (own,) = p.node.listener.clients
         own.write(b" " * 8_000_000)
-        await until(lambda: own.stuck)
+        await until(lambda: own.write_blocked_since_ns)
         for _ in range(17):
             await client.ask()
-        await until(lambda: not p.node.door.clients)
+        await until(lambda: not p.node.listener.clients)
         assert p.did() == []
 
 
@@ -261,7 +263,7 @@
     """What was told as never sent must not be written: here it went to both runners."""
     for method in METHODS:
         async with play(tmp_path, {"a": [done], "b": [done]}) as p:
-            real, first = p.node.link._connect, []
+            real, first = p.node.worker_client._connect, []
 
             async def connect(conn: Any, real: Any = real, first: list[Any] = first) -> None:
                 made = conn.connection_made
@@ -275,7 +277,7 @@
                     conn.connection_made = crossed
                 await real(conn)
 
-            p.node.link._connect = connect  # type: ignore[method-assign]
+            p.node.worker_client._connect = connect  # type: ignore[method-assign]
             client = await p.client()
             told = await client.call(method, once="0" * 32 if method == "keyed" else None)
             assert (method, told, len(p.did())) == (method, "satisfied", 1)
@@ -287,15 +289,15 @@
 async def test_up_and_timed_out_as_the_loop_turns(tmp_path: Path) -> None:
     """Whichever the loop serves first: at most one runner has it, or it is told as maybe run."""
     async with play(tmp_path, {"a": [done], "b": [done]}) as p:
-        real = p.node.link._connect
+        real = p.node.worker_client._connect
 
         async def connect(conn: Any) -> None:
             asyncio.get_running_loop().call_soon(time.sleep, 0.3)  # both are due once it turns again
             await real(conn)
 
-        p.node.link._connect = connect  # type: ignore[method-assign]
+        p.node.worker_client._connect = connect  # type: ignore[method-assign]
         told = await (await p.client()).call("unsafe")
-        await until(lambda: not p.node.dispatcher._out)
+        await until(lambda: not p.node.dispatcher._in_flight)
         assert len(p.did()) == (told == "satisfied") or told.startswith("error")
 
 
@@ -307,17 +309,19 @@
     async with play(tmp_path, settings=ORDERS) as p:
         dispatcher = p.node.dispatcher
         await until(lambda: p.journal.streams)
-        (box,) = dispatcher.boxes.values()
+        (box,) = dispatcher.workers.values()
         heard: list[Any] = []
         gate = late(p)
         client = await p.client()
         if what == "order":
-            p.node.link.order(box, dispatcher.known("0" * 15 + "1", 1, 100.0), 1, heard.append)
+            p.node.worker_client.send_load_request(
+                box, dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0), 1, heard.append
+            )
         else:
             await client.ask("unsafe")
         await until(lambda: waiting(p))
         await p.journal.tell(p.record("a", state=state))
-        await until(lambda: not box.up)
+        await until(lambda: not box.is_up)
         if state == 2:  # gone: at once, not when a connection to it would have come up
             await until(lambda: not waiting(p), within=1)
         gate.set()
@@ -340,7 +344,7 @@
         await until(lambda: waiting(p))
         port = p.runners["a"].port
         await p.journal.tell(record(ord("a"), port, state=2), record(ord("n"), port))
-        await until(lambda: "s-0000006e" in p.node.dispatcher.boxes)
+        await until(lambda: "s-0000006e" in p.node.dispatcher.workers)
         gate.set()
         assert word(await client.answer()) in ("turned back", "satisfied")
         assert await client.call("unsafe", id="00000000000000bb") == "satisfied"
@@ -353,12 +357,12 @@
         await until(lambda: p.journal.streams)
         client = await p.client()
         assert await client.call() == "satisfied"
-        (old,) = p.node.dispatcher.boxes.values()
+        (old,) = p.node.dispatcher.workers.values()
         await p.journal.tell(p.record("a", state=1), p.record("a", state=2), p.record("a"))
-        await until(lambda: p.node.dispatcher.boxes.get("s-00000061") not in (None, old))
+        await until(lambda: p.node.dispatcher.workers.get("s-00000061") not in (None, old))
         assert await client.call() == "satisfied"
-        assert (old.gone, old.up, p.runners["a"].connections) == (True, False, 2)
-        assert len(p.node.dispatcher.boxes) == len(p.node.dispatcher.by_runner) == 1
+        assert (old.is_gone, old.is_up, p.runners["a"].connections) == (True, False, 2)
+        assert len(p.node.dispatcher.workers) == len(p.node.dispatcher.by_policy_worker) == 1
 
 
 async def test_a_late_second_answer_is_not_taken_for_the_next_hand_offs(
@@ -377,14 +381,14 @@
         await done(runner, stream, told)
 
     read: list[str] = []
-    real = lines.read
+    real = lines.parse_response
 
     def note(line: bytes, most: int) -> Any:
         read.append((told := real(line, most)).word)
         return told
 
     async with play(tmp_path, {"a": [first, second]}) as p:
-        monkeypatch.setattr("martenlead.node.runners.lines.read", note)
+        monkeypatch.setattr("martenlead.node.worker_client.lines.read", note)
         client = await p.client()
         told = await client.call("keyed", once="0" * 32, wait=1900)
         assert (told, len(p.did()), p.runners["a"].connections) == ("satisfied", 2, 2)
@@ -396,10 +400,10 @@
         client = await p.client()
         await client.ask("unsafe", id="00000000000000aa")
         await until(p.did)
-        ((conn,),) = (way.conns for way in p.node.link.ways)
-        p.node.link.sockets = 1  # no second connection beside a busy one
+        ((conn,),) = (way.connections for way in p.node.worker_client.pools)
+        p.node.worker_client.connection_limit = 1  # no second connection beside a busy one
         conn.eof_received()  # its loss is told at the end of this turn, at the earliest
-        assert conn not in conn.way.conns
+        assert conn not in conn.pool.connections
         assert word(await client.answer()) == "error -32000"  # it may have run
         assert await client.call("unsafe", id="00000000000000bb") == "satisfied"
 
@@ -409,12 +413,12 @@
         client = await p.client()
         await client.ask(id="00000000000000aa", wait=1900)
         await until(p.did)
-        (conn,) = (c for way in p.node.link.ways for c in way.conns if c.open)
+        (conn,) = (c for way in p.node.worker_client.pools for c in way.connections if c.outstanding_calls)
         conn.pause_writing()  # as the transport says once its buffer is full
-        p.node.link.sockets = 1  # nor a second one: it is told as not sent
+        p.node.worker_client.connection_limit = 1  # nor a second one: it is told as not sent
         assert await client.call("unsafe") == "turned back"
         conn.resume_writing()
-        assert p.node.link._pick(conn.way, []) is conn
+        assert p.node.worker_client._choose_connection(conn.pool, []) is conn
 
 
 async def test_a_connection_that_the_loop_has_closed_and_not_told_of_is_not_written_to(
@@ -424,10 +428,10 @@
     async with play(tmp_path) as p:
         client = await p.client()
         assert await client.call("unsafe") == "satisfied"
-        ((conn,),) = (way.conns for way in p.node.link.ways)
+        ((conn,),) = (way.connections for way in p.node.worker_client.pools)
         conn.transport.abort()  # as an error does that the loop meets: told at the end of this turn
-        assert conn in conn.way.conns
-        assert p.node.link._pick(conn.way, []) is not conn
+        assert conn in conn.pool.connections
+        assert p.node.worker_client._choose_connection(conn.pool, []) is not conn
         assert await client.call("unsafe") == "satisfied"
 
 
@@ -436,11 +440,13 @@
         client = await p.client()
         await client.ask("unsafe")
         await until(p.did)
-        ((conn,),) = (way.conns for way in p.node.link.ways)
-        p.node.link.sockets = 1  # no second connection beside a busy one
-        assert p.node.link._pick(conn.way, []) is conn
+        ((conn,),) = (way.connections for way in p.node.worker_client.pools)
+        p.node.worker_client.connection_limit = 1  # no second connection beside a busy one
+        assert p.node.worker_client._choose_connection(conn.pool, []) is conn
         conn.transport.abort()
-        assert conn in conn.way.conns and p.node.link._pick(conn.way, []) is None
+        assert (
+            conn in conn.pool.connections and p.node.worker_client._choose_connection(conn.pool, []) is None
+        )
         assert word(await client.answer()) == "error -32000"
 
 
@@ -453,7 +459,7 @@
     runner.listen()
     at = runner.getsockname()[1]
     async with play(tmp_path) as p:
-        gate, real = anyio.Event(), p.node.link._connect
+        gate, real = anyio.Event(), p.node.worker_client._connect
 
         async def connect(conn: Any) -> None:
             made = conn.connection_made
@@ -466,13 +472,13 @@
             await gate.wait()
             await real(conn)
 
-        p.node.link._connect = connect  # type: ignore[method-assign]
-        p.node.link.sockets = 1  # one connection to it
+        p.node.worker_client._connect = connect  # type: ignore[method-assign]
+        p.node.worker_client.connection_limit = 1  # one connection to it
         await until(lambda: p.journal.streams)
         await p.journal.tell(p.record("a", state=2), record(ord("b"), at))
-        await until(lambda: "s-00000062" in p.node.dispatcher.boxes)
-        box = p.node.dispatcher.boxes["s-00000062"]
-        box.runner.concurrency_limit = 100.0
+        await until(lambda: "s-00000062" in p.node.dispatcher.workers)
+        box = p.node.dispatcher.workers["s-00000062"]
+        box.policy_worker.concurrency_limit = 100.0
         client = await p.client()
         for _ in range(2):
             await client.ask("unsafe", blob="QUFB" * 5000, wait=1900)
@@ -482,7 +488,7 @@
         assert (word(told), (told or {})["id"]) == ("turned back", 2)  # it is proven not to have run
         assert await client.call("unsafe", wait=1900) == "turned back"
         await p.journal.tell(record(ord("b"), at, state=1))
-        await until(lambda: not box.up)
+        await until(lambda: not box.is_up)
         stream, _ = runner.accept()
         stream.setblocking(False)
         got = b""
@@ -521,10 +527,10 @@
     async with play(tmp_path) as p:
         client = await p.client()
         assert await client.call() == "satisfied"
-        (own,) = p.node.door.clients
-        own.read -= 60_000_000_000  # idle for long
+        (own,) = p.node.listener.clients
+        own.last_read_ns -= 60_000_000_000  # idle for long
         put(client)
-        p.node.door.sweep()  # in this very turn
+        p.node.listener.close_overdue_connections()  # in this very turn
         assert word(await client.answer()) == "satisfied"
 
 
@@ -532,18 +538,20 @@
     async with play(tmp_path) as p:
         client = await p.client()
         assert await client.call() == "satisfied"
-        p.node.door.connections = 1
+        p.node.listener.connection_limit = 1
         put(client)
-        (own,) = p.node.door.clients
-
-        new = Client(p.node.door)
-        new.read = 1 << 62
-        p.node.door.joined(new)
-        assert new.finishing and not own.finishing and not own.over  # the new one gives way
-        del p.node.door.clients[new]
-        new.over = True
+        (own,) = p.node.listener.clients
+
+        new = ClientConnection(p.node.listener)
+        new.last_read_ns = 1 << 62
+        p.node.listener.add_connection(new)
+        assert (
+            new.finishing_since_ns and not own.finishing_since_ns and not own.is_closed
+        )  # the new one gives way
+        del p.node.listener.clients[new]
+        new.is_closed = True
         assert word(await client.answer()) == "satisfied"
-        assert own in p.node.door.clients and not own.finishing
+        assert own in p.node.listener.clients and not own.finishing_since_ns
 
 
 # -- the stop
@@ -553,14 +561,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It comes after the loop has looked for the last time, and before the listener is closed."""
-    monkeypatch.setattr("martenlead.node.serve.STOPPING", 0.2)
+    monkeypatch.setattr("martenlead.node.serve.ACCEPT_AFTER_SIGTERM_SECONDS", 0.2)
     caller, came = Caller(None), []  # type: ignore[arg-type]
 
     def within(seconds: float) -> Any:
         if not came:
             came.append(socket.create_connection(("127.0.0.1", p.port)))
             came[0].send(caller.task())
-        return waits.within(seconds)
+        return waits.time_limit(seconds)
 
     async with play(tmp_path) as p:
         monkeypatch.setattr("martenlead.node.serve.within", within)
@@ -581,7 +589,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They come as the last held task is known to be over."""
-    monkeypatch.setattr("martenlead.node.serve.STOPPING", 0.2)
+    monkeypatch.setattr("martenlead.node.serve.ACCEPT_AFTER_SIGTERM_SECONDS", 0.2)
     async with play(tmp_path) as p:
         client = await p.client()
         assert await client.call() == "satisfied"
@@ -590,12 +598,12 @@
             came = False
 
             def __bool__(self) -> bool:
-                if p.node.stopping and not len(self) and not Empty.came:
+                if p.node.is_stopping and not len(self) and not Empty.came:
                     Empty.came = True
                     put(client)
                 return len(self) > 0
 
-        p.node.dispatcher.held = Empty()
+        p.node.dispatcher.pending_requests = Empty()
         os.kill(os.getpid(), signal.SIGTERM)
         assert word(await client.answer()) == "satisfied"
         await until(lambda: p.ended)
@@ -609,7 +617,7 @@
         await client.ask(wait=1900)
         await until(p.did)
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: p.node.stopping)
+        await until(lambda: p.node.is_stopping)
         os.kill(os.getpid(), signal.SIGTERM)  # a second one changes nothing
         before, moved = p.journal, type(p.journal)()
         moved.events = before.events
@@ -657,7 +665,7 @@
         old.close()
         await until(started.is_set)
         assert await (await p.client()).call() == "satisfied"
-        monkeypatch.setattr("martenlead.node.serve.KILLED_MOST", -1.5)
+        monkeypatch.setattr("martenlead.node.serve.KILL_DEADLINE_LIMIT_SECONDS", -1.5)
         with pytest.raises(ExceptionGroup) as raised:  # whoever has it keeps it: an end, and why
             await type(p.node)(p.path).serve()
         assert raised.group_contains(OSError, match="in use")
@@ -671,7 +679,7 @@
         node = type(p.node)(p.path)
         with anyio.fail_after(5):
             await node.serve(early=[signal.SIGHUP, signal.SIGTERM, signal.SIGTERM])
-        assert node.stopping
+        assert node.is_stopping
 
 
 # -- the roster
@@ -680,7 +688,7 @@
 async def test_a_frame_that_goes_on_byte_by_byte_is_silence(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.node.roster.QUIET", 0.3)
+    monkeypatch.setattr("martenlead.node.discovery.SILENCE_TIMEOUT_SECONDS", 0.3)
     async with play(tmp_path) as p:
         await until(lambda: p.journal.streams)
         p.journal.beats = False
@@ -704,8 +712,8 @@
         await p.runner("b", done)
         p.journal.events = [b"", frame(3, 2, p.record("b"))]  # there is no event 2
         await p.journal.streams[0].send(p.journal.events[1])
-        await until(lambda: len(p.node.dispatcher.boxes) == 2)
-        assert (p.journal.asked[:2], p.node.source.list.version) == ([1, 1], 3)
+        await until(lambda: len(p.node.dispatcher.workers) == 2)
+        assert (p.journal.asked[:2], p.node.discovery.endpoint_list.version) == ([1, 1], 3)
 
 
 async def test_an_empty_frame_that_is_ahead_of_the_list_has_it_asked_for_again(tmp_path: Path) -> None:
@@ -714,14 +722,14 @@
         await until(lambda: p.journal.streams)
         await p.runner("b", done)
         p.journal.events.append(frame(2, 2, p.record("b")))  # never sent on the open connection
-        await until(lambda: len(p.node.dispatcher.boxes) == 2)  # its next empty frame says so
+        await until(lambda: len(p.node.dispatcher.workers) == 2)  # its next empty frame says so
         assert p.journal.asked == [1, 1]
         await p.journal.streams[-1].send(frame(9, 0))  # ahead for good: asked once more, not for ever
         await until(lambda: len(p.journal.asked) == 3)
         await p.journal.streams[-1].send(frame(9, 0) + frame(9, 0))
         await p.runner("c", done)
         await p.journal.tell(p.record("c"))
-        await until(lambda: len(p.node.dispatcher.boxes) == 3)
+        await until(lambda: len(p.node.dispatcher.workers) == 3)
         assert len(p.journal.asked) == 3
 
 
@@ -740,14 +748,14 @@
             return await real(*at, **more)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("martenlead.node.roster.anyio.connect_tcp", connect)
-            p.node.source.move(full.getsockname())
+            patch.setattr("martenlead.node.discovery.anyio.connect_tcp", connect)
+            p.node.discovery.change_address(full.getsockname())
             await until(lambda: connecting)
-            p.node.source.move(("127.0.0.1", p.journal.port))  # in the middle of it
+            p.node.discovery.change_address(("127.0.0.1", p.journal.port))  # in the middle of it
             await until(lambda: len(p.journal.asked) > 1, within=0.4)
         await p.runner("b", done)
         await p.journal.tell(p.record("b"))
-        await until(lambda: len(p.node.dispatcher.boxes) == 2)
+        await until(lambda: len(p.node.dispatcher.workers) == 2)
     full.close()
 
 
@@ -763,7 +771,7 @@
     monkeypatch.setattr(loop, "call_later", lambda s, *a: timers.append(s) or real(s, *a))  # type: ignore
     for seconds in (0.0004, 0.0024, 0.0101):
         before = time.monotonic()
-        with waits.within(seconds) as scope:
+        with waits.time_limit(seconds) as scope:
             await anyio.Event().wait()
         assert scope.cancelled_caught and time.monotonic() - before >= seconds
     assert timers == [0.001, 0.003, 0.011]
@@ -806,9 +814,9 @@
         assert await second.call("lookup") == "error -32602"  # its customer is the other's
         assert await second.call("lookup", id=f"{1:016x}", tenant="other") == "satisfied"
         assert [len(p.did()) for p in (one, two)] == [1, 1]
-        assert [len(p.node.door.spent) for p in (one, two)] == [1, 1]
-        assert one.node.dispatcher.hard != two.node.dispatcher.hard
-        policies = [p.node.dispatcher.border._policy for p in (one, two)]
+        assert [len(p.node.listener.finished_ids) for p in (one, two)] == [1, 1]
+        assert one.node.dispatcher.deadlines_ns != two.node.dispatcher.deadlines_ns
+        policies = [p.node.dispatcher.policy_boundary._policy for p in (one, two)]
         for part in (None, "state", "scaling", "tenant_shares", "load_budget", "placement", "attempts"):
             found = [vars(policy if part is None else getattr(policy, part)) for policy in policies]
             shared = [
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -13,7 +13,7 @@
 
 from martenlead.events import http
 from martenlead.events.client import Pool
-from martenlead.events.cloudevent import Event, write
+from martenlead.events.cloudevent import Event, encode_event
 from support.fleet import OFFERINGS, after, fleet, satisfied, silent
 
 pytestmark = pytest.mark.anyio
@@ -48,7 +48,7 @@
         port = json.loads((await process.stdout.receive()).decode())["ready"]["port"]
         pool = Pool("127.0.0.1", port)
         event = Event({"specversion": "1.0", "id": "1", "source": "/c", "type": "notice", "model": "m"})
-        headers, body = write(event)
+        headers, body = encode_event(event)
         status = 0
 
         async def call() -> None:
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -16,7 +16,7 @@
 from martenlead.edge.event_loop_lag import UNREMARKABLE_WAIT, EventLoopLag
 from martenlead.events import http
 from martenlead.events.client import Pool
-from martenlead.node.listener import SPARE
+from martenlead.node.client_acceptor import EXTRA_DESCRIPTORS
 from support.fleet import Fleet, after, fleet, full, satisfied
 from tests.nodes import SETTINGS, Caller, done, play, word
 
@@ -70,14 +70,14 @@
         await done(runner, stream, told)
 
     async with play(tmp_path, {"a": [noting]}) as p:
-        door = p.node.door
-        door.connections, places = -SPARE, door.connections
+        door = p.node.listener
+        door.connection_limit, places = -EXTRA_DESCRIPTORS, door.connection_limit
         client, idle = await p.client(), await p.client()
         await client.ask(ONE_ATTEMPT, wait=WAIT)
         await anyio.sleep(BLOCKED)  # in the backlog
         assert not door.clients
-        door.connections = places
-        door.place_freed()
+        door.connection_limit = places
+        door.on_connection_closed()
         assert word(await client.answer()) == "satisfied"
         for other in (client, idle):  # what they send now has waited for nothing
             assert await other.call(ONE_ATTEMPT, wait=WAIT, id=f"{len(stated) + 9:016x}") == "satisfied"
@@ -96,13 +96,13 @@
     allowed = SETTINGS["allowed"] | {"connect-timeout": 1.0}
     async with play(tmp_path, {"a": [noting]}, settings=SETTINGS | {"allowed": allowed}) as p:
         client = await p.client()
-        real = p.node.link._connect
+        real = p.node.worker_client._connect
 
         async def late(conn: Any) -> None:
             await anyio.sleep(BLOCKED)
             await real(conn)
 
-        monkeypatch.setattr(p.node.link, "_connect", late)
+        monkeypatch.setattr(p.node.worker_client, "_connect", late)
         assert await client.call(wait=WAIT) == "satisfied"
         assert stated[0] <= WAIT - BLOCKED * 1000 + 1
 
@@ -213,8 +213,8 @@
             client.sendall(told)
         case "a wait at the gate":
             assert f.door.gate is not None
-            room, opens = f.door.gate.room, sent[0] + BLOCKED / 2  # within its aim
-            f.door.gate.room = lambda ticket: room(ticket) if time.monotonic() > opens else None
+            room, opens = f.door.gate.find_placement, sent[0] + BLOCKED / 2  # within its aim
+            f.door.gate.find_placement = lambda ticket: room(ticket) if time.monotonic() > opens else None
             client.sendall(told)
         case "unread behind a full pipeline":
             monkeypatch.setattr("martenlead.events.server.READ_AHEAD", 1)
@@ -250,9 +250,9 @@
 async def test_what_follows_a_full_read_may_have_come_with_it(tmp_path: Path, monkeypatch: Any) -> None:
     async with play(tmp_path) as p:
         await p.client()
-        while not p.node.door.clients:
+        while not p.node.listener.clients:
             await asyncio.sleep(0.002)
-        (own,) = p.node.door.clients
+        (own,) = p.node.listener.clients
         arrivals = [100, 900, 950, 990]
-        monkeypatch.setattr(p.node.dispatcher.lag, "earliest_arrival", lambda _: arrivals.pop(0))
+        monkeypatch.setattr(p.node.dispatcher.event_loop_lag, "earliest_arrival", lambda _: arrivals.pop(0))
         assert [own._arrival(1000, size) for size in (262_144, 65_536, 10, 10)] == [100, 100, 100, 990]
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -22,18 +22,18 @@
         async with fleet({"a": [satisfied]}, log={"decisions": True}) as f:
             assert (await f.call("estimate"))[0] == 200
             await until(lambda: lines(logs, "hears"))
-            (known,) = f.dispatcher.models.values()
-            box = f.dispatcher.boxes[lines(logs, "hears")[0]["runner"]]
-            f.dispatcher._outlet(LoadRequest(box.runner, known.model, 0))
+            (known,) = f.dispatcher.functions_by_name.values()
+            box = f.dispatcher.workers[lines(logs, "hears")[0]["runner"]]
+            f.dispatcher._carry_out(LoadRequest(box.policy_worker, known.policy_function, 0))
             await until(lambda: lines(logs, "order ends"))
     (sent,) = [line for line in lines(logs, "decides") if line["what"] == "HandOff"]
     assert sent["edge"] and sent["runner"] in "ab" and sent["task"]
     (heard,) = lines(logs, "hears")
     assert (heard["task"], heard["result"]) == (sent["task"], "satisfied")
     (load,) = [line for line in lines(logs, "decides") if line["what"] == "Order"]
-    assert (load["runner"], load["model"], load["copies"]) == (box.line.id, known.name, 0)
+    assert (load["runner"], load["model"], load["copies"]) == (box.endpoint.id, known.name, 0)
     (ended,) = lines(logs, "order ends")
-    assert (ended["runner"], ended["model"]) == (box.line.id, known.name)
+    assert (ended["runner"], ended["model"]) == (box.endpoint.id, known.name)
 
 
 @pytest.mark.parametrize("event", ["decides", "hears", "order ends"])
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from martenlead.node import door
+from martenlead.node import client_connection as door
 from martenlead.policy.types import Result
 from support.fleet import until
 from tests.apart import DESCRIPTORS, apart, serve_at
@@ -39,11 +39,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Their answers wait in the node, with a descriptor each. Who comes then waits in the backlog."""
-    monkeypatch.setattr("martenlead.node.door.SWEEP", 1 << 62)  # by hand
-    monkeypatch.setattr("martenlead.node.listener.SPARE", 2)
+    monkeypatch.setattr("martenlead.node.client_connection.SWEEP_INTERVAL_NS", 1 << 62)  # by hand
+    monkeypatch.setattr("martenlead.node.client_acceptor.EXTRA_DESCRIPTORS", 2)
     async with play(tmp_path) as p:
-        door = p.node.door
-        door.connections = 1
+        door = p.node.listener
+        door.connection_limit = 1
         for count in (1, 2, 3):
             client = await p.client()
             await until(lambda: door.clients)
@@ -55,8 +55,8 @@
         await late.ask()
         await anyio.sleep(0.05)
         assert (len(door.closing), len(door.clients)) == (3, 0)
-        monkeypatch.setattr("martenlead.node.door.SWEEP", 0)
-        door.sweep()
+        monkeypatch.setattr("martenlead.node.client_connection.SWEEP_INTERVAL_NS", 0)
+        door.close_overdue_connections()
         assert word(await late.answer()) == "satisfied"
 
 
@@ -79,14 +79,14 @@
 
 async def test_more_workers_than_connections_share_them(tmp_path: Path) -> None:
     async with play(tmp_path, {name: [done] for name in "abcd"}) as p:
-        p.node.link.sockets = 2
+        p.node.worker_client.connection_limit = 2
         heard: list[Any] = []
-        known = p.node.dispatcher.known("0" * 15 + "1", 1, 100.0)
-        for box in p.node.dispatcher.boxes.values():
-            p.node.link.order(box, known, 0, heard.append)
+        known = p.node.dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0)
+        for box in p.node.dispatcher.workers.values():
+            p.node.worker_client.send_load_request(box, known, 0, heard.append)
             await until(lambda: heard)
             assert heard.pop().result is Result.SUCCEEDED
-            assert sum(way.open for way in p.node.link.ways) <= 2
+            assert sum(way.open_connections for way in p.node.worker_client.pools) <= 2
         await until(lambda: sum(runner.open for runner in p.runners.values()) == 2)
         assert [runner.connections for runner in p.runners.values()] == [1, 1, 1, 1]
 
@@ -95,7 +95,7 @@
     """A look at each of hundreds for each of hundreds that come would keep the loop busy."""
     asked: list[Any] = []
     async with play(tmp_path) as p:
-        p.node.door.connections = 10
+        p.node.listener.connection_limit = 10
         clients = [await p.client() for _ in range(10)]
         for client in clients[5:]:
             assert await client.call(id=f"{id(client):016x}") == "satisfied"  # it spoke
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -17,24 +17,30 @@
 import pytest
 from structlog.testing import capture_logs
 
-from martenlead.config.edge import Lasting
-from martenlead.edge import httplink
-from martenlead.edge.keeper import KNOWLEDGE, Keeper
-from martenlead.lasting.disk import Folder
-from martenlead.lasting.store import KEPT, MOST_GENERATIONS, InUse, Kind, Store
+from martenlead.config.edge import DurableStateSettings
+from martenlead.durable_state.disk import StateFolder
+from martenlead.durable_state.store import (
+    MAX_GENERATIONS,
+    RETAINED_GENERATIONS,
+    FolderInUseError,
+    StateKind,
+    StateStore,
+)
+from martenlead.edge import http_upstream as httplink
+from martenlead.edge.knowledge_saver import KNOWLEDGE, KnowledgeSaver
 from martenlead.layers.agent import Agent, AgentSettings, Place
 from martenlead.layers.cache import Cache, NoRoom
 from martenlead.layers.image import digest_of
 from martenlead.layers.naming import Release
-from martenlead.planner.serve import Kept, Planner, PlannerSettings
-from martenlead.runnerlink import roster
+from martenlead.planner.server import Planner, PlannerSettings, SavedReplicas
 from martenlead.system.clocks import Moment
 from martenlead.system.durable_file import Backoff, read_if_there, remove_leftovers, replace_file
 from martenlead.system.state_saver import SaveHealth, StateSaver
+from martenlead.upstream import endpoints
 from support.disk_faults import ERRNOS, DiskFaults, Killed
 from support.fleet import after, fleet, satisfied, until
 
-THING = Kind("thing")
+THING = StateKind("thing")
 QUICK = partial(Backoff, first_seconds=0.001, longest_seconds=0.004)
 
 
@@ -52,7 +58,7 @@
     """`lasting`: generations in a folder."""
 
     def __init__(self, root: Path) -> None:
-        self.store = Store(Folder(root / "edge"), "here", lambda: 1_000)
+        self.store = StateStore(StateFolder(root / "edge"), "here", lambda: 1_000)
         state = self.store.read(THING)
         self.found = state.value if state is not None else None
 
@@ -63,21 +69,25 @@
 class RosterList:
     def __init__(self, root: Path) -> None:
         self.path = root / "list"
-        found = roster.kept(self.path)
+        found = endpoints.load_cached_endpoints(self.path)
         self.found = found.version if found is not None else None
 
     def save(self, number: int) -> None:
-        roster.keep(self.path, roster.Kept(number, 0.0, [roster.Line(id="a" * 100)]))
+        endpoints.save_cached_endpoints(
+            self.path, endpoints.CachedEndpoints(number, 0.0, [endpoints.Endpoint(id="a" * 100)])
+        )
 
 
 class PlannerState:
     def __init__(self, root: Path) -> None:
-        settings = PlannerSettings(kept=str(root / "planner"))
+        settings = PlannerSettings(state_path=str(root / "planner"))
         self.planner = Planner(settings, moment=lambda: Moment(0, "boot", 0))
-        self.found = int(self.planner.kept.saved) or None
+        self.found = int(self.planner.saved_replicas.saved_unix_seconds) or None
 
     def save(self, number: int) -> None:
-        self.planner._write(msgspec.json.encode(Kept(number, {"edge": [("r", "m", 1, 1.0, 0.0)]})))
+        self.planner._write_state_file(
+            msgspec.json.encode(SavedReplicas(number, {"edge": [("r", "m", 1, 1.0, 0.0)]}))
+        )
 
 
 class AgentNames:
@@ -283,27 +293,29 @@
 def test_a_store_that_could_not_be_opened_can_be_opened_later_in_the_same_process(tmp_path: Path) -> None:
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
-        store = Store(Folder(tmp_path / "edge"), "here", lambda: 1)
+        store = StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1)
         store.write(THING, 1)
         store.close()
         disk.heal()
-        Store(Folder(tmp_path / "edge"), "here", lambda: 1).close()
+        StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1).close()
         for k in range(1, len(disk.calls) + 1):
             disk.fail(errno.EIO, k)
             with_error = None
             try:
-                Store(Folder(tmp_path / "edge"), "here", lambda: 1).close()
+                StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1).close()
             except OSError as error:
                 with_error = error
             disk.heal()
-            again = Store(Folder(tmp_path / "edge"), "here", lambda: 1)  # InUse, were the lock still held
+            again = StateStore(
+                StateFolder(tmp_path / "edge"), "here", lambda: 1
+            )  # InUse, were the lock still held
             state = again.read(THING)
             assert state is not None and state.value == 1, (k, with_error)
             again.close()
 
 
 def test_a_disk_that_takes_nothing_still_gives_what_was_kept(tmp_path: Path) -> None:
-    first = Store(Folder(tmp_path), "here", lambda: 1)
+    first = StateStore(StateFolder(tmp_path), "here", lambda: 1)
     first.write(THING, "kept")
     first.close()
 
@@ -314,13 +326,13 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(os, "open", read_only)
-        second = Store(Folder(tmp_path), "here", lambda: 1)
+        second = StateStore(StateFolder(tmp_path), "here", lambda: 1)
         state = second.read(THING)
         assert (state.value if state else None, second.epoch) == ("kept", 0)
         with pytest.raises(OSError, match="Read-only"):
             second.write(THING, "new")
-        with pytest.raises(InUse):
-            Store(Folder(tmp_path), "here", lambda: 1)
+        with pytest.raises(FolderInUseError):
+            StateStore(StateFolder(tmp_path), "here", lambda: 1)
     assert second.write(THING, "new") == 2
     assert second.epoch == 2  # counted anew, with the first write that could be made
 
@@ -338,7 +350,7 @@
         with disk():
             disk.fail(chance.choice(ERRNOS), 1 + chance.randrange(14), 1 + chance.randrange(4))
             try:
-                epoch = Store(Folder(root / "edge"), "here", lambda: 1).epoch
+                epoch = StateStore(StateFolder(root / "edge"), "here", lambda: 1).epoch
             except OSError:
                 epoch = 0
             disk.crash()
@@ -349,7 +361,7 @@
 def test_generations_that_cannot_be_removed_are_bounded(tmp_path: Path) -> None:
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
-        store = Store(Folder(tmp_path / "edge"), "here", lambda: 1)
+        store = StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1)
         store.write(THING, 0)
         disk.fail(errno.EIO, 1, only="unlink")
         written = 0
@@ -360,10 +372,10 @@
         state = store.read(THING)
         assert state is not None and state.value == written > 5
         files = list(tmp_path.rglob("thing.*.state"))
-        assert len(files) == MOST_GENERATIONS
+        assert len(files) == MAX_GENERATIONS
         disk.heal()
         store.write(THING, "newest")
-        assert len(list(tmp_path.rglob("thing.*.state"))) == KEPT
+        assert len(list(tmp_path.rglob("thing.*.state"))) == RETAINED_GENERATIONS
 
 
 def test_a_write_cut_short_that_cannot_be_removed_stops_no_start(tmp_path: Path) -> None:
@@ -371,13 +383,13 @@
     (tmp_path / "thing.part").write_bytes(b"half")
     with disk():
         disk.fail(errno.EIO, 1, only="unlink")
-        store = Store(Folder(tmp_path), "here", lambda: 1)
+        store = StateStore(StateFolder(tmp_path), "here", lambda: 1)
         assert store.write(THING, "new") == 1
         assert temporary_files(tmp_path) == []  # written over, and renamed
 
 
 def test_a_read_that_fails_for_a_moment_costs_no_generation(tmp_path: Path) -> None:
-    store = Store(Folder(tmp_path / "edge"), "here", lambda: 1)
+    store = StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1)
     store.write(THING, "old")
     store.write(THING, "new")
     disk = DiskFaults(tmp_path, Random(1))
@@ -501,13 +513,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, code: int
 ) -> None:
     """The folder fails from before the start, and again later; requests are answered all the while."""
-    monkeypatch.setattr("martenlead.edge.keeper.Backoff", QUICK)
-    told = Lasting(folder=str(tmp_path), every_ms=5)
+    monkeypatch.setattr("martenlead.edge.knowledge_saver.Backoff", QUICK)
+    told = DurableStateSettings(folder=str(tmp_path), every_ms=5)
     disk = DiskFaults(tmp_path, Random(1))
     with capture_logs() as logs, disk():
         async with fleet({"a": [after(5, satisfied)]}) as f:
             disk.fail(code, 1)
-            keeper = Keeper(f.edge, told)
+            keeper = KnowledgeSaver(f.edge, told)
             assert keeper.store is None
             f.group.start_soon(keeper.run, f.dispatcher)
             counts = f.dispatcher.counts
@@ -522,9 +534,9 @@
             disk.heal()
             await until(lambda: counts["state_save_recovered", "knowledge"] == 2)
             assert (await f.call())[0] == 200
-            assert "state_saved/knowledge" in f.dispatcher.state()["counts"]
+            assert "state_saved/knowledge" in f.dispatcher.report_status()["counts"]
         disk.crash()
-        store = Store(Folder(tmp_path / "edge"), told.deployment, lambda: 1)
+        store = StateStore(StateFolder(tmp_path / "edge"), told.deployment, lambda: 1)
         state = store.read(KNOWLEDGE)
         assert state is not None and state.value["models"]
     events = [line["event"] for line in logs if line["event"].startswith("state_")]
@@ -535,20 +547,22 @@
 async def test_knowledge_that_cannot_be_read_at_the_start_is_taken_up_and_not_written_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.edge.keeper.Backoff", QUICK)
-    told = Lasting(folder=str(tmp_path), every_ms=5)
+    monkeypatch.setattr("martenlead.edge.knowledge_saver.Backoff", QUICK)
+    told = DurableStateSettings(folder=str(tmp_path), every_ms=5)
     async with fleet({"a": [after(5, satisfied)]}) as f:
-        keeper = Keeper(f.edge, told)
+        keeper = KnowledgeSaver(f.edge, told)
         f.group.start_soon(keeper.run, f.dispatcher)
         for _ in range(5):
             assert (await f.call())[0] == 200
-        await until(lambda: keeper.last and keeper.last[1].models and keeper.counts["saved"] > 2)
+        await until(
+            lambda: keeper.last_gathered and keeper.last_gathered[1].functions and keeper.counts["saved"] > 2
+        )
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         async with fleet({"a": [after(5, satisfied)]}) as f:
             disk.fail(errno.EIO, 1)
-            keeper = Keeper(f.edge, told)
-            assert keeper.store is None and keeper.found is None
+            keeper = KnowledgeSaver(f.edge, told)
+            assert keeper.store is None and keeper.earlier_knowledge is None
             with capture_logs() as logs:
                 f.group.start_soon(keeper.run, f.dispatcher)
                 await until(lambda: keeper.counts["failed"] > 3)
@@ -562,20 +576,20 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What an earlier life knew is worth more than what this one could have learnt."""
-    monkeypatch.setattr("martenlead.edge.keeper.Backoff", NoRetry)
-    told = Lasting(folder=str(tmp_path))
-    earlier = Store(Folder(tmp_path / "edge"), told.deployment, lambda: 1)
+    monkeypatch.setattr("martenlead.edge.knowledge_saver.Backoff", NoRetry)
+    told = DurableStateSettings(folder=str(tmp_path))
+    earlier = StateStore(StateFolder(tmp_path / "edge"), told.deployment, lambda: 1)
     earlier.write(KNOWLEDGE, {"models": "of then"})
     earlier.close()
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         async with fleet({"a": [after(5, satisfied)]}) as f:
             disk.fail(errno.EIO, 1)
-            keeper = Keeper(f.edge, told)
+            keeper = KnowledgeSaver(f.edge, told)
             f.group.start_soon(keeper.run, f.dispatcher)
             assert (await f.call())[0] == 200
             disk.heal()
-        state = Store(Folder(tmp_path / "edge"), told.deployment, lambda: 1).read(KNOWLEDGE)
+        state = StateStore(StateFolder(tmp_path / "edge"), told.deployment, lambda: 1).read(KNOWLEDGE)
         assert state is not None and (state.value, state.generation) == ({"models": "of then"}, 1)
 
 
@@ -583,22 +597,24 @@
 async def test_an_edge_keeps_the_newest_list_once_its_disk_is_well_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.edge.httplink.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.edge.http_upstream.Backoff", QUICK)
     path = tmp_path / "list"
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         async with fleet() as f:
             disk.fail(errno.ENOSPC, 1)
             second = httplink.dispatcher(
-                msgspec.structs.replace(f.edge, roster=msgspec.structs.replace(f.edge.roster, kept=str(path)))
+                msgspec.structs.replace(
+                    f.edge, roster=msgspec.structs.replace(f.edge.endpoint_list, kept=str(path))
+                )
             )
             f.group.start_soon(second.run)
             await until(lambda: second.counts["state_save_failed", "list"] > 2)
-            assert second.listed.is_set()
+            assert second.snapshot_received.is_set()
             disk.heal()
             await until(lambda: second.counts["state_save_recovered", "list"] == 1)
             disk.crash()
-            found = roster.kept(path)
+            found = endpoints.load_cached_endpoints(path)
             assert found is not None and [line.id for line in found.runners] == ["a", "b"]
 
 
@@ -607,52 +623,54 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The roster is away: an edge has that list or none."""
-    monkeypatch.setattr("martenlead.edge.httplink.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.edge.http_upstream.Backoff", QUICK)
     path = tmp_path / "list"
-    roster.keep(path, roster.Kept(3, 0.0, [roster.Line(id="a", port=1, memory_mb=1.0)]))
+    endpoints.save_cached_endpoints(
+        path, endpoints.CachedEndpoints(3, 0.0, [endpoints.Endpoint(id="a", port=1, memory_mb=1.0)])
+    )
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         async with fleet() as f:
             disk.fail(errno.EIO, 1)
-            away = msgspec.structs.replace(f.edge.roster, port=1, kept=str(path))
-            second = httplink.dispatcher(msgspec.structs.replace(f.edge, roster=away))
+            away = msgspec.structs.replace(f.edge.endpoint_list, port=1, kept=str(path))
+            second = httplink.dispatcher(msgspec.structs.replace(f.edge, endpoint_list=away))
             f.group.start_soon(second.run)
             await until(lambda: len(disk.calls) > 5)
-            assert not second.listed.is_set()
+            assert not second.snapshot_received.is_set()
             disk.heal()
-            await until(second.listed.is_set)
-            assert [line.id for line in second.list.lines.values()] == ["a"]
-            assert len(second.state()["runners"]) == 1
+            await until(second.snapshot_received.is_set)
+            assert [line.id for line in second.endpoint_list.endpoints.values()] == ["a"]
+            assert len(second.report_status()["runners"]) == 1
 
 
 @pytest.mark.anyio
 async def test_a_planner_keeps_the_newest_and_never_writes_over_what_it_could_not_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.planner.serve.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.planner.server.Backoff", QUICK)
     path = tmp_path / "kept"
-    older = Kept(0.0, {"away": [("r", "m", 1, 1.0, 5.0)], "here": [("r", "old", 1, 1.0, 5.0)]})
+    older = SavedReplicas(0.0, {"away": [("r", "m", 1, 1.0, 5.0)], "here": [("r", "old", 1, 1.0, 5.0)]})
     path.write_bytes(msgspec.json.encode(older))
     disk = DiskFaults(tmp_path, Random(1))
     with capture_logs() as logs, disk():
         disk.fail(errno.EIO, 1)
-        planner = Planner(PlannerSettings(kept=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
-        assert planner.kept.edges == {}
-        planner.kept.edges["here"] = [("r", "new", 1, 1.0, 0.0)]
+        planner = Planner(PlannerSettings(state_path=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
+        assert planner.saved_replicas.replicas_by_edge == {}
+        planner.saved_replicas.replicas_by_edge["here"] = [("r", "new", 1, 1.0, 0.0)]
         async with anyio.create_task_group() as group:
             group.start_soon(planner.saver.run)
             planner.saver.changed()
-            await until(lambda: planner.saves["state_save_failed"] > 2)
+            await until(lambda: planner.save_counts["state_save_failed"] > 2)
             disk.heal()
-            await until(lambda: planner.saves["state_saved"])
+            await until(lambda: planner.save_counts["state_saved"])
             group.cancel_scope.cancel()
         disk.crash()
-        again = Planner(PlannerSettings(kept=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
-        assert again.kept.edges == {
+        again = Planner(PlannerSettings(state_path=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
+        assert again.saved_replicas.replicas_by_edge == {
             "away": [("r", "m", 1, 1.0, 1005.0)],
             "here": [("r", "new", 1, 1.0, 0.0)],
         }
-        assert planner.state()["saves"]["state_save_recovered"] == 1
+        assert planner.report_status()["saves"]["state_save_recovered"] == 1
     events = [line["event"] for line in logs]
     assert events == ["state_unread", "state_save_failed", "state_save_recovered"]
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -14,7 +14,7 @@
 import pytest
 from anyio.abc import SocketStream
 
-from martenlead.edge.door import Admin
+from martenlead.edge.listener import Admin
 from martenlead.events.http import Message
 from support.fleet import Fleet, Part, Runner, after, fleet, satisfied
 
@@ -76,14 +76,19 @@
                     group.start_soon(one)
                 gate = f.door.gate
                 with anyio.fail_after(5):
-                    while len(told) + len(f.dispatcher.held) + (gate.waiting if gate else 0) < 40:
+                    while (
+                        len(told)
+                        + len(f.dispatcher.pending_requests)
+                        + (gate.waiting_requests if gate else 0)
+                        < 40
+                    ):
                         await anyio.sleep(0.001)
                 if gate is not None:
-                    assert gate.waiting == 40 - len(f.dispatcher.held) > 10
+                    assert gate.waiting_requests == 40 - len(f.dispatcher.pending_requests) > 10
                 go.set()
             served.append(sum(status == 200 for status, _ in told))
             if gate is not None:
-                assert gate.waiting == gate.bytes == 0
+                assert gate.waiting_requests == gate.waiting_bytes == 0
     assert served[0] < 30
     assert served[1] == 40
 
@@ -101,7 +106,7 @@
             ident = f"client-{n}"
             for attempt in range(3):
                 status, told = await f.call("estimate", ident=ident, customer="portal", left=2000)
-                most[0], most[1] = max(most[0], gate.waiting), max(most[1], gate.bytes)
+                most[0], most[1] = max(most[0], gate.waiting_requests), max(most[1], gate.waiting_bytes)
                 if attempt:
                     came += 1
                     met += status == 200
@@ -118,7 +123,7 @@
         assert met / came >= 0.3  # docs/measured/door.md has what it is; this is no measurement
         assert most[0] <= 20
         assert most[1] <= 4000
-        assert gate.told()["honest"] is not None
+        assert gate.status_report()["honest"] is not None
 
 
 async def test_an_appointment_is_kept_by_a_door_that_did_not_give_it() -> None:
@@ -141,7 +146,7 @@
                     for _ in range(30):
                         group.start_soon(partial(f.call, "estimate", customer="portal", left=7000))
                     with anyio.fail_after(5):
-                        while not gate.waiting:
+                        while not gate.waiting_requests:
                             await anyio.sleep(0.001)
                     exchange = await f.exchange("estimate", ident="mine", customer="portal", left=7000)
                     assert exchange.message is not None and exchange.message.status == 503
@@ -190,7 +195,7 @@
             with anyio.move_on_after(0.1):
                 await many(f, 30)
             await anyio.sleep(0.05)
-            assert gate.waiting == gate.bytes == 0
+            assert gate.waiting_requests == gate.waiting_bytes == 0
             group.cancel_scope.cancel()
 
 
@@ -207,13 +212,16 @@
             gate = f.door.gate
             assert gate is not None
             with anyio.fail_after(5):
-                while not gate.waiting or (
-                    len(f.dispatcher.held) + gate.waiting + f.dispatcher.counts["final", "turned back"] < 40
+                while not gate.waiting_requests or (
+                    len(f.dispatcher.pending_requests)
+                    + gate.waiting_requests
+                    + f.dispatcher.counts["final", "turned back"]
+                    < 40
                 ):
                     await anyio.sleep(0.001)  # a connection that was not read yet would only be closed
-            waiting = gate.waiting
+            waiting = gate.waiting_requests
             f.door.drain()
-            assert gate.waiting == 0
+            assert gate.waiting_requests == 0
         why = [t.get("detail") for status, t in told if status == 503]
         assert why.count("the dispatcher stops") >= waiting
         assert len(told) == 40
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -9,10 +9,10 @@
 import anyio
 import pytest
 
-from martenlead.edge import httplink
-from martenlead.edge.door import Admin
+from martenlead.edge import http_upstream as httplink
+from martenlead.edge.listener import Admin
 from martenlead.events.http import Message
-from martenlead.runnerlink import roster
+from martenlead.upstream import endpoints
 from support.fleet import after, draining, fleet, raw, satisfied, says, until
 
 pytestmark = pytest.mark.anyio
@@ -79,7 +79,7 @@
     async with fleet() as f:
         for name in "ab":
             await f.say(name, "gone")
-        await until(lambda: not f.dispatcher.list.lines)
+        await until(lambda: not f.dispatcher.endpoint_list.endpoints)
         exchange = await f.exchange("notice")
         message = exchange.message
         assert message is not None
@@ -99,17 +99,17 @@
 async def test_an_edge_starts_with_the_list_that_it_kept(tmp_path: Path) -> None:
     path = tmp_path / "kept"
     async with fleet() as f:
-        lines = [roster.Line(id=n, port=r.port, memory_mb=1.0) for n, r in f.runners.items()]
-        roster.keep(path, roster.Kept(3, time.time(), lines))
+        lines = [endpoints.Endpoint(id=n, port=r.port, memory_mb=1.0) for n, r in f.runners.items()]
+        endpoints.save_cached_endpoints(path, endpoints.CachedEndpoints(3, time.time(), lines))
         # a second edge, whose roster nobody serves
-        from martenlead.config.edge import Edge
+        from martenlead.config.edge import EdgeSettings
         from martenlead.config.load import decode
 
         settings = {"roster": {"port": 1, "kept": str(path)}, "offerings": [{"name": "x"} | LIMITS]}
-        second = httplink.dispatcher(decode(settings, Edge, "test"))
+        second = httplink.dispatcher(decode(settings, EdgeSettings, "test"))
         f.group.start_soon(second.run)
-        await until(lambda: len(second.state()["runners"]) == 2)
-        assert [r["state"] for r in second.state()["runners"]] == ["up", "up"]
+        await until(lambda: len(second.report_status()["runners"]) == 2)
+        assert [r["state"] for r in second.report_status()["runners"]] == ["up", "up"]
 
 
 LIMITS = {"soft_limit_ms": 1, "hard_limit_ms": 1, "effect": "idempotent"}
@@ -126,7 +126,7 @@
         async def call() -> None:
             nonlocal most
             statuses.append((await f.call(left=1900))[0])
-            most = max(most, len(f.dispatcher.held))
+            most = max(most, len(f.dispatcher.pending_requests))
 
         async with anyio.create_task_group() as group:
             for _ in range(1000):
@@ -134,8 +134,8 @@
         assert len(statuses) == 1000
         assert set(statuses) == {200, 503}
         assert most <= 100
-        assert not f.dispatcher.held
-        assert f.dispatcher.bytes == 0
+        assert not f.dispatcher.pending_requests
+        assert f.dispatcher.pending_bytes == 0
 
 
 async def test_a_stalled_loop_widens_the_tick_and_answers_what_it_can() -> None:
@@ -152,15 +152,15 @@
                 time.sleep(0.2)
                 await anyio.sleep(0.03)
         assert told[0][0] == 504
-        assert f.dispatcher.closest is not None
-        assert f.dispatcher.closest > 0
-        assert f.dispatcher.lag.tick > 20_000_000
+        assert f.dispatcher.least_time_left_ns is not None
+        assert f.dispatcher.least_time_left_ns > 0
+        assert f.dispatcher.event_loop_lag.tick_ns > 20_000_000
 
 
 async def test_a_clock_that_steps_back_stands_still() -> None:
     async with fleet() as f:
         await f.call()
-        f.dispatcher.border._clock = lambda: 5
+        f.dispatcher.policy_boundary._clock = lambda: 5
         assert (await f.call("notice", left=1000))[0] in (200, 503)
 
 
@@ -293,7 +293,9 @@
     customers = [{"name": "portal", "quota_per_s": 0.001}, {"name": "desk", "quota_per_s": 1000}]
     never = says(503, (b"martenlead-never-ran", b"1"))
     async with fleet({"a": [never], "b": [never]}, customers=customers, over_share=0.2) as f:
-        f.dispatcher.border._policy.tenant_shares.requests_per_second[f.dispatcher.customers["portal"]] = 50.0
+        f.dispatcher.policy_boundary._policy.tenant_shares.requests_per_second[
+            f.dispatcher.tenants["portal"]
+        ] = 50.0
         statuses = {name: (await f.call(customer=name))[0] for name in ("portal", "desk")}
         assert statuses == {"portal": 429, "desk": 503}
         status, told = await f.call(customer="nobody")
@@ -315,8 +317,8 @@
         async with anyio.create_task_group() as group:
             group.start_soon(call)
             await until(lambda: f.arrivals)
-            monkeypatch.setattr(f.dispatcher.border._policy.repeats, "may_reject", fails)
-            monkeypatch.setattr(f.dispatcher.border, "may_turn_back", lambda _task: False)
+            monkeypatch.setattr(f.dispatcher.policy_boundary._policy.repeats, "may_reject", fails)
+            monkeypatch.setattr(f.dispatcher.policy_boundary, "may_reject", lambda _task: False)
         assert [(status, answer["final"]) for status, answer in told] == [(504, "scrapped")]
         assert f.dispatcher.counts["fault", "ZeroDivisionError"] == 1
         monkeypatch.undo()
@@ -367,10 +369,10 @@
     async with fleet({"a": [says(200, report)]}, probes={"every_ms": 20}) as f:
         f.runners["a"].order = says(200, (b"martenlead-report", b"busy=0.75"), body=b"ready")
         await f.call()
-        box = f.dispatcher.boxes["a"]
-        assert box.reported["x1"] == 3.0
+        box = f.dispatcher.workers["a"]
+        assert box.load_report["x1"] == 3.0
         with anyio.fail_after(5):
-            while box.reported["busy"] != 0.75:
+            while box.load_report["busy"] != 0.75:
                 await anyio.sleep(0.01)
         assert ("a", "/v2/health/ready") in [(name, target) for _, name, target in f.orders]
 
@@ -408,11 +410,11 @@
     async with fleet({"a": [raw(b"")]}) as f, anyio.create_task_group() as group:
         group.start_soon(lambda: f.call("notice", left=1000))
         await until(lambda: f.arrivals)
-        (held,) = f.dispatcher.held.values()
+        (held,) = f.dispatcher.pending_requests.values()
         time.sleep(1.05)
-        assert held.final is None
-        f.dispatcher._rearm()  # as after any call of the border
-        assert held.final is not None
+        assert held.outcome is None
+        f.dispatcher._run_due()  # as after any call of the border
+        assert held.outcome is not None
 
 
 async def test_a_fault_as_a_task_is_taken_leaves_nothing_held(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -421,10 +423,10 @@
         def fails(*_: object) -> None:
             raise ZeroDivisionError
 
-        monkeypatch.setattr(f.dispatcher.border._policy.placement, "choose_worker", fails)
+        monkeypatch.setattr(f.dispatcher.policy_boundary._policy.placement, "choose_worker", fails)
         status, told = await f.call("notice")
         assert (status, told["final"], f.arrivals) == (503, "turned back", [])
-        assert not f.dispatcher.held
-        assert f.dispatcher.bytes == 0
+        assert not f.dispatcher.pending_requests
+        assert f.dispatcher.pending_bytes == 0
         monkeypatch.undo()
         assert (await f.call("notice", model="other"))[0] == 200
--- a/tests/test_edge_client_gone.py
+++ b/tests/test_edge_client_gone.py
@@ -51,15 +51,17 @@
 async def connect_workers(f: Fleet) -> None:
     """To each worker a connection stands idle, so that an attempt leaves as it is decided."""
     heard: list[Any] = []
-    for box in f.dispatcher.boxes.values():
-        f.dispatcher.link.order(box, f.dispatcher.known("other", 1, 100.0), 0, heard.append)
-    await until(lambda: len(heard) == len(f.dispatcher.boxes))
+    for box in f.dispatcher.workers.values():
+        f.dispatcher.link.send_load_request(
+            box, f.dispatcher.find_or_add_function("other", 1, 100.0), 0, heard.append
+        )
+    await until(lambda: len(heard) == len(f.dispatcher.workers))
 
 
 async def is_over(f: Fleet, attempts: int) -> None:
     """The request ended as cancelled after so many attempts, nothing is out, and the edge still serves."""
     await until(lambda: f.dispatcher.counts["final", "left"])
-    await until(lambda: not f.dispatcher._out and not f.dispatcher.held)
+    await until(lambda: not f.dispatcher._in_flight and not f.dispatcher.pending_requests)
     assert (await f.call(ident="next"))[0] == 200
     assert [ident for _, _, ident in f.arrivals if ident != "next"] == ["left"] * attempts
     assert f.dispatcher.counts["hand-off", Result.NOT_SENT.value] >= 1
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -163,9 +163,11 @@
         assert edge.gate is not None
         gate = edge.gate
         assert gate.counts["left"] > 5
-        assert gate.waiting == gate.bytes == gate.kept == len(edge.waiting) == 0
-        assert gate.entering is None
-        assert not any(queue.inside for queue in gate.queues.values())
+        assert (
+            gate.waiting_requests == gate.waiting_bytes == gate.waiting_reservations == len(edge.waiting) == 0
+        )
+        assert gate.unconfirmed is None
+        assert not any(queue.in_service for queue in gate.queues.values())
 
 
 def test_an_edge_that_dies_with_full_queues_comes_back_and_serves() -> None:
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -48,7 +48,7 @@
     with pytest.raises(Ended):
         run.send(None)
     assert max(tick for _, tick in reports) == longest * MS
-    assert lag.tick == reports[-1][1] == (longest if above is None else LEAST) * MS
+    assert lag.tick_ns == reports[-1][1] == (longest if above is None else LEAST) * MS
     ends = [at for at, _ in reports[1:]] + [now]
     spans = [end - at for (at, tick), end in zip(reports, ends, strict=True) if tick > LEAST * MS]
     assert above is None or sum(spans) <= above * MS + SAMPLE_INTERVAL
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from martenlead.config.load import BadConfig
+from martenlead.config.load import ConfigError
 from martenlead.emulator.experiment import compare, do, jobs, keep, kept, read, together
 from martenlead.emulator.job import Outcome, run
 from martenlead.emulator.page import page
@@ -136,7 +136,7 @@
 )
 def test_what_is_wrong_with_a_plan_is_said(folder: Path, change: dict[str, Any], said: str) -> None:
     (folder / "plan.json").write_text(json.dumps({**PLAN, **change}))
-    with pytest.raises(BadConfig, match=said):
+    with pytest.raises(ConfigError, match=said):
         jobs(read(folder / "plan.json"), folder)
 
 
--- a/tests/test_function_bound.py
+++ b/tests/test_function_bound.py
@@ -21,5 +21,5 @@
         client = await p.client()
         for number in range(REQUESTS):
             await client.call(key=f"{number:016x}")
-        assert len(p.node.dispatcher.models) == FUNCTIONS
-        assert len(p.node.dispatcher.border._policy.state.functions) <= FUNCTIONS
+        assert len(p.node.dispatcher.functions_by_name) == FUNCTIONS
+        assert len(p.node.dispatcher.policy_boundary._policy.state.functions) <= FUNCTIONS
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -7,20 +7,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from martenlead.admission.gate import (
-    APPOINTMENTS,
+from martenlead.admission.controller import (
     CLIENT_BUCKETS,
-    CUSTOMER_BUCKETS,
-    MODELS,
+    MAX_FUNCTION_QUEUES,
+    MAX_RESERVATIONS,
     MS,
     SECOND,
-    End,
-    Gate,
-    Limits,
-    State,
-    Ticket,
+    TENANT_BUCKETS,
+    AdmissionController,
+    AdmissionLimits,
+    QueuedRequest,
+    QueueState,
+    ServiceResult,
 )
-from martenlead.admission.names import Heavy, bucket
+from martenlead.admission.heavy_hitters import HeavyHitters, hash_bucket
 from support.crowd import Crowd, Customer
 
 TWO = {"a": 1.0, "b": 1.0}
@@ -32,9 +32,11 @@
     def __init__(self, places: int, **limits: object) -> None:
         self.now = 0
         self.places = places
-        self.inside: list[Ticket] = []
-        told = Limits(**limits)  # type: ignore[arg-type]
-        self.gate = Gate(told, lambda: self.now, Random(1), lambda _: len(self.inside) < self.places)
+        self.inside: list[QueuedRequest] = []
+        told = AdmissionLimits(**limits)  # type: ignore[arg-type]
+        self.gate = AdmissionController(
+            told, lambda: self.now, Random(1), lambda _: len(self.inside) < self.places
+        )
         self.marks = 0
 
     def come(
@@ -49,28 +51,28 @@
         model: str = "m",
         size: int = 10,
         brought: tuple[int, int] | None = None,
-    ) -> Ticket:
+    ) -> QueuedRequest:
         self.marks += 1
         end = self.now + soft * MS
         number = mark or self.marks
-        ticket = self.gate.arrive(
+        ticket = self.gate.submit(
             model, "o", customer, client, number, work, size, end, end, again, appointment=brought
         )
-        if ticket.state is State.INSIDE:
+        if ticket.state is QueueState.ADMITTED:
             self.inside.append(ticket)
         return ticket
 
-    def end(self, ticket: Ticket, end: End = End.SATISFIED) -> list[Ticket]:
+    def end(self, ticket: QueuedRequest, end: ServiceResult = ServiceResult.SUCCEEDED) -> list[QueuedRequest]:
         self.inside.remove(ticket)
-        changed = self.gate.ended(ticket, end)
+        changed = self.gate.complete(ticket, end)
         entered = []
         while changed:
             more = []
             for one in changed:
-                if one.state is State.INSIDE:
+                if one.state is QueueState.ADMITTED:
                     self.inside.append(one)
                     entered.append(one)
-                    more += self.gate.begun(one)
+                    more += self.gate.confirm_admission(one)
             changed = more
         return entered
 
@@ -78,9 +80,9 @@
 def test_where_the_module_has_room_nothing_waits() -> None:
     door = Door(3)
     tickets = [door.come() for _ in range(4)]
-    assert [t.state for t in tickets] == [State.INSIDE] * 3 + [State.WAITS]
+    assert [t.state for t in tickets] == [QueueState.ADMITTED] * 3 + [QueueState.QUEUED]
     assert door.end(tickets[0]) == [tickets[3]]
-    assert door.gate.waiting == door.gate.bytes == 0
+    assert door.gate.waiting_requests == door.gate.waiting_bytes == 0
 
 
 def test_who_has_had_the_least_by_weight_is_next_and_by_work() -> None:
@@ -93,7 +95,7 @@
     at = first
     for _ in range(16):
         (at,) = door.end(at)
-        order += at.customer
+        order += at.tenant
     assert order.count("a") == 12  # three of four
     heavy = Door(1, weights=TWO)
     at = heavy.come("a", soft=60_000)
@@ -103,7 +105,7 @@
     order = ""
     for _ in range(22):
         (at,) = heavy.end(at)
-        order += at.customer
+        order += at.tenant
     assert order.count("b") == 2  # a tenth of the tasks, half of the work
 
 
@@ -130,13 +132,13 @@
         assert at is waits
     fits = [door.come(soft=600) for _ in range(8)]
     states = [t.state for t in fits]
-    assert states == sorted(states, key=[State.WAITS, State.BACK].index)
-    assert 2 <= states.count(State.WAITS) <= 6
+    assert states == sorted(states, key=[QueueState.QUEUED, QueueState.REJECTED].index)
+    assert 2 <= states.count(QueueState.QUEUED) <= 6
     ticket = fits[0]
-    door.now = ticket.until
+    door.now = ticket.start_by_ns
     door.gate.expire(ticket)
-    assert (ticket.state, ticket.why) == (State.BACK, "it could not be answered in time")
-    assert ticket.wait >= 100 * MS
+    assert (ticket.state, ticket.reason) == (QueueState.REJECTED, "it could not be answered in time")
+    assert ticket.retry_after_ns >= 100 * MS
 
 
 def test_appointments_are_one_after_the_other_and_kept_ones_go_first() -> None:
@@ -149,14 +151,14 @@
         assert at is waits
     door.come(soft=60_000)
     back = [door.come(soft=60_000, mark=1000 + n) for n in range(10)]
-    waits_ = [t.wait // MS for t in back]
+    waits_ = [t.retry_after_ns // MS for t in back]
     assert waits_ == sorted(waits_)
     assert waits_[-1] - waits_[0] > 1000  # at a part of ten a second
-    door.gate.limits = Limits(waiting=100)
+    door.gate.limits = AdmissionLimits(waiting=100)
     others = [door.come(soft=60_000) for _ in range(3)]
-    door.now += back[3].wait
+    door.now += back[3].retry_after_ns
     kept = door.come(soft=60_000, mark=1003, again=True)
-    assert kept.kept
+    assert kept.has_reservation
     entered = []
     for _ in range(3):
         (at,) = door.end(at)
@@ -170,13 +172,13 @@
     door.come(soft=60_000)
     door.come(soft=60_000)
     back = door.come(soft=60_000, mark=77)
-    assert back.state is State.BACK
-    door.now += back.wait // 2
+    assert back.state is QueueState.REJECTED
+    door.now += back.retry_after_ns // 2
     early = door.come(soft=60_000, mark=77, again=True)
-    assert (early.state, early.why) == (State.BACK, "it was told to come later")
-    assert early.wait <= back.wait // 2 + 1
-    door.gate.limits = Limits(waiting=1000)
-    states = [door.come(soft=60_000, mark=10_000 + n, again=True).why for n in range(60)]
+    assert (early.state, early.reason) == (QueueState.REJECTED, "it was told to come later")
+    assert early.retry_after_ns <= back.retry_after_ns // 2 + 1
+    door.gate.limits = AdmissionLimits(waiting=1000)
+    states = [door.come(soft=60_000, mark=10_000 + n, again=True).reason for n in range(60)]
     assert states.count("its customer repeats too much") >= 30
 
 
@@ -186,19 +188,19 @@
     others = [door.come("b", soft=60_000) for _ in range(5)]
     span = door.now - 10 * MS, door.now + 2000 * MS
     brought = door.come("a", soft=60_000, mark=500, again=True, brought=span)
-    assert (brought.kept, brought.repeats) == (True, False)
+    assert (brought.has_reservation, brought.counts_as_retry) == (True, False)
     again = door.come("a", soft=60_000, mark=500, again=True, brought=span)
-    assert (again.kept, again.repeats) == (False, True)
+    assert (again.has_reservation, again.counts_as_retry) == (False, True)
     assert door.end(at) == [brought]  # though "a" has had more than "b"
     assert door.end(brought)[0] in others
     early = door.come("a", mark=501, again=True, brought=(door.now + 5000 * MS, door.now + 9000 * MS))
-    assert (early.state, early.why, early.wait) == (
-        State.BACK,
+    assert (early.state, early.reason, early.retry_after_ns) == (
+        QueueState.REJECTED,
         "it was told to come later",
         7000 * MS,
     )
     late = door.come("a", soft=60_000, mark=502, again=True, brought=(door.now - 9 * SECOND, door.now - MS))
-    assert not late.kept
+    assert not late.has_reservation
 
 
 def test_what_first_tries_leave_is_for_those_who_were_told_to_come() -> None:
@@ -210,11 +212,11 @@
         for n in range(40):
             door.now += 100 * MS
             waits = door.come(soft=60_000, again=n % 10 >= new, mark=9000 + n)
-            door.gate.accounts[waits.customer].repeats = 10
+            door.gate.accounts[waits.tenant].retry_budget = 10
             (at,) = door.end(at)
         door.come(soft=60_000)
         back = [door.come(soft=60_000, mark=1000 + n, again=True) for n in range(10)]
-        gaps.append((back[-1].wait - back[0].wait) // MS)
+        gaps.append((back[-1].retry_after_ns - back[0].retry_after_ns) // MS)
     assert gaps[0] < 1400 < 2000 < gaps[1]
 
 
@@ -223,10 +225,12 @@
     door = Door(2)
     asked: list[str] = []
     where = {f"m{n}": f"runner {n % 2}" for n in range(20)}
-    door.gate.room = lambda t: asked.append(t.model) or (where[t.model] if len(door.inside) < 2 else None)
+    door.gate.find_placement = lambda t: (
+        asked.append(t.function) or (where[t.function] if len(door.inside) < 2 else None)
+    )
     first, second = door.come(model="m0", soft=60_000), door.come(model="m1", soft=60_000)
     for n in range(20):
-        door.gate._queue(f"m{n}", 0).where = where[f"m{n}"]
+        door.gate._function_queue(f"m{n}", 0).last_placement = where[f"m{n}"]
         door.come(model=f"m{n}", soft=60_000)
     asked.clear()
     door.end(first)
@@ -239,23 +243,23 @@
 def test_a_word_of_no_room_after_all_is_an_honest_time_too() -> None:
     door = Door(1)
     ticket = door.come()
-    assert door.end(ticket, End.NO_ROOM) == []
-    assert 500 * MS <= ticket.wait <= 1700 * MS
-    assert ticket.mark in door.gate.appointments
+    assert door.end(ticket, ServiceResult.NO_CAPACITY) == []
+    assert 500 * MS <= ticket.retry_after_ns <= 1700 * MS
+    assert ticket.trace_id in door.gate.reservations
 
 
 def test_bounds_of_tasks_and_bytes_and_a_client_that_leaves() -> None:
     door = Door(1, waiting=5, bytes=1000)
     at = door.come(soft=60_000)
     some = [door.come(soft=60_000, size=300) for _ in range(5)]
-    assert [t.state for t in some] == [State.WAITS] * 3 + [State.BACK] * 2
-    assert some[4].why == "the door's queues are full"
-    door.gate.left(some[0])
-    assert (door.gate.waiting, door.gate.bytes) == (2, 600)
+    assert [t.state for t in some] == [QueueState.QUEUED] * 3 + [QueueState.REJECTED] * 2
+    assert some[4].reason == "the door's queues are full"
+    door.gate.cancel(some[0])
+    assert (door.gate.waiting_requests, door.gate.waiting_bytes) == (2, 600)
     assert door.end(at) == [some[1]]
     door.inside.clear()
-    assert door.gate.ended(some[2], End.OTHER) == []  # left as it was let in
-    assert door.gate.waiting == 0
+    assert door.gate.complete(some[2], ServiceResult.OTHER) == []  # left as it was let in
+    assert door.gate.waiting_requests == 0
 
 
 def test_one_that_leaves_just_as_it_is_let_in_does_not_close_the_door() -> None:
@@ -263,22 +267,22 @@
     at = door.come(soft=60_000)
     first, second = door.come(soft=60_000), door.come(soft=60_000)
     door.inside.remove(at)
-    assert door.gate.ended(at, End.SATISFIED) == [first]
-    assert door.gate.entering is first
-    assert door.gate.ended(first, End.OTHER) == [second]  # it never came to the module
+    assert door.gate.complete(at, ServiceResult.SUCCEEDED) == [first]
+    assert door.gate.unconfirmed is first
+    assert door.gate.complete(first, ServiceResult.OTHER) == [second]  # it never came to the module
     door.inside.append(second)
-    assert door.gate.begun(second) == []
-    assert door.gate.entering is None
+    assert door.gate.confirm_admission(second) == []
+    assert door.gate.unconfirmed is None
 
 
 def test_the_door_closes_and_nobody_is_left_waiting() -> None:
     door = Door(1)
     door.come(soft=60_000)
     waits = [door.come(soft=60_000, model=f"m{n % 3}") for n in range(10)]
-    changed = door.gate.stop()
+    changed = door.gate.reject_all()
     assert sorted(map(id, changed)) == sorted(map(id, waits))
-    assert all(t.state is State.BACK and t.why == "the dispatcher stops" for t in waits)
-    assert door.gate.waiting == 0
+    assert all(t.state is QueueState.REJECTED and t.reason == "the dispatcher stops" for t in waits)
+    assert door.gate.waiting_requests == 0
 
 
 def test_a_hundred_thousand_names_in_a_minute_take_bounded_memory() -> None:
@@ -288,24 +292,24 @@
         door.now += 600_000
         door.come(f"customer-{n}", f"client-{chance.random()}", model=f"model-{n % 9000}", mark=n + 1)
     gate = door.gate
-    assert len(gate.accounts) <= CUSTOMER_BUCKETS
-    assert all(len(a.clients) <= CLIENT_BUCKETS for a in gate.accounts.values())
-    assert len(gate.appointments) <= APPOINTMENTS
-    assert len(gate.queues) <= MODELS + 4
-    assert len(gate.heavy.counts) <= 64
-    assert gate.waiting <= 500
+    assert len(gate.accounts) <= TENANT_BUCKETS
+    assert all(len(a.client_work_seconds) <= CLIENT_BUCKETS for a in gate.accounts.values())
+    assert len(gate.reservations) <= MAX_RESERVATIONS
+    assert len(gate.queues) <= MAX_FUNCTION_QUEUES + 4
+    assert len(gate.heavy_hitters.counts) <= 64
+    assert gate.waiting_requests <= 500
 
 
 def test_the_heaviest_are_known_by_name() -> None:
-    heavy = Heavy(20)
+    heavy = HeavyHitters(20)
     chance = Random(2)
     for n in range(20_000):
         heavy.add("flood" if chance.random() < 0.2 else f"name-{n}")
-    (name, part), *_ = heavy.top(3)
+    (name, part), *_ = heavy.heaviest(3)
     assert name == "flood"
     assert 0.19 < part < 0.27
-    assert bucket("x", 64, 1) == bucket("x", 64, 1)
-    assert len({bucket("x", 1 << 30, salt) for salt in range(5)}) == 5
+    assert hash_bucket("x", 64, 1) == hash_bucket("x", 64, 1)
+    assert len({hash_bucket("x", 1 << 30, salt) for salt in range(5)}) == 5
 
 
 # -- crowds
@@ -372,7 +376,7 @@
     assert min(crowd.series[s] for s in range(12, 28)) > 50
     assert sum(crowd.series[s] for s in range(12, 28)) > 16 * 72
     assert crowd.gate is not None
-    assert crowd.gate.waiting < 60
+    assert crowd.gate.waiting_requests < 60
 
 
 @settings(max_examples=30, deadline=None)
@@ -399,7 +403,12 @@
     crowd.run(200)
     gate = crowd.gate
     assert gate is not None
-    assert gate.waiting == gate.bytes == len(crowd.about) == 0
-    assert gate.entering is None
-    assert all(not q.count and not q.inside and not q.waiting and not q.work for q in gate.queues.values())
-    assert all(not a.waiting and not a.lines and not a.work for a in gate.accounts.values())
+    assert gate.waiting_requests == gate.waiting_bytes == len(crowd.about) == 0
+    assert gate.unconfirmed is None
+    assert all(
+        not q.waiting_requests and not q.in_service and not q.tenant_queues and not q.waiting_work_seconds
+        for q in gate.queues.values()
+    )
+    assert all(
+        not a.waiting_requests and not a.queues and not a.waiting_work_seconds for a in gate.accounts.values()
+    )
--- a/tests/test_handoffs.py
+++ b/tests/test_handoffs.py
@@ -74,7 +74,7 @@
             await f.call(ident="where")
             home = f.arrivals[0][1]
             await f.runners[home].listener.aclose()
-            await f.dispatcher.boxes[home].way.pool.close()
+            await f.dispatcher.workers[home].connections.pool.close()
             await anyio.sleep(0.02)
             status, told = await f.call(kind)
             # its home holds the copy, so the module loads nowhere else; that it may come again is the proof
@@ -152,9 +152,9 @@
     async with fleet({"a": [waits_for_the_end]}) as f:
         with anyio.move_on_after(0.3):
             await f.exchange("notice")
-        await until(lambda: ends and not f.dispatcher.held)
+        await until(lambda: ends and not f.dispatcher.pending_requests)
         assert ends == ["closed"]
-        assert not f.dispatcher.held
+        assert not f.dispatcher.pending_requests
         assert f.dispatcher.counts["final", "left"] == 1
 
 
--- a/tests/test_http_server_answers.py
+++ b/tests/test_http_server_answers.py
@@ -12,8 +12,8 @@
 import anyio
 import pytest
 
-from martenlead.events.http import Limits, Message
-from martenlead.events.server import READ, SECOND, Connection, Reply, Server, ServerLimits, listen
+from martenlead.events.http import Message, MessageLimits
+from martenlead.events.server import READ_BYTES, SECOND_NS, Connection, Reply, Server, ServerLimits, listen
 from support.fleet import until
 from tests.nodes import linger
 
@@ -40,7 +40,7 @@
         self.answer: Callable[[Message], Awaitable[Reply]] = self.echo
         self.go_on = anyio.Event()
         self.ended = anyio.Event()
-        self.server = Server(self.handle, limits, bad=bad, crashed=self.crashed)
+        self.server = Server(self.handle, limits, make_error_reply=bad, make_fault_reply=self.crashed)
 
     async def echo(self, message: Message) -> Reply:
         return Reply(200, [], message.target)
@@ -120,7 +120,7 @@
     """The one that there is, once its requests are answered: its client may have read the last answer in the
     turn before the server is done with writing it."""
     (connection,) = p.server.connections
-    await until(lambda: not connection.slots and not connection.writing)
+    await until(lambda: not connection.slots and not connection.write_started_ns)
     return connection
 
 
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("count", [3, 40])
 async def test_requests_that_wait_for_one_before_them_are_answered_in_a_drain(count: int) -> None:
     """They were read, and none of them was begun."""
-    async with served(ServerLimits(pipelined=1)) as p:
+    async with served(ServerLimits(max_pipelined=1)) as p:
         p.answer = p.waiting
         client = p.connect()
         client.sendall(b"".join(GET % at for at in range(count)))
@@ -211,7 +211,7 @@
 
 
 async def test_a_connection_beyond_the_limit_reads_why_though_it_had_asked() -> None:
-    async with served(ServerLimits(connections=1)) as p:
+    async with served(ServerLimits(max_connections=1)) as p:
         p.answer = p.waiting
         first = p.connect()
         first.sendall(GET % 1)
@@ -237,7 +237,7 @@
         await real(own, reply, close)
 
     monkeypatch.setattr(Connection, "write", write)
-    async with served(ServerLimits(connections=1)) as p:
+    async with served(ServerLimits(max_connections=1)) as p:
         first = p.connect()
         first.sendall(GET % 1)
         await part(first, b"/1")
@@ -250,7 +250,7 @@
 
 
 async def test_a_connection_beyond_the_limit_that_is_reset_costs_no_other() -> None:
-    async with served(ServerLimits(connections=1)) as p:
+    async with served(ServerLimits(max_connections=1)) as p:
         first = p.connect()
         first.sendall(GET % 1)
         await part(first, b"/1")
@@ -274,10 +274,10 @@
         client.setblocking(True)
         client.sendall(GET % 2)
         arrived(client)
-        connection.look(monotonic_ns() + 3600 * SECOND)  # in the turn before it is read
+        connection.close_if_overdue(monotonic_ns() + 3600 * SECOND_NS)  # in the turn before it is read
         await part(client, b"/2")
         await idle_connection(p)
-        connection.look(monotonic_ns() + 3600 * SECOND)
+        connection.close_if_overdue(monotonic_ns() + 3600 * SECOND_NS)
         assert await whole(client) == b""
 
 
@@ -292,7 +292,7 @@
         connection = await idle_connection(p)
         protocol = connection.stream._protocol  # type: ignore[attr-defined]
         protocol.data_received(GET % 2)
-        assert connection.end_if_idle(monotonic_ns())
+        assert connection.close_if_idle(monotonic_ns())
         found = await whole(client)
         assert found.startswith(b"HTTP/1.1 200") and found.endswith(b"/2")
         assert b"connection: close" in found
@@ -370,7 +370,7 @@
         raise KeyError("second")
 
     async with served() as p:
-        p.answer, p.server.crashed = failing, crashed
+        p.answer, p.server.make_fault_reply = failing, crashed
         client = p.connect()
         client.sendall(LAST % 1)
         assert (await whole(client)).startswith(b"HTTP/1.1 500")
@@ -426,13 +426,13 @@
     """With as many requests as may be pipelined no more was read, and its end did not show: neither at once
     nor behind more bytes than the kernel takes."""
     pipelined = 4
-    async with served(ServerLimits(Limits(head=2 * READ), pipelined=pipelined)) as p:
+    async with served(ServerLimits(MessageLimits(head_bytes=2 * READ_BYTES), max_pipelined=pipelined)) as p:
         p.answer = p.waiting
         stream = await anyio.connect_tcp("127.0.0.1", p.port)
         await stream.send(b"".join(GET % at for at in range(pipelined + 2)))
         for at in range(more):
             await stream.send(
-                (GET % (pipelined + at)).replace(b"\r\n\r\n", b"\r\nx: %b\r\n\r\n" % (b"x" * READ))
+                (GET % (pipelined + at)).replace(b"\r\n\r\n", b"\r\nx: %b\r\n\r\n" % (b"x" * READ_BYTES))
             )
         await until(lambda: len(p.begun) == pipelined)
         if reset:
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -25,11 +25,11 @@
     """Each byte is read alone: the next is written once the node has the one before."""
     async with play(tmp_path) as p:
         client = await p.client()
-        await until(lambda: p.node.door.clients)
-        (own,) = p.node.door.clients
+        await until(lambda: p.node.listener.clients)
+        (own,) = p.node.listener.clients
         pieces: list[int] = []
-        feed = own.frames.feed
-        own.frames.feed = lambda data: pieces.append(len(data)) or feed(data)
+        feed = own.decoder.feed
+        own.decoder.feed = lambda data: pieces.append(len(data)) or feed(data)
         first, second = client.task("unsafe"), client.task("unsafe")
         for at, byte in enumerate(first + second):
             await client.send(bytes([byte]))
@@ -56,12 +56,12 @@
             client.number = number * 100
             await client.ask("unsafe", wait=1900, key=f"{number:016x}")
         await until(lambda: len(p.did()) == 2)
-        boxes = dict(p.node.dispatcher.boxes)
+        boxes = dict(p.node.dispatcher.workers)
         await p.journal.tell(p.record("a"), p.record("b"), kind=1)
-        await until(lambda: p.node.source.list.version == 2)
-        assert p.node.dispatcher.boxes == boxes and len(p.node.dispatcher._out) == 2
+        await until(lambda: p.node.discovery.endpoint_list.version == 2)
+        assert p.node.dispatcher.workers == boxes and len(p.node.dispatcher._in_flight) == 2
         await p.journal.tell(p.record("b"), kind=1)
-        await until(lambda: p.node.source.list.version == 3)
+        await until(lambda: p.node.discovery.endpoint_list.version == 3)
         gone.set()
         assert [word(await client.answer()) for client in clients] == ["satisfied"] * 2
         before = len(p.did())
@@ -73,7 +73,7 @@
 
 async def test_a_silence_of_the_journal_that_begins_after_a_cut(tmp_path: Path, monkeypatch: Any) -> None:
     """It breaks off inside an event; asked again it accepts, and says nothing at all: it is asked again."""
-    monkeypatch.setattr("martenlead.node.roster.QUIET", 0.4)
+    monkeypatch.setattr("martenlead.node.discovery.SILENCE_TIMEOUT_SECONDS", 0.4)
     asked: list[int] = []  # of the silent one
 
     async def connected(stream: SocketStream) -> None:
@@ -92,11 +92,11 @@
         await p.runner("b", done)
         event = frame(2, 2, p.record("b"))
         p.journal.events.append(event)
-        p.node.source.at = ("127.0.0.1", listener.extra(SocketAttribute.local_port))
+        p.node.discovery.address = ("127.0.0.1", listener.extra(SocketAttribute.local_port))
         cut = p.journal.streams.pop()
         await cut.send(event[:20])
         await cut.aclose()
-        await until(lambda: len(p.node.dispatcher.boxes) == 2)
+        await until(lambda: len(p.node.dispatcher.workers) == 2)
         assert (asked, p.journal.asked) == ([1], [1, 1])  # the silent one, and the one behind it
 
 
@@ -108,7 +108,7 @@
         clients = [await p.client() for _ in range(4)]
 
         async def never(conn: Any) -> None:
-            await anyio.sleep(p.node.link.told.connect / 1e9)
+            await anyio.sleep(p.node.worker_client.settings.connect_timeout_ns / 1e9)
             conn.end("no connection in time")
 
         for number, client in enumerate(clients):
@@ -116,13 +116,13 @@
             await client.ask(method, wait=1500)
             if number == 0:
                 await until(p.did)
-                p.node.link._connect = never  # type: ignore[method-assign]
+                p.node.worker_client._connect = never  # type: ignore[method-assign]
         before = anyio.current_time()
         told = [word(await client.answer()) for client in clients]
         assert anyio.current_time() - before < 1.8
         assert set(told) <= {"turned back", "error -32000"}
         assert len(p.did()) <= 2
-        await until(lambda: not p.node.dispatcher._out and not p.node.dispatcher.held)
+        await until(lambda: not p.node.dispatcher._in_flight and not p.node.dispatcher.pending_requests)
         for client in clients:
             with anyio.move_on_after(0.02) as scope:
                 await client.answer()  # no second one
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -18,7 +18,7 @@
 
 from martenlead.events import http
 from martenlead.events.client import Pool
-from martenlead.events.cloudevent import Event, write
+from martenlead.events.cloudevent import Event, encode_event
 from support.fleet import Fleet, Runner, fleet, satisfied, until
 from tests.nodes import BROKEN, SETTINGS, Asker, Play, done, in_turn, play
 
@@ -94,7 +94,7 @@
 async def watch_open(p: Play, most: Counter[str]) -> None:
     """The most requests of each tenant that the node holds at once, looked at every few ms."""
     while True:
-        held = Counter(str(held.wanted.customer) for held in p.node.dispatcher.held.values())
+        held = Counter(str(held.incoming.tenant) for held in p.node.dispatcher.pending_requests.values())
         for tenant, count in held.items():
             most[tenant] = max(most[tenant], count)
         await anyio.sleep(0.005)
@@ -137,7 +137,7 @@
         if workers == "not listed":
             await until(lambda: p.journal.streams)
             await p.journal.tell(kind=1)
-            await until(lambda: not any(box.up for box in p.node.dispatcher.boxes.values()))
+            await until(lambda: not any(box.is_up for box in p.node.dispatcher.workers.values()))
         yield p
 
 
@@ -189,7 +189,7 @@
         "timeleftms": round(wait * 1000),
         "customer": customer,
     }
-    headers, body = write(Event(attributes, b"{}", "application/json"))
+    headers, body = encode_event(Event(attributes, b"{}", "application/json"))
     exchange = await pool.exchange(http.request(b"POST", b"/", b"edge", headers, body))
     assert exchange.message is not None, exchange
     return exchange.message.status
@@ -197,12 +197,12 @@
 
 async def large(_runner: Runner, stream: SocketStream, _message: http.Message) -> None:
     event = Event({"specversion": "1.0", "id": "r", "source": "/r", "type": "t"}, b"x" * 12_000, "text/plain")
-    headers, body = write(event)
+    headers, body = encode_event(event)
     await stream.send(http.response(200, [*headers, (b"martenlead-copy", b"warm")], body))
 
 
 async def flood_edge(f: Fleet) -> None:
-    pool = Pool("127.0.0.1", f.port, most=FLOODS * OPEN, connect=10_000_000_000)
+    pool = Pool("127.0.0.1", f.port, connection_limit=FLOODS * OPEN, connect_timeout_ns=10_000_000_000)
 
     async def client(number: int) -> None:
         for count in range(10):
@@ -226,7 +226,7 @@
                 "timeleftms": round(WAIT * 1000),
                 "customer": "noisy",
             }
-            headers, body = write(Event(attributes, b"{}" * 2000, "application/json"))
+            headers, body = encode_event(Event(attributes, b"{}" * 2000, "application/json"))
             with anyio.move_on_after(0.05):
                 await stream.send(http.request(b"POST", b"/", b"edge", headers, body))
         await anyio.sleep_forever()
@@ -257,7 +257,7 @@
         if workers == "not listed":
             for name in f.runners:
                 await f.say(name, "gone")
-            await until(lambda: not any(box.up for box in f.dispatcher.boxes.values()))
+            await until(lambda: not any(box.is_up for box in f.dispatcher.workers.values()))
         yield f
 
 
@@ -268,7 +268,7 @@
 ) -> None:
     at_workers = AtWorkers()
     async with troubled_edge(workers, at_workers) as f:
-        pool = Pool("127.0.0.1", f.port, connect=10_000_000_000)
+        pool = Pool("127.0.0.1", f.port, connect_timeout_ns=10_000_000_000)
         statuses: list[int] = []
         async with anyio.create_task_group() as group:
             if clients in EDGE_CLIENTS:
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -13,82 +13,97 @@
 from structlog.testing import capture_logs
 
 from martenlead.capture import events as ev
+from martenlead.capture.recorder import CaptureRecorder
 from martenlead.capture.replay import replay
-from martenlead.capture.tape import Tape
-from martenlead.config.edge import Lasting
+from martenlead.config.edge import DurableStateSettings
 from martenlead.config.load import decode, evaluate
 from martenlead.days.report import kept
 from martenlead.days.script import Day, Trouble, plan
-from martenlead.edge.keeper import KNOWLEDGE, Keeper
-from martenlead.emulator.edge import Edge
-from martenlead.emulator.fleet import Fleet
-from martenlead.lasting.knowledge import (
+from martenlead.durable_state.knowledge import (
+    DEFAULT_CHANGE_PER_SECOND,
     SECOND,
-    UNKNOWN_AGE,
-    USUAL,
-    Knowledge,
-    KnownCopy,
-    KnownModel,
-    KnownRunner,
-    age,
-    asks,
-    changes,
-    drained,
-    past,
-    worth,
+    UNKNOWN_AGE_NS,
+    SavedFunction,
+    SavedKnowledge,
+    SavedReplica,
+    SavedWorker,
+    build_earlier_run,
+    compute_age_ns,
+    compute_confidence,
+    list_draining_workers,
+    list_reloads,
+    measure_changes,
 )
+from martenlead.edge.knowledge_saver import KNOWLEDGE, KnowledgeSaver
+from martenlead.emulator.edge import Edge
+from martenlead.emulator.fleet import Fleet
 from support.fleet import after, fleet, satisfied, until
 
 DAYS = Path(__file__).parent.parent / "days"
 
 
-def known(**more: Any) -> Knowledge:
-    model = KnownModel("m", 4, 100.0, [0.0, 8.0], 8e8, 20.0, 10 * SECOND, SECOND, SECOND, [])
-    model.copies = [KnownCopy("a", "1", SECOND), KnownCopy("b", "1", 3 * SECOND), KnownCopy("c", "1", SECOND)]
-    runners = [KnownRunner(n, "1", 20.0, True) for n in "ab"]
-    told = Knowledge(50.0, 60.0, [model], runners, [SECOND, 4 * SECOND], dict(USUAL), "boot", 100 * SECOND)
+def known(**more: Any) -> SavedKnowledge:
+    model = SavedFunction("m", 4, 100.0, [0.0, 8.0], 8e8, 20.0, 10 * SECOND, SECOND, SECOND, [])
+    model.replicas = [
+        SavedReplica("a", "1", SECOND),
+        SavedReplica("b", "1", 3 * SECOND),
+        SavedReplica("c", "1", SECOND),
+    ]
+    runners = [SavedWorker(n, "1", 20.0, True) for n in "ab"]
+    told = SavedKnowledge(
+        50.0,
+        60.0,
+        [model],
+        runners,
+        [SECOND, 4 * SECOND],
+        dict(DEFAULT_CHANGE_PER_SECOND),
+        "boot",
+        100 * SECOND,
+    )
     return msgspec.structs.replace(told, **more)
 
 
 def test_what_is_old_counts_for_less_and_what_changes_fast_for_less_still() -> None:
-    assert worth(1 / 60, 0) == 1
-    assert worth(1 / 60, 60 * SECOND) == 0.5
-    assert worth(1 / 600, 60 * SECOND) > 0.9
-    assert worth(1e9, SECOND) == 0.5  # no faster than all of it a second
+    assert compute_confidence(1 / 60, 0) == 1
+    assert compute_confidence(1 / 60, 60 * SECOND) == 0.5
+    assert compute_confidence(1 / 600, 60 * SECOND) > 0.9
+    assert compute_confidence(1e9, SECOND) == 0.5  # no faster than all of it a second
     before = known()
     same = known()
     moved = known()
-    moved.models[0].lag *= 3
-    still = changes((0, before), (SECOND, same))["latency"]
-    fast = changes((0, before), (SECOND, moved))["latency"]
-    assert still < USUAL["latency"] < fast
-    assert changes((SECOND, before), (0, moved)) == before.change  # a clock that steps back teaches nothing
+    moved.functions[0].latency_sum_ns *= 3
+    still = measure_changes((0, before), (SECOND, same))["latency"]
+    fast = measure_changes((0, before), (SECOND, moved))["latency"]
+    assert still < DEFAULT_CHANGE_PER_SECOND["latency"] < fast
+    assert (
+        measure_changes((SECOND, before), (0, moved)) == before.change_per_second
+    )  # a clock that steps back teaches nothing
 
 
 def test_clocks_that_step_do_not_make_old_news_new() -> None:
     told = known()
     at = 1_000_000 * SECOND
     # the machine runs on: its uptime counts, whatever the wall clock did meanwhile
-    assert age(told, at, at - 3600 * SECOND, "boot", 107 * SECOND) == 7 * SECOND
-    assert age(told, at, at + 3600 * SECOND, "boot", 107 * SECOND) == 7 * SECOND
+    assert compute_age_ns(told, at, at - 3600 * SECOND, "boot", 107 * SECOND) == 7 * SECOND
+    assert compute_age_ns(told, at, at + 3600 * SECOND, "boot", 107 * SECOND) == 7 * SECOND
     # it has started anew: the wall clock, unless it ran backwards
-    assert age(told, at, at + 9 * SECOND, "other", 3 * SECOND) == 9 * SECOND
-    assert age(told, at, at - 1, "other", 3 * SECOND) == UNKNOWN_AGE
-    assert age(told, at, at + 5 * SECOND, "boot", 3 * SECOND) == 5 * SECOND
-    assert worth(USUAL["latency"], UNKNOWN_AGE) < 0.01
+    assert compute_age_ns(told, at, at + 9 * SECOND, "other", 3 * SECOND) == 9 * SECOND
+    assert compute_age_ns(told, at, at - 1, "other", 3 * SECOND) == UNKNOWN_AGE_NS
+    assert compute_age_ns(told, at, at + 5 * SECOND, "boot", 3 * SECOND) == 5 * SECOND
+    assert compute_confidence(DEFAULT_CHANGE_PER_SECOND["latency"], UNKNOWN_AGE_NS) < 0.01
 
 
 def test_another_life_of_a_runner_and_what_has_lapsed_is_not_trusted() -> None:
     told = known()
     runners: dict[str, tuple[Any, str]] = {"a": ("runner a", "1"), "b": ("runner b", "2")}
-    found = past(told, 2 * SECOND, {"m": "model m"}, runners, 5 * SECOND)
+    found = build_earlier_run(told, 2 * SECOND, {"m": "model m"}, runners, 5 * SECOND)
     assert [(r.worker, r.concurrency_limit) for r in found.workers] == [("runner a", 20.0)]
-    assert drained(told, runners) == ["a"]
+    assert list_draining_workers(told, runners) == ["a"]
     assert found.load_ages_ns == [3 * SECOND]  # the other has left the ration's window
     assert [m.function for m in found.functions] == ["model m"]
-    assert past(told, 0, {}, runners, 0).functions == []  # a model that is not known any more
-    assert [ask[0] for ask in asks(told, 2 * SECOND, 8 * SECOND, runners)] == ["a"]
-    assert asks(told, 8 * SECOND, 8 * SECOND, runners) == []
+    assert build_earlier_run(told, 0, {}, runners, 0).functions == []  # a model that is not known any more
+    assert [ask[0] for ask in list_reloads(told, 2 * SECOND, 8 * SECOND, runners)] == ["a"]
+    assert list_reloads(told, 8 * SECOND, 8 * SECOND, runners) == []
 
 
 # -- restarts
@@ -137,17 +152,17 @@
     """Yesterday's, of other models, and upside down: never worse than nothing by more than 0.02."""
     restore = Edge._restore
 
-    def wrong(self: Edge, saved: int, told: Knowledge) -> None:
-        for n, model in enumerate(told.models):
-            model.lag *= 20 if n % 2 else 0.05
-            model.bins = [*model.bins[7:], *model.bins[:7]]
-            model.tasks *= 10 if n % 3 else 0
-            model.copies = [
-                msgspec.structs.replace(c, runner=f"runner-{n % 8}", start="0") for c in model.copies
+    def wrong(self: Edge, saved: int, told: SavedKnowledge) -> None:
+        for n, model in enumerate(told.functions):
+            model.latency_sum_ns *= 20 if n % 2 else 0.05
+            model.latency_bins = [*model.latency_bins[7:], *model.latency_bins[:7]]
+            model.recent_requests *= 10 if n % 3 else 0
+            model.replicas = [
+                msgspec.structs.replace(c, worker=f"runner-{n % 8}", start="0") for c in model.replicas
             ]
-        for runner in told.runners:
-            runner.width = 30.0 if runner.name[-1] in "0246" else 0.3
-        told.rate *= 10
+        for runner in told.workers:
+            runner.concurrency_limit = 30.0 if runner.name[-1] in "0246" else 0.3
+        told.succeeded_per_second *= 10
         restore(self, saved, told)
 
     without = [bare(seed) for seed in (1, 2)]
@@ -159,12 +174,12 @@
 
 def test_a_life_that_began_with_what_was_known_replays_alike() -> None:
     """From its events alone, each decision of the module comes out again."""
-    found: dict[str, list[list[ev.Event]]] = {}
+    found: dict[str, list[list[ev.CaptureEvent]]] = {}
 
     def tape(edge: Edge) -> Any:
-        events: list[ev.Event] = []
+        events: list[ev.CaptureEvent] = []
         found.setdefault(edge.name, []).append(events)
-        return Tape(events.append, edge.name)
+        return CaptureRecorder(events.append, edge.name)
 
     base = decode(evaluate(DAYS / "restart-lasting.jsonnet"), Day, "restart-lasting")
     crash = [Trouble(at_s=5, kind="dispatcher_crash", for_s=0.2, part=1.0)]
@@ -173,8 +188,8 @@
     assert len(found) == 2
     for lives in found.values():
         assert len(lives) == 2
-        (remembered,) = (e for e in lives[1] if isinstance(e, ev.Remembered))
-        assert len(remembered.models) > 10
+        (remembered,) = (e for e in lives[1] if isinstance(e, ev.KnowledgeRestored))
+        assert len(remembered.functions) > 10
         outcome = replay(lives[1])
         assert outcome.divergence is None
         assert outcome.decisions > 100
@@ -188,36 +203,42 @@
 
 
 async def test_an_edge_that_restarts_asks_for_its_copies_and_loads_nothing(tmp_path: Path) -> None:
-    told = Lasting(folder=str(tmp_path), every_ms=50)
+    told = DurableStateSettings(folder=str(tmp_path), every_ms=50)
     async with fleet({"a": [after(5, satisfied)], "b": [after(5, satisfied)]}) as f:
-        keeper = Keeper(f.edge, told)
+        keeper = KnowledgeSaver(f.edge, told)
         f.group.start_soon(keeper.run, f.dispatcher)
         for _ in range(12):
             assert (await f.call())[0] == 200
         await until(lambda: any(c.is_retained and c.is_loaded for c in _copies(f.dispatcher)))
-        await until(lambda: keeper.counts["saved"] and keeper.last and keeper.last[1].models[0].copies)
+        await until(
+            lambda: (
+                keeper.counts["saved"]
+                and keeper.last_gathered
+                and keeper.last_gathered[1].functions[0].replicas
+            )
+        )
         await anyio.sleep(0.2)
     assert keeper.store is not None
     keeper.store.close()
     async with fleet({"a": [after(5, satisfied)], "b": [after(5, satisfied)]}) as f:
-        keeper = Keeper(f.edge, told)
-        assert keeper.found is not None and keeper.found[1] < 60 * SECOND
+        keeper = KnowledgeSaver(f.edge, told)
+        assert keeper.earlier_knowledge is not None and keeper.earlier_knowledge[1] < 60 * SECOND
         f.group.start_soon(keeper.run, f.dispatcher)
         await until(lambda: f.dispatcher.counts["ask", "satisfied"])
-        (model,) = f.dispatcher.by_model
+        (model,) = f.dispatcher.by_policy_function
         assert model.latency.total > 2
         assert any(c.is_retained and c.is_loaded for c in _copies(f.dispatcher))
         assert (await f.call())[0] == 200
 
 
 def _copies(dispatcher: Any) -> list[Any]:
-    return [copy for model in dispatcher.by_model for copy in model.replicas.values()]
+    return [copy for model in dispatcher.by_policy_function for copy in model.replicas.values()]
 
 
 async def test_a_folder_that_cannot_be_used_stops_nothing(tmp_path: Path) -> None:
     (tmp_path / "edge").write_text("no folder")
     async with fleet() as f:
-        keeper = Keeper(f.edge, Lasting(folder=str(tmp_path)))
+        keeper = KnowledgeSaver(f.edge, DurableStateSettings(folder=str(tmp_path)))
         assert keeper.store is None
         f.group.start_soon(keeper.run, f.dispatcher)
         assert (await f.call())[0] == 200
@@ -226,17 +247,17 @@
 async def test_knowledge_that_breaks_what_reads_it_costs_no_task_anything(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    told = Lasting(folder=str(tmp_path), every_ms=20)
+    told = DurableStateSettings(folder=str(tmp_path), every_ms=20)
 
     def fails(*_: Any) -> Any:
         raise ZeroDivisionError
 
     with capture_logs() as logs:
         async with fleet() as f:
-            keeper = Keeper(f.edge, told)
-            keeper.found = known(), 0
-            monkeypatch.setattr("martenlead.lasting.knowledge.past", fails)
-            monkeypatch.setattr("martenlead.lasting.knowledge.gathering", fails)
+            keeper = KnowledgeSaver(f.edge, told)
+            keeper.earlier_knowledge = known(), 0
+            monkeypatch.setattr("martenlead.durable_state.knowledge.build_earlier_run", fails)
+            monkeypatch.setattr("martenlead.durable_state.knowledge.gather_in_steps", fails)
             f.group.start_soon(keeper.run, f.dispatcher)
             await until(lambda: keeper.counts["failed"] > 3)
             assert (await f.call())[0] == 200
@@ -251,15 +272,15 @@
 async def test_a_second_edge_of_the_name_keeps_nothing_and_a_state_that_makes_no_sense_is_passed_over(
     tmp_path: Path,
 ) -> None:
-    told = Lasting(folder=str(tmp_path), every_ms=20)
+    told = DurableStateSettings(folder=str(tmp_path), every_ms=20)
     async with fleet() as f:
-        first = Keeper(f.edge, told)
+        first = KnowledgeSaver(f.edge, told)
         assert first.store is not None
         first.store.write(KNOWLEDGE, {"models": "none"})
-        assert Keeper(f.edge, told).store is None
+        assert KnowledgeSaver(f.edge, told).store is None
         first.store.close()
-        second = Keeper(f.edge, told)
-        assert second.found is None and second.store is not None
+        second = KnowledgeSaver(f.edge, told)
+        assert second.earlier_knowledge is None and second.store is not None
         f.group.start_soon(second.run, f.dispatcher)
         assert (await f.call())[0] == 200
         await until(lambda: second.counts["saved"] >= 2)
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -13,37 +13,37 @@
 
 import pytest
 
-from martenlead.config.load import BadConfig
-from martenlead.lasting.disk import Folder
-from martenlead.lasting.store import (
-    ASIDE,
+from martenlead.config.load import ConfigError
+from martenlead.durable_state.disk import StateFolder
+from martenlead.durable_state.store import (
     HEADER,
-    InUse,
-    Kind,
-    Store,
-    TooLarge,
-    Unreadable,
-    pack,
-    unpack,
+    MAX_FILES_SET_ASIDE,
+    FolderInUseError,
+    StateKind,
+    StateStore,
+    StateTooLargeError,
+    UnreadableStateError,
+    pack_state,
+    unpack_state,
 )
 from tests.powercut import Cut, PowerCut
 
-THING = Kind("thing")
+THING = StateKind("thing")
 
 
-def store(disk: Any, deployment: str = "here", **more: Any) -> Store:
-    return Store(disk, deployment, lambda: 1_000, **more)
+def store(disk: Any, deployment: str = "here", **more: Any) -> StateStore:
+    return StateStore(disk, deployment, lambda: 1_000, **more)
 
 
 def test_what_was_written_is_read_and_the_generation_before_is_kept(tmp_path: Path) -> None:
-    first = store(Folder(tmp_path))
+    first = store(StateFolder(tmp_path))
     assert first.read(THING) is None
     assert [first.write(THING, {"n": n}) for n in range(5)] == [1, 2, 3, 4, 5]
     first.close()
-    second = store(Folder(tmp_path))
+    second = store(StateFolder(tmp_path))
     state = second.read(THING)
     assert state is not None
-    assert (state.value, state.generation, state.saved, second.epoch) == ({"n": 4}, 5, 1_000, 2)
+    assert (state.value, state.generation, state.saved_ns, second.epoch) == ({"n": 4}, 5, 1_000, 2)
     assert sorted(n for n in os.listdir(tmp_path) if n.startswith("thing")) == [
         "thing.0000000000000004.state",
         "thing.0000000000000005.state",
@@ -52,11 +52,11 @@
 
 
 def test_a_second_process_is_refused_and_a_dead_ones_lock_is_free(tmp_path: Path) -> None:
-    first = store(Folder(tmp_path))
-    with pytest.raises(InUse):
-        store(Folder(tmp_path))
+    first = store(StateFolder(tmp_path))
+    with pytest.raises(FolderInUseError):
+        store(StateFolder(tmp_path))
     first.close()
-    assert store(Folder(tmp_path)).epoch == 2
+    assert store(StateFolder(tmp_path)).epoch == 2
 
 
 def test_the_power_fails_at_any_step_and_the_old_state_or_the_new_one_is_there() -> None:
@@ -128,7 +128,7 @@
         child = os.fork()
         if not child:
             try:
-                opened = store(Folder(tmp_path))
+                opened = store(StateFolder(tmp_path))
                 state = opened.read(THING)
                 n = state.value["n"] if state is not None else 0
                 while True:
@@ -139,7 +139,7 @@
         time.sleep(chance.uniform(0, 0.012))
         os.kill(child, signal.SIGKILL)
         os.waitpid(child, 0)
-        opened = store(Folder(tmp_path))
+        opened = store(StateFolder(tmp_path))
         state = opened.read(THING)
         opened.close()
         assert opened.problems == []
@@ -151,22 +151,22 @@
 
 
 def test_a_byte_that_is_wrong_anywhere_is_found_and_set_aside(tmp_path: Path) -> None:
-    data = pack(THING, "here", 7, 5, {"a": [1, 2, 3]})
-    assert unpack(data, THING, "here", 1000).value == {"a": [1, 2, 3]}
+    data = pack_state(THING, "here", 7, 5, {"a": [1, 2, 3]})
+    assert unpack_state(data, THING, "here", 1000).value == {"a": [1, 2, 3]}
     for at in range(len(data)):
         bad = bytearray(data)
         bad[at] ^= 1 + at % 255
-        with pytest.raises(Unreadable):
-            unpack(bytes(bad), THING, "here", 1000)
-        with pytest.raises(Unreadable):
-            unpack(data[:at], THING, "here", 1000)
-    first = store(Folder(tmp_path))
+        with pytest.raises(UnreadableStateError):
+            unpack_state(bytes(bad), THING, "here", 1000)
+        with pytest.raises(UnreadableStateError):
+            unpack_state(data[:at], THING, "here", 1000)
+    first = store(StateFolder(tmp_path))
     first.write(THING, "old")
     first.write(THING, "new")
     first.close()
     path = tmp_path / "thing.0000000000000002.state"
     path.write_bytes(path.read_bytes()[:-1] + b"?")
-    second = store(Folder(tmp_path))
+    second = store(StateFolder(tmp_path))
     state = second.read(THING)
     assert state is not None and state.value == "old"
     assert second.problems == [f"{path.name} is set aside: cut short or corrupt"]
@@ -176,33 +176,33 @@
 
 
 def test_older_versions_are_led_to_this_one_and_newer_ones_are_left_alone(tmp_path: Path) -> None:
-    first = store(Folder(tmp_path))
+    first = store(StateFolder(tmp_path))
     first.write(THING, {"n": 1})
     first.close()
-    third = Kind("thing", 3, {1: lambda v: {**v, "two": True}, 2: lambda v: {**v, "n": v["n"] + 1}})
-    second = store(Folder(tmp_path))
+    third = StateKind("thing", 3, {1: lambda v: {**v, "two": True}, 2: lambda v: {**v, "n": v["n"] + 1}})
+    second = store(StateFolder(tmp_path))
     state = second.read(third)
     assert state is not None and (state.value, state.version) == ({"n": 2, "two": True}, 1)
     second.write(third, {"n": 5})
     second.close()
-    back = store(Folder(tmp_path))
+    back = store(StateFolder(tmp_path))
     state = back.read(THING)
     assert state is not None and state.value == {"n": 1}  # the generation before is still of this version
     assert back.problems == ["thing.0000000000000002.state is set aside: of a newer program (version 1.3)"]
     back.write(THING, {"n": 2})
     back.close()
     assert (tmp_path / "thing.0000000000000002.state.aside").exists()
-    breaks = Kind("thing", 2, {1: lambda v: v["no such"]})
-    assert store(Folder(tmp_path)).read(breaks) is None
+    breaks = StateKind("thing", 2, {1: lambda v: v["no such"]})
+    assert store(StateFolder(tmp_path)).read(breaks) is None
 
 
 def test_a_file_of_another_deployment_or_of_nobody_is_set_aside(tmp_path: Path) -> None:
-    other = store(Folder(tmp_path), "there")
+    other = store(StateFolder(tmp_path), "there")
     other.write(THING, "theirs")
     other.close()
     (tmp_path / "thing.0000000000000009.state").write_bytes(b"no state at all")
     (tmp_path / "notes.txt").write_text("somebody's")
-    opened = store(Folder(tmp_path))
+    opened = store(StateFolder(tmp_path))
     assert opened.read(THING) is None
     assert any("of another deployment" in p for p in opened.problems)
     assert any(
@@ -217,8 +217,8 @@
 
     from martenlead.cli.state import state
 
-    opened = Store(Folder(tmp_path / "edge"), "here", lambda: 1_000)
-    opened.write(Kind("knowledge", 3), {"models": [1, 2, 3], "rate": 4.5})
+    opened = StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1_000)
+    opened.write(StateKind("knowledge", 3), {"models": [1, 2, 3], "rate": 4.5})
     opened.close()
     run = CliRunner().invoke
     shown = run(state, ["show", str(tmp_path), "--deployment", "here"])
@@ -231,21 +231,21 @@
     checked = run(state, ["check", str(tmp_path), "--deployment", "here"])
     assert checked.exit_code == 1
     assert "edge/knowledge.0000000000000001.state: cut short or corrupt" in checked.output
-    again = Store(Folder(tmp_path / "edge"), "here", lambda: 1_000)
-    assert again.read(Kind("knowledge", 3)) is None
+    again = StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1_000)
+    assert again.read(StateKind("knowledge", 3)) is None
     again.close()
     assert "knowledge.0000000000000001.state.aside" in run(state, ["prune", str(tmp_path)]).output
     assert not list(tmp_path.rglob("*.aside"))
-    with pytest.raises(BadConfig, match="no such folder"):
+    with pytest.raises(ConfigError, match="no such folder"):
         run(state, ["show", str(tmp_path / "no")], catch_exceptions=False)
 
 
 def test_files_set_aside_are_bounded(tmp_path: Path) -> None:
     for n in range(30):
         (tmp_path / f"thing.{n + 1:016d}.state").write_bytes(b"rot")
-    opened = store(Folder(tmp_path))
+    opened = store(StateFolder(tmp_path))
     assert opened.read(THING) is None
-    assert len(list(tmp_path.glob("*.aside"))) <= ASIDE
+    assert len(list(tmp_path.glob("*.aside"))) <= MAX_FILES_SET_ASIDE
 
 
 def test_a_full_or_read_only_disk_leaves_what_was_there() -> None:
@@ -269,13 +269,13 @@
 
 
 def test_a_state_over_its_bound_is_not_written(tmp_path: Path) -> None:
-    opened = store(Folder(tmp_path), most=2000)
+    opened = store(StateFolder(tmp_path), most=2000)
     opened.write(THING, "small")
-    with pytest.raises(TooLarge, match="2000 are allowed"):
+    with pytest.raises(StateTooLargeError, match="2000 are allowed"):
         opened.write(THING, list(os.urandom(5000)))
     state = opened.read(THING)
     assert state is not None and state.value == "small"
-    bomb = pack(THING, "here", 2, 5, "x" * 10_000_000)
+    bomb = pack_state(THING, "here", 2, 5, "x" * 10_000_000)
     assert len(bomb) < 2000 + HEADER.size
-    with pytest.raises(Unreadable):
-        unpack(bomb, THING, "here", 2000)
+    with pytest.raises(UnreadableStateError):
+        unpack_state(bomb, THING, "here", 2000)
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -65,7 +65,7 @@
         async with play(tmp_path, {"a": [done]}) as p:
             await until(lambda: p.journal.streams)
             await p.journal.tell(record(ord("c"), listener.getsockname()[1]))
-            await until(lambda: WORKER in p.node.dispatcher.boxes)
+            await until(lambda: WORKER in p.node.dispatcher.workers)
             client = await p.client()
             dispatcher = p.node.dispatcher
             started = anyio.current_time()
@@ -83,7 +83,7 @@
         async with play(tmp_path, {"a": [done]}) as p:
             await until(lambda: p.journal.streams)
             await p.journal.tell(p.record("a", state=1), record(ord("c"), listener.getsockname()[1]))
-            await until(lambda: WORKER in p.node.dispatcher.boxes)
+            await until(lambda: WORKER in p.node.dispatcher.workers)
             client = await p.client()
             assert await client.call("unsafe", wait=1900) == "turned back"
             assert await bytes_received(listener, SYN_RETRANSMISSION + 0.3) == b""
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -85,7 +85,7 @@
         await until(lambda: not listener._listener.accepting)
         client.settimeout(2)
         assert await anyio.to_thread.run_sync(client.recv, 1) == b""
-    assert (clients.in_use, listener.open) == (0, 0)
+    assert (clients.in_use, listener.open_connections) == (0, 0)
 
 
 async def test_an_address_in_use_ends_a_program_of_http_at_once() -> None:
@@ -185,7 +185,7 @@
                 await first.receive()
         async with await anyio.connect_tcp("127.0.0.1", port) as second:
             assert await second.receive() == b"served"
-        await until(lambda: not listener.open)
+        await until(lambda: not listener.open_connections)
         group.cancel_scope.cancel()
 
 
--- a/tests/test_membership_lists.py
+++ b/tests/test_membership_lists.py
@@ -21,8 +21,8 @@
 
 
 def is_up(p: Play, name: str) -> bool:
-    box = p.node.dispatcher.boxes.get(f"s-{ord(name):08x}")
-    return box is not None and box.up
+    box = p.node.dispatcher.workers.get(f"s-{ord(name):08x}")
+    return box is not None and box.is_up
 
 
 async def test_a_worker_that_a_whole_list_leaves_out_gets_nothing_new(tmp_path: Path) -> None:
@@ -69,7 +69,7 @@
         events = [frame(number, WHOLE, *records) for number, records in enumerate(lists, start=2)]
         p.journal.events += events
         await p.journal.streams[0].send(b"".join(events) + events[0])
-        await until(lambda: p.node.source.list.version == len(lists) + 1)
+        await until(lambda: p.node.discovery.endpoint_list.version == len(lists) + 1)
         await anyio.sleep(0.02)  # the repeated event has been read too
         assert (is_up(p, "a"), is_up(p, "b")) == (False, True)
         assert await (await p.client()).call("unsafe") == "satisfied"
@@ -96,21 +96,21 @@
     async with play(tmp_path, {"a": [done], "b": [done], "c": [done]}) as p:
         dispatcher = p.node.dispatcher
         told: list[tuple[set[tuple[int, WorkerState]], bool]] = []
-        policy_roster = dispatcher.border.roster
+        policy_roster = dispatcher.policy_boundary.update_workers
 
         def note(news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
             told.append(({(facts.mark & 0xFF, facts.state) for _, facts in news}, whole))
             policy_roster(news, whole)
 
-        dispatcher.border.roster = note  # type: ignore[method-assign]
-        a, b, c = (replace(box.line, age_ms=5.0) for box in dispatcher.boxes.values())
-        dispatcher.news([a, b, c], True)
-        dispatcher.news([replace(a, state="draining"), b], True)
-        dispatcher.news([replace(b, state="gone"), b], False)
+        dispatcher.policy_boundary.update_workers = note  # type: ignore[method-assign]
+        a, b, c = (replace(box.endpoint, age_ms=5.0) for box in dispatcher.workers.values())
+        dispatcher.update_endpoints([a, b, c], True)
+        dispatcher.update_endpoints([replace(a, state="draining"), b], True)
+        dispatcher.update_endpoints([replace(b, state="gone"), b], False)
         last = {line.id: ord(line.id[-1]) for line in (a, b, c)}  # an id's last byte tells them apart
         assert told == [
             (set(), False),
             ({(last[a.id], WorkerState.DRAINING), (last[c.id], WorkerState.GONE)}, False),
             ({(last[b.id], WorkerState.GONE), (last[b.id], WorkerState.UP)}, False),
         ]
-        assert [box.up for box in dispatcher.boxes.values()] == [False, True]
+        assert [box.is_up for box in dispatcher.workers.values()] == [False, True]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -216,10 +216,10 @@
         told = [await client.call(id="00000000000000aa") for _ in range(18)]
         assert told == ["turned back", *["error -32602"] * 17]
         assert await client.answer() is None
-        assert len(p.node.dispatcher.border._policy.load_budget.request_times_ns) == 1
-        p.node.door.tasks = 3  # as many as may be held are remembered
+        assert len(p.node.dispatcher.policy_boundary._policy.load_budget.request_times_ns) == 1
+        p.node.listener.request_limit = 3  # as many as may be held are remembered
         assert [await (await p.client()).call(id=f"{n:016x}") for n in range(5)] == ["turned back"] * 5
-        assert list(p.node.door.spent) == [f"{n:016x}" for n in range(2, 5)]
+        assert list(p.node.listener.finished_ids) == [f"{n:016x}" for n in range(2, 5)]
 
 
 async def test_more_than_may_be_open_on_a_connection_is_turned_back(tmp_path: Path) -> None:
@@ -230,9 +230,9 @@
         told = [word(await client.answer()) for _ in range(200)]
         assert set(told) <= {"satisfied", "turned back"}
         assert "satisfied" in told
-        await until(lambda: not p.node.dispatcher.held)
-        assert not p.node.door.ids
-        assert p.node.dispatcher.bytes == 0
+        await until(lambda: not p.node.dispatcher.pending_requests)
+        assert not p.node.listener.open_requests
+        assert p.node.dispatcher.pending_bytes == 0
 
 
 async def test_hundreds_in_one_read_are_not_taken_because_each_is_answered_at_once(tmp_path: Path) -> None:
@@ -240,18 +240,20 @@
     nobody = {"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": []}}]}
     async with play(tmp_path, known=nobody, settings=RATIONED) as p:
         client = await p.client()
-        await until(lambda: p.node.door.clients)
-        (own,) = p.node.door.clients
+        await until(lambda: p.node.listener.clients)
+        (own,) = p.node.listener.clients
         own.data_received(b"".join(client.task() for _ in range(200)))
         told = [await client.answer() or {} for _ in range(200)]
         assert [t["error"]["message"] for t in told[31:]] == [
             "no runner may take it now",
             *["too much is open"] * 168,
         ]
-        assert len(p.node.dispatcher.border._policy.load_budget.request_times_ns) == 32
-        await until(lambda: not own.counts(p.node.dispatcher.clock()))  # until its answers must have come
+        assert len(p.node.dispatcher.policy_boundary._policy.load_budget.request_times_ns) == 32
+        await until(
+            lambda: not own.count_open_requests(p.node.dispatcher.clock())
+        )  # until its answers must have come
         assert await client.call() == "turned back"
-        assert len(p.node.dispatcher.border._policy.load_budget.request_times_ns) == 33
+        assert len(p.node.dispatcher.policy_boundary._policy.load_budget.request_times_ns) == 33
 
 
 async def test_silent_connections_end_and_cost_no_one_a_place(tmp_path: Path) -> None:
@@ -260,7 +262,7 @@
         await mute[-1].send(b"Content-Le")
         speaks = await p.client()
         assert await speaks.call() == "satisfied"
-        assert len(p.node.door.clients) <= p.node.door.connections
+        assert len(p.node.listener.clients) <= p.node.listener.connection_limit
         assert await mute[0].answer(within=3) is None
         assert await mute[-1].answer(within=3) is None
 
@@ -271,13 +273,13 @@
         for _ in range(30):
             await client.ask()
         await client.stream.aclose()
-        await until(lambda: not p.node.dispatcher.held and not p.node.door.clients)
-        assert not p.node.door.ids
-        await until(lambda: not p.node.dispatcher._out)  # in their time
+        await until(lambda: not p.node.dispatcher.pending_requests and not p.node.listener.clients)
+        assert not p.node.listener.open_requests
+        await until(lambda: not p.node.dispatcher._in_flight)  # in their time
 
 
 async def test_a_client_that_reads_nothing_is_left(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("martenlead.node.door.SLOW", 200_000_000)
+    monkeypatch.setattr("martenlead.node.client_connection.STALLED_CLIENT_TIMEOUT_NS", 200_000_000)
     async with play(tmp_path) as p:
         client = await p.client()
         ping = message({"jsonrpc": "2.0", "id": 1, "method": "ping", "params": {}})
@@ -285,47 +287,47 @@
             while True:
                 with anyio.fail_after(5):
                     await client.send(ping * 1000)
-        await until(lambda: not p.node.door.clients and not p.node.door.closing)
+        await until(lambda: not p.node.listener.clients and not p.node.listener.closing)
         assert await (await p.client()).call() == "satisfied"
 
 
 async def test_the_journal_is_followed_through_breaks_silence_and_repeats(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.node.roster.QUIET", 0.5)
+    monkeypatch.setattr("martenlead.node.discovery.SILENCE_TIMEOUT_SECONDS", 0.5)
     async with play(tmp_path) as p:
         dispatcher, journal = p.node.dispatcher, p.journal
         await until(lambda: journal.streams)
         await p.runner("b", done)
         await journal.tell(p.record("b"), cut=20)  # broken off in the middle
         await journal.streams.pop().aclose()
-        await until(lambda: len(dispatcher.boxes) == 2 and journal.streams)
+        await until(lambda: len(dispatcher.workers) == 2 and journal.streams)
         await journal.streams[0].send(journal.events[0] + b"\xff\xff\xff\xff")  # twice, then noise
         await until(lambda: len(journal.asked) == 3 and len(journal.streams) == 2)
         journal.streams.clear()
         journal.beats = False  # silent
         await p.runner("c", done)
         await journal.tell(p.record("c"))
-        await until(lambda: "s-00000063" in dispatcher.boxes)
+        await until(lambda: "s-00000063" in dispatcher.workers)
         assert journal.asked == [1, 1, 2, 2]
-        assert [box.line.state for box in dispatcher.boxes.values()] == ["up"] * 3
+        assert [box.endpoint.state for box in dispatcher.workers.values()] == ["up"] * 3
 
 
 async def test_a_runner_that_is_gone_is_forgotten_and_its_address_is_another_ones(tmp_path: Path) -> None:
     async with play(tmp_path) as p:
         client = await p.client()
         assert await client.call() == "satisfied"
-        old, way = p.runners["a"], next(iter(p.node.dispatcher.boxes.values())).way
+        old, way = p.runners["a"], next(iter(p.node.dispatcher.workers.values())).connections
         await until(lambda: p.journal.streams)
         await p.journal.tell(record(ord("a"), old.port, state=2))
-        await until(lambda: not p.node.dispatcher.boxes)
+        await until(lambda: not p.node.dispatcher.workers)
         assert await client.call() == "turned back"
         await until(lambda: old.open == 0)
         await p.journal.tell(record(ord("n"), old.port))
-        await until(lambda: p.node.dispatcher.boxes)
+        await until(lambda: p.node.dispatcher.workers)
         assert await client.call() == "satisfied"
-        assert way not in p.node.link.ways
-        assert len(p.node.dispatcher.by_runner) == 1
+        assert way not in p.node.worker_client.pools
+        assert len(p.node.dispatcher.by_policy_worker) == 1
 
 
 async def test_a_configuration_anew_moves_the_journal_and_touches_no_task(tmp_path: Path) -> None:
@@ -346,7 +348,7 @@
         await until(lambda: moved.streams)
         await p.runner("b", done)
         await moved.tell(p.record("b"))
-        await until(lambda: len(p.node.dispatcher.boxes) == 2)
+        await until(lambda: len(p.node.dispatcher.workers) == 2)
         assert word(await client.answer()) == "satisfied"
 
 
@@ -368,7 +370,7 @@
         client = await p.client()
         for n in range(150):
             assert await client.call(key=f"{n:016x}") == "satisfied"
-        assert len(p.node.dispatcher.models) == len(p.node.dispatcher.by_model) == 100
+        assert len(p.node.dispatcher.functions_by_name) == len(p.node.dispatcher.by_policy_function) == 100
 
 
 async def test_two_hand_offs_of_one_task_to_one_runner_are_not_confused(tmp_path: Path) -> None:
@@ -376,14 +378,14 @@
         client = await p.client()
         assert await client.call("keyed", once="0" * 32, wait=1900) == "satisfied"
         assert len(p.did()) == 2
-        await until(lambda: not p.node.dispatcher._out)
+        await until(lambda: not p.node.dispatcher._in_flight)
 
 
 async def test_what_a_task_holds_is_let_go_with_its_answer(tmp_path: Path) -> None:
     async with play(tmp_path) as p:
         client = await p.client()
         seen: list[Any] = []
-        take = p.node.dispatcher.take
-        p.node.dispatcher.take = lambda *a, **k: seen.append(take(*a, **k)) or seen[-1]  # type: ignore
+        take = p.node.dispatcher.accept
+        p.node.dispatcher.accept = lambda *a, **k: seen.append(take(*a, **k)) or seen[-1]  # type: ignore
         assert await client.call() == "satisfied"
-        assert [(held.content, held.answer) for held in seen] == [(None, None)]
+        assert [(held.content, held.response) for held in seen] == [(None, None)]
--- a/tests/test_placement_at_scale.py
+++ b/tests/test_placement_at_scale.py
@@ -14,8 +14,8 @@
 
 from martenlead.capture import events as ev
 from martenlead.capture.checkpoint import load
-from martenlead.capture.replay import Replayer, checkpoint_between, replay
-from martenlead.capture.tape import Tape
+from martenlead.capture.recorder import CaptureRecorder
+from martenlead.capture.replay import Replayer, replay, write_checkpoint_between
 from martenlead.policy import replica_scaling
 from martenlead.policy import types as io
 from martenlead.policy.candidates import CANDIDATES, CandidateIndex, Ranking
@@ -359,9 +359,9 @@
     assert function not in dispatcher.policy.state.functions
     for mark in range(1000, 1050):
         dispatcher.tell([line(mark)])
-        dispatcher.border.hold(dispatcher.workers[mark], function, True)
+        dispatcher.border.set_retained(dispatcher.workers[mark], function, True)
         fleet.run_for(SECOND)
-        dispatcher.border.hold(dispatcher.workers[mark], function, False)
+        dispatcher.border.set_retained(dispatcher.workers[mark], function, False)
         dispatcher.tell([line(mark, io.WorkerState.GONE)])
     fleet.run_for(100 * SECOND)
     assert not [runner for runner in function.replicas if not runner.is_listed]
@@ -371,7 +371,7 @@
     """Requests that wait at the door ask for room again and again, and may give up before they are taken."""
     fleet, (dispatcher,) = fleet_of(300, 1)
     for number in range(100):
-        dispatcher.border.room(
+        dispatcher.border.choose_worker(
             dispatcher.function(number), dispatcher.settings.request_classes[0], False, 0.0
         )
     fleet.run_for(1000 * SECOND)
@@ -398,7 +398,7 @@
 def between_slices(fleet: Fleet, dispatcher: Dispatcher) -> None:
     """Runs until some functions of a period are checked and others are not."""
     while not dispatcher.policy.scaling.unchecked:
-        due = dispatcher.border.due()
+        due = dispatcher.border.next_due_ns()
         assert due is not None
         fleet.run(due)
 
@@ -501,10 +501,10 @@
     assert len(some) > 600
 
 
-def captured(workers: int, functions: int) -> list[ev.Event]:
+def captured(workers: int, functions: int) -> list[ev.CaptureEvent]:
     """A life with calls in each millisecond, so that some fall between two slices of a check."""
-    fleet, events, chance = Fleet(range(workers)), list[ev.Event](), Random(9)
-    dispatcher = Dispatcher(fleet, 1, Tape(events.append, "edge"), **BUDGET)
+    fleet, events, chance = Fleet(range(workers)), list[ev.CaptureEvent](), Random(9)
+    dispatcher = Dispatcher(fleet, 1, CaptureRecorder(events.append, "edge"), **BUDGET)
     dispatcher.tell(lines(range(workers)), whole=True)
     dispatcher.begin()
     for _ in range(1600):
@@ -513,15 +513,15 @@
     return events
 
 
-def places_between_slices(events: list[ev.Event]) -> list[int]:
+def places_between_slices(events: list[ev.CaptureEvent]) -> list[int]:
     """Where an input begins while functions of a period are still to be checked."""
     replayer, found = Replayer(), []
     for place, event in enumerate(events):
-        if isinstance(event, ev.Input):
+        if isinstance(event, ev.InputEvent):
             if replayer.start is not None and replayer.policy.scaling.unchecked:
                 found.append(place)
             replayer.feed(event)
-            replayer.made.clear()
+            replayer.pending_decisions.clear()
     return found
 
 
@@ -531,10 +531,10 @@
     places = places_between_slices(events)
     assert len(places) >= 3
     for place in places[:: max(1, len(places) // 4)]:
-        checkpoint_between(events[:place], events[place:], tmp_path / "x.ckpt")
-        rest = list(dropwhile(lambda e: not isinstance(e, ev.Input), events[place:]))
+        write_checkpoint_between(events[:place], events[place:], tmp_path / "x.ckpt")
+        rest = list(dropwhile(lambda e: not isinstance(e, ev.InputEvent), events[place:]))
         outcome = replay([load(tmp_path / "x.ckpt"), *rest])
-        assert (outcome.divergence, outcome.stopped, outcome.events) == (None, "", len(rest) + 1)
+        assert (outcome.divergence, outcome.stop_reason, outcome.events) == (None, "", len(rest) + 1)
         assert outcome.decisions > 100
 
 
@@ -542,10 +542,10 @@
     """Functions and workers refer to each other through their replicas: a chain as long as the list."""
     events = captured(300, 300)
     place = len(events) - 50
-    checkpoint_between(events[:place], events[place:], tmp_path / "x.ckpt")
-    rest = list(dropwhile(lambda e: not isinstance(e, ev.Input), events[place:]))
+    write_checkpoint_between(events[:place], events[place:], tmp_path / "x.ckpt")
+    rest = list(dropwhile(lambda e: not isinstance(e, ev.InputEvent), events[place:]))
     outcome = replay([load(tmp_path / "x.ckpt"), *rest])
-    assert (outcome.divergence, outcome.stopped, outcome.events) == (None, "", len(rest) + 1)
+    assert (outcome.divergence, outcome.stop_reason, outcome.events) == (None, "", len(rest) + 1)
 
 
 @pytest.mark.parametrize(("workers", "goes_on"), [(256, False), (257, True)])
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -13,12 +13,12 @@
 from click.testing import CliRunner
 
 from martenlead.cli.main import commands
-from martenlead.cli.status import lines
+from martenlead.cli.status import format_status
 from martenlead.events.server import listen
 from martenlead.planner import frames as fr
-from martenlead.planner.edgeside import EdgeSide
-from martenlead.planner.link import PlannerEnd
-from martenlead.planner.serve import Planner, PlannerSettings
+from martenlead.planner.link import PlannerSession
+from martenlead.planner.planner_client import PlannerClient
+from martenlead.planner.server import Planner, PlannerSettings
 from support.fleet import fleet
 from support.planned import answered, planned, planner, until
 
@@ -42,32 +42,32 @@
     await listener.aclose()
 
 
-async def mirrored(one: Planner, name: str, side: EdgeSide) -> PlannerEnd:
+async def mirrored(one: Planner, name: str, side: PlannerClient) -> PlannerSession:
     """The lease comes before the state: what is taken in between is part of that, and no mirror counts it."""
-    await until(lambda: side.end.leased() and one.ends[name].mirror is not None)
-    return one.ends[name]
+    await until(lambda: side.session.is_leased() and one.sessions[name].policy_replica is not None)
+    return one.sessions[name]
 
 
 async def test_a_planner_decides_dies_and_comes_back_and_tasks_are_answered() -> None:
     async with planner() as (first, port), planned([port], alone_ms=600_000) as (f, side):
         own = await mirrored(first, "edge", side)
-        await until(lambda: not side.plans)
+        await until(lambda: not side.plans_locally)
         for _ in range(30):
             await answered(f, 4)
             await anyio.sleep(0.05)
             if f.orders:
                 break
         assert f.orders
-        assert own.mirror is not None
-        assert own.mirror.tasks_seen >= 4
+        assert own.policy_replica is not None
+        assert own.policy_replica.request_count >= 4
     async with planned([port], alone_ms=300) as (f, side):
         await until(lambda: side.counts["links lost"] > 1)
         await answered(f)
-        assert side.plans  # nobody came: it never stopped
+        assert side.plans_locally  # nobody came: it never stopped
         async with planner(port):
-            await until(lambda: side.end.leased() and not side.plans)
+            await until(lambda: side.session.is_leased() and not side.plans_locally)
             await answered(f)
-        await until(lambda: side.plans)
+        await until(lambda: side.plans_locally)
         await answered(f)
         assert (side.counts["handed over"], side.counts["took over"]) == (1, 1)
 
@@ -85,20 +85,20 @@
 async def breaks_off(stream: Any) -> None:
     """Half of a frame, and the end."""
     await stream.receive()
-    await stream.send(fr.frame(fr.Welcome(2, "p", "x", -1))[:-3])
+    await stream.send(fr.encode_frame(fr.Welcome(2, "p", "x", -1))[:-3])
     await stream.aclose()
 
 
 async def never_reads(stream: Any) -> None:
-    await stream.send(fr.frame(fr.Welcome(2, "p", "x", -1)))
+    await stream.send(fr.encode_frame(fr.Welcome(2, "p", "x", -1)))
     while True:
-        await stream.send(fr.frame(fr.Beat(1, 0)))
+        await stream.send(fr.encode_frame(fr.Heartbeat(1, 0)))
         await anyio.sleep(0.05)
 
 
 async def decides_on_what_there_is_not(stream: Any) -> None:
-    await stream.send(fr.frame(fr.Welcome(2, "p", "x", -1)))
-    await stream.send(fr.frame(fr.Decide(1, 1 << 40, [(1, 99, 99)], [])))
+    await stream.send(fr.encode_frame(fr.Welcome(2, "p", "x", -1)))
+    await stream.send(fr.encode_frame(fr.PlanUpdate(1, 1 << 40, [(1, 99, 99)], [])))
     await anyio.sleep(60)
 
 
@@ -108,10 +108,10 @@
 ) -> None:
     async with odd(play) as bad, planner() as (_, good), planned([bad, good], outbox_bytes=2000) as (f, side):
         with anyio.fail_after(15):
-            while not (side.end.leased() and side.end.planner == "planner"):
+            while not (side.session.is_leased() and side.session.planner_name == "planner"):
                 await answered(f, 1)
                 await anyio.sleep(0.01)
-                assert side.end.told()["outbox_bytes"] <= 2000
+                assert side.session.report_status()["outbox_bytes"] <= 2000
         await answered(f)
 
 
@@ -124,7 +124,7 @@
             async with planned([port], f"edge-{n}", flush_ms=20) as (f, side):
                 own = await mirrored(one, f"edge-{n}", side)
                 await answered(f, 5)
-                await until(lambda: own.mirror is not None and own.mirror.tasks_seen == 5)
+                await until(lambda: own.policy_replica is not None and own.policy_replica.request_count == 5)
                 done += 1
                 await until(lambda: done == 10)
 
@@ -134,23 +134,23 @@
         async with planned([port], "one-too-many") as (f, side):
             await until(lambda: side.counts["links lost"] > 0)
             await answered(f)
-            assert not side.end.leased()
+            assert not side.session.is_leased()
 
 
 async def test_both_die_and_what_was_held_is_asked_for(tmp_path: Path) -> None:
     kept = str(tmp_path / "kept")
     async with planner(kept=kept) as (first, port), planned([port]) as (f, side):
-        await until(lambda: side.end.leased() and not side.plans)
-        while not side._held:
+        await until(lambda: side.session.is_leased() and not side.plans_locally)
+        while not side._retained:
             await answered(f, 4)
             await anyio.sleep(0.05)
-        held = {f.dispatcher.boxes[n].line.id for n in f.dispatcher.boxes}
+        held = {f.dispatcher.workers[n].endpoint.id for n in f.dispatcher.workers}
         await until(lambda: Path(kept).exists() and '"m"' in Path(kept).read_text())
-        assert first.kept.edges["edge"][0][:2][1] == "m"
+        assert first.saved_replicas.replicas_by_edge["edge"][0][:2][1] == "m"
     async with planner(kept=kept) as (_, port), planned([port]) as (f, side):
         await until(lambda: f.dispatcher.counts["ask", "satisfied"] > 0)
         assert {name for _, name, target in f.orders if target.endswith("/m/load")} <= held
-        model = f.dispatcher.models["m"].model
+        model = f.dispatcher.functions_by_name["m"].policy_function
         await until(lambda: any(copy.is_retained and copy.is_loaded for copy in model.replicas.values()))
         assert (await f.call("estimate"))[0] == 200
         assert f.arrivals[0][1] in {name for _, name, _ in f.orders}  # where the copy stands
@@ -158,15 +158,15 @@
 
 async def test_status_says_who_plans_and_what_is_held() -> None:
     async with planner() as (one, port), planned([port]) as (f, side):
-        await until(lambda: side.end.leased() and not side.plans)
+        await until(lambda: side.session.is_leased() and not side.plans_locally)
         await answered(f)
-        (edge,) = lines("7000", f.dispatcher.state())
+        (edge,) = format_status("7000", f.dispatcher.report_status())
         assert edge.startswith("7000 edge edge: 0 tasks held, 1 models; planned by planner; link up, epoch 1")
-        (own, of_edge) = lines("7001", one.state())
+        (own, of_edge) = format_status("7001", one.report_status())
         assert own == "7001 planner planner: 1 edges"
         assert of_edge.startswith("  for edge: epoch 1, events ")
     async with fleet() as f:
-        assert lines("1", f.dispatcher.state())[0].endswith("; plans itself, without a link")
+        assert format_status("1", f.dispatcher.report_status())[0].endswith("; plans itself, without a link")
 
 
 def test_status_of_what_does_not_answer_is_a_failure() -> None:
@@ -179,4 +179,4 @@
     path = tmp_path / "kept"
     for text in ("", "[1]", json.dumps({"saved": 1, "edges": {"e": [["a"]]}})):
         path.write_text(text)
-        assert Planner(PlannerSettings(kept=str(path))).kept.edges == {}
+        assert Planner(PlannerSettings(state_path=str(path))).saved_replicas.replicas_by_edge == {}
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -12,7 +12,7 @@
 
 from martenlead.capture import events as ev
 from martenlead.planner import frames as fr
-from martenlead.planner.link import MS, Broken
+from martenlead.planner.link import NS_PER_MS, LinkProtocolError
 from martenlead.policy.types import WorkerState
 from support.pair import Pair
 
@@ -30,23 +30,23 @@
     st.builds(fr.Hello, st.integers(0, 9), st.integers(0, 9), st.text(), st.text(), st.text()),
     st.builds(fr.Welcome, st.integers(0, 9), st.text(), st.text(), st.integers(-1, 1 << 62)),
     st.builds(fr.Lease, st.integers(0, 1 << 62), st.floats(0, 1e9), st.booleans()),
-    st.builds(fr.Beat, st.integers(0, 1 << 62), st.integers(0, 1 << 62)),
+    st.builds(fr.Heartbeat, st.integers(0, 1 << 62), st.integers(0, 1 << 62)),
     st.builds(
         fr.Events,
         st.integers(0, 1 << 62),
         st.integers(0, 1 << 62),
-        st.lists(st.builds(ev.HandedOff, *[st.integers(0, 1 << 40)] * 4), max_size=4),
+        st.lists(st.builds(ev.AttemptStarted, *[st.integers(0, 1 << 40)] * 4), max_size=4),
     ),
-    st.builds(fr.Need, st.text()),
+    st.builds(fr.ResyncRequest, st.text()),
 )
 
 
 @given(st.lists(MESSAGES, max_size=5), st.lists(st.integers(1, 40), max_size=40))
 def test_frames_come_out_as_they_went_in_however_they_are_cut(
-    messages: list[fr.Any_], cuts: list[int]
+    messages: list[fr.AnyMessage], cuts: list[int]
 ) -> None:
-    data = b"".join(fr.frame(m) for m in messages)
-    reader, found, at = fr.Reader(), [], 0
+    data = b"".join(fr.encode_frame(m) for m in messages)
+    reader, found, at = fr.FrameReader(), [], 0
     for cut in [*cuts, len(data)]:
         found += reader.feed(data[at : at + cut])
         at += cut
@@ -55,14 +55,14 @@
 
 @given(st.binary(min_size=1, max_size=60), st.integers(0, 59))
 def test_no_bytes_are_taken_for_another_message(data: bytes, at: int) -> None:
-    good = fr.frame(fr.Need("some reason or other"))
+    good = fr.encode_frame(fr.ResyncRequest("some reason or other"))
     bad = bytearray(good)
     bad[at % len(good)] ^= data[0] or 1
     for stream in (bytes(bad), data):
-        reader = fr.Reader(longest=1 << 20)
+        reader = fr.FrameReader(longest=1 << 20)
         try:
             found = reader.feed(stream)
-        except fr.BadFrame:
+        except fr.FrameError:
             continue
         assert found == []  # more is waited for
 
@@ -77,7 +77,7 @@
     busy(pair, 6000)
     pair.run(100)
     assert pair.settled() == []
-    assert (pair.side.plans, pair.side.counts["handed over"]) == (False, 1)
+    assert (pair.side.plans_locally, pair.side.counts["handed over"]) == (False, 1)
     assert pair.side.counts["orders"] > 3
     assert pair.over_ration() == 0
     assert (pair.end.epoch, pair.end.counts["snapshots"]) == (1, 1)
@@ -109,11 +109,13 @@
     pair.connect()
     busy(pair, 3000)
     pair.run(100)
-    held = len(pair.side._held)
+    held = len(pair.side._retained)
     assert held
-    runner, model = next(iter(pair.side._held))
-    pair.border.hold(*(pair.side.tape.by_number[k][n] for k, n in enumerate((runner, model))), False)
-    pair.side._held.discard((runner, model))  # as if the word had been lost
+    runner, model = next(iter(pair.side._retained))
+    pair.policy_boundary.set_retained(
+        *(pair.side.recorder.by_number[k][n] for k, n in enumerate((runner, model))), False
+    )
+    pair.side._retained.discard((runner, model))  # as if the word had been lost
     pair.cut()
     pair.connect()
     pair.run(100)
@@ -125,8 +127,8 @@
     pair = Pair(lease_ms=1000)
     pair.connect()
     busy(pair, 1000)
-    stale = fr.Decide(pair.end.epoch, pair.end.seq, [(1, 0, 0)], [])
-    pair.stalled_until = pair.now + 5000 * MS
+    stale = fr.PlanUpdate(pair.end.epoch, pair.end.last_sequence, [(1, 0, 0)], [])
+    pair.stalled_until = pair.now + 5000 * NS_PER_MS
     busy(pair, 1500)
     assert (str(pair.fault), pair.end.state) == ("the planner has not answered in time", "down")
     pair.stalled_until = 0
@@ -134,8 +136,8 @@
     pair.connect()
     pair.run(50)
     given = len(pair.ordered)
-    pair.end.received(stale)
-    pair.side.apply()
+    pair.end.receive_message(stale)
+    pair.side.apply_decisions()
     assert (pair.end.counts["fenced"], len(pair.ordered) - given) == (1, 0)
     busy(pair, 500)
     pair.run(50)
@@ -148,13 +150,15 @@
     pair.connect()
     pair.run(300)
     for number in range(50):
-        pair.end.received(fr.Decide(pair.end.epoch, pair.end.seq, [(number, number % 4, 0)], []))
-    pair.side.apply()
+        pair.end.receive_message(
+            fr.PlanUpdate(pair.end.epoch, pair.end.last_sequence, [(number, number % 4, 0)], [])
+        )
+    pair.side.apply_decisions()
     assert pair.side.counts["orders refused"] > 40
     assert pair.over_ration() == 0
     pair.run(100)
-    assert pair.planner.mirror is not None
-    assert not pair.planner.mirror.orders
+    assert pair.planner.policy_replica is not None
+    assert not pair.planner.policy_replica.load_requests
 
 
 def test_a_decision_made_before_a_new_state_does_not_undo_it() -> None:
@@ -162,10 +166,10 @@
     pair.connect()
     busy(pair, 1000)
     pair.run(50)
-    seq = pair.end.seq
-    pair.end.received(fr.Need("for a test"))
+    seq = pair.end.last_sequence
+    pair.end.receive_message(fr.ResyncRequest("for a test"))
     pair.run(600)
-    pair.end.received(fr.Decide(pair.end.epoch, seq, [], [(0, 0, True), (1, 1, True)]))
+    pair.end.receive_message(fr.PlanUpdate(pair.end.epoch, seq, [], [(0, 0, True), (1, 1, True)]))
     assert (pair.end.counts["outdated"], pair.end.counts["snapshots"]) == (1, 2)
     busy(pair, 500)
     pair.run(50)
@@ -176,12 +180,12 @@
     pair = Pair(outbox_bytes=4000, lease_ms=10_000)
     pair.connect()
     busy(pair, 500)
-    pair.stalled_until = pair.now + 3000 * MS
+    pair.stalled_until = pair.now + 3000 * NS_PER_MS
     for _ in range(40):
         for model in range(10):
             pair.task(model)
         pair.run(20)
-        assert pair.end.told()["outbox_bytes"] <= 4000
+        assert pair.end.report_status()["outbox_bytes"] <= 4000
     assert pair.end.counts["overflow"] >= 1
     pair.run(4000)
     assert pair.settled() == []
@@ -193,10 +197,12 @@
     busy(pair, 1000)
     runner = pair.runners[1]
     facts = dataclasses.replace(runner.facts, state=WorkerState.DRAINING)
-    pair.border.roster([(runner, facts)], False)
+    pair.policy_boundary.update_workers([(runner, facts)], False)
     before = len(pair.ordered)
-    pair.end.received(fr.Decide(pair.end.epoch, pair.end.seq, [(1, 1, 0)], [(1, 0, True)]))
-    pair.side.apply()
+    pair.end.receive_message(
+        fr.PlanUpdate(pair.end.epoch, pair.end.last_sequence, [(1, 1, 0)], [(1, 0, True)])
+    )
+    pair.side.apply_decisions()
     assert (len(pair.ordered) - before, pair.side.counts["orders refused"]) == (0, 1)
     assert pair.settled() == []
 
@@ -206,7 +212,7 @@
     pair.connect()
     busy(pair, 1000)
     sent: list[bytes] = []
-    inner = pair.end.next
+    inner = pair.end.next_frame
 
     def keep() -> bytes | None:
         data = inner()
@@ -214,17 +220,17 @@
             sent.append(data)
         return data
 
-    pair.end.next = keep  # type: ignore[method-assign]
-    pair.stalled_until = pair.now + 10_000 * MS
+    pair.end.next_frame = keep  # type: ignore[method-assign]
+    pair.stalled_until = pair.now + 10_000 * NS_PER_MS
     busy(pair, 10_000)
     assert pair.settled() == []
     pair.cut()
     pair.connect()
     pair.run(20)
     for data in sent:  # the connection before still spits out what it had
-        for message in fr.Reader().feed(data):
+        for message in fr.FrameReader().feed(data):
             if isinstance(message, fr.Events):
-                pair.planner.received(message)
+                pair.planner.receive_message(message)
     assert pair.planner.counts["again"] >= len(sent) - 5 > 50
     busy(pair, 500)
     assert pair.settled() == []
@@ -240,9 +246,9 @@
         pair.kill_planner()
         pair.connect()
         pair.run(600)  # a state is sent twice a second at most
-        mirror = pair.planner.mirror
+        mirror = pair.planner.policy_replica
         assert mirror is not None
-        window = pair.now - 5000 * MS
+        window = pair.now - 5000 * NS_PER_MS
         before = [t for t in pair.ordered if t > window]
         assert len([t for t in mirror.policy.load_budget.load_times_ns if t > window]) >= len(before)
     given = len(pair.ordered)
@@ -258,27 +264,27 @@
     for model in range(3, 40):
         pair.task(model)
     pair.run(500)
-    held = {m for _, m in pair.side._held}
+    held = {m for _, m in pair.side._retained}
     assert held
     pair.kill_planner()
     pair.connect()
     pair.run(600)
-    mirror = pair.planner.mirror
+    mirror = pair.planner.policy_replica
     assert mirror is not None
-    assert len(mirror.all.models) == 5
-    assert held <= set(mirror.all.models)
+    assert len(mirror.restored.functions) == 5
+    assert held <= set(mirror.restored.functions)
     busy(pair, 1000, models=40)  # what was left out is learnt as it comes
     pair.run(600)
     assert pair.planner.counts["needed"] == 0
-    assert len(mirror.all.models) > 5
+    assert len(mirror.restored.functions) > 5
 
 
 def test_a_state_that_does_not_come_is_asked_for_again() -> None:
     pair = Pair()
     pair.connect()
     pair.run(100)
-    assert pair.planner.mirror is not None
-    pair.planner.mirror = None  # as if it had gone missing
+    assert pair.planner.policy_replica is not None
+    pair.planner.policy_replica = None  # as if it had gone missing
     pair.run(3000)
     assert pair.planner.counts["needed"] == 1
     assert pair.settled() == []
@@ -293,7 +299,7 @@
         for model in range(10):
             pair.task(model)
         pair.run(20)
-        assert pair.end.told()["outbox_bytes"] <= 20_000
+        assert pair.end.report_status()["outbox_bytes"] <= 20_000
         assert len(pair.end._batch) < 512
     assert pair.end.counts["overflow"] == 1
     pair.connect()
@@ -305,16 +311,16 @@
     pair.connect()
     busy(pair, 1000)
     assert pair.settled() == []
-    mirror = pair.planner.mirror
+    mirror = pair.planner.policy_replica
     assert mirror is not None
-    feed, kept = mirror.feed, 0
+    feed, kept = mirror.apply_events, 0
 
-    def loses_one(events: list[ev.Any_]) -> None:
+    def loses_one(events: list[ev.AnyEvent]) -> None:
         nonlocal kept
         kept += 1
-        feed([e for e in events if not (kept == 3 and isinstance(e, ev.Take | ev.HandedOff))])
+        feed([e for e in events if not (kept == 3 and isinstance(e, ev.RequestAccepted | ev.AttemptStarted))])
 
-    mirror.feed = loses_one  # type: ignore[method-assign]
+    mirror.apply_events = loses_one  # type: ignore[method-assign]
     busy(pair, 200)
     assert pair.settled() != []
 
@@ -328,15 +334,15 @@
     pair.run(50)
     assert pair.settled() == []
     assert pair.side.counts["orders"] > 3
-    assert pair.planner.mirror is not None
-    assert abs(pair.planner.mirror.policy.state.now_ns - pair.now) < 20 * MS
+    assert pair.planner.policy_replica is not None
+    assert abs(pair.planner.policy_replica.policy.state.now_ns - pair.now) < 20 * NS_PER_MS
 
 
 @pytest.mark.parametrize(("edge", "planner"), [(1, 2), (2, 1), (1, 1)])
 def test_versions_that_differ_by_one_work_together(edge: int, planner: int) -> None:
     pair = Pair(speaks=edge)
     pair.planner = pair.new_planner(speaks=planner)
-    pair.planner.recall = lambda _: [("r0", "m0", 2, 1000.0, 50.0)]
+    pair.planner.find_earlier_replicas = lambda _: [("r0", "m0", 2, 1000.0, 50.0)]
     pair.connect()
     busy(pair, 2000)
     pair.run(50)
@@ -346,15 +352,17 @@
 def test_versions_without_one_in_common_are_refused_clearly() -> None:
     pair = Pair()
     pair.connect()
-    with pytest.raises(Broken, match="no common version: 3 to 4"):
-        pair.planner.received(fr.Hello(3, 4, "edge", "x", ""))
-    with pytest.raises(Broken, match="speaks version 9"):
-        pair.end.received(fr.Welcome(9, "p", "x", -1))
+    with pytest.raises(LinkProtocolError, match="no common version: 3 to 4"):
+        pair.planner.receive_message(fr.Hello(3, 4, "edge", "x", ""))
+    with pytest.raises(LinkProtocolError, match="speaks version 9"):
+        pair.end.receive_message(fr.Welcome(9, "p", "x", -1))
 
 
 def test_a_new_life_of_an_edge_is_asked_what_was_held_in_the_one_before() -> None:
     pair = Pair()
-    pair.planner.recall = lambda name: [("r0", "m0", 2, 1000.0, 50.0)] if name == "edge" else []
+    pair.planner.find_earlier_replicas = lambda name: (
+        [("r0", "m0", 2, 1000.0, 50.0)] if name == "edge" else []
+    )
     pair.connect()
     pair.run(100)
     assert [list(copy) for copy in pair.recalled] == [["r0", "m0", 2, 1000.0, 50.0]]
@@ -363,18 +371,18 @@
 def test_a_state_of_another_module_is_read_as_far_as_it_goes() -> None:
     pair = Pair()
     busy(pair, 1000)
-    state, _ = pair.side._state()
+    state, _ = pair.side._take_snapshot()
     told = msgspec.msgpack.decode(msgspec.msgpack.encode(state))
     told["brain"]["a new field"] = 7
     del told["brain"]["rate"]
     told["models"][0][5]["latency"] = {"bins": [1.0], "total": 1.0, "sum": 1.0}
-    pair.planner.received(fr.Hello(1, 2, "edge", "x", "another"))
-    pair.planner.received(fr.Lease(1, 1000))
-    pair.planner.received(fr.Snapshot(1, pair.now, told))
-    assert pair.planner.mirror is not None
+    pair.planner.receive_message(fr.Hello(1, 2, "edge", "x", "another"))
+    pair.planner.receive_message(fr.Lease(1, 1000))
+    pair.planner.receive_message(fr.Snapshot(1, pair.now, told))
+    assert pair.planner.policy_replica is not None
     del told["models"][0][5:]
-    with pytest.raises(Broken, match="the state can not be read"):
-        pair.planner.received(fr.Snapshot(2, pair.now, told))
+    with pytest.raises(LinkProtocolError, match="the state can not be read"):
+        pair.planner.receive_message(fr.Snapshot(2, pair.now, told))
 
 
 class Faults(RuleBasedStateMachine):
@@ -410,7 +418,7 @@
 
     @rule(ms=st.sampled_from([100, 700, 2000]))
     def stall(self, ms: int) -> None:
-        self.pair.stalled_until = self.pair.now + ms * MS
+        self.pair.stalled_until = self.pair.now + ms * NS_PER_MS
 
     @rule()
     def another_believes_itself_in_charge(self) -> None:
@@ -419,8 +427,10 @@
         if end.state == "up":
             before = len(self.pair.ordered)
             for number in range(5):
-                end.received(fr.Decide(end.epoch - 1, end.seq, [(number, 0, 0)], [(0, 0, True)]))
-            self.pair.side.apply()
+                end.receive_message(
+                    fr.PlanUpdate(end.epoch - 1, end.last_sequence, [(number, 0, 0)], [(0, 0, True)])
+                )
+            self.pair.side.apply_decisions()
             assert len(self.pair.ordered) == before
 
     @rule()
@@ -440,7 +450,7 @@
 
     @invariant()
     def bounded(self) -> None:
-        assert self.pair.end.told()["outbox_bytes"] <= 20_000
+        assert self.pair.end.report_status()["outbox_bytes"] <= 20_000
 
     def teardown(self) -> None:
         """In the end one planner is left in peace: then it knows all, and every task has its end."""
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -19,7 +19,7 @@
 from anyio.abc import SocketAttribute, SocketStream
 
 from martenlead.events import http
-from martenlead.events.cloudevent import Event, write
+from martenlead.events.cloudevent import Event, encode_event
 from martenlead.policy import types as io
 from support.fleet import Runner as EdgeRunner
 from support.fleet import fleet, satisfied, until
@@ -189,7 +189,7 @@
         if not never_ran:
             assert max((attempts[number] for number in unsafe), default=0) <= 1
         assert faults(p) == 0
-        await until(lambda: not p.node.dispatcher._out and not p.node.dispatcher.held)
+        await until(lambda: not p.node.dispatcher._in_flight and not p.node.dispatcher.pending_requests)
 
 
 # -- requests with very little time left
@@ -227,7 +227,7 @@
             assert asker.has_one_answer_each(), (asker.asked, asker.answers)
         assert max(hurried.latencies()) < left / 1000 + LATEST
         assert max(usual.latencies()) < 1.5 + LATEST
-        await until(lambda: not p.node.dispatcher._out)
+        await until(lambda: not p.node.dispatcher._in_flight)
         assert faults(p) == 0
 
 
@@ -277,7 +277,7 @@
         "model": "m",
         "timeleftms": 1500,
     }
-    headers, body = write(Event(attributes, b"{}", "application/json"))
+    headers, body = encode_event(Event(attributes, b"{}", "application/json"))
     return http.request(b"POST", b"/", b"edge", headers, body)
 
 
@@ -300,7 +300,11 @@
 async def test_a_request_unread_at_the_end_of_an_idle_connection_of_the_edge_is_served() -> None:
     """Its bytes have come whole before the edge decides to end the connection, and are not read yet."""
     async with fleet() as f:
-        head, _ = await rest_and_cross(f.port, f.door, lambda own: own.look(own.read + own.limits.idle + 1))
+        head, _ = await rest_and_cross(
+            f.port,
+            f.door,
+            lambda own: own.close_if_overdue(own.last_read_ns + own.limits.idle_timeout_ns + 1),
+        )
         assert b" 200 " in head.split(b"\r\n")[0]
 
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -40,14 +40,14 @@
 
 def delay_connections(p: Play, seconds: Callable[[int], float]) -> None:
     """The connection of that number, from 0, comes up so much later."""
-    connect, made = p.node.link._connect, []
+    connect, made = p.node.worker_client._connect, []
 
     async def delayed(connection: Any) -> None:
         made.append(connection)
         await anyio.sleep(seconds(len(made) - 1))
         await connect(connection)
 
-    p.node.link._connect = delayed  # type: ignore[method-assign]
+    p.node.worker_client._connect = delayed  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(("group", "outcome"), [("all", "turned back"), ("zone", "error -32000")])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -324,7 +324,7 @@
 
 
 def wire(*lines: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "martenlead.benchlink"]
+    command = [sys.executable, "-m", "martenlead.simulator_adapter"]
     return subprocess.run(command, input="\n".join(lines) + "\n", capture_output=True, text=True, check=False)
 
 
--- a/tests/test_scale_production.py
+++ b/tests/test_scale_production.py
@@ -11,7 +11,7 @@
 from benchmarks.scale.bounds import BOUNDS, verdicts
 from benchmarks.scale.production import INSTANCES, ListScript, Play, play
 from benchmarks.scale.sizes import BadSize
-from martenlead.node.journal import Frames, Places
+from martenlead.node.journal import FrameDecoder, JournalTables
 
 SMALL = Play(
     workers=32,
@@ -90,13 +90,13 @@
     size = replace(SMALL, workers=workers).size()
     script = ListScript(size, SMALL.seconds)
     zones = discovery.zone_names(size)
-    frames = Frames(Places(zones, ["standard"], {"standard": 1.0}, False))
+    frames = FrameDecoder(JournalTables(zones, ["standard"], {"standard": 1.0}, False))
     before = {zone: sum(m.zone == zone for m in script.members.values()) for zone in range(size.zones)}
     told = [news for data in script.due(SMALL.seconds, 10**18) for news in frames.feed(data)]
     assert [news.version for news in told] == list(range(2, len(told) + 2))
     last = told[-1]
-    assert last.whole and len(last.runners or []) == workers
-    assert {line.state for line in last.runners or []} == {"up"}
+    assert last.is_snapshot and len(last.endpoints or []) == workers
+    assert {line.state for line in last.endpoints or []} == {"up"}
     after = {zone: sum(m.zone == zone for m in script.members.values()) for zone in range(size.zones)}
     assert after == before
     assert sum(number >= workers for number in script.members) == workers // 2
--- a/tests/test_scale_rig.py
+++ b/tests/test_scale_rig.py
@@ -19,7 +19,7 @@
 from benchmarks.scale.records import Record
 from benchmarks.scale.sizes import Assumptions, BadSize, FleetSize, check_memory, total_memory_bytes
 from benchmarks.scale.workers import SECOND_NS, Met, WorkerFleet
-from martenlead.node.journal import Frames, Places
+from martenlead.node.journal import FrameDecoder, JournalTables
 
 ROOT = Path(__file__).parent.parent
 SMALL = FleetSize(dispatchers=4, workers=12, functions=30, calls_per_second=80.0, zones=2)
@@ -156,12 +156,12 @@
 
 
 def test_frames_are_what_the_program_reads() -> None:
-    places = Places(["a", "b"], ["standard"], {"standard": 5.0}, False)
+    places = JournalTables(["a", "b"], ["standard"], {"standard": 5.0}, False)
     data = frame(4, EventKind.DELTA, [Member(7, 1, WorkerState.DRAINING, 99)])
-    (news,) = Frames(places).feed(data)
-    (line,) = news.runners or []
-    assert (news.version, news.whole) == (4, False)
-    assert (line.id, line.zone, line.state, line.start) == ("s-00000007", "b", "draining", "99")
+    (news,) = FrameDecoder(places).feed(data)
+    (line,) = news.endpoints or []
+    assert (news.version, news.is_snapshot) == (4, False)
+    assert (line.id, line.zone, line.state, line.incarnation) == ("s-00000007", "b", "draining", "99")
 
 
 def test_a_worker_drops_the_idle_instance_that_was_used_longest_ago() -> None:
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -174,7 +174,7 @@
     fleet, dispatcher = dispatcher_of(300, functions)
     fleet.run_for(3 * SECOND)
     end = fleet.now + 3 * SECOND
-    while (due := dispatcher.border.due()) is not None and due < end:
+    while (due := dispatcher.border.next_due_ns()) is not None and due < end:
         fleet.now = max(fleet.now, due)
         (others if dispatcher.policy.scaling.unchecked else begins).append(calls(dispatcher.border.advance))
     return begins, others
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from martenlead.benchlink.settings import BadSettings, Profile
-from martenlead.benchlink.wire import Instance
 from martenlead.node import config
 from martenlead.policy.types import WorkerState
+from martenlead.simulator_adapter.settings import Profile, SettingsError
+from martenlead.simulator_adapter.wire import SimulatedDispatcher
 from tests.nodes import SETTINGS
 
 GONE: Any = object()
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize(("path", "value"), BAD)
 def test_settings_that_cannot_be_used_are_refused_where_they_are_wrong(path: str, value: Any) -> None:
-    with pytest.raises(BadSettings) as caught:
+    with pytest.raises(SettingsError) as caught:
         Profile(settings(path, value))
     assert "\n" not in str(caught.value)
     assert path.split()[-1] in str(caught.value) or "kinds of machine" in str(caught.value)
@@ -115,23 +115,23 @@
 def test_a_file_too_deep_to_be_read_is_no_configuration(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text('{"settings":' + "[" * 100_000)
-    with pytest.raises(config.BadConfig):
-        config.read(path)
+    with pytest.raises(config.ConfigError):
+        config.read_config(path)
 
 
 def test_events_with_odd_fields_prove_nothing_and_lose_no_task() -> None:
     out: list[dict[str, Any]] = []
-    one = Instance(0, {"profile-data": SETTINGS, "seed": 1}, 0, out)
+    one = SimulatedDispatcher(0, {"profile-data": SETTINGS, "seed": 1}, 0, out)
 
     def hear(msg: str, **event: Any) -> list[dict[str, Any]]:
         out.clear()
-        one.hear({"msg": msg, **event}, 10**9)
-        one.settle(10**9)
+        one.handle_event({"msg": msg, **event}, 10**9)
+        one.advance_timers(10**9)
         return [a for a in out if a["msg"] != "remind"]
 
     lines = [{"runner": "a:1", "heft": "big", "campus": 3, "cluster": []}, {"runner": "b:1", "status": "Z"}]
     hear("update", form="C", items=[*lines, {"campus": "x"}, 7])
-    assert {n: r.facts.state for n, r in one.runners.items()} == {
+    assert {n: r.facts.state for n, r in one.workers.items()} == {
         "a:1": WorkerState.UP,
         "b:1": WorkerState.DRAINING,
     }
--- a/tests/test_shutdown_faults.py
+++ b/tests/test_shutdown_faults.py
@@ -47,8 +47,8 @@
 
 
 def is_up(p: Play, name: str) -> bool:
-    box = p.node.dispatcher.boxes.get(f"s-{ord(name):08x}")
-    return box is not None and box.up
+    box = p.node.dispatcher.workers.get(f"s-{ord(name):08x}")
+    return box is not None and box.is_up
 
 
 class Crowd:
@@ -84,7 +84,7 @@
     """Two clients that ask before SIGTERM, after it and until it allows no more; one comes late. What is in
     the block happens meanwhile, from SIGTERM on. A stall of the event loop as the node started is waited for
     to fade: three times the lag is kept free before a deadline, and of 0.3 s that may be all."""
-    await until(lambda: p.node.dispatcher.lag.tick < FADED_LAG, within=5)
+    await until(lambda: p.node.dispatcher.event_loop_lag.tick_ns < FADED_LAG, within=5)
     crowd = Crowd(p)
     await crowd.join()
     await crowd.join()
@@ -142,10 +142,10 @@
     async with play(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
 
         async def never(conn: Any) -> None:
-            await anyio.sleep(p.node.link.told.connect / 1e9)
+            await anyio.sleep(p.node.worker_client.settings.connect_timeout_ns / 1e9)
             conn.end("no connection in time")
 
-        p.node.link._connect = never  # type: ignore[method-assign]
+        p.node.worker_client._connect = never  # type: ignore[method-assign]
         async with shutdown(p, "unsafe") as crowd:
             pass
         assert {word for asker in crowd.askers for word in asker.words()} == {"turned back"}
@@ -256,7 +256,7 @@
     """Once the last journal service's news are known: the length of the log then."""
     await until(lambda: not is_up(p, drained), within=4)  # when it counts as told at the latest
     known = len(p.log)
-    assert p.node.source.at[1] == journals[-1].port
+    assert p.node.discovery.address[1] == journals[-1].port
     return known
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,13 +13,13 @@
 import pytest
 
 from martenlead.capture import events as ev
-from martenlead.capture.store import runs
-from martenlead.edge.keeper import KNOWLEDGE
+from martenlead.capture.writer import find_runs
+from martenlead.durable_state.disk import StateFolder
+from martenlead.durable_state.knowledge import SECOND, SavedKnowledge, build_earlier_run, gather_knowledge
+from martenlead.durable_state.store import StateStore
+from martenlead.edge.knowledge_saver import KNOWLEDGE
 from martenlead.emulator.policies import _imported_from
-from martenlead.lasting.disk import Folder
-from martenlead.lasting.knowledge import SECOND, Knowledge, gather, past
-from martenlead.lasting.store import Store
-from martenlead.planner.snapshot import Restored
+from martenlead.planner.snapshot import RestoredPolicy
 from martenlead.policy.policy import Policy
 from support.pair import Pair
 from tests.play import MS, SETTINGS, Play
@@ -34,18 +34,18 @@
     return found
 
 
-def stored_knowledge(folder: Path) -> Knowledge:
+def stored_knowledge(folder: Path) -> SavedKnowledge:
     shutil.copytree(STORED / "edge-state", folder)
-    store = Store(Folder(folder), "here", lambda: 1_000)
+    store = StateStore(StateFolder(folder), "here", lambda: 1_000)
     state = store.read(KNOWLEDGE)
     store.close()
     assert state is not None
-    return msgspec.convert(state.value, Knowledge)
+    return msgspec.convert(state.value, SavedKnowledge)
 
 
 def test_a_planner_restores_the_snapshot_of_an_earlier_edge() -> None:
     told = stored_snapshot()
-    restored = Restored(told, 7 * SECOND)
+    restored = RestoredPolicy(told, 7 * SECOND)
     state, own = restored.policy.state, told["brain"]
     assert state.traffic.succeeded_per_second == own["rate"] > 0
     assert state.traffic.peak_succeeded_per_second == own["best"] > 0
@@ -54,7 +54,7 @@
     assert list(restored.policy.load_budget.request_times_ns) == own["taken"]
     assert list(restored.policy.load_budget.load_times_ns) == own["orders"]
     for number, _, _, _, fields in told["runners"]:
-        worker = restored.runners[number]
+        worker = restored.workers[number]
         assert worker.is_listed
         assert worker.concurrency_limit == fields["width"]
         assert (worker.in_flight, worker.retry_budget) == (fields["out"], fields["credit"])
@@ -62,11 +62,11 @@
         assert worker.latency_ratio.bins == fields["ratio"]["bins"]
     held = 0
     for number, _, _, _, _, fields, _, replicas in told["models"]:
-        function = restored.models[number]
+        function = restored.functions[number]
         assert (function.requests, function.new_requests) == (fields["tasks"], fields["counts"])
         assert (function.rated_requests, function.capacity_per_second) == (fields["seen"], fields["most"])
         for at, its in replicas:
-            replica = function.replicas[restored.runners[at]]
+            replica = function.replicas[restored.workers[at]]
             assert (replica.is_retained, replica.is_loaded) == (its["held"], its["stands"])
             assert (replica.last_used_ns, replica.load_requested_ns) == (its["touched"], its["ordered"])
             held += replica.is_retained
@@ -79,7 +79,7 @@
 def test_the_snapshot_of_an_edge_has_the_form_of_the_earlier_one() -> None:
     pair = Pair()
     busy(pair, 1000)
-    state, _ = pair.side._state()
+    state, _ = pair.side._take_snapshot()
     now, then = msgspec.msgpack.decode(msgspec.msgpack.encode(state)), stored_snapshot()
     assert now.keys() == then.keys()
     assert now["brain"].keys() == then["brain"].keys() | ADDED_TO_SNAPSHOT
@@ -91,25 +91,25 @@
 
 def test_settings_are_stored_by_the_names_that_earlier_captures_have() -> None:
     path = next((Path(__file__).parent / "captures").glob("crash-*.mlc"))
-    (start, *_) = runs([path])[0].events()
-    assert isinstance(start, ev.Start)
+    (start, *_) = find_runs([path])[0].events()
+    assert isinstance(start, ev.RunStarted)
     then, now = set(start.settings), set(ev.pack_settings(SETTINGS))
     assert now == then | {"reach", "functions"}
-    told = ev.pack_settings(ev.settings_of(start.settings))
+    told = ev.pack_settings(ev.unpack_settings(start.settings))
     assert {name: told[name] for name in then} == start.settings
 
 
 def test_an_edge_takes_up_the_state_folder_of_an_earlier_one(tmp_path: Path) -> None:
     known = stored_knowledge(tmp_path / "edge")
-    assert [m.name for m in known.models] == ["n", "m"]
+    assert [m.name for m in known.functions] == ["n", "m"]
     play = Play(load_window_ns=10_000 * MS, free_loads_per_window=8, loads_per_request=0.3)
     play.task("t1", "m")
     play.task("t2", "n")
     lives = {name: (worker, "1") for name, worker in play.runners.items()}
-    play.policy.restore(past(known, 0, play.models, lives, 10_000 * MS))
-    assert play.policy.state.traffic.succeeded_per_second == known.rate == 21.0
-    assert play.policy.state.traffic.new_requests_per_second == known.asked == 22.0
-    assert len(play.policy.load_budget.load_times_ns) >= len(known.orders) == 4
+    play.policy.restore(build_earlier_run(known, 0, play.models, lives, 10_000 * MS))
+    assert play.policy.state.traffic.succeeded_per_second == known.succeeded_per_second == 21.0
+    assert play.policy.state.traffic.new_requests_per_second == known.new_requests_per_second == 22.0
+    assert len(play.policy.load_budget.load_times_ns) >= len(known.load_ages_ns) == 4
     assert play.models["n"].latency.total == pytest.approx(3.0)
     assert play.models["m"].rated_requests == 10.0
 
@@ -120,7 +120,7 @@
         play.served(20, name)
     names = {play.models[name]: name for name in play.models}
     lives = {worker: (name, "1", name == "c") for name, worker in play.runners.items()}
-    gathered = gather(play.policy, play.policy.state.now_ns, names, lives)
+    gathered = gather_knowledge(play.policy, play.policy.state.now_ns, names, lives)
     told = msgspec.to_builtins(gathered)
     assert (told["rate"], told["asked"]) == pytest.approx((19.532295, 20.287677))
     spans = [model[SPAN] for model in told["models"]]
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -20,10 +20,10 @@
 import anyio
 import pytest
 
-from martenlead.events.client import End, Pool, lines
+from martenlead.events.client import ExchangeEnd, Pool, read_lines
 from martenlead.events.http import request
 from martenlead.events.server import listen
-from martenlead.node import door
+from martenlead.node import client_connection as door
 from martenlead.planner import frames as fr
 from martenlead.policy.types import Result
 from martenlead.system.sockets import has_ended, readable
@@ -133,9 +133,9 @@
         ended = await anyio.run_process(
             [sys.executable, "-c", FORBIDDEN], cwd=ROOT, env=environment, check=False, stderr=subprocess.PIPE
         )
-    lines = ended.stderr.decode().splitlines()
-    said = [line for line in lines if '"level": "info"' not in line]  # its list of workers
-    assert (ended.returncode, len(said)) == (2, 1), lines
+    read_lines = ended.stderr.decode().splitlines()
+    said = [line for line in read_lines if '"level": "info"' not in line]  # its list of workers
+    assert (ended.returncode, len(said)) == (2, 1), read_lines
     assert "it cannot listen" in said[0] and "Permission denied" in said[0]
 
 
@@ -188,7 +188,7 @@
             assert heard.result is (Result.NOT_SENT if number in SHORTAGES else Result.UNREACHABLE)
             assert await client.call("unsafe", wait=LONG) in FINAL
             assert not p.did() and faults.failed[connect_call]
-            assert sum(way.open for way in p.node.link.ways) == 0
+            assert sum(way.open_connections for way in p.node.worker_client.pools) == 0
             faults.end()
             await until_served(client)
 
@@ -222,7 +222,7 @@
             assert (await order(p)).result is Result.NOT_SENT
             assert await client.call("unsafe", wait=LONG) in FINAL
             assert not p.did() and faults.failed["socket"]
-            assert sum(way.open for way in p.node.link.ways) == 0
+            assert sum(way.open_connections for way in p.node.worker_client.pools) == 0
             faults.end()
             await until_served(client)
 
@@ -240,16 +240,18 @@
                 runner.parts = [raw(b""), done]
             await client.ask("unsafe", wait=LONG)
             await until(p.did)
-            (conn,) = [c for way in p.node.link.ways for c in way.conns if c.open]
+            (conn,) = [
+                c for way in p.node.worker_client.pools for c in way.connections if c.outstanding_calls
+            ]
             if is_uvloop(anyio_backend):
                 break_transport(conn, conn.transport, number)
             else:
-                faults.add("recv", number, to_port(conn.way.port), times=1)
-                stream = next(r for r in p.runners.values() if r.port == conn.way.port).streams[-1]
+                faults.add("recv", number, to_port(conn.pool.port), times=1)
+                stream = next(r for r in p.runners.values() if r.port == conn.pool.port).streams[-1]
                 await stream.send(answer("FIT", "0"))  # something to be read
             assert word(await client.answer()) == "error -32000"
             assert len(p.did()) == 1
-            assert conn not in conn.way.conns
+            assert conn not in conn.pool.connections
             faults.end()
             await until_served(client)
 
@@ -267,7 +269,7 @@
             assert faults.failed["send"] == 2 and not p.did()
             faults.end()
             await until_served(client)
-            assert all(conn.transport for way in p.node.link.ways for conn in way.conns)
+            assert all(conn.transport for way in p.node.worker_client.pools for conn in way.connections)
 
 
 @temporary
@@ -284,7 +286,7 @@
             faults.add("send", number, to_worker, times=20, share=0.2 if bytes_leave else 1.0)
             assert await client.call("unsafe", wait=LONG) == "satisfied"
             assert faults.failed["send"] and len(p.did()) == 1
-            assert [way.opened for way in p.node.link.ways] == [1]
+            assert [way.connections_opened for way in p.node.worker_client.pools] == [1]
 
 
 @temporary
@@ -356,7 +358,7 @@
         with anyio.fail_after(LONG / 1000):
             assert await client.call("safe", wait=LONG) in FINAL
         await until_served(client)
-        assert all(conn.transport for way in p.node.link.ways for conn in way.conns)
+        assert all(conn.transport for way in p.node.worker_client.pools for conn in way.connections)
 
 
 async def test_reads_and_writes_of_one_byte_change_no_request_and_no_answer(
@@ -377,16 +379,16 @@
             assert word(found) == "satisfied" and found is not None and found["result"]["blob"] == "Ym9keQ=="
             await p.runner("b", done)
             await p.journal.tell(p.record("b"))
-            await until(lambda: len(p.node.dispatcher.boxes) == 2, within=10)
+            await until(lambda: len(p.node.dispatcher.workers) == 2, within=10)
             assert is_uvloop(anyio_backend) or (faults.shortened["recv"] and faults.shortened["send"])
 
 
 async def order(p: Any) -> Any:
     """Asks worker "a" how many replicas it has, over a connection of its own; what is heard."""
     heard: list[Any] = []
-    known = p.node.dispatcher.known("0" * 15 + "1", 1, 100.0)
-    (box,) = p.node.dispatcher.boxes.values()
-    p.node.link.order(box, known, 0, heard.append)
+    known = p.node.dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0)
+    (box,) = p.node.dispatcher.workers.values()
+    p.node.link.send_load_request(box, known, 0, heard.append)
     await until(lambda: heard)
     return heard[0]
 
@@ -411,17 +413,17 @@
             lost, other = await p.client(), await p.client()
             await lost.ask(wait=LONG)
             await until(p.did)
-            own = next(client for client in p.node.door.clients if client.open)
+            own = next(client for client in p.node.listener.clients if client.open_requests)
             if is_uvloop(anyio_backend):
                 break_transport(own, own.transport, number)
             else:
                 peer = lost.stream.extra(anyio.abc.SocketAttribute.local_port)
                 faults.add("recv", number, to_port(peer), times=1)
                 await lost.send(b"C")
-            await until(lambda: own.over)
-            assert not own.open
+            await until(lambda: own.is_closed)
+            assert not own.open_requests
             assert await other.call(id="b" * 16) == "satisfied"
-            assert len(p.node.door.clients) == 1 and not p.node.door.closing
+            assert len(p.node.listener.clients) == 1 and not p.node.listener.closing
 
 
 @temporary
@@ -455,8 +457,8 @@
 async def test_answers_that_never_leave_are_bounded_in_bytes_and_time(
     tmp_path: Path, number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(door, "UNREAD", 100)
-    monkeypatch.setattr(door, "SLOW", 1_000_000_000)
+    monkeypatch.setattr(door, "WRITE_BUFFER_BYTES", 100)
+    monkeypatch.setattr(door, "STALLED_CLIENT_TIMEOUT_NS", 1_000_000_000)
     faults = SocketFaults()
     with faults.installed():
         async with play(tmp_path) as p:
@@ -464,14 +466,14 @@
             faults.add("send", number, from_port(p.port))
             for _ in range(2):
                 await client.ask(wait=LONG)
-            await until(lambda: any(own.stuck for own in p.node.door.clients))
-            (own,) = p.node.door.clients
+            await until(lambda: any(own.write_blocked_since_ns for own in p.node.listener.clients))
+            (own,) = p.node.listener.clients
             faults.end()
             assert [word(await client.answer()) for _ in range(2)] == ["satisfied"] * 2
-            assert not own.stuck
+            assert not own.write_blocked_since_ns
             faults.add("send", number, from_port(p.port))
             assert await client.call() == "closed"
-            await until(lambda: not p.node.door.descriptors())
+            await until(lambda: not p.node.listener.count_descriptors())
 
 
 @pytest.mark.parametrize("number", (errno.EAGAIN, *BROKEN), ids=name)
@@ -481,14 +483,14 @@
     with faults.installed():
         async with play(tmp_path) as p:
             with closing(socket.create_connection(("127.0.0.1", p.port))) as client:
-                await until(lambda: p.node.door.clients)
-                (own,) = p.node.door.clients
+                await until(lambda: p.node.listener.clients)
+                (own,) = p.node.listener.clients
                 client.sendall(Caller.task(Caller(None), id="c" * 16))  # type: ignore[arg-type]
                 faults.add("os.read", number, times=1)
-                own.read_pending()
+                own.read_unread_input()
                 assert faults.failed["os.read"] == 1
-                assert own.over == (number != errno.EAGAIN)
-                if not own.over:
+                assert own.is_closed == (number != errno.EAGAIN)
+                if not own.is_closed:
                     await until(p.did)
                 assert await (await p.client()).call(id="d" * 16) == "satisfied"
 
@@ -535,7 +537,7 @@
             assert await client.call() == "satisfied"
             await p.runner("b", done)
             await p.journal.tell(p.record("b"))
-            await until(lambda: len(p.node.dispatcher.boxes) == 2, within=5)
+            await until(lambda: len(p.node.dispatcher.workers) == 2, within=5)
 
 
 @broken
@@ -554,7 +556,7 @@
 
 
 def whole(pool: Pool) -> bool:
-    return pool.open == len(pool._idle)
+    return pool.open_connections == len(pool._idle)
 
 
 @connecting
@@ -565,12 +567,16 @@
     with faults.installed():
         async with fleet() as f:
             faults.add(connect_call, number, to_port(f.port), times=1)
-            pool = Pool("127.0.0.1", f.port, most=1)
+            pool = Pool("127.0.0.1", f.port, connection_limit=1)
             data = request(b"GET", b"/nothing", b"e", [])
             exchange = await pool.exchange(data)
-            expected = (End.NO_SLOT,) if number in SHORTAGES else (End.REFUSED, End.CONNECT_TIMEOUT)
+            expected = (
+                (ExchangeEnd.NO_SLOT,)
+                if number in SHORTAGES
+                else (ExchangeEnd.REFUSED, ExchangeEnd.CONNECT_TIMEOUT)
+            )
             assert exchange.end in expected and whole(pool)
-            assert (await pool.exchange(data)).end is End.ANSWERED and whole(pool)
+            assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and whole(pool)
 
 
 @broken
@@ -581,10 +587,10 @@
     with faults.installed():
         async with fleet() as f:
             faults.add(call, number, to_port(f.port), times=1)
-            pool = Pool("127.0.0.1", f.port, most=1)
+            pool = Pool("127.0.0.1", f.port, connection_limit=1)
             data = request(b"GET", b"/nothing", b"e", [])
-            assert (await pool.exchange(data)).end is End.CLOSED and whole(pool)
-            assert (await pool.exchange(data)).end is End.ANSWERED and whole(pool)
+            assert (await pool.exchange(data)).end is ExchangeEnd.CLOSED and whole(pool)
+            assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and whole(pool)
 
 
 async def test_a_connection_of_a_pool_that_cannot_be_looked_at_keeps_no_slot(
@@ -596,15 +602,15 @@
         raise OSError(errno.EMFILE, "Too many open files")
 
     async with fleet() as f:
-        pool = Pool("127.0.0.1", f.port, most=1)
+        pool = Pool("127.0.0.1", f.port, connection_limit=1)
         data = request(b"GET", b"/nothing", b"e", [])
-        assert (await pool.exchange(data)).end is End.ANSWERED
+        assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED
         for connection in f.door.server.connections:
             connection.scope.cancel()
         await until(lambda: not f.door.server.connections)
         await anyio.sleep(0.02)
         monkeypatch.setattr(os, "dup", dup)
-        assert (await pool.exchange(data)).end is End.ANSWERED and whole(pool)
+        assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and whole(pool)
 
 
 async def test_a_probe_that_fails_as_no_error_of_a_socket_costs_the_probe(
@@ -612,14 +618,14 @@
 ) -> None:
     """It ran in the link's group, and ended the program."""
     async with fleet({"a": [satisfied]}) as f:
-        (box,) = f.dispatcher.boxes.values()
+        (box,) = f.dispatcher.workers.values()
         failed = anyio.Event()
 
         async def exchange(*_arguments: Any) -> Any:
             failed.set()
             raise RuntimeError("of the event loop")
 
-        monkeypatch.setattr(box.way.pool, "exchange", exchange)
+        monkeypatch.setattr(box.connections.pool, "exchange", exchange)
         await f.dispatcher.link._probe(box, 1_000_000_000)  # type: ignore[attr-defined]
         assert failed.is_set()
 
@@ -646,7 +652,9 @@
 async def test_a_roster_whose_connection_never_comes_up_is_given_up_in_its_time() -> None:
     """It waited for as long as the machine tries, more than two minutes."""
     with unreachable_listener() as listener, anyio.fail_after(2), pytest.raises(TimeoutError):
-        async with aclosing(lines(*listener.getsockname(), b"", quiet=0.2, longest=1)) as stream:
+        async with aclosing(
+            read_lines(*listener.getsockname(), b"", silence_timeout_seconds=0.2, max_line_bytes=1)
+        ) as stream:
             await anext(stream)
 
 
@@ -660,7 +668,7 @@
             faults.add(connect_call, number, to_port(port), times=3)
             async with planned([port]) as (f, side):
                 await answered(f)
-                await until(side.end.leased, within=5)
+                await until(side.session.is_leased, within=5)
                 assert faults.failed[connect_call] == 3 and side.counts["links lost"] == 3
 
 
@@ -680,21 +688,23 @@
         monkeypatch.setattr(anyio, "connect_tcp", connect)
         async with planned([planner_port]) as (f, side):
             await answered(f)
-            await until(side.end.leased, within=5)
+            await until(side.session.is_leased, within=5)
             assert len(failed) == 2
 
 
 async def test_a_fault_in_one_link_of_a_planner_costs_that_link(monkeypatch: pytest.MonkeyPatch) -> None:
     async with planner() as (one, port), planned([port], name="first") as (f, first):
-        await until(first.end.leased, within=5)
+        await until(first.session.is_leased, within=5)
         with monkeypatch.context() as patch:
             patch.setattr(one, "end", fault)
             stream = await anyio.connect_tcp("127.0.0.1", port)
-            await stream.send(fr.frame(fr.Hello(fr.LEAST, fr.MOST, "second", "0", "0")))
+            await stream.send(
+                fr.encode_frame(fr.Hello(fr.LOWEST_VERSION, fr.HIGHEST_VERSION, "second", "0", "0"))
+            )
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                 await stream.receive()
         await answered(f)
-        assert first.end.leased() and first.counts["links lost"] == 0
+        assert first.session.is_leased() and first.counts["links lost"] == 0
 
 
 def fault(_edge: str) -> Any:
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -16,30 +16,32 @@
 ROOT = Path(__file__).parent.parent / "martenlead"
 TO_BE_DONE = {
     "admission",
-    "benchlink",
     "capture",
     "cli",
     "config",
     "days",
+    "durable_state",
     "edge",
     "emulator",
     "events",
-    "lasting",
     "layers",
     "node",
     "planner",
-    "runnerlink",
+    "simulator_adapter",
     "standins",
     "traces",
+    "upstream",
 }
 PROTOCOL_MODULES: set[str] = set()
-WITHDRAWN = set(
-    "appointment asked best books border box boxes brain copies copy credit customer customers "
-    "depot door fading fetch gate going hasten heard held keeper lasting life model models most "
-    "news offering offerings order ordered orders out pick pulse quiet ration revenue roster "
-    "runner runners satisfied scrap scrapped seen shelf spare stands tape task tasks tell told "
-    "touched untold vault wanted way ways whole width worth".split()
-)
+WITHDRAWN = {
+    *("appointment", "asked", "best", "books", "border", "box", "boxes", "brain", "copies", "copy"),
+    *("credit", "customer", "customers", "depot", "door", "fading", "fetch", "gate", "going", "hasten"),
+    *("heard", "held", "keeper", "lasting", "life", "model", "models", "most", "news", "offering"),
+    *("offerings", "order", "ordered", "orders", "out", "pick", "pulse", "quiet", "ration", "revenue"),
+    *("roster", "runner", "runners", "satisfied", "scrap", "scrapped", "seen", "shelf", "spare"),
+    *("stands", "tape", "task", "tasks", "tell", "told", "touched", "untold", "vault", "wanted", "way"),
+    *("ways", "whole", "width", "worth"),
+}
 PHRASES = re.compile(
     r"hand_?off|turn(ed)?_?back|call(ed)?_?off|takeback|sent_?on|let_?in|handed_?off", re.IGNORECASE
 )
