--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,25 +14,25 @@
 from click.testing import CliRunner
 from msgspec.structs import replace
 
-from martenlead.admission import token
-from martenlead.admission.gate import EARLY, GRACE
+from martenlead.admission import reservation_token as token
+from martenlead.admission.controller import EARLY_ARRIVAL_SHARE, RESERVATION_GRACE_NS
 from martenlead.capture import events as ev
-from martenlead.capture.store import Store, StoreSettings, runs
+from martenlead.capture.writer import CaptureSettings, CaptureWriter, find_runs
 from martenlead.cli.state import state
+from martenlead.durable_state import knowledge
+from martenlead.durable_state.disk import StateFolder
+from martenlead.durable_state.store import StateKind
+from martenlead.durable_state.store import StateStore as StateStore
 from martenlead.edge import protocol
-from martenlead.edge.door import given_at
-from martenlead.edge.httplink import HttpRoster
+from martenlead.edge.http_upstream import HttpMembership
+from martenlead.edge.listener import reservation_issued_ns
 from martenlead.events.cloudevent import Event
-from martenlead.lasting import knowledge
-from martenlead.lasting.disk import Folder
-from martenlead.lasting.store import Kind
-from martenlead.lasting.store import Store as StateStore
 from martenlead.layers.cache import Cache
 from martenlead.layers.image import digest_of
-from martenlead.planner.serve import Planner, PlannerSettings
-from martenlead.runnerlink import roster
+from martenlead.planner.server import Planner, PlannerSettings
 from martenlead.system import clocks
 from martenlead.system.durable_file import replace_file
+from martenlead.upstream import endpoints
 from support.fleet import fleet, satisfied, silent, until
 
 MS = 1_000_000
@@ -71,11 +71,11 @@
 @pytest.mark.parametrize("step", STEPS)
 def test_a_kept_list_ages_by_the_time_that_passed(tmp_path: Path, machine: Machine, step: int) -> None:
     path = tmp_path / "kept"
-    young, old = roster.Line("young", age_ms=200.0), roster.Line("old")
-    roster.keep(path, roster.dated(3, [young, old]))
+    young, old = endpoints.Endpoint("young", age_ms=200.0), endpoints.Endpoint("old")
+    endpoints.save_cached_endpoints(path, endpoints.make_cached_endpoints(3, [young, old]))
     machine.run(2 * SECOND)
     machine.step = step
-    found = roster.kept(path)
+    found = endpoints.load_cached_endpoints(path)
     assert found is not None and [line.age_ms for line in found.runners] == [2200.0, None]
 
 
@@ -86,12 +86,14 @@
 ) -> None:
     """Neither a step nor a move to a machine that has been up for long makes a worker look warm."""
     path = tmp_path / "kept"
-    roster.keep(path, roster.dated(3, [roster.Line("a", age_ms=200.0)]))
+    endpoints.save_cached_endpoints(
+        path, endpoints.make_cached_endpoints(3, [endpoints.Endpoint("a", age_ms=200.0)])
+    )
     machine.boot = "another start"
     machine.run(4 * SECOND)
     machine.uptime += uptime
     machine.step = step
-    found = roster.kept(path)
+    found = endpoints.load_cached_endpoints(path)
     assert found is not None and found.runners[0].age_ms == 200.0
 
 
@@ -99,7 +101,7 @@
     path = tmp_path / "kept"
     line = {"id": "a", "age_ms": 200.0}
     path.write_text(json.dumps({"version": 3, "saved": machine.true / 1e9 - 3600, "runners": [line]}))
-    found = roster.kept(path)
+    found = endpoints.load_cached_endpoints(path)
     assert found is not None and (found.version, found.runners[0].age_ms) == (3, 200.0)
 
 
@@ -111,18 +113,18 @@
     """A worker that started before the list was written is as old after a step as it is."""
     path = tmp_path / "kept"
     async with fleet({"a": [satisfied]}) as f:
-        box = f.dispatcher.boxes["a"]
-        f.dispatcher.news([replace(box.line, start="anew", age_ms=500.0)], False)
-        source = HttpRoster(f.edge)
-        source.list = f.dispatcher.list
+        box = f.dispatcher.workers["a"]
+        f.dispatcher.update_endpoints([replace(box.endpoint, start="anew", age_ms=500.0)], False)
+        source = HttpMembership(f.edge)
+        source.endpoint_list = f.dispatcher.endpoint_list
         saver = source._make_saver(path, f.dispatcher)
         f.group.start_soon(saver.run)
         saver.changed()
         await until(path.exists)
-        age_ms = (f.dispatcher.clock() - box.since) / 1e6
+        age_ms = (f.dispatcher.clock() - box.started_ns) / 1e6
     machine.run(2 * SECOND)
     machine.step = step
-    found = roster.kept(path)
+    found = endpoints.load_cached_endpoints(path)
     assert found is not None and found.runners[0].age_ms is not None
     assert abs(found.runners[0].age_ms - (age_ms + 2000)) < 200
 
@@ -131,15 +133,17 @@
 async def test_an_age_below_zero_is_zero() -> None:
     """As told by a roster that made it with a clock that was stepped back."""
     async with fleet() as f:
-        box = next(iter(f.dispatcher.boxes.values()))
-        line = replace(box.line, start="anew", age_ms=-3_600_000.0)
-        f.dispatcher.news([line], False)
-        assert box.since <= f.dispatcher.clock()
-        assert f.dispatcher.clock() - box.since < SECOND
+        box = next(iter(f.dispatcher.workers.values()))
+        line = replace(box.endpoint, start="anew", age_ms=-3_600_000.0)
+        f.dispatcher.update_endpoints([line], False)
+        assert box.started_ns <= f.dispatcher.clock()
+        assert f.dispatcher.clock() - box.started_ns < SECOND
 
 
-def known(boot: str, at: int) -> knowledge.Knowledge:
-    return knowledge.Knowledge(50.0, 60.0, [], [], [], dict(knowledge.USUAL), boot, at)
+def known(boot: str, at: int) -> knowledge.SavedKnowledge:
+    return knowledge.SavedKnowledge(
+        50.0, 60.0, [], [], [], dict(knowledge.DEFAULT_CHANGE_PER_SECOND), boot, at
+    )
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -149,9 +153,9 @@
     machine.run(2 * SECOND)
     machine.step = step
     now = clocks.moment()
-    assert knowledge.age(told, saved, *now) == 2 * SECOND
-    by_wall = 2 * SECOND + step if 2 * SECOND + step >= 0 else knowledge.UNKNOWN_AGE
-    assert knowledge.age(told, saved, now.wall, "another start", now.uptime) == by_wall
+    assert knowledge.compute_age_ns(told, saved, *now) == 2 * SECOND
+    by_wall = 2 * SECOND + step if 2 * SECOND + step >= 0 else knowledge.UNKNOWN_AGE_NS
+    assert knowledge.compute_age_ns(told, saved, now.wall, "another start", now.uptime) == by_wall
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -160,25 +164,25 @@
 ) -> None:
     """Within its life, and in the next one from its file."""
     path = tmp_path / "planner"
-    settings = PlannerSettings(kept=str(path))
+    settings = PlannerSettings(state_path=str(path))
     mirror = SimpleNamespace(all=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
     first = Planner(settings)
-    first.kept.edges["edge"] = [("a", "m", 1, 10.0, 500.0), ("b", "m", 1, 10.0, 9500.0)]
-    first.look()
-    replace_file(path, roster.encode(first.kept))
+    first.saved_replicas.replicas_by_edge["edge"] = [("a", "m", 1, 10.0, 500.0), ("b", "m", 1, 10.0, 9500.0)]
+    first.refresh_saved_replicas()
+    replace_file(path, endpoints.encode(first.saved_replicas))
     machine.run(2 * SECOND)
     machine.step = step
     for planner in (first, Planner(settings)):
-        planner.ends["edge"] = SimpleNamespace(mirror=mirror)  # type: ignore[assignment]
-        assert planner.recall("edge") == [("a", "m", 1, 10.0, 2500.0)]
+        planner.sessions["edge"] = SimpleNamespace(mirror=mirror)  # type: ignore[assignment]
+        assert planner.find_earlier_replicas("edge") == [("a", "m", 1, 10.0, 2500.0)]
 
 
 @pytest.mark.parametrize("step", STEPS)
 def test_operators_see_the_age_of_a_state_by_the_boot_clock(
     tmp_path: Path, machine: Machine, step: int
 ) -> None:
-    store = StateStore(Folder(tmp_path), "here", clocks.wall_ns)
-    store.write(Kind("knowledge"), known(clocks.boot_id(), clocks.uptime_ns()))
+    store = StateStore(StateFolder(tmp_path), "here", clocks.wall_ns)
+    store.write(StateKind("knowledge"), known(clocks.boot_id(), clocks.uptime_ns()))
     store.close()
     machine.run(2 * SECOND)
     machine.step = step
@@ -212,8 +216,8 @@
         return machine.true + count * step
 
     monkeypatch.setattr(clocks, "_read_wall", stepping)
-    found = protocol.wanted(task(expirytime=expiry(machine.true + SECOND), timeleftms=1500))
-    assert found.left is not None and abs(found.left - min(SECOND - step, 1500 * MS)) < MS
+    found = protocol.read_request(task(expirytime=expiry(machine.true + SECOND), timeleftms=1500))
+    assert found.time_left_ns is not None and abs(found.time_left_ns - min(SECOND - step, 1500 * MS)) < MS
     assert count == 1
 
 
@@ -240,7 +244,7 @@
         status, _ = await f.call(left=None, expirytime=expiry(read() + 300 * MS))
         assert status in (502, 503, 504)
         assert time.monotonic() - began < 0.4 + 0.5
-        assert not f.dispatcher.held
+        assert not f.dispatcher.pending_requests
 
 
 # -- appointments
@@ -251,14 +255,16 @@
 
 
 def appointment(given: int) -> str:
-    since, until = given + int((1 - EARLY) * WAIT), given + WAIT + GRACE
-    return token.give(SECRET.encode(), MARK, since // MS, until // MS)
+    since, until = given + int((1 - EARLY_ARRIVAL_SHARE) * WAIT), given + WAIT + RESERVATION_GRACE_NS
+    return token.issue(SECRET.encode(), MARK, since // MS, until // MS)
 
 
 def test_when_an_appointment_was_given_is_read_from_it() -> None:
     for wait in (100 * MS, 1234 * MS, 120 * SECOND):
         given = 1_800_000_000 * SECOND
-        found = given_at(given + int((1 - EARLY) * wait), given + wait + GRACE)
+        found = reservation_issued_ns(
+            given + int((1 - EARLY_ARRIVAL_SHARE) * wait), given + wait + RESERVATION_GRACE_NS
+        )
         assert abs(found - given) < MS
 
 
@@ -276,10 +282,10 @@
         now = f.dispatcher.clock()
         if found is None:
             why = "not ours" if step == -HOUR else "clocks differ"
-            assert step < -GRACE and f.dispatcher.counts["appointment", why] == 1
+            assert step < -RESERVATION_GRACE_NS and f.dispatcher.counts["appointment", why] == 1
         else:
             assert found[0] <= found[1]
-            assert found[1] - GRACE - now <= WAIT + 20 * MS
+            assert found[1] - RESERVATION_GRACE_NS - now <= WAIT + 20 * MS
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -303,7 +309,7 @@
     """The clock stands still between two lives as well, and there is a capture of another name."""
     written = []
     for life, name in enumerate(["edge", "edge_2", "edge", "edge"]):
-        store = Store(StoreSettings(folder=str(tmp_path), flush_ms=1), name, lambda *_: None)
+        store = CaptureWriter(CaptureSettings(folder=str(tmp_path), flush_ms=1), name, lambda *_: None)
         store.put(ev.Advance(life))
         store.close()
         assert store.written == 1
@@ -311,7 +317,7 @@
         machine.step += step
     own = [run for name, run in written if name == "edge"]
     assert own == sorted(set(own))
-    assert [(r.name, r.run) for r in runs([tmp_path])] == sorted(written)
+    assert [(r.name, r.number) for r in find_runs([tmp_path])] == sorted(written)
     assert len(list(tmp_path.glob("*.mlc"))) == 4
 
 
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -15,12 +15,12 @@
 import anyio
 import pytest
 
-from martenlead.capture.store import Store, StoreSettings, runs
-from martenlead.capture.tape import Tape
-from martenlead.config.edge import Lasting
-from martenlead.edge.keeper import Keeper
-from martenlead.runnerlink import roster
+from martenlead.capture.recorder import CaptureRecorder
+from martenlead.capture.writer import CaptureSettings, CaptureWriter, find_runs
+from martenlead.config.edge import DurableStateSettings
+from martenlead.edge.knowledge_saver import KnowledgeSaver
 from martenlead.system import clocks
+from martenlead.upstream import endpoints
 from support.fleet import Fleet, fleet, satisfied, until
 from tests import nodes
 from tests.nodes import Play, done, play
@@ -153,7 +153,7 @@
     audit = Audit()
     monkeypatch.setattr(nodes, "Play", lambda: play_of(audit))
     async with play(tmp_path, {"a": [done], "b": [done], "d": [done]}, settings=settings) as p:
-        await until(lambda: p.node.source.ages._up_to_date)
+        await until(lambda: p.node.discovery.worker_ages._confirmed_ns)
         async with anyio.create_task_group() as clients:
             for number in range(CLIENTS):
                 clients.start_soon(ask_node, p, audit, number)
@@ -200,8 +200,8 @@
     wall = Stepping(seed, STEPS[seed])
     monkeypatch.setattr(clocks, "_read_wall", wall)
     kept = tmp_path / "kept"
-    roster.keep(kept, roster.dated(1, []))
-    store = Store(StoreSettings(folder=str(tmp_path / "captures")), "edge", lambda *_: None)
+    endpoints.save_cached_endpoints(kept, endpoints.make_cached_endpoints(1, []))
+    store = CaptureWriter(CaptureSettings(folder=str(tmp_path / "captures")), "edge", lambda *_: None)
     ration = {"window_ms": BUDGET_WINDOW * 1000, "free": BUDGET_FREE, "share": BUDGET_SHARE}
     settings: dict[str, Any] = {
         "models": {"ration": ration, "orders": True},
@@ -209,12 +209,12 @@
         "queues": {"secret": "the same at all doors"},
     }
     audit = Audit()
-    tape: Any = Tape(store.put, "edge")
+    tape: Any = CaptureRecorder(store.put, "edge")
     async with fleet({name: [satisfied] for name in "abcd"}, tape=tape, **settings) as f:
-        keeper = Keeper(f.edge, Lasting(folder=str(tmp_path / "state"), every_ms=100))
+        keeper = KnowledgeSaver(f.edge, DurableStateSettings(folder=str(tmp_path / "state"), every_ms=100))
         f.group.start_soon(keeper.run, f.dispatcher)
         await f.say("c", "gone")
-        await until(lambda: "c" not in f.dispatcher.list.lines)
+        await until(lambda: "c" not in f.dispatcher.endpoint_list.endpoints)
         async with anyio.create_task_group() as clients:
             for number in range(CLIENTS):
                 clients.start_soon(ask_edge, f, audit, number)
@@ -234,4 +234,4 @@
     assert wall.reads > 10
     audit.check(workers=4)
     assert keeper.counts["saved"] > 1 and not keeper.counts["failed"]
-    assert [run.run for run in runs([tmp_path / "captures"])] == [store.run]
+    assert [run.number for run in find_runs([tmp_path / "captures"])] == [store.run]
--- a/tests/test_withheld.py
+++ b/tests/test_withheld.py
@@ -5,9 +5,9 @@
 import anyio
 import pytest
 
-from martenlead.events.client import End, Pool, Sending
+from martenlead.events.client import ExchangeEnd, Pool, SendProgress
 from martenlead.policy import types as io
-from martenlead.runnerlink.outcomes import heard
+from martenlead.upstream.exchange_classifier import classify_attempt
 from tests.play import CHECK, MS, POST, SETTINGS, Play
 
 
@@ -27,13 +27,13 @@
     async with listener, anyio.create_task_group() as group:
         group.start_soon(listener.serve, note)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        sending = Sending(lambda: False)
+        sending = SendProgress(lambda: False)
         exchange = await Pool("127.0.0.1", port).exchange(b"POST / HTTP/1.1\r\n\r\n", sending)
         await connected.wait()
         await anyio.sleep(0.05)
         group.cancel_scope.cancel()
-    assert exchange.end is End.WITHHELD and not sending.wrote and not arrived
-    assert heard(exchange).result is io.Result.NOT_SENT
+    assert exchange.end is ExchangeEnd.WITHHELD and not sending.has_written and not arrived
+    assert classify_attempt(exchange).result is io.Result.NOT_SENT
 
 
 @pytest.mark.parametrize("offering", [CHECK, POST])
--- a/tests/test_worker_age.py
+++ b/tests/test_worker_age.py
@@ -8,9 +8,15 @@
 import anyio
 import pytest
 
-from martenlead.node.worker_age import HELD_BACK, REMEMBERED, RETURNING, USUAL_DELAY, WorkerAges
-from martenlead.runnerlink.roster import Line, News
+from martenlead.node.worker_age import (
+    GONE_WORKERS_LIMIT,
+    OFFSET_SAMPLES,
+    SOURCE_DELAY_LIMIT_NS,
+    USUAL_DELAY_NS,
+    WorkerAges,
+)
 from martenlead.system import clocks
+from martenlead.upstream.endpoints import Endpoint, EndpointUpdate
 from support.fleet import until
 from tests.nodes import Play, done, play
 
@@ -49,12 +55,12 @@
             lines.append(self.line(f"w{self.count}", self.now - age))
         return self.news(*lines, whole=whole)
 
-    def line(self, id: str, start: int) -> Line:
+    def line(self, id: str, start: int) -> Endpoint:
         """A worker that started at `start` by our clock, as the source stamps it."""
-        return Line(id, start=str(max(0, start - self.behind) // MS))
+        return Endpoint(id, incarnation=str(max(0, start - self.behind) // MS))
 
-    def news(self, *lines: Line, whole: bool = False) -> list[float | None]:
-        self.ages.date(News(1, whole, list(lines)), self.now)
+    def news(self, *lines: Endpoint, whole: bool = False) -> list[float | None]:
+        self.ages.fill_ages(EndpointUpdate(1, whole, list(lines)), self.now)
         return [None if line.age_ms is None else line.age_ms * MS for line in lines]
 
 
@@ -87,7 +93,7 @@
 def test_a_start_long_past_has_no_age() -> None:
     source = Source(HOUR)
     source.first_list()
-    assert source.news(Line("w", start="0")) == [None]
+    assert source.news(Endpoint("w", incarnation="0")) == [None]
 
 
 @pytest.mark.parametrize("behind", [step for step in STEPS if step > 0])
@@ -127,7 +133,7 @@
 def test_the_offset_is_learnt_anew_by_the_first_worker_after_a_step() -> None:
     source = Source(0)
     source.first_list()
-    for _ in range(REMEMBERED):
+    for _ in range(OFFSET_SAMPLES):
         source.beat()
         source.tell(0)
     source.behind = HOUR
@@ -167,23 +173,23 @@
     source.news(line)
     for _ in range(20):
         source.beat()
-    source.news(Line("w", state="gone", start="0"))
+    source.news(Endpoint("w", state="gone", incarnation="0"))
     source.beat()
     assert source.news(line) == [21 * BEAT]  # cut off for a while, and not started anew
     source.news(whole=True)
     source.beat()
     anew = source.line("w", source.now - 100 * MS)
-    assert near(source.news(Line("w", state="gone", start="0"), anew)[1], 100 * MS)
+    assert near(source.news(Endpoint("w", state="gone", incarnation="0"), anew)[1], 100 * MS)
 
 
 def test_what_is_remembered_is_bounded() -> None:
     source = Source(0)
     source.first_list()
-    for _ in range(RETURNING + 10):
+    for _ in range(GONE_WORKERS_LIMIT + 10):
         source.tell(0)
         source.news(whole=True)
-    assert len(source.ages._gone) == RETURNING
-    assert len(source.ages._seeming) == REMEMBERED
+    assert len(source.ages._gone) == GONE_WORKERS_LIMIT
+    assert len(source.ages._apparent_ages_ns) == OFFSET_SAMPLES
     assert not source.ages._starts
 
 
@@ -203,7 +209,7 @@
         ages = [chance.randint(0, silence + 300 * MS) for _ in range(chance.randint(1, 3))]
         for age, found in zip(ages, source.tell(*ages), strict=True):
             assert found is not None
-            assert 0 <= found <= max(age + USUAL_DELAY, silence + HELD_BACK)
+            assert 0 <= found <= max(age + USUAL_DELAY_NS, silence + SOURCE_DELAY_LIMIT_NS)
         if chance.random() < 0.3:
             source.news(whole=True)
 
@@ -218,13 +224,13 @@
     monkeypatch.setattr(clocks, "_read_wall", lambda read=clocks._read_wall: read() + step)
     async with play(tmp_path, {"a": [done]}) as p:
         await p.runner("b", done)
-        source = p.node.source
-        await until(lambda: source.ages._up_to_date)
+        source = p.node.discovery
+        await until(lambda: source.worker_ages._confirmed_ns)
         await tell_between_beats(p, p.record("b", started=(true() - step) // MS))
         id = f"s-{ord('b'):08x}"
-        await until(lambda: id in p.node.dispatcher.boxes)
-        box = p.node.dispatcher.boxes[id]
-        age = p.node.dispatcher.clock() - box.since
-        assert 0 <= age < USUAL_DELAY
+        await until(lambda: id in p.node.dispatcher.workers)
+        box = p.node.dispatcher.workers[id]
+        age = p.node.dispatcher.clock() - box.started_ns
+        assert 0 <= age < USUAL_DELAY_NS
         await anyio.sleep(0.05)
-        assert p.node.dispatcher.clock() - box.since > age
+        assert p.node.dispatcher.clock() - box.started_ns > age
--- a/tests/test_worker_connections.py
+++ b/tests/test_worker_connections.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from martenlead.node.runners import Way
+from martenlead.node.worker_client import ConnectionPool
 from tests.nodes import done, play
 
 pytestmark = pytest.mark.anyio
 
 
-class Workers(set[Way]):
+class Workers(set[ConnectionPool]):
     """The listed workers; nothing that is done for each request or each half second may look at all."""
 
-    def __iter__(self) -> Iterator[Way]:
+    def __iter__(self) -> Iterator[ConnectionPool]:
         raise AssertionError("all listed workers were looked at")
 
 
@@ -24,21 +24,21 @@
     tmp_path: Path,
 ) -> None:
     async with play(tmp_path, {"a": [done], "b": [done]}) as p:
-        link = p.node.link
-        link.ways = Workers(link.ways)
+        link = p.node.worker_client
+        link.pools = Workers(link.pools)
         client = await p.client()
         assert await client.call("safe") == "satisfied"
-        assert len(link.conns) == 1
-        link.sweep()
-        assert len(link.conns) == 1
+        assert len(link.connections) == 1
+        link.close_idle_connections()
+        assert len(link.connections) == 1
 
 
 async def test_a_worker_that_is_gone_is_forgotten_with_its_last_connection(tmp_path: Path) -> None:
     async with play(tmp_path, {"a": [done]}) as p:
-        link = p.node.link
+        link = p.node.worker_client
         client = await p.client()
         assert await client.call("safe") == "satisfied"
-        (way,) = link.ways
-        link.leave(way)
-        assert not link.conns
-        assert not link.ways
+        (way,) = link.pools
+        link.retire_connections(way)
+        assert not link.connections
+        assert not link.pools
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -13,7 +13,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from martenlead.edge.border import Border, Tape
+from martenlead.edge.policy_boundary import PolicyBoundary, Recorder
 from martenlead.policy import types as io
 from tests.play import CHECK, MS, SETTINGS
 
@@ -42,12 +42,12 @@
 
 
 class Dispatcher:
-    def __init__(self, fleet: Fleet, seed: int, tape: Tape | None = None, **changes: Any) -> None:
+    def __init__(self, fleet: Fleet, seed: int, tape: Recorder | None = None, **changes: Any) -> None:
         self.fleet = fleet
         self.settings = replace(SETTINGS, **changes)
         names = (["check", "post", "once"], dict[str, io.Tenant]())
-        self.border = Border(self.settings, seed, lambda: fleet.now, self._outlet, tape, names)
-        self.policy = self.border.look(lambda policy, _: policy)
+        self.border = PolicyBoundary(self.settings, seed, lambda: fleet.now, self._outlet, tape, names)
+        self.policy = self.border.inspect(lambda policy, _: policy)
         self.workers: dict[int, Any] = {}
         self.functions: dict[int, Any] = {}
         self.attempts: list[Attempt] = []
@@ -61,16 +61,16 @@
         """News of the list; a worker that is named for the first time gets its object."""
         for fact in news:
             if fact.mark not in self.workers:
-                self.workers[fact.mark] = self.border.runner(fact, f"w{fact.mark}")
-        self.border.roster([(self.workers[fact.mark], fact) for fact in news], whole)
+                self.workers[fact.mark] = self.border.add_worker(fact, f"w{fact.mark}")
+        self.border.update_workers([(self.workers[fact.mark], fact) for fact in news], whole)
 
     def begin(self) -> Dispatcher:
-        self.border.begin()
+        self.border.start()
         return self
 
     def function(self, number: int) -> Any:
         if number not in self.functions:
-            made = self.border.model(io.FunctionFacts(number, 2, 3000.0), f"f{number}")
+            made = self.border.add_function(io.FunctionFacts(number, 2, 3000.0), f"f{number}")
             self.functions[number] = made
         return self.functions[number]
 
@@ -80,7 +80,7 @@
         known: list[io.Request] = []
         before = len(self.attempts)
         give_up = self.fleet.now + PATIENCE
-        self.border.take(self.function(number), offering, None, give_up, False, 0.0, known.append)
+        self.border.accept_request(self.function(number), offering, None, give_up, False, 0.0, known.append)
         return self.attempts[before].mark if len(self.attempts) > before else None
 
     def _outlet(self, action: io.Action) -> None:
@@ -102,12 +102,12 @@
         assert task not in self.ended_tasks, "a second final response"
         self.ended_tasks.add(task)
         self.finals[how] += 1
-        self.fleet.at(0, lambda: self.border.closed(task, how))
+        self.fleet.at(0, lambda: self.border.close_request(task, how))
 
     def ended(self, attempt: io.Attempt, result: io.Result, warmth: io.Warmth) -> None:
         lag = self.fleet.now - attempt.sent_ns
         final = result is io.Result.SUCCEEDED and attempt.request not in self.ended_tasks
-        self.border.answered(io.AttemptResult(attempt, result, final, warmth, lag))
+        self.border.record_result(io.AttemptResult(attempt, result, final, warmth, lag))
         if final:
             self._final(attempt.request, "satisfied")
 
@@ -142,7 +142,7 @@
         result = io.Result.SUCCEEDED if mark in self.up else io.Result.UNREACHABLE
         if mark in self.up:
             self.replicas.setdefault(mark, set()).add(function)
-        self.at(LOAD, lambda: dispatcher.border.ordered(order, result, int(mark in self.up)))
+        self.at(LOAD, lambda: dispatcher.border.record_load_end(order, result, int(mark in self.up)))
 
     def lose(self, marks: Iterable[int]) -> None:
         """Their processes end: what they held is gone."""
@@ -152,7 +152,7 @@
 
     def run(self, until: int) -> None:
         while True:
-            dues = [due for d in self.dispatchers if (due := d.border.due()) is not None]
+            dues = [due for d in self.dispatchers if (due := d.border.next_due_ns()) is not None]
             next_at = min([*dues, *(entry[0] for entry in self._due[:1])], default=until + 1)
             if next_at > until:
                 break
--- a/tools/renaming/modules.py
+++ b/tools/renaming/modules.py
@@ -79,19 +79,20 @@
         module = dotted(updated_node.module)
         if not module or isinstance(updated_node.names, cst.ImportStar):
             return updated_node
-        new = moved(module, self.modules)
-        if new != module:
-            return updated_node.with_changes(module=cst.parse_expression(new))
-        return self._members_that_moved(module, updated_node, updated_node.names)
+        return self._move_from(module, updated_node, updated_node.names)
 
-    def _members_that_moved(
+    def _move_from(
         self, module: str, statement: cst.ImportFrom, names: object
     ) -> cst.ImportFrom | cst.FlattenSentinel[cst.ImportFrom]:
+        """The module may have moved, and so may modules in it, each to a place of its own."""
+        new_module = moved(module, self.modules)
+        if new_module != module:
+            statement = statement.with_changes(module=cst.parse_expression(new_module))
         stay, others = [], []
         for alias in names:  # type: ignore[attr-defined]
             name = alias.name.value
             new = moved(f"{module}.{name}", self.modules)
-            if new == f"{module}.{name}":
+            if new == f"{new_module}.{name}":
                 stay.append(alias.with_changes(comma=cst.MaybeSentinel.DEFAULT))
                 continue
             package, _, last = new.rpartition(".")
