--- a/martenlead/upstream/__init__.py
+++ b/martenlead/upstream/__init__.py
@@ -1,2 +1,4 @@
-"""What is spoken with runners and with the roster; turns what sockets do into `Result`. docs/protocol.md has
-it all."""
+"""The HTTP protocol spoken with workers and with discovery: requests and the meaning of responses.
+
+docs/protocol.md specifies it.
+"""
--- a/martenlead/upstream/endpoint_watch.py
+++ b/martenlead/upstream/endpoint_watch.py
@@ -1,8 +1,8 @@
-"""Follows the roster's stream for as long as it is asked to: a broken one is asked for again."""
+"""Watches the endpoint list that discovery streams, and reconnects whenever the stream breaks."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import AsyncGenerator, Callable
 from contextlib import aclosing
 from typing import Protocol
 
@@ -14,31 +14,43 @@
 from martenlead.upstream import endpoints
 
 MAX_LINE_BYTES = 16 * 1024 * 1024
-STREAM_ERRORS = (
+BACKOFF_LIMIT = 20  # times the first wait
+STREAM_ERRORS: tuple[type[Exception], ...] = (
     OSError,
     TimeoutError,
     anyio.EndOfStream,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
 )
+PROTOCOL_ERRORS: tuple[type[Exception], ...] = (
+    endpoints.MissingVersionError,
+    http.InvalidMessageError,
+    msgspec.DecodeError,
+)
 
 
 class WatchSettings(Protocol):
-    """Where the roster is. Times are ms: `quiet_ms` without a byte breaks the stream, `retry_ms` is the first
-    wait before it is asked for again; waits double up to twenty of it."""
+    """Where discovery is, and when its stream is broken; named as in the settings."""
 
     @property
-    def host(self) -> str: ...
+    def host(self) -> str:
+        """Name or address of discovery."""
+
     @property
-    def port(self) -> int: ...
+    def port(self) -> int:
+        """Its TCP port."""
+
     @property
-    def quiet_ms(self) -> float: ...
+    def quiet_ms(self) -> float:
+        """Time without a byte after which the stream is broken."""
+
     @property
-    def retry_ms(self) -> float: ...
+    def retry_ms(self) -> float:
+        """First wait after a break; waits double up to `BACKOFF_LIMIT` times it."""
 
 
 async def watch_endpoints(
-    link: WatchSettings,
+    settings: WatchSettings,
     agent: bytes,
     known: endpoints.EndpointList,
     *,
@@ -47,37 +59,56 @@
     on_error: Callable[[Exception], None],
     random: Callable[[], float],
 ) -> None:
-    """Never returns. `told` hears of each change in order, after `known` has it; `lost` of each break, and
-    why; `fault` of an error in `told`, which makes the whole list be asked for. `pick` draws from [0, 1)."""
-    host = f"{link.host}:{link.port}".encode()
-    wait = link.retry_ms / 1000
+    """Keeps a list up to date until it is cancelled.
+
+    Args:
+        settings: Where discovery is.
+        agent: The User-Agent.
+        known: The list, which each update is applied to first.
+        on_update: Called with each update that holds endpoints, in their order.
+        on_lost: Called with the reason of each break of the stream.
+        on_error: Called with an error of `on_update`, after which a snapshot is asked for.
+        random: Draws from [0, 1), for the jitter of the waits.
+    """
+    first_wait_seconds = settings.retry_ms / 1000
+    wait_seconds = first_wait_seconds
     while True:
-        ask = http.request(b"GET", b"/roster?after=%d" % known.version, host, [(b"user-agent", agent)])
         try:
-            quiet = link.quiet_ms / 1000
-            async with aclosing(
-                read_lines(
-                    link.host, link.port, ask, silence_timeout_seconds=quiet, max_line_bytes=MAX_LINE_BYTES
-                )
-            ) as stream:
+            async with aclosing(_open_stream(settings, agent, known.version)) as stream:
                 async for line in stream:
-                    news = endpoints.decode_update(line)
-                    if known.apply(news):
-                        on_update(news)
-                    wait = link.retry_ms / 1000
-            why = "the stream ended"
-        except endpoints.MissingVersionError as gap:
-            why = str(gap)
-            known.version = 0
-        except STREAM_ERRORS as error:
-            why = f"{type(error).__name__} {error}".strip()
-        except (http.InvalidMessageError, msgspec.DecodeError) as error:
-            why = str(error)
-            known.version = 0
-        except Exception as error:  # a line that makes no sense must not end the program
-            why = "a fault of ours"
-            on_error(error)
-            known.version = 0
-        on_lost(why)
-        await anyio.sleep(wait * (0.5 + random()))
-        wait = min(2 * wait, link.retry_ms / 50)
+                    update = endpoints.decode_update(line)
+                    if known.apply(update):
+                        on_update(update)
+                    wait_seconds = first_wait_seconds
+            reason = "the stream ended"
+        except Exception as error:  # a line that cannot be applied must not end the program
+            reason = _handle_failure(error, known, on_error)
+        on_lost(reason)
+        await anyio.sleep(wait_seconds * (0.5 + random()))
+        wait_seconds = min(2 * wait_seconds, BACKOFF_LIMIT * first_wait_seconds)
+
+
+def _handle_failure(
+    error: Exception, known: endpoints.EndpointList, on_error: Callable[[Exception], None]
+) -> str:
+    """The reason of a break in words; unless the connection broke, a snapshot is asked for next."""
+    if isinstance(error, STREAM_ERRORS):
+        return f"{type(error).__name__} {error}".strip()
+    known.version = 0
+    if isinstance(error, PROTOCOL_ERRORS):
+        return str(error)
+    on_error(error)
+    return "a fault of ours"
+
+
+def _open_stream(settings: WatchSettings, agent: bytes, version: int) -> AsyncGenerator[bytes]:
+    """The lines of the stream behind a version; a snapshot comes first where the version is 0."""
+    host = f"{settings.host}:{settings.port}".encode()
+    data = http.request(b"GET", b"/roster?after=%d" % version, host, [(b"user-agent", agent)])
+    return read_lines(
+        settings.host,
+        settings.port,
+        data,
+        silence_timeout_seconds=settings.quiet_ms / 1000,
+        max_line_bytes=MAX_LINE_BYTES,
+    )
--- a/martenlead/upstream/endpoints.py
+++ b/martenlead/upstream/endpoints.py
@@ -1,8 +1,9 @@
-"""The roster's stream: versions, whole lists and changes, one JSON object a line. No decisions.
+"""The endpoint list that discovery streams: its JSON form, a subscriber's state, the file on disk.
 
-`GET /roster?after=N` answers with lines that do not end. A line holds `version`; with `whole` it is the full
-list, else what changed since the version before. A line without `runners` keeps the stream alive. Whoever
-misses a version asks again after 0 and is sent the whole list.
+`GET /roster?after=N` is answered with a stream of JSON objects, one a line. A line holds a
+`version`. With `whole` it is a snapshot of the list, else a delta to the version before. A line
+without `runners` only keeps the stream alive. A subscriber that has missed a version resyncs: it
+asks again after 0 and gets a snapshot.
 """
 
 from __future__ import annotations
@@ -18,9 +19,13 @@
 
 
 class Endpoint(msgspec.Struct, omit_defaults=True):
-    """A runner. `start` names this life of its process; `age_ms` is how long that life had lasted when the
-    line was written, absent for long past: an age and not a time, since the clocks of two machines differ.
-    `layers` is the port of the agent on its box, 0 where there is none."""
+    """One worker as discovery lists it.
+
+    `incarnation` names the present run of its process. `age_ms` is how long that run had lasted
+    when the line was written; without it, the run started long ago. It is an age, as the clocks
+    of two machines differ. `agent_port` belongs to the layers agent on the worker's machine, 0
+    where there is none.
+    """
 
     id: str
     host: str = "127.0.0.1"
@@ -37,14 +42,19 @@
 
 
 class EndpointUpdate(msgspec.Struct, omit_defaults=True):
+    """One line of the stream: a snapshot, a delta, or without endpoints a sign of life."""
+
     version: int
     is_snapshot: bool = msgspec.field(default=False, name="whole")
     endpoints: list[Endpoint] | None = msgspec.field(default=None, name="runners")
 
 
 class CachedEndpoints(msgspec.Struct):
-    """The list as it lies on disk, with the time of its writing: by the wall clock (s), for people, and by
-    the boot clock (`uptime`, ns, of the machine's start `boot`). Older files have no boot clock."""
+    """The list as it is cached on disk, with the time of its writing by two clocks.
+
+    The wall clock's time is for people. Ages are computed with the boot clock: `uptime_ns` since
+    the start of the machine that `boot_id` names. Files of earlier versions have no boot clock.
+    """
 
     version: int
     saved_seconds: float = msgspec.field(name="saved")
@@ -58,60 +68,71 @@
 
 
 class MissingVersionError(Exception):
-    """A version is missing: the whole list has to be asked for."""
+    """An update does not follow the version that the subscriber has: it needs a snapshot."""
 
 
 class EndpointList:
-    """The list of one subscriber, from the news that it is told in order."""
+    """The endpoint list of one subscriber, built from the updates in their order."""
 
     def __init__(self) -> None:
         self.version = 0
         self.endpoints: dict[str, Endpoint] = {}
 
-    def apply(self, news: EndpointUpdate) -> bool:
-        """Takes news in; true where there is something to tell on. Raises `Gap` for one missed version or
-        more."""
-        if news.endpoints is None:
-            if news.version != self.version:
-                raise MissingVersionError(f"at {self.version}, the roster is at {news.version}")
+    def apply(self, update: EndpointUpdate) -> bool:
+        """Applies an update; true where it holds endpoints.
+
+        Raises:
+            MissingVersionError: One or more versions before this one were missed.
+        """
+        if update.endpoints is None:
+            if update.version != self.version:
+                gap = f"at {self.version}, the roster is at {update.version}"
+                raise MissingVersionError(gap)
             return False
-        if news.is_snapshot:
-            self.endpoints = {line.id: line for line in news.endpoints if line.state != "gone"}
+        if update.is_snapshot:
+            self.endpoints = {one.id: one for one in update.endpoints if one.state != "gone"}
         else:
-            if news.version != self.version + 1:
-                raise MissingVersionError(f"at {self.version}, told of {news.version}")
-            for line in news.endpoints:
-                if line.state == "gone":
-                    self.endpoints.pop(line.id, None)
-                else:
-                    self.endpoints[line.id] = line
-        self.version = news.version
+            if update.version != self.version + 1:
+                gap = f"at {self.version}, told of {update.version}"
+                raise MissingVersionError(gap)
+            self._apply_delta(update.endpoints)
+        self.version = update.version
         return True
 
+    def _apply_delta(self, changed: list[Endpoint]) -> None:
+        for endpoint in changed:
+            if endpoint.state == "gone":
+                self.endpoints.pop(endpoint.id, None)
+            else:
+                self.endpoints[endpoint.id] = endpoint
 
-def save_cached_endpoints(path: Path, load_cached_endpoints: CachedEndpoints) -> None:
-    """Durable when it returns. Raises OSError."""
-    replace_file(path, encode(load_cached_endpoints))
 
-
-def make_cached_endpoints(version: int, runners: list[Endpoint]) -> CachedEndpoints:
-    """A list to be kept, as of now."""
+def make_cached_endpoints(version: int, endpoints: list[Endpoint]) -> CachedEndpoints:
+    """The list with the present time of both clocks, to be saved."""
     now = clocks.moment()
-    return CachedEndpoints(version, now.wall / 1e9, runners, now.boot, now.uptime)
+    return CachedEndpoints(version, now.wall / 1e9, endpoints, now.boot, now.uptime)
+
+
+def save_cached_endpoints(path: Path, cached: CachedEndpoints) -> None:
+    """Writes the list to disk; it is durable on return. Raises OSError."""
+    replace_file(path, encode(cached))
 
 
 def load_cached_endpoints(path: Path) -> CachedEndpoints | None:
-    """The list that an earlier life kept, its ages grown by the time that has certainly passed since; None
-    where there is none, or what is there is no list. The wall clock has no part in it: a step forward would
-    make workers that have just started look warm. A worker that is taken for younger than it is has its share
-    a slow start later at most. Raises OSError for a file that cannot be read now."""
+    """Reads the list that an earlier run saved, and adds the time since then to the ages.
+
+    None where there is no file, or it holds no list. Only time that has certainly passed is
+    added, so the wall clock is not asked: its step forward would make new workers look warm. An
+    age that is too low costs a worker one slow start at most. Raises OSError for a file that
+    cannot be read now.
+    """
     try:
-        found = msgspec.json.decode(path.read_bytes(), type=CachedEndpoints)
+        cached = msgspec.json.decode(path.read_bytes(), type=CachedEndpoints)
     except (FileNotFoundError, msgspec.DecodeError):
         return None
-    saved = Moment(round(found.saved_seconds * 1e9), found.boot_id, found.uptime_ns)
-    passed = clocks.certainly_passed(saved, clocks.moment()) / 1e6
-    for line in found.endpoints:
-        if line.age_ms is not None:
-            line.age_ms += passed
-    return found
+    saved = Moment(round(cached.saved_seconds * 1e9), cached.boot_id, cached.uptime_ns)
+    passed_ms = clocks.certainly_passed(saved, clocks.moment()) / 1e6
+    for endpoint in cached.endpoints:
+        if endpoint.age_ms is not None:
+            endpoint.age_ms += passed_ms
+    return cached
--- a/martenlead/upstream/exchange_classifier.py
+++ b/martenlead/upstream/exchange_classifier.py
@@ -1,25 +1,33 @@
-"""One table from how an exchange with a runner ended to the module's `Result`, and why.
+"""What the end of an HTTP exchange with a worker means: its `Result` and the reason.
 
-The question in every line is rule 2's: does this prove that the task never ran? Proof is either that not one
-byte of the task left this machine, or the runner's own word. Everything else may have run.
+Rule 2 asks one question of every end: does it prove that the request never ran? Only two things
+prove it: not one byte of the request has left this machine, or the worker says so itself. After
+any other end the request may have run.
 """
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 from martenlead.events.client import Exchange, ExchangeEnd
 from martenlead.events.http import Message
 from martenlead.policy.types import Result, Warmth
 from martenlead.upstream.outcome import UpstreamOutcome
 
-NEVER_RAN_HEADER = (
-    b"martenlead-never-ran"  # the runner's word, on a 503 or 404: it has not begun the task and will not
-)
-REPLICA_HEADER = b"martenlead-copy"  # what the task met
-STATE_HEADER = b"martenlead-state"  # draining: the runner takes nothing new
-LOAD_FAILURE_HEADER = (
-    b"martenlead-load-failure"  # why a load failed, as `layers` names it: vault-away, no-room, ...
-)
-LOAD_REPORT_HEADER = b"martenlead-report"  # load report, name=value pairs with commas
+NEVER_RAN_HEADER = b"martenlead-never-ran"
+"""The worker's word, on a 503, 429 or 404, that it has not begun the request and will not."""
+
+REPLICA_HEADER = b"martenlead-copy"
+"""What the attempt found of its function, a key of `WARMTH_BY_HEADER_VALUE`."""
+
+STATE_HEADER = b"martenlead-state"
+"""`draining` where the worker takes nothing new."""
+
+LOAD_FAILURE_HEADER = b"martenlead-load-failure"
+"""Why a load failed, by the names of the layers agent: vault-away, no-room, ..."""
+
+LOAD_REPORT_HEADER = b"martenlead-report"
+"""The worker's load report: name=value pairs with commas between them."""
 
 WARMTH_BY_HEADER_VALUE = {
     b"warm": Warmth.WARM,
@@ -29,78 +37,110 @@
 }
 
 RESULT_BY_END = {
-    # nothing was written: the connection was never there
+    # nothing was written: there was no connection
     ExchangeEnd.REFUSED: Result.UNREACHABLE,
     ExchangeEnd.CONNECT_TIMEOUT: Result.UNREACHABLE,
-    # nothing was written, and it says nothing of the runner: the bound is ours
+    # nothing was written for a reason of our own, which says nothing of the worker
     ExchangeEnd.NO_SLOT: Result.NOT_SENT,
     ExchangeEnd.WITHHELD: Result.NOT_SENT,
-    # the request may have been read before the end; also where a pooled connection closed just as it was
-    # written
+    # the worker may have read the request first, also on a pooled connection that closed as it
+    # was written
     ExchangeEnd.CLOSED: Result.CONNECTION_LOST,
-    # an answer had begun, so the task had most likely ended; its content is lost
+    # a response had begun, so the request has most likely ended; the response is lost
     ExchangeEnd.CUT: Result.CONNECTION_LOST,
-    # something answers there that is no runner, or one gone mad; the task may have run
+    # another program, or a faulty worker, answers there; the request may have run
     ExchangeEnd.GARBAGE: Result.CONNECTION_LOST,
 }
-"""Ends without an answer. Two more come from our own side, `without_answer`. A task whose time was over
-before a connection was asked for is NOT_SENT."""
+"""The ends without a response. Two more are our own, see `classify_unanswered_attempt`.
+
+A request whose time was over before a connection was asked for is NOT_SENT.
+"""
+
+OK = HTTPStatus.OK.value
+MULTIPLE_CHOICES = HTTPStatus.MULTIPLE_CHOICES.value  # the first status that is no success
+NOT_FOUND = HTTPStatus.NOT_FOUND.value
+AT_CAPACITY_STATUSES = (
+    HTTPStatus.TOO_MANY_REQUESTS.value,
+    HTTPStatus.SERVICE_UNAVAILABLE.value,
+)
+LOAD_FAILURE_STATUSES = (NOT_FOUND, HTTPStatus.SERVICE_UNAVAILABLE.value)
+LOAD_FAILURE_LENGTH = 20  # characters of a name that is counted as it is
 
 
 def classify_attempt(exchange: Exchange) -> UpstreamOutcome:
-    """Reads an exchange of a hand-off. Every one maps to exactly one `Result`."""
+    """The outcome of an attempt whose exchange ended by itself."""
     message = exchange.message
     if message is None or exchange.end is not ExchangeEnd.ANSWERED:
-        return UpstreamOutcome(
-            RESULT_BY_END.get(exchange.end, Result.CONNECTION_LOST),
-            reason=exchange.detail or exchange.end.value,
-        )
-    drains = message.header(STATE_HEADER) == b"draining"
+        result, reason = _classify_end(exchange)
+        return UpstreamOutcome(result, reason=reason)
+    is_draining = message.header(STATE_HEADER) == b"draining"
     warmth = WARMTH_BY_HEADER_VALUE.get(message.header(REPLICA_HEADER) or b"", Warmth.UNKNOWN)
-    if 200 <= message.status < 300:
-        return UpstreamOutcome(Result.SUCCEEDED, warmth, drains, message)
-    proof = message.header(NEVER_RAN_HEADER) is not None
-    failure = parse_load_failure(message)
-    if failure and proof and message.status in (404, 503):
-        # there is no copy, as on any 404; a box without room is full, as on any 503
-        result = Result.AT_CAPACITY if message.status == 503 else Result.FUNCTION_MISSING
-        return UpstreamOutcome(result, warmth, drains, message, f"load failed: {failure}", failure)
-    if message.status in (429, 503) and proof:
-        return UpstreamOutcome(Result.AT_CAPACITY, warmth, drains, message, "turned away")
-    if message.status == 404 and proof:
-        return UpstreamOutcome(Result.FUNCTION_MISSING, warmth, drains, message, "no copy stands there")
-    # an error, or a refusal without the runner's word that nothing ran: a relay between could have said it
-    return UpstreamOutcome(Result.ERROR, warmth, drains, message, f"status {message.status}")
+    outcome = UpstreamOutcome(Result.SUCCEEDED, warmth, is_draining, message)
+    if not OK <= message.status < MULTIPLE_CHOICES:
+        _classify_refusal(message, outcome)
+    return outcome
+
+
+def _classify_refusal(message: Message, outcome: UpstreamOutcome) -> None:
+    """Sets the result and the reason of an attempt that got a response other than 2xx."""
+    never_ran = message.header(NEVER_RAN_HEADER) is not None
+    load_failure = parse_load_failure(message)
+    if load_failure and never_ran and message.status in LOAD_FAILURE_STATUSES:
+        # a 404 says that there is no replica, and a 503 that there is no room for one
+        is_missing = message.status == NOT_FOUND
+        outcome.result = Result.FUNCTION_MISSING if is_missing else Result.AT_CAPACITY
+        outcome.reason, outcome.load_failure = f"load failed: {load_failure}", load_failure
+    elif message.status in AT_CAPACITY_STATUSES and never_ran:
+        outcome.result, outcome.reason = Result.AT_CAPACITY, "turned away"
+    elif message.status == NOT_FOUND and never_ran:
+        outcome.result, outcome.reason = Result.FUNCTION_MISSING, "no copy stands there"
+    else:
+        # an error, or a refusal without the worker's word: a proxy between could have sent it
+        outcome.result, outcome.reason = Result.ERROR, f"status {message.status}"
 
 
 def classify_unanswered_attempt(*, is_cancelled: bool, has_written: bool) -> UpstreamOutcome:
-    """An exchange that our side ended: by its time-out, or called off. `wrote`: a byte may have left."""
+    """The outcome of an attempt that we ended, by its time-out or as it was cancelled.
+
+    Args:
+        is_cancelled: It was cancelled; else it ran into its time-out.
+        has_written: A byte of the request may have left.
+    """
     if is_cancelled:
-        return UpstreamOutcome(Result.CANCELLED if has_written else Result.NOT_SENT, reason="called off")
-    # not connected within the whole patience says the same of the runner as a time-out of the connect
-    return UpstreamOutcome(
-        Result.NO_RESPONSE if has_written else Result.UNREACHABLE, reason="no answer in time"
-    )
+        result = Result.CANCELLED if has_written else Result.NOT_SENT
+        return UpstreamOutcome(result, reason="called off")
+    # no connection in all the time of an attempt means the same as a time-out of the connect
+    result = Result.NO_RESPONSE if has_written else Result.UNREACHABLE
+    return UpstreamOutcome(result, reason="no answer in time")
 
 
 def parse_load_failure(message: Message) -> str:
-    """Why a load failed; "" where nothing is told. A name that is long or odd is cut to one that can be
-    counted."""
-    told = (message.header(LOAD_FAILURE_HEADER) or b"").decode("latin-1")
-    return told if not told or (len(told) <= 20 and told.replace("-", "").isalpha()) else "unknown"
+    """The name of the reason why a load failed; empty where the response states none.
+
+    A name that is too long, or not of letters and dashes, becomes `unknown`, since names are
+    counted.
+    """
+    name = (message.header(LOAD_FAILURE_HEADER) or b"").decode("latin-1")
+    is_countable = len(name) <= LOAD_FAILURE_LENGTH and name.replace("-", "").isalpha()
+    return name if not name or is_countable else "unknown"
 
 
 def classify_load_request(exchange: Exchange) -> tuple[Result, str]:
-    """Reads an exchange of an order; the copies that stand are in the answer's body."""
+    """The result of a load request and the reason; the body has the number of replicas."""
     message = exchange.message
     if message is None or exchange.end is not ExchangeEnd.ANSWERED:
-        return RESULT_BY_END.get(exchange.end, Result.CONNECTION_LOST), exchange.detail or exchange.end.value
-    if message.status == 200:
+        return _classify_end(exchange)
+    if message.status == OK:
         return Result.SUCCEEDED, ""
-    failure = parse_load_failure(message)
-    if message.status in (429, 503):
-        return (
-            Result.AT_CAPACITY,
-            f"load failed: {failure}" if failure else "no room, too many loads, or draining",
-        )
-    return Result.ERROR, f"load failed: {failure}" if failure else f"status {message.status}"
+    load_failure = parse_load_failure(message)
+    if message.status in AT_CAPACITY_STATUSES:
+        reason = "no room, too many loads, or draining"
+        return Result.AT_CAPACITY, f"load failed: {load_failure}" if load_failure else reason
+    reason = f"status {message.status}"
+    return Result.ERROR, f"load failed: {load_failure}" if load_failure else reason
+
+
+def _classify_end(exchange: Exchange) -> tuple[Result, str]:
+    """The result and the reason of an exchange that ended without a response."""
+    result = RESULT_BY_END.get(exchange.end, Result.CONNECTION_LOST)
+    return result, exchange.detail or exchange.end.value
--- a/martenlead/upstream/load_requests.py
+++ b/martenlead/upstream/load_requests.py
@@ -1,22 +1,33 @@
-"""Orders to a runner, as the Open Inference Protocol's model repository extension has them, and the probe.
+"""Load, unload and health-check requests to a worker, and what its responses say.
 
-`POST /v2/repository/models/NAME/load` with `{"parameters": {"copies": N}}` holds at least N copies, N = 0
-asks; `.../unload` drops the idle ones; `GET /v2/health/ready` probes. `copies` is ours, and so is the
-answer's.
+They follow the model repository extension of the Open Inference Protocol: `POST
+/v2/repository/models/NAME/load` with `{"parameters": {"copies": N}}` has the worker keep at least
+N replicas, and with N = 0 it only asks how many there are; `.../unload` drops the idle ones; `GET
+/v2/health/ready` is the health check. The parameter `copies` and the body of the response are our
+own.
 """
 
 from __future__ import annotations
 
-from typing import Any
 from urllib.parse import quote
 
 import msgspec
 
 from martenlead.events.client import Exchange
-from martenlead.events.http import request
+from martenlead.events.http import Headers, request
 from martenlead.upstream.exchange_classifier import LOAD_REPORT_HEADER
 
-JSON_HEADERS = [(b"content-type", b"application/json")]
+__all__ = [
+    "LOAD_REPORT_HEADER",
+    "encode_health_check",
+    "encode_load_request",
+    "encode_unload_request",
+    "load_request_decoder",
+    "parse_load_report",
+    "parse_replica_count",
+]
+
+JSON_HEADERS: Headers = [(b"content-type", b"application/json")]
 
 
 class _LoadParameters(msgspec.Struct):
@@ -26,63 +37,60 @@
 
 
 class LoadRequestBody(msgspec.Struct):
+    """The body of a load request."""
+
     parameters: _LoadParameters = msgspec.field(default_factory=_LoadParameters)
 
 
 class LoadResponseBody(msgspec.Struct):
-    """What a runner answers to an order."""
+    """The body of the response to a load request: how many replicas are loaded."""
 
     replicas: int = msgspec.field(default=0, name="copies")
 
 
-_decode_response = msgspec.json.Decoder(LoadResponseBody)
+_load_response_decoder = msgspec.json.Decoder(LoadResponseBody)
 load_request_decoder = msgspec.json.Decoder(LoadRequestBody)
 
 
 def encode_load_request(
-    host: bytes, agent: bytes, model: str, copies: int, memory_mb: float, lanes: int
+    host: bytes, agent: bytes, function: str, replicas: int, memory_mb: float, lanes: int
 ) -> bytes:
-    body = msgspec.json.encode(LoadRequestBody(_LoadParameters(copies, memory_mb, lanes)))
-    return request(
-        b"POST",
-        b"/v2/repository/models/%b/load" % _name(model),
-        host,
-        [*JSON_HEADERS, (b"user-agent", agent)],
-        body,
-    )
-
-
-def encode_unload_request(host: bytes, agent: bytes, model: str) -> bytes:
-    return request(
-        b"POST",
-        b"/v2/repository/models/%b/unload" % _name(model),
-        host,
-        [*JSON_HEADERS, (b"user-agent", agent)],
-        b"{}",
-    )
+    """A request to keep at least so many replicas loaded; `agent` is the User-Agent."""
+    body = msgspec.json.encode(LoadRequestBody(_LoadParameters(replicas, memory_mb, lanes)))
+    return _encode_repository_request(host, agent, function, b"load", body)
+
+
+def encode_unload_request(host: bytes, agent: bytes, function: str) -> bytes:
+    """A request to drop the idle replicas of a function."""
+    return _encode_repository_request(host, agent, function, b"unload", b"{}")
 
 
 def encode_health_check(host: bytes, agent: bytes) -> bytes:
+    """A request for the worker's health and load report."""
     return request(b"GET", b"/v2/health/ready", host, [(b"user-agent", agent)])
 
 
-def _name(model: str) -> bytes:
-    return quote(model, safe="").encode()
+def _encode_repository_request(
+    host: bytes, agent: bytes, function: str, verb: bytes, body: bytes
+) -> bytes:
+    name = quote(function, safe="").encode()
+    target = b"/v2/repository/models/%b/%b" % (name, verb)
+    return request(b"POST", target, host, [*JSON_HEADERS, (b"user-agent", agent)], body)
 
 
 def parse_replica_count(exchange: Exchange) -> int:
-    """Copies that stand, 0 where none was told."""
+    """The loaded replicas that a response states, 0 where it states none."""
     if exchange.message is None:
         return 0
     try:
-        return max(0, _decode_response.decode(exchange.message.body).replicas)
+        return max(0, _load_response_decoder.decode(exchange.message.body).replicas)
     except msgspec.DecodeError:
         return 0
 
 
 def parse_load_report(raw: bytes | None) -> dict[str, float]:
-    """A load report; what is not name=number is passed over."""
-    values: dict[str, Any] = {}
+    """The values of a load report's header, by name; a part that is not name=number is skipped."""
+    values: dict[str, float] = {}
     for pair in (raw or b"").split(b","):
         name, _, value = pair.partition(b"=")
         try:
@@ -90,14 +98,3 @@
         except ValueError:
             continue
     return values
-
-
-__all__ = [
-    "LOAD_REPORT_HEADER",
-    "encode_health_check",
-    "encode_load_request",
-    "encode_unload_request",
-    "load_request_decoder",
-    "parse_load_report",
-    "parse_replica_count",
-]
