--- a/benchmarks/scale/pooled.py
+++ b/benchmarks/scale/pooled.py
@@ -208,7 +208,7 @@
     def maintain(self) -> None:
         """The link's periodic look for idle connections."""
         with self.meter.measure(Activity.TIMERS):
-            self.link.sweep()
+            self.link.close_idle_connections()
 
 
 class PooledSimulation(Simulation):
--- a/benchmarks/scale/quantities.py
+++ b/benchmarks/scale/quantities.py
@@ -36,7 +36,7 @@
         "m8",
         65_536.0,
         1.0,
-        start="a1b2c3d4",
+        incarnation="a1b2c3d4",
         age_ms=1234567.0,
     )
     return float(len(msgspec.json.encode(line)) + 1)
--- a/martenlead/cli/capture.py
+++ b/martenlead/cli/capture.py
@@ -97,7 +97,8 @@
     )
     click.echo("  task would have gone; behind its first difference a task shows a tendency only")
     click.echo(
-        f"  of {told.requests} tasks {told.moved} first elsewhere, {told.no_longer_sent} not handed off at all,"
+        f"  of {told.requests} tasks {told.moved} first elsewhere,"
+        f" {told.no_longer_sent} not handed off at all,"
     )
     click.echo(f"  {told.newly_sent} handed off that were not")
     for kind in sorted(told.recorded_counts.keys() | told.replayed_counts.keys()):
--- a/martenlead/edge/membership.py
+++ b/martenlead/edge/membership.py
@@ -155,8 +155,8 @@
                 "id": box.endpoint.id,
                 "state": box.policy_worker.facts.state.value,
                 "age_ms": (now - box.started_ns) / 1e6 if box.started_ns else None,
-                "connections": box.connections.open,
-                "opened": box.connections.opened,
+                "connections": box.connections.open_connections,
+                "opened": box.connections.connections_opened,
                 "report": box.load_report,
             }
             for box in self.workers.values()
--- a/martenlead/emulator/policies.py
+++ b/martenlead/emulator/policies.py
@@ -20,7 +20,7 @@
 
 from martenlead.emulator.box import Runner
 from martenlead.policy import types
-from martenlead.policy.candidates import RANKED_WHOLE
+from martenlead.policy.candidates import FULLY_RANKED_WORKERS
 from martenlead.policy.placement import Placement
 from martenlead.policy.policy import Policy
 from martenlead.policy.state import Worker
@@ -71,7 +71,7 @@
 
         def candidates(self, function: Any, replicas: int = 0) -> Iterator[Any]:
             ranking, index = function.ranking, self.state.index
-            if len(self.state.workers) <= RANKED_WHOLE and ranking.version != index.version:
+            if len(self.state.workers) <= FULLY_RANKED_WORKERS and ranking.version != index.version:
                 ranking.found, ranking.version = self.ranked(function), index.version
             order: Iterator[Any] = super().candidates(function, replicas)
             return order
--- a/martenlead/policy/attempts.py
+++ b/martenlead/policy/attempts.py
@@ -1,8 +1,8 @@
 """One request from its arrival to its final response: attempts, retries and hedging.
 
-Rule 1, one final response in time: whatever becomes of its attempts, `Attempts.handle` ends before the
-deadline with a success, a rejection or a failure. Rule 2, no effect twice, is asked of repeats.py before
-each attempt. The retries are docs/design.md's "Further hand-offs".
+Rule 1, one final response in time: whatever becomes of its attempts, `Attempts.handle` ends before
+the deadline with a success, a rejection or a failure. Rule 2, no effect twice, is asked of
+repeats.py before each attempt. The retries are docs/design.md's "Further hand-offs".
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 
     # -- a request from end to end
 
-    def handle(self, request: Request) -> Steps:  # noqa: C901 - its waits are those that a checkpoint knows
+    def handle(self, request: Request) -> Steps:  # noqa: C901 - a checkpoint knows its waits
         """Attempts until one succeeds or nothing is left to do, then the final response."""
         state, settings = self.state, self.state.settings
         yield from self.count_request(request)
@@ -180,7 +180,7 @@
             yield from self.scaling.check(function, function.new_requests[0], SECOND)
 
     def _is_burst(self, function: Function) -> bool:
-        """Whether this second's requests are above Rmax by more than chance, or nothing is held yet."""
+        """Whether this second's requests exceed Rmax beyond chance, or nothing is held yet."""
         if function.requests <= 1:
             return False
         count = function.new_requests[0]
@@ -215,8 +215,8 @@
     def close(self, request: Request, is_cancelled: bool) -> list[Action]:
         """A request that is over leaves nothing waiting.
 
-        Where its client left with its one attempt in flight, that may end: a worker goes on with most of
-        what is cancelled, and would be taken for free meanwhile.
+        Where its client left with its one attempt in flight, that may end: a worker goes on with
+        most of what is cancelled, and would be taken for free meanwhile.
         """
         if is_cancelled and request.attempts:
             self.load_budget.withdraw_request(request.attempts[0].sent_ns)
--- a/martenlead/policy/candidates.py
+++ b/martenlead/policy/candidates.py
@@ -1,9 +1,10 @@
-"""The workers a function may be placed on, ranked alike by every dispatcher that holds the same list.
+"""The workers a function may be placed on, ranked alike by all dispatchers with the same list.
 
-Weighted rendezvous hashing (Thaler and Ravishankar, 1998) ranks a short list whole. The workers of a long one
-are leaves of a tree over the hashes of their ids, and candidates are drawn one by one (hierarchical
-rendezvous, Wang and Ravishankar, 2009): a draw descends from the root, choosing between two children by a
-hash and their summed weights. Draws and changes of the list cost the tree's height.
+Weighted rendezvous hashing (Thaler and Ravishankar, 1998) ranks a short list whole. The workers of
+a long one are leaves of a tree over the hashes of their ids, and candidates are drawn one by one
+(hierarchical rendezvous, Wang and Ravishankar, 2009): a draw descends from the root, choosing
+between two children by a hash and their summed weights. Draws and changes of the list cost the
+tree's height.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-RANKED_WHOLE = 256  # workers up to which a function ranks all of them
+FULLY_RANKED_WORKERS = 256  # workers up to which a function ranks all of them
 LEAVES = 1 << 13  # of the tree: each has the few workers whose hashes fall there
 CANDIDATES = 32  # workers that a function looks at beyond those it has replicas on
 DRAWS = 4  # for each candidate: a draw may name a worker that was drawn before
@@ -109,7 +110,7 @@
 
     def candidates(self, index: CandidateIndex, replicas: int) -> Iterator[Any]:
         """Of a long list `CANDIDATES` at most, and as many more as the function has `replicas`."""
-        short = len(index.workers) <= RANKED_WHOLE
+        short = len(index.workers) <= FULLY_RANKED_WORKERS
         if self.version != index.version:
             self.version, self.draws = index.version, 0
             self.found = index.ranked(self.mark) if short else []
--- a/martenlead/policy/concurrency.py
+++ b/martenlead/policy/concurrency.py
@@ -1,7 +1,8 @@
 """The concurrency limit: how many attempts this dispatcher may have in flight at one worker.
 
-One more a round of responses in time, a fifth fewer when over a fifth come late. What the dispatchers may
-have in flight together is divided between them without a floor; docs/design.md, "Width".
+One more a round of responses in time, a fifth fewer when over a fifth come late. What the
+dispatchers may have in flight together is divided between them without a floor; docs/design.md,
+"Width".
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
     def has_room(self, worker: Worker, is_deferrable: bool) -> bool:
         """Whether a request may go to this worker now.
 
-        One that is deferrable, a repeat or one over its tenant's share, gets only a part of the limit, and
-        nothing of one that was cut to the least.
+        One that is deferrable, a repeat or one over its tenant's share, gets only a part of the
+        limit, and nothing of one that was cut to the least.
         """
         if not self.slow_start.allows(worker):
             return False
@@ -45,7 +46,8 @@
     def record_attempt(self, worker: Worker) -> None:
         """Notes that an attempt goes now.
 
-        A worker that warms up, or has a limit below one, gets no other before a time that is set here.
+        A worker that warms up, or has a limit below one, gets no other before a time that is set
+        here.
         """
         state = self.state
         if self.slow_start.is_warming_up(worker):
--- a/martenlead/policy/earlier_run.py
+++ b/martenlead/policy/earlier_run.py
@@ -1,7 +1,7 @@
 """What an earlier run of this dispatcher had learnt, taken up for what its age leaves of it.
 
-Replicas are not among it: their workers are asked for them. Load requests count in the budget, whoever
-lived when they were given.
+Replicas are not among it: their workers are asked for them. Load requests count in the budget,
+whoever lived when they were given.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
     for known in past.functions:
         _restore_function(state, known)
     for one in past.workers:
-        # a worker that was slow then is found slow again; one that is not must not be starved for it
+        # a worker that was slow then is found slow again; one that is not must not be starved for
+        # it
         wider = max(0.0, one.concurrency_limit - one.worker.concurrency_limit)
         one.worker.concurrency_limit += wider * one.weight
 
--- a/martenlead/policy/engine.py
+++ b/martenlead/policy/engine.py
@@ -1,7 +1,7 @@
 """Resumes the policy's generators: with results as they come, with None when a wait is over.
 
-The same engine serves every program: it knows neither wire nor clock, only an outlet for what the policy
-wants done and the time that it is told, in ns.
+The same engine serves every program: it knows neither wire nor clock, only an outlet for what the
+policy wants done and the time that it is told, in ns.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
         self.policy.state.replica(function, worker).is_retained = is_retained
 
     def request_load(self, worker: Worker, function: Function) -> LoadRequest | None:
-        """A load request that another instance of the policy decided on; None where it may not be given.
+        """A load request that another policy instance decided on; None where it is not allowed.
 
         That is asked of this instance, which counts all load requests whoever decided on them.
         """
--- a/martenlead/policy/latency.py
+++ b/martenlead/policy/latency.py
@@ -1,9 +1,9 @@
 """Response times as they are usual: histograms that forget, and what is read from them.
 
-The design takes warm run latencies where responses tell of them, and the lower quartile of all latencies
-where they do not (docs/design.md, "Kept"; the paper's equation 1 needs them for Rmax). A worker's pace is
-how many times longer than usual its responses take (docs/design.md, "Health"). Latencies are whole
-nanoseconds.
+The design takes warm run latencies where responses tell of them, and the lower quartile of all
+latencies where they do not (docs/design.md, "Kept"; the paper's equation 1 needs them for Rmax). A
+worker's pace is how many times longer than usual its responses take (docs/design.md, "Health").
+Latencies are whole nanoseconds.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class LatencyHistogram:
-    """Latencies in bins of growing width; all counts are halved once they are many, so that old ones fade."""
+    """Latencies in bins of growing size; many counts are halved, so that old ones decay."""
 
     def __init__(self) -> None:
         self.bins = [0.0] * BINS
@@ -51,7 +51,7 @@
         self.sum_ns /= 2
 
     def blend(self, bins: list[float], sum_ns: float, weight: float) -> None:
-        """Adds the histogram of an earlier run, as a few responses: what comes now soon says more than it."""
+        """Adds the histogram of an earlier run with the weight of a few responses."""
         earlier = sum(bins)
         if len(bins) == len(self.bins) and earlier:
             weight *= min(1.0, EARLIER_RUN_RESPONSES / earlier)
@@ -60,7 +60,7 @@
             self.sum_ns += weight * sum_ns
 
     def quantile(self, share: float) -> int:
-        """The latency below which that share lies, interpolated within its bin; 0 where nothing was added."""
+        """The latency below which that share lies, interpolated within its bin; 0 if empty."""
         left = share * self.total
         for place, count in enumerate(self.bins):
             if count >= left and count:
@@ -83,14 +83,15 @@
     def warm_run_ns(self, histogram: LatencyHistogram) -> int:
         """The usual latency of a warm run.
 
-        The mean where only warm runs were added; else the lower quartile, which cold starts do not reach.
+        The mean where only warm runs were added; else the lower quartile, which cold starts do not
+        reach.
         """
         if self.settings.tells_warmth:
             return histogram.mean()
         return histogram.quantile(LOWER_QUARTILE)
 
     def pace(self, ratios: LatencyHistogram) -> float:
-        """How many times longer than usual a worker takes: slow cores and others' requests both show."""
+        """How many times longer than usual a worker takes, for slow cores or others' requests."""
         mean = self.warm_run_ns(ratios)
         return (PRIOR_RESPONSES + mean * ratios.total / USUAL_RATIO) / (
             PRIOR_RESPONSES + ratios.total
--- a/martenlead/policy/load_budget.py
+++ b/martenlead/policy/load_budget.py
@@ -1,7 +1,7 @@
 """Rule 5, the load budget: how many load requests may go in a window, for the requests taken in it.
 
-Counted with a tick to spare on both sides, as a load request may arrive, and against the requests before
-that; a new connection may take its time. docs/design.md, the rows on the ration.
+Counted with a tick to spare on both sides, as a load request may arrive, and against the requests
+before that; a new connection may take its time. docs/design.md, the rows on the ration.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
         self.loads_in_flight: dict[LoadRequest, int] = {}  # since when: they may arrive at any time
 
     def allows(self, worker: Worker, share: float = 1.0) -> bool:
-        """Whether a load request may go to this worker now, within that share of the budget and by rule 3."""
+        """Whether a load request may go to this worker now, by the budget share and rule 3."""
         state, settings = self.state, self.state.settings
         if not settings.load_window_ns:
             return state.accepts_work(worker)
--- a/martenlead/policy/outliers.py
+++ b/martenlead/policy/outliers.py
@@ -1,7 +1,7 @@
 """Outlier detection: workers that stopped answering or answer with errors get single trials only.
 
-Health is ours to add by the design page; docs/design.md, "Health" and the rows on errors, says why it is as
-it is.
+Health is ours to add by the design page; docs/design.md, "Health" and the rows on errors, says why
+it is as it is.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
 def is_unexpected_silence(attempt: Attempt) -> bool:
     """Whether a worker should have answered by now, and said nothing to anybody since the attempt.
 
-    With less time than half of the latency objective it may have dropped the request without a word.
+    With less time than half of the latency objective it may have dropped the request without a
+    word.
     """
     had_time = attempt.timeout_ns >= attempt.request.request_class.latency_objective_ns // 2
     is_silent = (
@@ -61,7 +62,8 @@
     def is_failing(self, worker: Worker, request_class: RequestClass | None = None) -> bool:
         """Whether too many responses, of this class or of any, were errors.
 
-        What fails at once stands idle and looks the least busy, so that it would draw ever more requests.
+        What fails at once stands idle and looks the least busy, so that it would draw ever more
+        requests.
         """
         shares = worker.error_shares
         some = shares.values() if request_class is None else (shares.get(request_class, 0.0),)
@@ -79,7 +81,7 @@
         worker.overdue_since_ns = self.state.now_ns
 
     def record_response(self, attempt: Attempt, is_error: bool) -> None:
-        """Notes whose fault an error is: of a request that fails at a second worker too, the request's."""
+        """Notes whose fault an error is: the request's, if it fails at a second worker too."""
         request, worker = attempt.request, attempt.worker
         earlier = [a for a in request.attempts if a.result in WORKER_ERRORS and a is not attempt]
         share = worker.error_shares.get(request.request_class, 0.0)
--- a/martenlead/policy/placement.py
+++ b/martenlead/policy/placement.py
@@ -1,8 +1,9 @@
 """Placement: the worker for an attempt, and the worker for a new replica.
 
-The design's rule for requests: where the function was last seen warm while own requests there are fewer
-than lanes, else the less busy of two random holders, else the next of the shared order (docs/design.md,
-"Kept"; the paper leaves the routing open). Each departure from it stands in docs/design.md, "Changed".
+The design's rule for requests: where the function was last seen warm while own requests there are
+fewer than lanes, else the less busy of two random holders, else the next of the shared order
+(docs/design.md, "Kept"; the paper leaves the routing open). Each departure from it stands in
+docs/design.md, "Changed".
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from collections.abc import Iterator
 
 from martenlead.policy import retry_budget
-from martenlead.policy.candidates import RANKED_WHOLE
+from martenlead.policy.candidates import FULLY_RANKED_WORKERS
 from martenlead.policy.concurrency import ConcurrencyLimits
 from martenlead.policy.outliers import Outliers
 from martenlead.policy.repeats import RepeatGuard
@@ -65,7 +66,7 @@
         return self._next_candidate(request, excluded, len(known))
 
     def _known_holders(self, request: Request, function: Function) -> list[Replica]:
-        """Where the function is warm or being loaded, less the workers that answered with an error."""
+        """Where the function is warm or being loaded, less the workers that returned an error."""
         state, outliers = self.state, self.outliers
         known = [
             replica
@@ -86,10 +87,11 @@
     def _next_candidate(
         self, request: Request, excluded: set[Worker], holders: int
     ) -> Worker | None:
-        is_short_list = len(self.state.workers) <= RANKED_WHOLE
+        is_short_list = len(self.state.workers) <= FULLY_RANKED_WORKERS
         for worker in self.candidates(request.function, holders):
             if holders and is_short_list and not self.slow_start.is_warming_up(worker):
-                continue  # a load would push out what others need; one just started holds nothing yet
+                # a load would push out what others need; one just started holds nothing yet
+                continue
             if worker not in excluded and self.fits(request, worker):
                 return worker
         return None
@@ -126,10 +128,10 @@
         return function.ranking.candidates(self.state.index, replicas)
 
     def choose_worker_for_replica(self, function: Function) -> Worker | None:
-        """The least busy of the next few workers in the shared order, or one that has it loaded already.
+        """The least busy of the next few workers in the shared order, or one that has it loaded.
 
-        A few dispatchers see alike and choose alike; of many each sees little, so that only the plain next
-        worker brings their replicas together.
+        A few dispatchers see alike and choose alike; of many each sees little, so that only the
+        plain next worker brings their replicas together.
         """
         state, free = self.state, list[Worker]()
         choices = max(1, REPLICA_CHOICES // state.settings.dispatchers)
--- a/martenlead/policy/policy.py
+++ b/martenlead/policy/policy.py
@@ -1,9 +1,9 @@
 """The policy of one dispatcher: receives each event and hands it to the module whose matter it is.
 
-Called by engine.py: `background` and `handle_request` give generators that yield what they want done and
-are resumed with what came of it; the other methods tell what was observed. `new_worker` and `new_function`
-make the objects that stand for ids outside. The types of both directions stand in types.py, the design in
-docs/design.md.
+Called by engine.py: `background` and `handle_request` give generators that yield what they want
+done and are resumed with what came of it; the other methods tell what was observed. `new_worker`
+and `new_function` make the objects that stand for ids outside. The types of both directions stand
+in types.py, the design in docs/design.md.
 
 | what | module |
 | --- | --- |
--- a/martenlead/policy/repeats.py
+++ b/martenlead/policy/repeats.py
@@ -20,7 +20,7 @@
         self.state = state
 
     def may_send(self, request: Request, worker: Worker) -> bool:
-        """Whether an attempt there causes no effect twice, and no forbidden second one in flight."""
+        """Whether an attempt there repeats no effect and is no forbidden second one in flight."""
         may_have_run = [a for a in request.attempts if a.result not in NEVER_RAN]
         if not self.state.settings.may_hedge and any(a.result is None for a in may_have_run):
             return False
@@ -55,7 +55,7 @@
         )
 
     def may_reject(self, request: Request) -> bool:
-        """Whether the client may send it again: nothing ran, or the repeat is dropped wherever it goes."""
+        """Whether the client may retry: nothing ran, or the repeat is dropped wherever it goes."""
         effect = request.request_class.effect
         if effect is Effect.IDEMPOTENT or first_that_may_have_run(request) is None:
             return True
--- a/martenlead/policy/replica_scaling.py
+++ b/martenlead/policy/replica_scaling.py
@@ -1,10 +1,10 @@
 """Replica scaling: the expected rate R against Rmax, the mechanism of the paper.
 
-"AsyFunc: A High-Performance and Resource-Efficient Serverless Inference System via Asymmetric Functions",
-section 4, as docs/design.md takes it up: R is a function's rate times the dispatchers; Rmax sums, over the
-replicas that are held, lanes over warm run latency (the paper's equation 1); above 0.8 Rmax whole replicas
-are added, below 0.6 the one of lowest capacity is released, between nothing changes (its algorithm 1). What
-is held is renewed within the keep-alive. Times are ns.
+"AsyFunc: A High-Performance and Resource-Efficient Serverless Inference System via Asymmetric
+Functions", section 4, as docs/design.md takes it up: R is a function's rate times the dispatchers;
+Rmax sums, over the replicas that are held, lanes over warm run latency (the paper's equation 1);
+above 0.8 Rmax whole replicas are added, below 0.6 the one of lowest capacity is released, between
+nothing changes (its algorithm 1). What is held is renewed within the keep-alive. Times are ns.
 """
 
 from __future__ import annotations
@@ -77,7 +77,8 @@
         yield Wait(state.now_ns + first)
         begun_ns = state.now_ns
         while True:
-            # one that has just begun holds nothing: short periods, that its replicas may double soon
+            # one that has just begun holds nothing: short periods, that its replicas may double
+            # soon
             period = min(state.check_period_ns, max(FIRST_PERIOD, state.now_ns - begun_ns))
             interval = SLICE_INTERVAL if self.unchecked else period
             yield Wait(state.now_ns + interval)
@@ -125,8 +126,8 @@
     def check(self, function: Function, requests: float, span_ns: int) -> Steps:
         """Compares R with Rmax, and adds, releases and renews replicas.
 
-        R is this rate times the dispatchers, which multiplies chance too: by one deviation of the count,
-        replicas are added on the least that R may be and released on the most.
+        R is this rate times the dispatchers, which multiplies chance too: by one deviation of the
+        count, replicas are added on the least that R may be and released on the most.
         """
         if not self.state.settings.may_request_loads:
             return
@@ -176,7 +177,7 @@
     def _release_weakest(
         self, function: Function, expected: float, retained: list[Replica], capacity: float
     ) -> None:
-        """Of equals the last of the shared order, so that dispatchers end with the same replicas."""
+        """Of equals the last in the shared order: dispatchers end with the same replicas."""
         places = {
             worker: n for n, worker in enumerate(self.placement.candidates(function, len(retained)))
         }
@@ -203,7 +204,7 @@
                 replica.is_retained = replica.is_loaded = False
 
     def is_worthwhile(self, function: Function) -> bool:
-        """One-off functions deserve no replicas; the others are retained for some of their mean gaps."""
+        """One-off functions get no replicas; others keep theirs for some of their mean gaps."""
         if function.requests < REQUESTS_OF_A_GAP:
             return False
         gap_ns = (function.last_request_ns - function.first_request_ns) // (function.requests - 1)
@@ -214,7 +215,7 @@
         return self.state.now_ns - function.last_request_ns < limit_ns
 
     def worthwhile_idle_ns(self, function: Function) -> float:
-        """How long a replica may stand idle for one request before its memory costs more than a load."""
+        """How long a replica may idle for one request before its memory costs more than a load."""
         settings = self.state.settings
         memory = self.state.index.memory / max(function.facts.memory_mb, 1.0)
         traffic = self.state.traffic
--- a/martenlead/policy/retry_budget.py
+++ b/martenlead/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: a worker earns retries by its successes, so that retries never outgrow what works.
+"""The retry budget: a worker earns retries by its successes, which bounds their number.
 
 docs/design.md, "Further hand-offs".
 """
--- a/martenlead/policy/slow_start.py
+++ b/martenlead/policy/slow_start.py
@@ -1,7 +1,7 @@
 """Rule 4, slow start: a worker that has just started gets a growing share of its requests.
 
-Each dispatcher keeps to its own part of the stated ramp; docs/design.md, "Cold workers", says how the parts
-add up and tests/test_slow_start_fleet.py plays them against the budget.
+Each dispatcher keeps to its own part of the stated ramp; docs/design.md, "Cold workers", says how
+the parts add up and tests/test_slow_start_fleet.py plays them against the budget.
 """
 
 from __future__ import annotations
@@ -28,14 +28,15 @@
         self.state = state
 
     def is_warming_up(self, worker: Worker) -> bool:
-        """Whether its process started less than a ramp ago; one whose start is not told never is."""
+        """Whether its process started less than a ramp ago; never for an unknown start."""
         return self.state.is_warming_up(worker)
 
     def end_period(self) -> None:
-        """Takes the listed weight into the highest one, which the best rate of requests is compared with.
+        """Takes the listed weight into the highest one, which the best request rate refers to.
 
-        A worker that warms up counts by its share of the ramp: the rate was carried by the others. For a
-        dispatcher that has just begun it counts in full, since its rate may be of such workers alone.
+        A worker that warms up counts by its share of the ramp: the rate was carried by the others.
+        For a dispatcher that has just begun it counts in full, since its rate may be of such
+        workers alone.
         """
         state = self.state
         if not state.highest_weight:
@@ -89,7 +90,7 @@
         return True
 
     def schedule_next(self, worker: Worker, requests: float = 1.0) -> None:
-        """Sets the time of the next attempt: when the worker may have had that many more requests."""
+        """Sets the time of the next attempt: when the worker may have that many more requests."""
         worker.ramp_rate_per_second = self._rate_per_second(worker)
         worker.next_attempt_ns = self.state.now_ns + self._gap_ns(worker, requests)
 
@@ -110,16 +111,18 @@
         """The time in which a warming worker may get that many requests of this dispatcher."""
         growth, share = self._growth_per_ns(), self._ramp_share(worker)
         warm_ns = requests * SECOND / worker.ramp_rate_per_second + 1  # that it takes a warm worker
-        # solves share * gap + growth * gap ** 2 / 2 = warm_ns: of many dispatchers, a gap spans most of it
+        # solves share * gap + growth * gap ** 2 / 2 = warm_ns: of many dispatchers, a gap spans
+        # most of it
         return int(2 * warm_ns / (share + math.sqrt(share**2 + 2 * growth * warm_ns)))
 
     def _rate_per_second(self, worker: Worker) -> float:
         """The requests of this dispatcher that the worker may get once it is warm.
 
-        It is this dispatcher's part of the ramp. Each counts what succeeded by itself, so uneven traffic
-        keeps the sum; the best, as a release lowers it, but no more than the part that succeeds of what is
-        asked now, as the best of a few requests is mostly chance. The worker may do half of what its weight
-        says. Where nothing is known, as all begin together, there is a little for all to share.
+        It is this dispatcher's part of the ramp. Each counts what succeeded by itself, so uneven
+        traffic keeps the sum; the best, as a release lowers it, but no more than the part that
+        succeeds of what is asked now, as the best of a few requests is mostly chance. The worker
+        may do half of what its weight says. Where nothing is known, as all begin together, there is
+        a little for all to share.
         """
         state, settings = self.state, self.state.settings
         part = LEAST_CAPACITY * worker.facts.weight / max(state.highest_weight, LEAST_WEIGHT)
--- a/martenlead/policy/state.py
+++ b/martenlead/policy/state.py
@@ -1,8 +1,9 @@
 """Workers, functions and replicas as this dispatcher believes in them, and the bounds on all of it.
 
-Rule 3 (drains): a worker that drains or is gone takes nothing new. `State.accepts_work` is the one place
-that says so, for attempts and load requests alike; `State.update_workers` learns of it. Times are whole
-nanoseconds of the dispatcher's clock, which whoever feeds the policy sets before each event.
+Rule 3 (drains): a worker that drains or is gone takes nothing new. `State.accepts_work` is the one
+place that says so, for attempts and load requests alike; `State.update_workers` learns of it. Times
+are whole nanoseconds of the dispatcher's clock, which whoever feeds the policy sets before each
+event.
 """
 
 from __future__ import annotations
@@ -194,7 +195,7 @@
         return Worker(facts, self.now_ns, FIRST_CONCURRENCY / self.settings.dispatchers)
 
     def update_workers(self, events: Iterable[tuple[Any, WorkerFacts]], is_snapshot: bool) -> None:
-        """What discovery says of some workers, or with a snapshot of all: who is not in it is gone."""
+        """What discovery says of some workers, or, with a snapshot, of all: others are gone."""
         events = list(events)
         named = dict(events)
         for worker, facts in events:
@@ -222,7 +223,7 @@
             self.limited_workers.pop(worker, None)
 
     def is_warming_up(self, worker: Worker) -> bool:
-        """Whether its process started less than a ramp ago; one whose start is not told never is."""
+        """Whether its process started less than a ramp ago; never for an unknown start."""
         started_ns = worker.facts.started_ns
         return bool(started_ns) and self.now_ns - started_ns < self.settings.slow_start_ns
 
@@ -242,8 +243,8 @@
     def new_function(self, facts: FunctionFacts) -> Function:
         """An object for a function's id.
 
-        Beyond the bound on functions the one longest without a request makes room, if nothing of it is
-        open.
+        Beyond the bound on functions the one longest without a request makes room, if nothing of it
+        is open.
         """
         function = Function(facts, self.now_ns)
         if len(self.functions) >= self.settings.function_limit:
--- a/martenlead/policy/tenant_shares.py
+++ b/martenlead/policy/tenant_shares.py
@@ -30,7 +30,7 @@
             self.requests_in_period[tenant] = 0
 
     def is_over(self, tenant: Tenant | None) -> bool:
-        """Counts as over its share as large a part of a tenant's requests as is beyond its rate limit."""
+        """Counts the part of a tenant's requests beyond its rate limit as over its share."""
         if tenant is None or self.state.settings.over_share >= 1:
             return False
         peers = self.state.traffic.equivalent_dispatchers
--- a/martenlead/policy/types.py
+++ b/martenlead/policy/types.py
@@ -1,8 +1,8 @@
-"""The types that cross the policy's border: settings, facts, actions and results. Nothing is decided here.
+"""The types of the policy boundary: settings, facts, actions and results. It decides nothing.
 
-Times and durations are whole nanoseconds. Ids stay outside: whoever feeds the policy keeps them and hands
-objects in, which the policy made for them; so the fields that hold these are `Any` here, and workers,
-functions and processes in the policy's own modules.
+Times and durations are whole nanoseconds. Ids stay outside: whoever feeds the policy keeps them and
+hands objects in, which the policy made for them; so the fields that hold these are `Any` here, and
+workers, functions and processes in the policy's own modules.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The workers that drop repeats of a request with an idempotency key, seen from the one that ran it."""
+    """The workers that drop repeats of a request with an idempotency key after one ran it."""
 
     ALL = "all"
     ZONE = "zone"
@@ -223,8 +223,8 @@
 class EarlierFunction:
     """What an earlier run of this dispatcher knew of a function.
 
-    The weights are in [0, 1]: what latencies and demand still count for. `bins` and `latency_sum_ns` are a
-    histogram's; the requests came within `span_ns`.
+    The weights are in [0, 1]: what latencies and demand still count for. `bins` and
+    `latency_sum_ns` are a histogram's; the requests came within `span_ns`.
     """
 
     function: Any
@@ -249,7 +249,7 @@
 
 @dataclass(slots=True, eq=False)
 class EarlierRun:
-    """What an earlier run had learnt, for a start with it; load requests given then, by their ages."""
+    """What an earlier run had learnt; load requests given then, by their ages."""
 
     succeeded_per_second: float
     new_requests_per_second: float
--- a/martenlead/system/listener.py
+++ b/martenlead/system/listener.py
@@ -202,9 +202,9 @@
                     continue
                 self._wait()
                 return
-            task = self._loop.create_task(self._connect(connection))
-            self.accepting.add(task)
-            task.add_done_callback(self._connected)
+            connecting = self._loop.create_task(self._connect(connection))
+            self.accepting.add(connecting)
+            connecting.add_done_callback(self._connected)
 
     async def _connect(self, connection: socket.socket) -> None:
         try:
@@ -219,9 +219,9 @@
                 {"message": "an accepted connection was not taken over", "exception": error}
             )
 
-    def _connected(self, task: asyncio.Task[None]) -> None:
+    def _connected(self, connecting: asyncio.Task[None]) -> None:
         """For a moment it may have counted twice, as accepted and as a client: there may be room again."""
-        self.accepting.discard(task)
+        self.accepting.discard(connecting)
         self.resume()
 
     def _pause(self) -> None:
--- a/martenlead/system/sockets.py
+++ b/martenlead/system/sockets.py
@@ -59,9 +59,9 @@
     if not readable(connection) or not hasattr(socket, "TCP_INFO"):
         return 0
     try:
-        told = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + 4)
+        tcp_info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + 4)
     except OSError:
         return 0
-    if len(told) < LAST_DATA_RECEIVED + 4:
+    if len(tcp_info) < LAST_DATA_RECEIVED + 4:
         return 0
-    return int(struct.unpack_from("=I", told, LAST_DATA_RECEIVED)[0])
+    return int(struct.unpack_from("=I", tcp_info, LAST_DATA_RECEIVED)[0])
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from martenlead.policy import types as io
-from martenlead.policy.candidates import CANDIDATES, LEAVES, RANKED_WHOLE, CandidateIndex, Ranking
+from martenlead.policy.candidates import CANDIDATES, FULLY_RANKED_WORKERS, LEAVES, CandidateIndex, Ranking
 from martenlead.policy.policy import Policy
 from martenlead.policy.state import Worker
 from tests.play import SETTINGS
@@ -57,7 +57,7 @@
 # -- up to 256 workers
 
 
-@given(SEEDS, st.integers(0, RANKED_WHOLE))
+@given(SEEDS, st.integers(0, FULLY_RANKED_WORKERS))
 @settings(max_examples=30, deadline=None)
 def test_a_short_list_is_in_the_order_of_weighted_rendezvous_hashing(seed: int, size: int) -> None:
     chance = Random(seed)
@@ -274,7 +274,7 @@
     found = marks(index_of(workers), seed, replicas)
     assert len(found) == len(set(found))
     assert set(found) <= {one.facts.mark for one in workers}
-    if size <= RANKED_WHOLE:
+    if size <= FULLY_RANKED_WORKERS:
         assert len(found) == size
     else:
         assert CANDIDATES <= len(found) <= CANDIDATES + replicas
@@ -315,7 +315,7 @@
 
 
 def test_nearly_all_leaves_empty_and_all_workers_in_one_leaf() -> None:
-    few = fleet(RANKED_WHOLE + 1)
+    few = fleet(FULLY_RANKED_WORKERS + 1)
     crowded = OneLeaf()
     for one in few:
         crowded.add(one)
@@ -325,19 +325,19 @@
 
 
 def test_a_list_that_crosses_256_is_ranked_anew_and_back_as_before() -> None:
-    workers = fleet(RANKED_WHOLE + 5)
-    index = index_of(workers[:RANKED_WHOLE])
+    workers = fleet(FULLY_RANKED_WORKERS + 5)
+    index = index_of(workers[:FULLY_RANKED_WORKERS])
     ranking = Ranking(77)
     whole = list(ranking.candidates(index, 0))
-    for one in workers[RANKED_WHOLE:]:
+    for one in workers[FULLY_RANKED_WORKERS:]:
         index.add(one)
     drawn = [one.facts.mark for one in ranking.candidates(index, 0)]
     assert drawn == marks(index, 77)
     assert len(drawn) == CANDIDATES
-    for one in workers[RANKED_WHOLE:]:
+    for one in workers[FULLY_RANKED_WORKERS:]:
         index.remove(one)
     assert list(ranking.candidates(index, 0)) == whole
-    assert len(whole) == RANKED_WHOLE
+    assert len(whole) == FULLY_RANKED_WORKERS
 
 
 def test_what_was_found_for_more_replicas_is_not_given_for_fewer() -> None:
@@ -348,7 +348,7 @@
     assert len(list(ranking.candidates(index, 0))) == CANDIDATES
 
 
-@pytest.mark.parametrize("size", [RANKED_WHOLE, RANKED_WHOLE + 1])
+@pytest.mark.parametrize("size", [FULLY_RANKED_WORKERS, FULLY_RANKED_WORKERS + 1])
 def test_workers_that_all_weigh_nothing_are_ranked_all_the_same(size: int) -> None:
     index = index_of(worker(mark, 0.0) for mark in range(size))
     assert len(marks(index, 1)) >= CANDIDATES
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -227,12 +227,12 @@
         gone = anyio.Event()
         async with play(tmp_path, {"a": [once(gone, full), done], "b": [once(gone, full), done]}) as p:
             client = await p.client()
-            await until(lambda p=p: p.node.door.clients)  # type: ignore[misc]
+            await until(lambda p=p: p.node.listener.clients)  # type: ignore[misc]
             (own,) = p.node.listener.clients
             await client.ask()
             await until(p.did)
             own.write(b" " * 8_000_000)  # more than the machine's buffers hold
-            await until(lambda own=own: own.stuck)  # type: ignore[misc]
+            await until(lambda own=own: own.write_blocked_since_ns)  # type: ignore[misc]
             await leave(client, how)
             await until(lambda p=p: p.node.dispatcher.counts["final", "left"])  # type: ignore[misc]
             gone.set()
@@ -271,7 +271,7 @@
                     first.append(conn)
 
                     def crossed(transport: Any) -> None:
-                        conn.end("no connection in time")  # the time-out is served first
+                        conn.close("no connection in time")  # the time-out is served first
                         made(transport)
 
                     conn.connection_made = crossed
@@ -388,7 +388,7 @@
         return told
 
     async with play(tmp_path, {"a": [first, second]}) as p:
-        monkeypatch.setattr("martenlead.node.worker_client.lines.read", note)
+        monkeypatch.setattr("martenlead.node.worker_client.lines.parse_response", note)
         client = await p.client()
         told = await client.call("keyed", once="0" * 32, wait=1900)
         assert (told, len(p.did()), p.runners["a"].connections) == ("satisfied", 2, 2)
@@ -571,7 +571,7 @@
         return waits.time_limit(seconds)
 
     async with play(tmp_path) as p:
-        monkeypatch.setattr("martenlead.node.serve.within", within)
+        monkeypatch.setattr("martenlead.node.serve.time_limit", within)
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: came)
         came[0].setblocking(False)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -605,7 +605,7 @@
             disk.fail(errno.ENOSPC, 1)
             second = httplink.dispatcher(
                 msgspec.structs.replace(
-                    f.edge, roster=msgspec.structs.replace(f.edge.endpoint_list, kept=str(path))
+                    f.edge, endpoint_list=msgspec.structs.replace(f.edge.endpoint_list, kept=str(path))
                 )
             )
             f.group.start_soon(second.run)
@@ -615,7 +615,7 @@
             await until(lambda: second.counts["state_save_recovered", "list"] == 1)
             disk.crash()
             found = endpoints.load_cached_endpoints(path)
-            assert found is not None and [line.id for line in found.runners] == ["a", "b"]
+            assert found is not None and [line.id for line in found.endpoints] == ["a", "b"]
 
 
 @pytest.mark.anyio
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -76,7 +76,7 @@
     machine.run(2 * SECOND)
     machine.step = step
     found = endpoints.load_cached_endpoints(path)
-    assert found is not None and [line.age_ms for line in found.runners] == [2200.0, None]
+    assert found is not None and [line.age_ms for line in found.endpoints] == [2200.0, None]
 
 
 @pytest.mark.parametrize("uptime", [-1000 * SECOND, 24 * HOUR])
@@ -94,7 +94,7 @@
     machine.uptime += uptime
     machine.step = step
     found = endpoints.load_cached_endpoints(path)
-    assert found is not None and found.runners[0].age_ms == 200.0
+    assert found is not None and found.endpoints[0].age_ms == 200.0
 
 
 def test_a_list_that_was_kept_without_a_boot_clock_is_still_read(tmp_path: Path, machine: Machine) -> None:
@@ -102,7 +102,7 @@
     line = {"id": "a", "age_ms": 200.0}
     path.write_text(json.dumps({"version": 3, "saved": machine.true / 1e9 - 3600, "runners": [line]}))
     found = endpoints.load_cached_endpoints(path)
-    assert found is not None and (found.version, found.runners[0].age_ms) == (3, 200.0)
+    assert found is not None and (found.version, found.endpoints[0].age_ms) == (3, 200.0)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -114,7 +114,7 @@
     path = tmp_path / "kept"
     async with fleet({"a": [satisfied]}) as f:
         box = f.dispatcher.workers["a"]
-        f.dispatcher.update_endpoints([replace(box.endpoint, start="anew", age_ms=500.0)], False)
+        f.dispatcher.update_endpoints([replace(box.endpoint, incarnation="anew", age_ms=500.0)], False)
         source = HttpMembership(f.edge)
         source.endpoint_list = f.dispatcher.endpoint_list
         saver = source._make_saver(path, f.dispatcher)
@@ -125,8 +125,8 @@
     machine.run(2 * SECOND)
     machine.step = step
     found = endpoints.load_cached_endpoints(path)
-    assert found is not None and found.runners[0].age_ms is not None
-    assert abs(found.runners[0].age_ms - (age_ms + 2000)) < 200
+    assert found is not None and found.endpoints[0].age_ms is not None
+    assert abs(found.endpoints[0].age_ms - (age_ms + 2000)) < 200
 
 
 @pytest.mark.anyio
@@ -134,7 +134,7 @@
     """As told by a roster that made it with a clock that was stepped back."""
     async with fleet() as f:
         box = next(iter(f.dispatcher.workers.values()))
-        line = replace(box.endpoint, start="anew", age_ms=-3_600_000.0)
+        line = replace(box.endpoint, incarnation="anew", age_ms=-3_600_000.0)
         f.dispatcher.update_endpoints([line], False)
         assert box.started_ns <= f.dispatcher.clock()
         assert f.dispatcher.clock() - box.started_ns < SECOND
@@ -165,7 +165,7 @@
     """Within its life, and in the next one from its file."""
     path = tmp_path / "planner"
     settings = PlannerSettings(state_path=str(path))
-    mirror = SimpleNamespace(all=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
+    mirror = SimpleNamespace(restored=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
     first = Planner(settings)
     first.saved_replicas.replicas_by_edge["edge"] = [("a", "m", 1, 10.0, 500.0), ("b", "m", 1, 10.0, 9500.0)]
     first.refresh_saved_replicas()
@@ -173,7 +173,7 @@
     machine.run(2 * SECOND)
     machine.step = step
     for planner in (first, Planner(settings)):
-        planner.sessions["edge"] = SimpleNamespace(mirror=mirror)  # type: ignore[assignment]
+        planner.sessions["edge"] = SimpleNamespace(policy_replica=mirror)  # type: ignore[assignment]
         assert planner.find_earlier_replicas("edge") == [("a", "m", 1, 10.0, 2500.0)]
 
 
