--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -165,7 +165,7 @@
     """Within its life, and in the next one from its file."""
     path = tmp_path / "planner"
     settings = PlannerSettings(state_path=str(path))
-    mirror = SimpleNamespace(all=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
+    mirror = SimpleNamespace(restored=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
     first = Planner(settings)
     first.saved_replicas.replicas_by_edge["edge"] = [("a", "m", 1, 10.0, 500.0), ("b", "m", 1, 10.0, 9500.0)]
     first.refresh_saved_replicas()
@@ -173,7 +173,7 @@
     machine.run(2 * SECOND)
     machine.step = step
     for planner in (first, Planner(settings)):
-        planner.sessions["edge"] = SimpleNamespace(mirror=mirror)  # type: ignore[assignment]
+        planner.sessions["edge"] = SimpleNamespace(policy_replica=mirror)  # type: ignore[assignment]
         assert planner.find_earlier_replicas("edge") == [("a", "m", 1, 10.0, 2500.0)]
 
 
