--- a/martenlead/events/client.py
+++ b/martenlead/events/client.py
@@ -1,7 +1,7 @@
-"""The asking end of HTTP/1.1 on anyio: one exchange at a time on pooled connections, each end told by its
-name.
+"""The client side of HTTP/1.1 on anyio: one exchange at a time on pooled connections.
 
-An end says what the sockets did and no more; what that proves of a task is in `runnerlink.outcomes`.
+Each exchange ends with an `ExchangeEnd`, which says what the sockets did. What that proves of a
+request is decided in `upstream.exchange_classifier`.
 """
 
 from __future__ import annotations
@@ -12,10 +12,12 @@
 from collections.abc import AsyncGenerator, Callable
 from dataclasses import dataclass
 from enum import Enum
+from http import HTTPStatus
 from time import monotonic_ns
 
 import anyio
 import anyio.lowlevel
+import httptools
 from anyio.abc import SocketAttribute, SocketStream
 
 from martenlead.events.http import InvalidMessageError, Message, MessageLimits, Reader
@@ -27,14 +29,15 @@
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     OSError,
-    RuntimeError,  # of an event loop that has closed the transport and not told of it
+    RuntimeError,  # of an event loop that has closed the transport silently
 )
 
 
 class ExchangeEnd(Enum):
-    """How an exchange ended. Before ANSWERED, what comes first in this list came first on the socket."""
+    """How an exchange ended, in the order in which it can happen on a socket."""
 
-    NO_SLOT = "all connections that may be open are busy"  # or there is no descriptor, memory or port for one
+    # also where the machine has no descriptor, memory or port for a connection
+    NO_SLOT = "all connections that may be open are busy"
     REFUSED = "the peer refused the connection, or it could not be reached"
     CONNECT_TIMEOUT = "no connection in time; not a byte was sent"
     WITHHELD = "its time to begin was over before the first byte; the connection ends unused"
@@ -46,55 +49,62 @@
 
 @dataclass(slots=True)
 class Exchange:
+    """One request and what came of it; `message` is the response, `detail` explains another end."""
+
     end: ExchangeEnd
     message: Message | None = None
     detail: str = ""
 
 
 class SendProgress:
-    """How far an exchange has come that its caller may cancel."""
+    """How far an exchange has come, for a caller that may cancel it."""
 
     __slots__ = ("has_written", "may_send")
 
     def __init__(self, may_send: Callable[[], bool] = lambda: True) -> None:
-        """`may_begin` is asked as the first byte would leave, after any wait for a connection."""
+        """`may_send` is called once there is a connection, just before the first byte leaves."""
         self.may_send = may_send
-        self.has_written = False  # from here on a byte may have left
+        self.has_written = False  # whether a byte may have left
 
 
 class _Connection:
-    __slots__ = ("descriptor", "poll", "reader", "since", "stream")
+    """An open connection, and how to see whether its peer has closed it."""
+
+    __slots__ = ("descriptor", "idle_since_ns", "poll", "reader", "stream")
 
     def __init__(self, stream: SocketStream, limits: MessageLimits) -> None:
         self.stream = stream
         self.descriptor: int = stream.extra(SocketAttribute.raw_socket).fileno()
         self.reader = Reader(limits, requests=False)
-        self.since = 0
+        self.idle_since_ns = 0
         self.poll = select.poll()
         self.poll.register(self.descriptor, select.POLLIN | select.POLLHUP | select.POLLERR)
 
-    def stale(self) -> bool:
-        """Anything to read on an idle connection is its end, or bytes that answer nothing. One that cannot
-        be asked is not used again."""
+    def is_stale(self) -> bool:
+        """Whether anything has come on an idle connection: its end, or bytes that answer nothing.
+
+        A connection that cannot be polled is not used again either.
+        """
         try:
             return bool(self.poll.poll(0))
         except OSError:
             return True
 
-    def stray(self) -> bool:
-        """Whether what came on a stale connection are bytes, and not only its end."""
+    def has_stray_bytes(self) -> bool:
+        """Whether bytes have come on a stale connection, and not only its end."""
         try:
-            with socket.socket(fileno=os.dup(self.descriptor)) as own:
-                return bool(own.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+            with socket.socket(fileno=os.dup(self.descriptor)) as duplicate:
+                return bool(duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:  # also where no descriptor is left to look with
             return False
 
 
 class Pool:
-    """Connections to one peer. Times are ns.
+    """Connections to one peer.
 
-    An idle connection is used again only within `idle` and while nothing has come on it. A peer can still
-    close it just as a request is written: that ends CLOSED, and whether the request was read is not known.
+    An idle connection is used again within `idle_timeout_ns` and while nothing has come on it. A
+    peer can still close it just as a request is written: that ends CLOSED, and nobody knows whether
+    the request was read.
     """
 
     def __init__(
@@ -108,45 +118,44 @@
         limits: MessageLimits | None = None,
     ) -> None:
         self.host, self.port = host, port
-        self.connection_limit, self.idle_timeout_ns, self.connect_timeout_ns = (
-            connection_limit,
-            idle_timeout_ns,
-            connect_timeout_ns,
-        )
+        self.connection_limit = connection_limit
+        self.idle_timeout_ns = idle_timeout_ns
+        self.connect_timeout_ns = connect_timeout_ns
         self.limits = limits or MessageLimits()
         self.open_connections = 0
         self.connections_opened = 0
-        self.stray_responses = 0  # answers, or other bytes, that no request of ours asked for
+        self.stray_responses = 0  # responses, or other bytes, that no request of ours asked for
         self._idle: list[_Connection] = []
 
     async def exchange(
         self, data: bytes | Callable[[], bytes], sending: SendProgress | None = None
     ) -> Exchange:
-        """Sends one request and waits for its answer, without an end of its own: the caller's scope sets it.
-        A request that states a time left is made by a call, once there is a connection.
+        """Sends one request and waits for its response; the caller's cancel scope limits the time.
 
-        Cancelled, or ended by anything but a whole answer that keeps the connection, it closes the
-        connection: no late answer can meet a later request.
+        `data` is a function for a request that states the time left: it is called once there is a
+        connection. Unless a complete response ends the exchange and keeps the connection, the
+        connection is closed: a late response cannot be taken for that of a later request.
         """
         connection = await self._reuse()
         if connection is None:
             if self.open_connections >= self.connection_limit:
                 return Exchange(ExchangeEnd.NO_SLOT)
             self.open_connections += 1
-            made = await self._connect()
-            if isinstance(made, Exchange):
+            connected = await self._connect()
+            if isinstance(connected, Exchange):
                 self.open_connections -= 1
-                return made
-            connection = made
-        good = False
+                return connected
+            connection = connected
+        is_reusable = False
         try:
             exchange = await self._exchange(connection, data, sending or SendProgress())
             message = exchange.message
-            good = exchange.end is ExchangeEnd.ANSWERED and message is not None and message.keep_alive
+            is_answered = exchange.end is ExchangeEnd.ANSWERED
+            is_reusable = is_answered and message is not None and message.keep_alive
             return exchange
         finally:
-            if good:
-                connection.since = monotonic_ns()
+            if is_reusable:
+                connection.idle_since_ns = monotonic_ns()
                 self._idle.append(connection)
             else:
                 self.open_connections -= 1
@@ -154,19 +163,20 @@
                     await anyio.aclose_forcefully(connection.stream)
 
     async def _reuse(self) -> _Connection | None:
+        """An idle connection that is still good; closes those that are not."""
         while self._idle:
             connection = self._idle.pop()
-            stale = connection.stale()
-            if not stale and monotonic_ns() - connection.since < self.idle_timeout_ns:
+            is_stale = connection.is_stale()
+            if not is_stale and monotonic_ns() - connection.idle_since_ns < self.idle_timeout_ns:
                 return connection
             self.open_connections -= 1
-            self.stray_responses += stale and connection.stray()
+            self.stray_responses += is_stale and connection.has_stray_bytes()
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(connection.stream)
         return None
 
     async def _connect(self) -> _Connection | Exchange:
-        """Whatever fails here, not a byte of a request was sent."""
+        """Opens a connection; whatever fails here, no byte of a request has left."""
         try:
             with anyio.fail_after(self.connect_timeout_ns / 1e9):
                 stream = await anyio.connect_tcp(self.host, self.port)
@@ -181,7 +191,11 @@
         self.connections_opened += 1
         try:
             return _Connection(stream, self.limits)
-        except (AttributeError, OSError, ValueError):  # reset while it was being made: no socket any more
+        except (
+            AttributeError,
+            OSError,
+            ValueError,
+        ):  # reset meanwhile: there is no socket any more
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
             return Exchange(ExchangeEnd.REFUSED, detail="reset as soon as it was made")
@@ -189,8 +203,9 @@
     async def _exchange(
         self, connection: _Connection, data: bytes | Callable[[], bytes], sending: SendProgress
     ) -> Exchange:
+        """Sends one request on a connection and reads its response."""
         stream, reader = connection.stream, connection.reader
-        begun = False
+        has_begun = False
         try:
             await anyio.lowlevel.checkpoint_if_cancelled()
             if not sending.may_send():
@@ -198,19 +213,16 @@
             sending.has_written = True
             await stream.send(data if isinstance(data, bytes) else data())
             while True:
-                part = await stream.receive()
-                begun = True
-                done = reader.feed(part)
-                if done:
-                    if len(done) > 1 or reader.in_message:
-                        done[
-                            0
-                        ].keep_alive = (
-                            False  # answers nobody asked for: the first counts, the rest is dropped
-                        )
-                    return Exchange(ExchangeEnd.ANSWERED, done[0])
+                received = await stream.receive()
+                has_begun = True
+                completed = reader.feed(received)
+                if completed:
+                    if len(completed) > 1 or reader.in_message:
+                        # what comes behind the first response answers nothing: the connection ends
+                        completed[0].keep_alive = False
+                    return Exchange(ExchangeEnd.ANSWERED, completed[0])
         except CONNECTION_ERRORS:
-            return Exchange(ExchangeEnd.CUT if begun else ExchangeEnd.CLOSED)
+            return Exchange(ExchangeEnd.CUT if has_begun else ExchangeEnd.CLOSED)
         except InvalidMessageError as error:
             if reader.completed:
                 reader.completed[0].keep_alive = False
@@ -219,75 +231,76 @@
             return Exchange(ExchangeEnd.GARBAGE, detail=error.detail)
 
     async def close(self) -> None:
+        """Closes the idle connections; exchanges close the others."""
         idle, self._idle = self._idle, []
         for connection in idle:
             self.open_connections -= 1
-            self.stray_responses += connection.stale() and connection.stray()
+            self.stray_responses += connection.is_stale() and connection.has_stray_bytes()
             await anyio.aclose_forcefully(connection.stream)
 
 
 async def read_lines(
     host: str, port: int, data: bytes, *, silence_timeout_seconds: float, max_line_bytes: int
 ) -> AsyncGenerator[bytes]:
-    """The lines of a chunked answer that does not end, as they come.
+    """The lines of a chunked response that does not end, as they come.
 
-    Raises OSError, anyio's errors of a broken stream, TimeoutError after `quiet` seconds without a connection
-    or without a byte, and
-    `BadMessage` for an answer other than 200 or a line over `longest` bytes.
+    Raises:
+        OSError: The connection failed, as do anyio's errors of a broken stream.
+        TimeoutError: No connection, or no byte, within `silence_timeout_seconds`.
+        InvalidMessageError: The status is not 200, or a line is over `max_line_bytes`.
     """
     with anyio.fail_after(silence_timeout_seconds):
         stream = await anyio.connect_tcp(host, port)
     try:
         with anyio.fail_after(silence_timeout_seconds):
             await stream.send(data)
-        left = b""
-        status = 0
-        reader = _Stream()
+        unfinished = b""
+        body = _StreamedBody()
         while True:
             with anyio.fail_after(silence_timeout_seconds):
-                part = await stream.receive()
-            left += reader.feed(part)
-            status = reader.status
-            if status not in (0, 200):
-                raise InvalidMessageError(502, f"status {status}")
-            *whole, left = left.split(b"\n")
-            if len(left) > max_line_bytes:
+                received = await stream.receive()
+            unfinished += body.feed(received)
+            if body.status not in (0, HTTPStatus.OK):
+                raise InvalidMessageError(502, f"status {body.status}")
+            *finished, unfinished = unfinished.split(b"\n")
+            if len(unfinished) > max_line_bytes:
                 raise InvalidMessageError(502, f"a line over {max_line_bytes} bytes")
-            for line in whole:
+            for line in finished:
                 if line:
                     yield line
-            if reader.ended:
+            if body.has_ended:
                 return
     finally:
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(stream)
 
 
-class _Stream:
-    """The body of one answer as it comes."""
+class _StreamedBody:
+    """The body of one response, in the parts in which it comes."""
 
     def __init__(self) -> None:
-        import httptools
-
         self.parser = httptools.HttpResponseParser(self)
         self.parts: list[bytes] = []
-        self.status = 0
-        self.ended = False
-        self._errors = httptools.HttpParserError
+        self.status = 0  # until the head is complete
+        self.has_ended = False
 
     def on_headers_complete(self) -> None:
+        """The head is complete; called by the parser."""
         self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
+        """A part of the body; called by the parser."""
         self.parts.append(body)
 
     def on_message_complete(self) -> None:
-        self.ended = True
+        """The response is complete; called by the parser."""
+        self.has_ended = True
 
     def feed(self, data: bytes) -> bytes:
+        """The part of the body that is in these bytes. Raises `InvalidMessageError`."""
         self.parts.clear()
         try:
             self.parser.feed_data(data)
-        except self._errors as error:
+        except httptools.HttpParserError as error:
             raise InvalidMessageError(502, f"not HTTP/1.1: {error}") from None
         return b"".join(self.parts)
--- a/martenlead/events/cloudevent.py
+++ b/martenlead/events/cloudevent.py
@@ -1,7 +1,7 @@
-"""CloudEvents 1.0.2 (core) in the HTTP protocol binding 1.0.2 and the JSON format 1.0.2, both directions.
+"""CloudEvents 1.0.2 (core): HTTP protocol binding 1.0.2 and JSON format 1.0.2, both directions.
 
-Attributes are kept with the type that the format gave them: strings, integers and booleans. The data is
-bytes, as they came, or None where there is none: an empty body with a content type is empty data.
+Attributes keep the type that the format gave them: strings, integers and booleans. The data is
+bytes, as they came, or None where there is none; an empty body with a content type is empty data.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from datetime import datetime
 from functools import lru_cache
-from typing import Any
+from http import HTTPStatus
 
 import msgspec
 
@@ -25,34 +25,41 @@
 RFC3339_TIME = re.compile(r"\d{4}-\d\d-\d\d[Tt]\d\d:\d\d:\d\d(\.\d+)?([Zz]|[+-]\d\d:\d\d)\Z")
 RESERVED_NAMES = frozenset({"data", "data_base64"})
 REQUIRED_ATTRIBUTES = ("specversion", "id", "source", "type")
-INTEGER_LIMIT = 2**31
+INTEGER_LIMIT = 2**31  # of the core specification: 32 bits with a sign
 UNESCAPED_BYTES = frozenset(range(0x21, 0x7F)) - {0x22, 0x25}
+BAD_REQUEST = HTTPStatus.BAD_REQUEST.value
+UNSUPPORTED_MEDIA_TYPE = HTTPStatus.UNSUPPORTED_MEDIA_TYPE.value
+EVENT_MEDIA_TYPES = b"application/cloudevents"  # their common beginning
 UNESCAPED_TEXT = re.compile(r"[!#$&-~]*\Z")  # needs no percent-encoding
 
 
 class InvalidEventError(Exception):
-    """The message is no event. `attribute` names what is wrong, `status` what the sender is to be told."""
+    """The message is not a valid event.
 
-    def __init__(self, attribute: str, detail: str, status: int = 400) -> None:
+    `attribute` names what is wrong, `status` is for the response to the sender.
+    """
+
+    def __init__(self, attribute: str, detail: str, status: int = BAD_REQUEST) -> None:
         super().__init__(f"{attribute}: {detail}")
         self.attribute, self.detail, self.status = attribute, detail, status
 
 
 @dataclass(slots=True)
 class Event:
-    """`attributes` without `datacontenttype`, which is `content_type`; `specversion` is always 1.0."""
+    """One event; `content_type` is its attribute `datacontenttype`."""
 
     attributes: dict[str, AttributeValue]
     data: bytes | None = None
     content_type: str | None = None
 
     def text(self, name: str) -> str | None:
+        """An attribute in its canonical string form; None where it is absent."""
         value = self.attributes.get(name)
         return None if value is None else _canonical(value)
 
     @property
     def identity(self) -> tuple[str, str]:
-        """Source and id: the same for every repeat of one event (CloudEvents core, `id`)."""
+        """Source and id: the same in every repeat of an event (CloudEvents core, `id`)."""
         return str(self.attributes["source"]), str(self.attributes["id"])
 
 
@@ -63,7 +70,7 @@
 
 
 def parse_time(text: str, attribute: str = "time") -> float:
-    """Seconds since 1970 of an RFC 3339 timestamp. Raises `BadEvent`."""
+    """Seconds since 1970 of an RFC 3339 timestamp. Raises `InvalidEventError`."""
     if not RFC3339_TIME.match(text):
         raise InvalidEventError(attribute, "an RFC 3339 time was expected")
     try:
@@ -72,7 +79,7 @@
         raise InvalidEventError(attribute, "an RFC 3339 time was expected") from None
 
 
-def _check(event: Event) -> Event:
+def _check_attributes(event: Event) -> Event:
     attributes = event.attributes
     for name in REQUIRED_ATTRIBUTES:
         if name not in attributes:
@@ -94,23 +101,25 @@
     text = _canonical(value)
     if UNESCAPED_TEXT.match(text):
         return text.encode()
-    return b"".join(b"%c" % b if b in UNESCAPED_BYTES else b"%%%02X" % b for b in text.encode())
+    return b"".join(
+        b"%c" % byte if byte in UNESCAPED_BYTES else b"%%%02X" % byte for byte in text.encode()
+    )
 
 
 def decode_value(raw: bytes, attribute: str) -> str:
-    """The text of a header value, quoted or not. Raises `BadEvent`."""
+    """The text of a header value, quoted or not. Raises `InvalidEventError`."""
     if raw[:1] == b'"':
-        if len(raw) < 2 or raw[-1:] != b'"':
+        if len(raw) == 1 or raw[-1:] != b'"':
             raise InvalidEventError(attribute, "a quoted text without its end")
         raw = re.sub(rb"\\(.)", rb"\1", raw[1:-1])
     if b"%" in raw:
         parts = raw.split(b"%")
-        out = [parts[0]]
+        decoded = [parts[0]]
         for part in parts[1:]:
             if not re.match(rb"[0-9A-Fa-f]{2}", part):
                 raise InvalidEventError(attribute, "a percent sign without two hexadecimal digits")
-            out += [bytes.fromhex(part[:2].decode()), part[2:]]
-        raw = b"".join(out)
+            decoded += [bytes.fromhex(part[:2].decode()), part[2:]]
+        raw = b"".join(decoded)
     try:
         return raw.decode()
     except UnicodeDecodeError:
@@ -118,6 +127,7 @@
 
 
 def media_type(raw: bytes | None) -> bytes:
+    """The media type of a Content-Type header, in lower case and without its parameters."""
     return (raw or b"").split(b";")[0].strip().lower()
 
 
@@ -133,20 +143,11 @@
 
 
 def decode_event(headers: Headers, body: bytes) -> Event:
-    """The event that a message carries, in binary or structured mode. Raises `BadEvent`."""
-    content = None
-    for name, value in headers:
-        if name == b"content-type":
-            if content is not None:
-                raise InvalidEventError("datacontenttype", "Content-Type is told twice")
-            content = value
-    kind = media_type(content)
-    if kind.startswith(BATCH_MEDIA_TYPE):
-        raise InvalidEventError("datacontenttype", "batches are not taken", 415)
-    if kind.startswith(b"application/cloudevents"):
-        if kind != STRUCTURED_MEDIA_TYPE:
-            raise InvalidEventError("datacontenttype", "of the event formats only JSON is taken", 415)
-        return decode_json_event(body)
+    """The event of a message, in binary or structured mode. Raises `InvalidEventError`."""
+    content_type = _find_content_type(headers)
+    kind = media_type(content_type)
+    if kind.startswith(EVENT_MEDIA_TYPES):
+        return _decode_structured(kind, body)
     attributes: dict[str, AttributeValue] = {}
     for name, value in headers:
         if not name.startswith(b"ce-"):
@@ -156,67 +157,97 @@
             raise InvalidEventError(key, "the attribute is told twice")
         attributes[key] = decode_value(value, key)
     if not attributes:
-        raise InvalidEventError(
-            "specversion", "no event: neither ce- headers nor application/cloudevents+json", 415
-        )
+        detail = "no event: neither ce- headers nor application/cloudevents+json"
+        raise InvalidEventError("specversion", detail, UNSUPPORTED_MEDIA_TYPE)
     text = None
-    if content is not None:
+    if content_type is not None:
         try:
-            text = content.decode("ascii")
+            text = content_type.decode("ascii")
         except UnicodeDecodeError:
             raise InvalidEventError("datacontenttype", "not ASCII") from None
-    return _check(Event(attributes, body if body or content is not None else None, text))
+    has_data = bool(body) or content_type is not None
+    return _check_attributes(Event(attributes, body if has_data else None, text))
 
 
-_json = msgspec.json.Decoder(dict[str, msgspec.Raw])
-_value = msgspec.json.Decoder()
+def _find_content_type(headers: Headers) -> bytes | None:
+    content_type = None
+    for name, value in headers:
+        if name == b"content-type":
+            if content_type is not None:
+                raise InvalidEventError("datacontenttype", "Content-Type is told twice")
+            content_type = value
+    return content_type
+
+
+def _decode_structured(kind: bytes, body: bytes) -> Event:
+    """The event of a message with one of the event formats' media types."""
+    if kind.startswith(BATCH_MEDIA_TYPE):
+        detail = "batches are not taken"
+        raise InvalidEventError("datacontenttype", detail, UNSUPPORTED_MEDIA_TYPE)
+    if kind != STRUCTURED_MEDIA_TYPE:
+        detail = "of the event formats only JSON is taken"
+        raise InvalidEventError("datacontenttype", detail, UNSUPPORTED_MEDIA_TYPE)
+    return decode_json_event(body)
+
+
+_members_decoder = msgspec.json.Decoder(dict[str, msgspec.Raw])
+_value_decoder = msgspec.json.Decoder()
 
 
 def decode_json_event(body: bytes) -> Event:
-    """An event in the JSON format. Raises `BadEvent`."""
+    """An event in the JSON format. Raises `InvalidEventError`."""
     try:
-        members = _json.decode(body)
+        members = _members_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
         raise InvalidEventError("data", "the body is not a JSON object") from None
+    attributes = _decode_attributes(members)
+    content_type = attributes.pop("datacontenttype", None)
+    if content_type is not None and not isinstance(content_type, str):
+        raise InvalidEventError("datacontenttype", "a text was expected")
+    if "data" in members and "data_base64" in members:
+        raise InvalidEventError("data", "both data and data_base64")
+    data: bytes | None = None
+    if "data_base64" in members:
+        data = _decode_base64(members["data_base64"])
+    elif "data" in members:
+        data = bytes(members["data"])
+        if is_json(content_type):
+            content_type = content_type or "application/json"
+        else:
+            value = _value_decoder.decode(data)
+            data = value.encode() if isinstance(value, str) else data
+    return _check_attributes(Event(attributes, data, content_type))
+
+
+def _decode_attributes(members: dict[str, msgspec.Raw]) -> dict[str, AttributeValue]:
+    """All members but those of the data."""
     attributes: dict[str, AttributeValue] = {}
     for name, raw in members.items():
         if name in RESERVED_NAMES:
             continue
         if not ATTRIBUTE_NAME.match(name):
             raise InvalidEventError(name[:64], "attribute names are lower-case letters and digits")
-        value: Any = _value.decode(raw)
+        value = _value_decoder.decode(raw)
         if value is None:
             continue  # JSON format 1.0.2, section 2.2: null is the same as absent
-        if (isinstance(value, int) and not -INTEGER_LIMIT <= value < INTEGER_LIMIT) or not isinstance(
-            value, (str, int)
-        ):
-            raise InvalidEventError(name, "a text, a whole number of 32 bits or a boolean was expected")
+        is_too_large = isinstance(value, int) and not -INTEGER_LIMIT <= value < INTEGER_LIMIT
+        if is_too_large or not isinstance(value, (str, int)):
+            detail = "a text, a whole number of 32 bits or a boolean was expected"
+            raise InvalidEventError(name, detail)
         attributes[name] = value
-    content = attributes.pop("datacontenttype", None)
-    if content is not None and not isinstance(content, str):
-        raise InvalidEventError("datacontenttype", "a text was expected")
-    data: bytes | None = None
-    if "data" in members and "data_base64" in members:
-        raise InvalidEventError("data", "both data and data_base64")
-    if "data_base64" in members:
-        value = _value.decode(members["data_base64"])
-        try:
-            data = b64decode(value, validate=True)
-        except (TypeError, ValueError):
-            raise InvalidEventError("data_base64", "Base64 was expected") from None
-    elif "data" in members:
-        raw_data = bytes(members["data"])
-        if is_json(content):
-            data = raw_data
-            content = content or "application/json"
-        else:
-            value = _value.decode(raw_data)
-            data = value.encode() if isinstance(value, str) else raw_data
-    return _check(Event(attributes, data, content))
+    return attributes
+
+
+def _decode_base64(raw: msgspec.Raw) -> bytes:
+    text = _value_decoder.decode(raw)
+    try:
+        return b64decode(text, validate=True)
+    except (TypeError, ValueError):
+        raise InvalidEventError("data_base64", "Base64 was expected") from None
 
 
 def is_json(content_type: str | None) -> bool:
-    """Whether data of that type stands in the JSON format as it is (section 3.1)."""
+    """Whether the JSON format holds data of that type as JSON (section 3.1)."""
     if content_type is None:
         return True
     kind = content_type.split(";")[0].strip().lower()
@@ -235,13 +266,13 @@
 
 def encode_json_event(event: Event) -> bytes:
     """The body in structured mode, in the JSON format."""
-    members: dict[str, Any] = dict(event.attributes)
+    members: dict[str, object] = dict(event.attributes)
     if event.content_type is not None:
         members["datacontenttype"] = event.content_type
     if event.data is not None:
         if is_json(event.content_type):
             try:
-                _value.decode(event.data)
+                _value_decoder.decode(event.data)
                 members["data"] = msgspec.Raw(event.data)
             except (msgspec.DecodeError, UnicodeDecodeError):
                 members["data_base64"] = b64encode(event.data).decode()
--- /dev/null
+++ b/martenlead/events/connection.py
@@ -0,0 +1,353 @@
+"""One connection of an HTTP/1.1 server: pipelining in order, bounds on what a client can hold.
+
+Each request is begun when it has been read, also behind one that still runs, as its time runs
+too. Responses leave in the order of the requests (RFC 9112, section 9.3.2). A client that closes
+its sending side counts as disconnected: HTTP/1.1 clients keep it open until they have their
+response.
+
+A request that was read is answered before the connection closes: when the server drains or makes
+room, behind a message that is not valid, and where its handler fails.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from contextlib import aclosing, suppress
+from dataclasses import dataclass
+from http import HTTPStatus
+from time import monotonic_ns
+from typing import Any
+
+import anyio
+from anyio.abc import SocketAttribute, SocketStream, TaskGroup
+
+from martenlead.events.http import (
+    Headers,
+    InvalidMessageError,
+    Message,
+    Reader,
+    chunk,
+    response,
+)
+from martenlead.events.server_interface import ConnectionOwner, Reply
+from martenlead.system.sockets import has_ended, readable
+
+READ_BYTES = (
+    16_384  # of one read: all its messages are parsed at once, and a slow handler holds them
+)
+READ_AHEAD_BYTES = 262_144  # read while no request may be begun, for an end behind them to show
+HANGUP_CHECK_SECONDS = 0.02  # between two checks for a client's end while no request may be begun
+REJECT_SECONDS = 1.0  # for the response to a connection beyond the limit
+LINGER_SECONDS = 0.25  # for the client to read its response and to close
+LINGER_BYTES = 1 << 20  # that are read and dropped meanwhile
+NEVER_NS = 1 << 62  # a start of writing that is never overdue
+CLIENT_GONE_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
+REQUEST_TIMEOUT = HTTPStatus.REQUEST_TIMEOUT.value
+INTERNAL_SERVER_ERROR = HTTPStatus.INTERNAL_SERVER_ERROR.value
+
+
+class _ResponseSlot:
+    """The place of one response in the order in which they leave."""
+
+    __slots__ = ("is_last", "reply")
+
+    def __init__(self, is_last: bool) -> None:
+        self.reply: Reply | None = None
+        self.is_last = is_last
+
+
+@dataclass(slots=True, frozen=True)
+class _Received:
+    """Bytes of a connection; `arrived_ns` is the earliest time at which they can have come."""
+
+    data: bytes
+    read_ns: int
+    arrived_ns: int
+
+
+class Connection:
+    """One client's connection.
+
+    One task answers its requests one after the other. Each pipelined request has a task of its own.
+    """
+
+    def __init__(self, server: ConnectionOwner, stream: SocketStream) -> None:
+        self.server, self.stream = server, stream
+        self.limits = server.limits
+        self.reader = Reader(self.limits.message, requests=True)
+        self.slots: deque[_ResponseSlot] = deque()
+        self.write_started_ns = 0  # 0 while nothing is written
+        self.last_read_ns = monotonic_ns()  # or when the message that is being read had begun
+        self.scope = anyio.CancelScope()
+        self.read_scope = anyio.CancelScope()
+        self.has_sent_request = False
+        self.is_closing = False  # closes once all requests that were read are answered
+        self.is_too_slow = False
+        self.has_last_request = False  # nothing more is read
+        self._unbegun = 0  # requests that were read and wait for a slot
+        self._unread_since_ns = 0  # since when bytes may wait behind those that were read ahead
+        self._read_ahead: deque[_Received] = deque()
+        self._read_ahead_bytes = 0
+        self._slot_wait = anyio.CancelScope()
+        self._job: tuple[Message, int, _ResponseSlot] | None = None
+        self._has_job = anyio.Event()
+        self._is_worker_idle = False
+        self._socket: Any = None  # `Any`: the event loop's own type, see system/sockets.py
+        with suppress(AttributeError):  # reset while it was being made: it has no socket any more
+            self._socket = stream.extra(SocketAttribute.raw_socket)
+
+    # -- its client, and its end
+
+    def _has_nothing_unread(self) -> bool:
+        if self._unbegun or self._read_ahead or self.reader.in_message:
+            return False
+        return not readable(self._socket)
+
+    def has_left(self) -> bool:
+        """Whether the client has closed the connection, or its sending side.
+
+        The kernel is asked, as the event loop may not have read the end yet. Unread bytes are no
+        end.
+        """
+        return has_ended(self._socket)
+
+    def end(self) -> None:
+        """Cancels all its requests, in a later turn of the event loop."""
+        self.scope.cancel()
+
+    def close_if_idle(self, before_ns: int) -> bool:
+        """Closes it where no request is in flight or unread; whether it does.
+
+        One that was opened after `before_ns` and has sent no request yet stays open. Only reading
+        is cancelled: a request that the event loop has read in this turn is still answered.
+        """
+        is_young = not self.has_sent_request and self.last_read_ns > before_ns
+        if self.is_closing or self.slots or is_young or not self._has_nothing_unread():
+            return False
+        self.is_closing = True
+        self.read_scope.cancel()
+        return True
+
+    def close_if_overdue(self, now_ns: int) -> None:
+        """Closes it where the client has not read, finished its request or sent one in time."""
+        if self.write_started_ns:
+            if now_ns - self.write_started_ns > self.limits.write_timeout_ns:
+                self.scope.cancel()
+        elif self.reader.in_message:
+            if now_ns - self.last_read_ns > self.limits.receive_timeout_ns:
+                self.is_too_slow = True
+                self.read_scope.cancel()
+        elif not self.slots and now_ns - self.last_read_ns > self.limits.idle_timeout_ns:
+            self.close_if_idle(now_ns)
+
+    async def reject(self, reply: Reply) -> None:
+        """Responds before anything was read, and closes."""
+        with anyio.move_on_after(REJECT_SECONDS), suppress(*CLIENT_GONE_ERRORS):
+            await self.write(reply, is_last=True)
+            await self._linger()
+
+    async def run(self) -> None:
+        """Serves the connection until it has ended."""
+        try:
+            with self.scope:
+                async with anyio.create_task_group() as group:
+                    is_open = await self._serve(group)
+                    group.cancel_scope.cancel()
+                if is_open and self.has_last_request:
+                    await self._linger()
+        finally:
+            await anyio.aclose_forcefully(self.stream)
+
+    async def _serve(self, group: TaskGroup) -> bool:
+        """Reads, and waits until all is answered; false where the client has gone meanwhile."""
+        error = None
+        try:
+            with self.read_scope:
+                error = await self._read(group)
+        except CLIENT_GONE_ERRORS:
+            return False
+        if self.is_too_slow:
+            error = InvalidMessageError(REQUEST_TIMEOUT, "the message took too long to arrive")
+        if error is not None:
+            slot = _ResponseSlot(is_last=True)
+            self.slots.append(slot)
+            await self._put(slot, self.server.make_error_reply(error.status, error.detail))
+        with suppress(*CLIENT_GONE_ERRORS):
+            while self.slots:  # the last request is in flight: its client may still disconnect
+                await self.stream.receive()
+        return True
+
+    # -- reading
+
+    async def _read(self, group: TaskGroup) -> InvalidMessageError | None:
+        """Reads and begins requests until the last one; what made the bytes unreadable, if any."""
+        reader, slots = self.reader, self.slots
+        group.start_soon(self._work)
+        while not self.has_last_request:
+            was_in_message = reader.in_message
+            received = await self._receive()
+            if not was_in_message:
+                self.last_read_ns = received.read_ns
+            messages, error = self._parse(received.data)
+            self.has_sent_request = self.has_sent_request or bool(messages)
+            self._unbegun = len(messages)
+            for message in messages:
+                message.peer = self
+                # one read can hold far more small requests than may be begun at a time
+                await self._wait_for_slot()
+                self._unbegun -= 1
+                self.has_last_request = self.has_last_request or not message.keep_alive
+                slot = _ResponseSlot(self.has_last_request)
+                slots.append(slot)
+                if self._is_worker_idle:
+                    self._is_worker_idle = False
+                    self._job = message, received.arrived_ns, slot
+                    self._has_job.set()
+                else:
+                    group.start_soon(self._answer, message, received.arrived_ns, slot)
+                if self.has_last_request:
+                    self._unbegun = 0  # a client sends nothing behind a request that closes
+                    return None
+            if error is not None:
+                self.has_last_request = True
+                return error
+            if reader.expects_continue and not slots:
+                reader.expects_continue = False
+                await self.stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
+        return None
+
+    def _parse(self, data: bytes) -> tuple[list[Message], InvalidMessageError | None]:
+        """The messages that these bytes complete, and what made the rest unreadable."""
+        try:
+            return self.reader.feed(data), None
+        except InvalidMessageError as error:
+            return self.reader.completed, error
+
+    async def _receive(self) -> _Received:
+        """The next bytes, first those that were read ahead."""
+        if not self._read_ahead:
+            return await self._receive_unread()
+        received = self._read_ahead.popleft()
+        self._read_ahead_bytes -= len(received.data)
+        return received
+
+    async def _receive_unread(self) -> _Received:
+        data = await self.stream.receive(READ_BYTES)
+        now_ns = monotonic_ns()
+        arrived_ns = self.server.earliest_arrival_ns(now_ns)
+        if self._unread_since_ns:
+            arrived_ns = min(arrived_ns, self._unread_since_ns)
+            if len(data) < READ_BYTES and not readable(self._socket):
+                self._unread_since_ns = 0
+        return _Received(data, now_ns, arrived_ns)
+
+    async def _wait_for_slot(self) -> None:
+        """Waits until a further request may be begun.
+
+        Meanwhile it reads ahead and asks the kernel, as the client may disconnect. Raises
+        EndOfStream then, or another error of the stream.
+        """
+        while len(self.slots) >= self.limits.max_pipelined:
+            with anyio.move_on_after(HANGUP_CHECK_SECONDS) as self._slot_wait:
+                if self._read_ahead_bytes >= READ_AHEAD_BYTES:
+                    self._unread_since_ns = self._unread_since_ns or self._read_ahead[-1].read_ns
+                    await anyio.sleep_forever()
+                received = await self._receive_unread()
+                self._read_ahead.append(received)
+                self._read_ahead_bytes += len(received.data)
+            if self.has_left():
+                raise anyio.EndOfStream
+
+    # -- answering
+
+    async def _work(self) -> None:
+        """Answers one request after the other, so that most connections need no further task."""
+        while True:
+            self._is_worker_idle = True
+            await self._has_job.wait()
+            self._has_job = anyio.Event()
+            assert self._job is not None
+            message, arrived_ns, slot = self._job
+            self._job = None  # its message refers to this connection: a circle
+            await self._answer(message, arrived_ns, slot)
+
+    async def _answer(self, message: Message, arrived_ns: int, slot: _ResponseSlot) -> None:
+        try:
+            reply = await self.server.handler(message, arrived_ns)
+        except Exception as error:
+            reply = self.server.handle_fault(error)
+        await self._put(slot, reply)
+
+    async def _put(self, slot: _ResponseSlot, reply: Reply) -> None:
+        """Fills a slot, and writes all responses whose turn it is unless another task does."""
+        slot.reply = reply
+        if self.write_started_ns:
+            return
+        self.write_started_ns = monotonic_ns()
+        try:
+            while self.slots and (first := self.slots[0]).reply is not None:
+                self.is_closing = self.is_closing or first.is_last or first.reply.close
+                is_last = self._closes_behind_first()
+                try:
+                    await self.write(first.reply, is_last)
+                except CLIENT_GONE_ERRORS:
+                    self.scope.cancel()
+                    return
+                except Exception as error:  # of the body: the client can tell that it is incomplete
+                    self.server.handle_fault(error)
+                    self.scope.cancel()
+                    return
+                self.slots.popleft()
+                self._slot_wait.cancel()
+                if is_last and not self.slots:
+                    self.has_last_request = True
+                    await self._linger()
+                    self.scope.cancel()
+                    return
+        finally:
+            self.write_started_ns = 0
+            self.last_read_ns = monotonic_ns()
+
+    def _closes_behind_first(self) -> bool:
+        """Whether the first response is the last one.
+
+        It is not while further requests are in flight or unread: a client that reads `Connection:
+        close` expects no further response.
+        """
+        if len(self.slots) > 1:
+            return False
+        if self.slots[0].is_last:
+            return True
+        return (self.is_closing or self.server.is_draining) and self._has_nothing_unread()
+
+    async def write(self, reply: Reply, is_last: bool) -> None:
+        """Writes one response; the last one says that the connection closes."""
+        headers = reply.headers
+        if isinstance(reply.body, bytes):
+            await self.stream.send(self._encode(reply, reply.body, is_last))
+            return
+        chunked = (b"transfer-encoding", b"chunked")
+        await self.stream.send(response(reply.status, [*headers, chunked], None))
+        async with aclosing(reply.body) as parts:  # it ends also where the client has gone
+            async for part in parts:
+                self.write_started_ns = monotonic_ns()
+                await self.stream.send(chunk(part))
+                self.write_started_ns = NEVER_NS  # between two parts the client is not waited for
+        await self.stream.send(chunk(b""))
+
+    def _encode(self, reply: Reply, body: bytes, is_last: bool) -> bytes:
+        close: Headers = [(b"connection", b"close")] if is_last else []
+        try:
+            return response(reply.status, [*reply.headers, *close], body)
+        except Exception as error:  # of headers that cannot be written
+            fault = self.server.handle_fault(error)
+            return response(INTERNAL_SERVER_ERROR, [*fault.headers, *close], b"")
+
+    async def _linger(self) -> None:
+        """Reads on for a while, as closing with unread bytes has the kernel drop the response."""
+        errors = (*CLIENT_GONE_ERRORS, anyio.BusyResourceError)
+        with anyio.move_on_after(LINGER_SECONDS), suppress(*errors):
+            await self.stream.send_eof()
+            left_bytes = LINGER_BYTES
+            while left_bytes > 0:
+                left_bytes -= len(await self.stream.receive())
--- a/martenlead/events/http.py
+++ b/martenlead/events/http.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 messages (RFC 9112) without I/O: bytes in, whole messages or one `BadMessage` out.
+"""HTTP/1.1 messages (RFC 9112) without I/O: bytes in, whole messages or one error out.
 
-The parser is httptools (llhttp); docs/design/edge.md weighs it against h11. What the parser leaves open is
-bound here: sizes, versions, and every case in which two readers of the same bytes could see different
-messages.
+The parser is httptools (llhttp); docs/design/edge.md weighs it against h11. This module adds what
+the parser does not check: sizes, the version, and all framing that two parsers could read
+differently.
 """
 
 from __future__ import annotations
@@ -11,17 +11,19 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from http import HTTPStatus
-from typing import Any, Protocol
+from typing import Any, NoReturn, Protocol
 
 import httptools
 
 Headers = list[tuple[bytes, bytes]]
 CONTROL_BYTES = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 FRAMING_HEADERS = frozenset({b"content-length", b"transfer-encoding", b"host", b"expect"})
+CONTINUE = HTTPStatus.CONTINUE.value
+OK = HTTPStatus.OK.value  # the first status that is not interim
 
 
 class InvalidMessageError(Exception):
-    """The bytes are no message that may be acted on. `status` is what the peer is to be told."""
+    """The bytes are not a valid message; `status` is for the response to the peer."""
 
     def __init__(self, status: int, detail: str) -> None:
         super().__init__(detail)
@@ -30,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageLimits:
-    """Bytes that one message may hold; beyond them the peer is told 431 or 413 and the connection ends."""
+    """Size limits of one message; a larger one is answered 431 or 413 and ends its connection."""
 
     head_bytes: int = 16 * 1024
     body_bytes: int = 1024 * 1024
@@ -38,10 +40,10 @@
 
 
 class Peer(Protocol):
-    """Whoever sent a request, as the connection that it came over knows it."""
+    """The client of a request, as seen by the connection that the request came on."""
 
     def has_left(self) -> bool:
-        """Asks the machine, which may know of an end that the event loop has not read yet."""
+        """Whether it has disconnected, also where only the kernel knows it so far."""
 
     def end(self) -> None:
         """Ends the connection and cancels all its requests, in a later turn of the event loop."""
@@ -49,7 +51,10 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request (`method`, `target`) or a response (`status`), whole. A server says who asks."""
+    """A complete request (`method`, `target`) or response (`status`).
+
+    The server sets the `peer` of a request.
+    """
 
     method: bytes = b""
     target: bytes = b""
@@ -60,6 +65,7 @@
     peer: Peer | None = field(default=None, compare=False, repr=False)
 
     def header(self, name: bytes) -> bytes | None:
+        """The value of a header, by its name in lower case; None where there is none."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -67,73 +73,84 @@
 
 
 class Reader:
-    """Feeds one direction of one connection to the parser. After a `BadMessage` it takes nothing more."""
+    """Parses one direction of one connection; after an error it accepts no more bytes."""
 
     def __init__(self, limits: MessageLimits, *, requests: bool) -> None:
         self.limits = limits
         self.requests = requests
         self.completed: list[Message] = []
-        self.expects_continue = False  # the peer waits for a 100 before it sends the body
+        self.expects_continue = False  # the peer waits for `100 Continue` before it sends the body
         self.in_head = self.in_message = False
-        self._head = 0
-        self._size = 0
+        self._head_bytes = 0
+        self._body_bytes = 0
         self._chunks: list[bytes] = []
         self._message = Message()
-        self._bad: InvalidMessageError | None = None
-        kind = httptools.HttpRequestParser if requests else httptools.HttpResponseParser
-        self._parser: Any = kind(self)
+        self._error: InvalidMessageError | None = None
+        parser_type = httptools.HttpRequestParser if requests else httptools.HttpResponseParser
+        self._parser: Any = parser_type(self)  # `Any`: httptools has no types
 
     def feed(self, data: bytes) -> list[Message]:
-        """Whole messages that these bytes ended, oldest first. Raises `BadMessage`; those before it stay in
-        `done`."""
-        if self._bad:
-            raise self._bad
+        """The messages that these bytes complete, oldest first.
+
+        Raises:
+            InvalidMessageError: The bytes are not HTTP/1.1, or over the limits. The messages that
+                were complete before are in `completed`.
+        """
+        if self._error:
+            raise self._error
         self.completed = []
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._bad = InvalidMessageError(501, "upgrades are not offered here")
+            self._error = InvalidMessageError(501, "upgrades are not offered here")
         except httptools.HttpParserCallbackError:
-            self._bad = self._bad or InvalidMessageError(400, "the message could not be read")
+            self._error = self._error or InvalidMessageError(400, "the message could not be read")
         except httptools.HttpParserError as error:
-            self._bad = self._bad or InvalidMessageError(400, f"not HTTP/1.1: {error}")
-        if not self._bad and self.in_head:
-            self._head += len(data)
-            if self._head > self.limits.head_bytes:
-                self._bad = InvalidMessageError(431, f"the header is over {self.limits.head_bytes} bytes")
-        if self._bad:
-            raise self._bad
+            self._error = self._error or InvalidMessageError(400, f"not HTTP/1.1: {error}")
+        if not self._error and self.in_head:
+            self._head_bytes += len(data)
+            limit = self.limits.head_bytes
+            if self._head_bytes > limit:
+                self._error = InvalidMessageError(431, f"the header is over {limit} bytes")
+        if self._error:
+            raise self._error
         return self.completed
 
-    def _stop(self, bad: InvalidMessageError) -> None:
-        self._bad = self._bad or bad
-        raise bad
+    def _stop(self, status: int, detail: str) -> NoReturn:
+        """Records an error, unless there is one already, and raises it to stop the parser."""
+        error = InvalidMessageError(status, detail)
+        self._error = self._error or error
+        raise error
 
-    # -- the parser's calls
+    # -- callbacks of the parser
 
     def on_message_begin(self) -> None:
+        """A message begins."""
         self._message = Message()
-        self._head = self._size = 0
+        self._head_bytes = self._body_bytes = 0
         self._chunks = []
         self.in_head = self.in_message = True
         self.expects_continue = False
 
     def on_url(self, url: bytes) -> None:
+        """A part of the target."""
         self._message.target += url
 
     def on_status(self, status: bytes) -> None:
+        """A part of the reason phrase."""
         self._message.status = self._parser.get_status_code()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A header."""
         self._message.headers.append((name.lower(), value))
 
-    def on_headers_complete(self) -> None:
-        """All checks in one pass: this is called for every message, and its parts for every line of one."""
+    def on_headers_complete(self) -> None:  # noqa: C901 - one pass costs least, for each message
+        """The head is complete: all checks of it."""
         message, parser, limits = self._message, self._parser, self.limits
         self.in_head = False
         version = parser.get_http_version()
         if version != "1.1":
-            self._stop(InvalidMessageError(505, f"HTTP/{version} is not spoken here; HTTP/1.1 is"))
+            self._stop(505, f"HTTP/{version} is not spoken here; HTTP/1.1 is")
         headers = message.headers
         framing: dict[bytes, bytes] = {}
         size = 0
@@ -141,55 +158,57 @@
             size += len(name) + len(value)
             if name in FRAMING_HEADERS:
                 if name in framing:
-                    self._stop(InvalidMessageError(400, f"{name.decode()} is told twice"))
+                    self._stop(400, f"{name.decode()} is told twice")
                 framing[name] = value
         if size > limits.head_bytes or len(headers) > limits.header_lines:
-            self._stop(
-                InvalidMessageError(
-                    431, f"the header is over {limits.head_bytes} bytes or {limits.header_lines} lines"
-                )
-            )
+            detail = f"the header is over {limits.head_bytes} bytes or {limits.header_lines} lines"
+            self._stop(431, detail)
         if CONTROL_BYTES.search(b"".join([value for _, value in headers])):
-            self._stop(InvalidMessageError(400, "a header holds a control byte"))
+            self._stop(400, "a header holds a control byte")
         coding, length = framing.get(b"transfer-encoding"), framing.get(b"content-length")
         if coding is not None:
-            if length is not None:
-                self._stop(InvalidMessageError(400, "both Content-Length and Transfer-Encoding"))
-            if coding.strip().lower() != b"chunked":
-                self._stop(InvalidMessageError(501, "Transfer-Encoding other than chunked"))
+            self._check_transfer_encoding(coding, length)
         elif length is not None and int(length) > limits.body_bytes:
-            self._stop(InvalidMessageError(413, f"the body is over {limits.body_bytes} bytes"))
+            self._stop(413, f"the body is over {limits.body_bytes} bytes")
         message.keep_alive = parser.should_keep_alive()
         if not self.requests:
             message.status = parser.get_status_code()
             return
         message.method = parser.get_method()
         if b"host" not in framing:
-            self._stop(InvalidMessageError(400, "exactly one Host header is expected"))
+            self._stop(400, "exactly one Host header is expected")
         expect = framing.get(b"expect")
         if expect is not None:
             if expect.lower() != b"100-continue":
-                self._stop(InvalidMessageError(417, "only 100-continue can be expected"))
+                self._stop(417, "only 100-continue can be expected")
             self.expects_continue = True
 
+    def _check_transfer_encoding(self, coding: bytes, length: bytes | None) -> None:
+        if length is not None:
+            self._stop(400, "both Content-Length and Transfer-Encoding")
+        if coding.strip().lower() != b"chunked":
+            self._stop(501, "Transfer-Encoding other than chunked")
+
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
-        if self._size > self.limits.body_bytes:
-            self._stop(InvalidMessageError(413, f"the body is over {self.limits.body_bytes} bytes"))
+        """A part of the body."""
+        self._body_bytes += len(body)
+        if self._body_bytes > self.limits.body_bytes:
+            self._stop(413, f"the body is over {self.limits.body_bytes} bytes")
         self._chunks.append(body)
 
     def on_message_complete(self) -> None:
+        """A message is complete; interim responses are skipped."""
         message = self._message
         message.body = b"".join(self._chunks)
         self._chunks = []
         self.in_head = self.in_message = self.expects_continue = False
-        if not self.requests and 100 <= message.status < 200:
+        if not self.requests and CONTINUE <= message.status < OK:
             return
         self.completed.append(message)
 
 
-def _head(first: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes | None) -> bytes:
-    lines = [first]
+def _encode(start_line: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes | None) -> bytes:
+    lines = [start_line]
     lines += [b"%b: %b" % pair for pair in headers]
     if body is not None:
         lines.append(b"content-length: %d" % len(body))
@@ -198,20 +217,26 @@
 
 
 def request(
-    method: bytes, target: bytes, host: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
+    method: bytes,
+    target: bytes,
+    host: bytes,
+    headers: Iterable[tuple[bytes, bytes]],
+    body: bytes = b"",
 ) -> bytes:
     """A request with a sized body."""
-    return _head(b"%b %b HTTP/1.1\r\nhost: %b" % (method, target, host), headers, body)
+    return _encode(b"%b %b HTTP/1.1\r\nhost: %b" % (method, target, host), headers, body)
 
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
-def response(status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes | None = b"") -> bytes:
-    """A response with a sized body; with None the body follows as the caller's headers say."""
-    return _head(b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b"")), headers, body)
+def response(
+    status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes | None = b""
+) -> bytes:
+    """A response with a sized body; without one where the caller's headers announce a body."""
+    return _encode(b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b"")), headers, body)
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of a chunked body; empty data is the last chunk."""
+    """One chunk of a chunked body; the last chunk has no data."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/martenlead/events/problem.py
+++ b/martenlead/events/problem.py
@@ -3,24 +3,26 @@
 from __future__ import annotations
 
 import math
-from typing import Any
 
 import msgspec
 
 from martenlead.events.http import Headers
-from martenlead.events.server import Reply
+from martenlead.events.server_interface import Reply
 
-TYPE = b"application/problem+json"
+MEDIA_TYPE = b"application/problem+json"
 
 
-def problem(status: int, title: str, detail: str, *, retry_after_ns: int | None = None, **more: Any) -> Reply:
-    """A response with problem details.
+def problem(
+    status: int, title: str, detail: str, *, retry_after_ns: int | None = None, **more: object
+) -> Reply:
+    """A response with problem details; `more` are extension members.
 
-    `retry_after_ns` becomes `Retry-After` in whole seconds, rounded up as RFC 9110 wants it, and exactly, in
-    milliseconds, the member `retry_after_ms` and the header `martenlead-retry-after-ms`.
+    `retry_after_ns` becomes `Retry-After` in whole seconds, rounded up as RFC 9110 has no parts
+    of a second. The member `retry_after_ms` and the header `martenlead-retry-after-ms` have it
+    exactly.
     """
-    headers: Headers = [(b"content-type", TYPE)]
-    members: dict[str, Any] = {
+    headers: Headers = [(b"content-type", MEDIA_TYPE)]
+    members: dict[str, object] = {
         "type": "about:blank",
         "title": title,
         "status": status,
@@ -28,8 +30,8 @@
         **more,
     }
     if retry_after_ns is not None:
-        exact = f"{retry_after_ns / 1e6:.3f}"
-        members["retry_after_ms"] = float(exact)
+        exact_ms = f"{retry_after_ns / 1e6:.3f}"
+        members["retry_after_ms"] = float(exact_ms)
         headers.append((b"retry-after", b"%d" % math.ceil(retry_after_ns / 1e9)))
-        headers.append((b"martenlead-retry-after-ms", exact.encode()))
+        headers.append((b"martenlead-retry-after-ms", exact_ms.encode()))
     return Reply(status, headers, msgspec.json.encode(members))
--- a/martenlead/events/stream_listener.py
+++ b/martenlead/events/stream_listener.py
@@ -4,6 +4,7 @@
 
 import socket
 from collections.abc import Awaitable, Callable
+from functools import partial
 
 import anyio
 import anyio.lowlevel
@@ -13,20 +14,24 @@
 from martenlead.system.listener import PROCESS_CLIENTS, ClientDescriptors, Listener, bind
 from martenlead.system.sockets import readable
 
-BIND_SECONDS = 8.0  # for faults that pass as an address is bound; programs are to be ready within 10 s
-RECEIVE_BUFFER = 32_768  # bytes: what the kernel holds of a connection is read at once, whatever is asked for
-ACCEPTED_PER_TURN = 1  # requests of a burst are decided one by one, each on what came before it
+BIND_SECONDS = 8.0  # in which a fault of binding may pass; programs have to be ready within 10 s
+RECEIVE_BUFFER_BYTES = 32_768  # of the kernel: the event loop reads all of it at once
+ACCEPTED_PER_TURN = 1  # so that each request of a burst is decided on what came before it
+POLL_SECONDS = 0.001  # between two looks at what the kernel or the event loop is about to accept
 
 Handler = Callable[[SocketStream], Awaitable[None]]
 
 
 class StreamListener:
-    """Accepts as long as the process has descriptors for clients, and hands each connection to a task of its
-    own. A fault of one connection costs that connection alone."""
+    """Accepts while the process has descriptors for clients, and gives each connection a task.
+
+    A fault of one connection costs that connection alone.
+    """
 
     def __init__(self, sock: socket.socket, clients: ClientDescriptors = PROCESS_CLIENTS) -> None:
         self.sock, self.clients = sock, clients
-        self.on_full: Callable[[], None] = lambda: None  # called where a connection waits and has no room
+        # called where a connection waits to be accepted and has no room
+        self.on_full: Callable[[], None] = lambda: None
         self.open_connections = 0  # connections of this listener
         self._log = structlog.get_logger()
         self._listener: Listener | None = None
@@ -34,11 +39,15 @@
 
     @property
     def port(self) -> int:
+        """The port that it listens on."""
         return int(self.sock.getsockname()[1])
 
     async def serve(self, handler: Handler, task_group: TaskGroup | None = None) -> None:
-        """Until it is closed or cancelled. Each connection ends with its `handler`, which runs in
-        `task_group`, else in a group of this call's own that ends with it."""
+        """Accepts until it is closed or cancelled.
+
+        A connection ends with its `handler`. Handlers run in `task_group`, else in a group that
+        ends with this call.
+        """
         if task_group is None:
             async with anyio.create_task_group() as own_group:
                 await self._serve(handler, own_group)
@@ -47,31 +56,33 @@
             await self._serve(handler, task_group)
 
     async def _serve(self, handler: Handler, group: TaskGroup) -> None:
-        async def connect(connection: socket.socket) -> None:
-            try:
-                stream = await SocketStream.from_socket(connection)
-            except ValueError:  # what anyio makes of a connection that was reset meanwhile
-                connection.close()
-                return
-            try:
-                group.start_soon(self._handle, handler, stream)
-            except RuntimeError:  # the group has ended meanwhile
-                await anyio.aclose_forcefully(stream)
-                return
-            self._take()
-
+        connect = partial(self._connect, handler, group)
         listener = Listener(self.sock, connect, self._has_room, ACCEPTED_PER_TURN)
         self._listener = listener
         self.clients.add_listener(listener.resume)
         listener.start()
         try:
             await self._closed.wait()
-            while listener.accepting:
-                await anyio.sleep(0.001)
+            while listener.accepting:  # noqa: ASYNC110 - it has no event
+                await anyio.sleep(POLL_SECONDS)
         finally:
             self.clients.remove_listener(listener.resume)
             listener.close()
 
+    async def _connect(self, handler: Handler, group: TaskGroup, connection: socket.socket) -> None:
+        """Starts the handler of a connection that was accepted."""
+        try:
+            stream = await SocketStream.from_socket(connection)
+        except ValueError:  # what anyio makes of a connection that was reset meanwhile
+            connection.close()
+            return
+        try:
+            group.start_soon(self._handle, handler, stream)
+        except RuntimeError:  # the group has ended meanwhile
+            await anyio.aclose_forcefully(stream)
+            return
+        self._take()
+
     def _has_room(self, accepting: int) -> bool:
         has_room = self.clients.has_room(self.open_connections + accepting)
         if not has_room:
@@ -99,20 +110,22 @@
     @property
     def is_idle(self) -> bool:
         """Whether no connection is open or about to be."""
-        return not self.open_connections and (self._listener is None or not self._listener.accepting)
+        return not self.open_connections and (
+            self._listener is None or not self._listener.accepting
+        )
 
     @property
     def is_full(self) -> bool:
-        """Whether it waits for room, or for what the machine lacks to accept with."""
+        """Whether it waits for room, or for something that the machine lacks to accept with."""
         return self._listener is not None and self._listener.is_waiting
 
     async def accept_all(self) -> None:
         """Returns once no connection waits to be accepted, or none can be."""
-        while not self._closed.is_set() and readable(self.sock):
-            await anyio.sleep(0.001)
+        while not self._closed.is_set() and readable(self.sock):  # noqa: ASYNC110 - the kernel's state
+            await anyio.sleep(POLL_SECONDS)
 
     def close(self) -> None:
-        """Accepts nothing more; connections go on."""
+        """Accepts nothing more; open connections stay."""
         self._closed.set()
         if self._listener is None:
             self.sock.close()
@@ -120,15 +133,18 @@
             self._listener.close()
 
     async def aclose(self) -> None:
+        """Accepts nothing more, as anyio's resources do."""
         self.close()
         await anyio.lowlevel.checkpoint()
 
 
 async def listen(host: str, port: int) -> tuple[StreamListener, int]:
-    """A listener and the port it has; port 0 takes a free one. Tries for a while where an error may pass;
-    raises OSError."""
+    """A listener and its port; port 0 takes a free one.
+
+    It tries for a while where an error may pass. Raises OSError.
+    """
     sock = await bind((host, port), BIND_SECONDS, backlog=1024, waits_for_address=False)
-    # accepted sockets inherit it
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+    # accepted sockets inherit this
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     listener = StreamListener(sock)
     return listener, listener.port
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -217,7 +217,7 @@
             f.door.gate.find_placement = lambda ticket: room(ticket) if time.monotonic() > opens else None
             client.sendall(told)
         case "unread behind a full pipeline":
-            monkeypatch.setattr("martenlead.events.server.READ_AHEAD", 1)
+            monkeypatch.setattr("martenlead.events.connection.READ_AHEAD_BYTES", 1)
             for number in range(4):
                 client.sendall(told.replace(b"ce-id: t1", b"ce-id: t%d" % number))
                 await anyio.sleep(0.02)
--- a/tests/test_http_server_answers.py
+++ b/tests/test_http_server_answers.py
@@ -12,8 +12,10 @@
 import anyio
 import pytest
 
+from martenlead.events.connection import READ_BYTES, Connection
 from martenlead.events.http import Message, MessageLimits
-from martenlead.events.server import READ_BYTES, SECOND_NS, Connection, Reply, Server, ServerLimits, listen
+from martenlead.events.server import Reply, Server, ServerLimits, listen
+from martenlead.events.server_interface import SECOND_NS
 from support.fleet import until
 from tests.nodes import linger
 
@@ -230,11 +232,11 @@
     """The client has reset the connection by then. It ended the server."""
     real, failed = Connection.write, []
 
-    async def write(own: Connection, reply: Reply, close: bool) -> None:
+    async def write(own: Connection, reply: Reply, is_last: bool) -> None:
         if reply.status == 503:
             failed.append(reply)
             raise anyio.BrokenResourceError
-        await real(own, reply, close)
+        await real(own, reply, is_last)
 
     monkeypatch.setattr(Connection, "write", write)
     async with served(ServerLimits(max_connections=1)) as p:
