--- a/support/crowd.py
+++ b/support/crowd.py
@@ -181,7 +181,7 @@
         good = self.now <= came + customer.soft * SECOND
         if good:
             self.in_time[customer.name] += 1
-            self.work_in_time[customer.name] += customer.work  # type: ignore[assignment]
+            self.work_in_time[customer.name] += customer.work
             self.series[self.now // SECOND] += 1
         self.met += appointed and good
         self.ends["satisfied" if good else "late"] += 1
--- a/support/disk_faults.py
+++ b/support/disk_faults.py
@@ -93,13 +93,13 @@
         self._real["file"] = io.open
         for module, name in places:
             setattr(module, name, getattr(self, f"_{name}"))
-        io.open = builtins.open = self._file  # type: ignore[assignment]
+        io.open = builtins.open = self._file
         try:
             yield self
         finally:
             for module, name in places:
                 setattr(module, name, self._real[name])
-            io.open = builtins.open = self._real["file"]  # type: ignore[assignment]
+            io.open = builtins.open = self._real["file"]
             self._close_all()
 
     def _is_ours(self, path: Any) -> bool:
--- a/support/fleet.py
+++ b/support/fleet.py
@@ -180,9 +180,9 @@
 
     async def roster(self, _message: Message, _now: int) -> Reply:
         send, receive = anyio.create_memory_object_stream[bytes](100)
-        lines = [self.line(n) for n in self.runners if self.states[n] != "gone"]
-        whole = {"version": self.version, "whole": True, "runners": lines}
-        send.send_nowait(json.dumps(whole).encode() + b"\n")
+        endpoints = [self.line(n) for n in self.runners if self.states[n] != "gone"]
+        snapshot = {"version": self.version, "whole": True, "runners": endpoints}
+        send.send_nowait(json.dumps(snapshot).encode() + b"\n")
         self._news.append(send)
 
         async def lines() -> AsyncGenerator[bytes]:
--- a/support/pair.py
+++ b/support/pair.py
@@ -99,7 +99,7 @@
 
     # what a dispatcher does
 
-    def fault(self, error: Exception) -> None:
+    def record_fault(self, error: Exception) -> None:
         raise error
 
     def _run_due(self) -> None:
--- a/support/planned.py
+++ b/support/planned.py
@@ -41,7 +41,7 @@
     edge = decode(told, EdgeSettings, "test")
     assert edge.planner is not None
     side = PlannerClient(edge, edge.planner)
-    async with fleet(tape=side.recorder, models=RATION, name=name) as f, anyio.create_task_group() as group:  # type: ignore[arg-type]
+    async with fleet(tape=side.recorder, models=RATION, name=name) as f, anyio.create_task_group() as group:
         group.start_soon(side.run, f.dispatcher)
         yield f, side
         group.cancel_scope.cancel()
--- a/support/socket_faults.py
+++ b/support/socket_faults.py
@@ -215,7 +215,11 @@
     """Ends a connection of an event loop with this error, as it reports one that the machine told of."""
     real = protocol.connection_lost
     error = OSError(number, os.strerror(number))
-    protocol.connection_lost = lambda _error: real(error)  # type: ignore[method-assign]
+
+    def lose(_error: Exception | None) -> None:
+        real(error)
+
+    protocol.connection_lost = lose  # type: ignore[assignment,method-assign]
     transport.abort()
 
 
