--- a/martenlead/system/__init__.py
+++ b/martenlead/system/__init__.py
@@ -1,2 +1,4 @@
-"""What every program needs of the operating system: its clocks, its listening sockets, and files that are
-replaced as a whole. No decisions."""
+"""What every program needs of the operating system.
+
+Its clocks, its listening sockets, and files that are replaced as a whole. No decisions.
+"""
--- a/martenlead/system/clocks.py
+++ b/martenlead/system/clocks.py
@@ -2,13 +2,13 @@
 
 Three clocks are in use, and only one of them may be stepped:
 
-- The monotonic clock (`time.monotonic_ns`) measures deadlines, windows, waits and leases within a process.
-  Any module may read it.
-- The boot clock counts from the start of the machine and is the same for all processes on it. Together with
-  the name of that start it measures spans between two lives of a process.
-- The wall clock (Unix time) may be stepped at any time, forward or back. It is only read where a time comes
-  from, or goes to, another machine, a person or a later start of the machine, and each use is named with its
-  reason in tests/test_wall_clock_contract.py.
+- The monotonic clock (`time.monotonic_ns`) measures deadlines, windows, waits and leases within a
+  process. Any module may read it.
+- The boot clock counts from the start of the machine and is the same for all processes on it.
+  Together with the name of that start it measures spans between two runs of a process.
+- The wall clock (Unix time) may be stepped at any time, forward or back. It is only read where a
+  time comes from, or goes to, another machine, a person or a later start of the machine, and each
+  use is named with its reason in tests/test_wall_clock_contract.py.
 """
 
 from __future__ import annotations
@@ -57,8 +57,10 @@
 
 
 def unix_clock() -> Callable[[], int]:
-    """A clock that shows Unix time as of now, ns, and runs on with the monotonic clock: later steps of the
-    wall clock do not reach it."""
+    """A clock that shows Unix time as of now, ns, and runs on with the monotonic clock.
+
+    Later steps of the wall clock do not reach it.
+    """
     ahead = wall_ns() - time.monotonic_ns()
     return lambda: time.monotonic_ns() + ahead
 
@@ -69,12 +71,17 @@
 
 
 def passed(then: Moment, now: Moment) -> int:
-    """The span between two moments, ns: exact within one start of the machine, else by the wall clock, whose
-    steps show in it, and never below zero."""
+    """The span between two moments, ns.
+
+    Exact within one start of the machine, else by the wall clock, whose steps show in it, and never
+    below zero.
+    """
     return certainly_passed(then, now) if is_same_boot(then, now) else max(0, now.wall - then.wall)
 
 
 def certainly_passed(then: Moment, now: Moment) -> int:
-    """The least that the span between two moments can have been, ns, whatever the wall clock says. Another
-    start says nothing: the folder may have moved to a machine that has been up for long."""
+    """The least that the span between two moments can have been, ns, whatever the wall clock says.
+
+    Another start says nothing: the folder may have moved to a machine that has been up for long.
+    """
     return now.uptime - then.uptime if is_same_boot(then, now) else 0
--- a/martenlead/system/durable_file.py
+++ b/martenlead/system/durable_file.py
@@ -1,8 +1,9 @@
-"""Files that are replaced as a whole and survive a kill and a power cut, and the waits between attempts.
+"""Files that are replaced as a whole and survive a kill and a power cut.
 
-A replacement is a temporary file written in full and synced, a rename, and a sync of the folder, in this
-order. After a failed `fsync` the kernel may have dropped the data while it reports the next `fsync` of the
-same file as done; so nothing is synced twice: each attempt writes the temporary file anew.
+A replacement is a temporary file written in full and synced, a rename, and a sync of the folder, in
+this order. After a failed `fsync` the kernel may have dropped the data while it reports the next
+`fsync` of the same file as done; so nothing is synced twice: each attempt writes the temporary file
+anew, after the wait that `Backoff` gives.
 """
 
 from __future__ import annotations
@@ -14,12 +15,13 @@
 from random import Random
 
 FIRST_BACKOFF_SECONDS = 0.1  # a full disk or a lost mount seldom recovers sooner
-LONGEST_BACKOFF_SECONDS = 10.0  # so that what is known is at most this late once the folder is well again
+# so that what is known is at most this late once the folder is well again
+LONGEST_BACKOFF_SECONDS = 10.0
 READ_SIZE = 1 << 20
 
 
 class Backoff:
-    """Exponential backoff with full jitter, so that processes that share a disk do not try in step."""
+    """Exponential backoff with full jitter: processes that share a disk do not try in step."""
 
     def __init__(
         self,
@@ -50,7 +52,10 @@
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Writes a file from its first byte and syncs it. Raises OSError: nothing is known of its content."""
+    """Writes a file from its first byte and syncs it.
+
+    Raises OSError: nothing is known of its content.
+    """
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o644)
     try:
         write_all(descriptor, data)
@@ -69,9 +74,11 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Replaces a file so that the old or the new one is found, whole, whatever happens; the new one is
-    durable when this returns. Raises OSError: the old one may still be in its place or not, and the next
-    attempt does everything again."""
+    """Replaces a file so that the old or the new one is found, whole, whatever happens.
+
+    The new one is durable when this returns. Raises OSError: the old one may still be in its place
+    or not, and the next attempt does everything again.
+    """
     temporary = path.with_name(f"{path.name}.{os.getpid()}.new")
     try:
         write_synced(temporary, data)
@@ -95,13 +102,18 @@
 
 
 def _is_running(process: int) -> bool:
-    """Whether another process of that number runs; our own writes no temporary file at this time."""
+    """Whether another process of that number runs.
+
+    Our own writes no temporary file at this time.
+    """
     return process != os.getpid() and Path(f"/proc/{process}").exists()
 
 
 def read_if_there(path: Path) -> bytes | None:
-    """A file's content, None where there is none. Raises OSError for one that is there and cannot be read
-    now."""
+    """A file's content, None where there is none.
+
+    Raises OSError for one that is there and cannot be read now.
+    """
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     except FileNotFoundError:
--- a/martenlead/system/listener.py
+++ b/martenlead/system/listener.py
@@ -1,9 +1,9 @@
-"""Listening sockets: bound in spite of errors that pass, accepted from only as long as there is room.
+"""Listening sockets: binding is retried, and connections are accepted only while there is room.
 
-The event loops' own servers accept all that waits in one turn, before a connection that gives way is closed.
-Without a descriptor one of them then closes whoever waits, requests and all, the other accepts nothing for a
-second; the listener of anyio ends with the error, and the program with it. What is not accepted here waits in
-the backlog, and loses nothing.
+The event loops' own servers accept all that waits in one turn, before a connection that gives way
+is closed. Without a descriptor one of them then closes whoever waits, requests and all, the other
+accepts nothing for a second; the listener of anyio ends with the error, and the program with it.
+What is not accepted here waits in the backlog, and loses nothing.
 """
 
 from __future__ import annotations
@@ -15,12 +15,14 @@
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
 from time import monotonic
+from typing import NamedTuple
 
 import anyio
 
 BACKLOG = 512  # connections that the machine accepts before we do
 RETRY_SECONDS = 0.05  # between two tries where the machine had no descriptor, memory or address
-ACCEPTED_PER_TURN = 32  # connections of one turn of the loop: a flood of them leaves time for all else
+# connections of one turn of the loop: a flood of them leaves time for all else
+ACCEPTED_PER_TURN = 32
 OWN_DESCRIPTORS = 40  # of listeners, event loop, discovery, files and what the interpreter opens
 LEAST_CONNECTIONS = 4  # of each listener, however full the others are: operators' ports stay open
 
@@ -54,6 +56,13 @@
 """Of accept: the connection that waited first has ended, and is gone; accept(2) says to go on."""
 
 
+class ResolvedAddress(NamedTuple):
+    """What a socket is bound to."""
+
+    family: int  # such as socket.AF_INET
+    target: tuple[str, int]  # address and port
+
+
 def may_pass(error: OSError) -> bool:
     """Whether another try to bind may succeed."""
     if isinstance(error, socket.gaierror):
@@ -69,8 +78,11 @@
     waits_for_address: bool = True,
     delayed: Callable[[OSError], None] = lambda _error: None,
 ) -> socket.socket:
-    """A listening socket at this address; tries for so long where the error may pass, and calls `delayed`
-    with the first such error. An address in use is waited for only if asked. Raises the last OSError."""
+    """A listening socket at this address.
+
+    Tries for so long where the error may pass, and calls `delayed` with the first such error. An
+    address in use is waited for only if asked. Raises the last OSError.
+    """
     end = monotonic() + seconds
     is_delayed = False
     while True:
@@ -87,25 +99,29 @@
 
 
 def _create(address: tuple[str, int], backlog: int) -> socket.socket:
-    family, target = _resolve(*address)
-    return socket.create_server(target, family=family, backlog=backlog)
+    resolved = _resolve(*address)
+    return socket.create_server(resolved.target, family=resolved.family, backlog=backlog)
 
 
-def _resolve(host: str, port: int) -> tuple[int, tuple[str, int]]:
-    """Names are looked up here: the event loop would do it on threads, which then stay. IPv4 comes first, and
-    an IPv4 address, or none, needs no look at all."""
+def _resolve(host: str, port: int) -> ResolvedAddress:
+    """Looks up a name here: the event loop would do it on threads, which then stay.
+
+    IPv4 comes first, and an IPv4 address, or none, needs no look at all.
+    """
     with suppress(OSError):
         if host:
             socket.inet_pton(socket.AF_INET, host)
-        return socket.AF_INET, (host, port)
+        return ResolvedAddress(socket.AF_INET, (host, port))
     found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
     family, _, _, _, target = min(found)
-    return family, (str(target[0]), port)
+    return ResolvedAddress(family, (str(target[0]), port))
 
 
 def descriptors_for_clients() -> int:
-    """How many accepted connections this process may have: half of its descriptors but its own, since a
-    request in flight needs one more to its worker."""
+    """How many accepted connections this process may have.
+
+    Half of its descriptors but its own, since a request in flight needs one more to its worker.
+    """
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if limit == resource.RLIM_INFINITY:
         limit = 1 << 20
@@ -125,9 +141,11 @@
         return own < LEAST_CONNECTIONS or self.in_use < self.limit()
 
     def take(self) -> None:
+        """Counts an accepted connection."""
         self.in_use += 1
 
     def release(self) -> None:
+        """Counts a connection as ended, and lets the listeners accept again."""
         self.in_use -= 1
         for resume in list(self._waiting):
             resume()
@@ -137,6 +155,7 @@
         self._waiting.add(resume)
 
     def remove_listener(self, resume: Callable[[], None]) -> None:
+        """`resume` is not called any more."""
         self._waiting.discard(resume)
 
 
@@ -154,10 +173,12 @@
         has_room: Callable[[int], bool],
         per_turn: int = ACCEPTED_PER_TURN,
     ) -> None:
-        """`connect` takes over an accepted socket; if it raises, the socket is closed, and an error other
-        than an OSError goes to the event loop's exception handler. `has_room` is asked before each accept,
-        with the number of sockets that are accepted and not taken over yet. `per_turn` of the event loop are
-        accepted at most."""
+        """`connect` takes over an accepted socket.
+
+        If it raises, the socket is closed, and an error other than an OSError goes to the event
+        loop's exception handler. `has_room` is asked before each accept, with the number of sockets
+        that are accepted and not taken over yet. `per_turn` of the event loop are accepted at most.
+        """
         self.sock, self.connect, self.has_room, self.per_turn = sock, connect, has_room, per_turn
         self.accepting: set[asyncio.Task[None]] = set()
         self._loop = asyncio.get_running_loop()
@@ -220,7 +241,10 @@
             )
 
     def _connected(self, connecting: asyncio.Task[None]) -> None:
-        """For a moment it may have counted twice, as accepted and as a client: there may be room again."""
+        """For a moment it may have counted twice, as accepted and as a client.
+
+        There may be room again.
+        """
         self.accepting.discard(connecting)
         self.resume()
 
--- a/martenlead/system/sender.py
+++ b/martenlead/system/sender.py
@@ -1,7 +1,7 @@
 """Writes that outlive a moment in which the machine has no buffer or no memory for them.
 
-Linux documents ENOBUFS and ENOMEM for send(2), and neither says anything of the connection. The event loops
-end it all the same, and with it go the answers that are owed on it.
+Linux documents ENOBUFS and ENOMEM for send(2), and neither says anything of the connection. The
+event loops end it all the same, and with it go the answers that are owed on it.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 class Sender:
     """All that is written to one transport, in its order, each byte once.
 
-    A write goes to the machine itself first. What it has no memory for is kept here and tried again. What the
-    peer does not take yet is the transport's, and as long as it has any, so is what follows; a transport
-    without a socket has all. Every other error ends the connection.
+    A write goes to the machine itself first. What it has no memory for is kept here and tried
+    again. What the peer does not take yet is the transport's, and as long as it has any, so is what
+    follows; a transport without a socket has all. Every other error ends the connection.
     """
 
     def __init__(
@@ -34,8 +34,10 @@
         pause: Callable[[], None],
         resume: Callable[[], None],
     ) -> None:
-        """`pause` is called once more than `limit` bytes are kept, `resume` once these have left. The
-        connection ends where none of what is kept has left for `give_up_seconds`."""
+        """`pause` is called once more than `limit` bytes are kept, `resume` once these have left.
+
+        The connection ends where none of what is kept has left for `give_up_seconds`.
+        """
         self.transport, self.limit, self.give_up_seconds = transport, limit, give_up_seconds
         self._pause, self._resume = pause, resume
         self._descriptor = descriptor(transport)
@@ -61,7 +63,10 @@
         return True
 
     def after_writes(self, action: Callable[[], None]) -> None:
-        """Calls it once nothing is kept here; what the transport has it sends itself before it closes."""
+        """Calls it once nothing is kept here.
+
+        What the transport has it sends itself before it closes.
+        """
         if self._kept:
             self._next = action
         else:
--- a/martenlead/system/sockets.py
+++ b/martenlead/system/sockets.py
@@ -8,10 +8,12 @@
 import struct
 from typing import Any
 
-HALF_CLOSED = getattr(select, "POLLRDHUP", 0)  # of Linux: told also where bytes lie in front of the end
+# of Linux: told also where bytes lie in front of the end
+HALF_CLOSED = getattr(select, "POLLRDHUP", 0)
 LAST_DATA_RECEIVED = 52  # where `struct tcp_info` of Linux has the ms since then
 OWN_SHORTAGES = frozenset(
-    {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}  # the last: of local ports
+    # the last: of local ports
+    {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
 """Why a connection cannot be asked for that say nothing of the peer."""
 
@@ -25,8 +27,11 @@
 
 
 def poll(number: int, events: int) -> int:
-    """What of these is so now, 0 for nothing. Where the machine cannot say, something is taken to wait to be
-    read: whoever asks then reads, or leaves the connection as it is."""
+    """What of these is so now, 0 for nothing.
+
+    Where the machine cannot say, something is taken to wait to be read: whoever asks then reads, or
+    leaves the connection as it is.
+    """
     poller = select.poll()
     poller.register(number, events)
     try:
@@ -37,8 +42,11 @@
 
 
 def readable(at: Any) -> bool:
-    """Whether bytes, a new connection or an end wait there, of a transport or of a listening socket: what the
-    machine has and the event loop has not told yet."""
+    """Whether bytes, a new connection or an end wait there.
+
+    Of a transport or of a listening socket: what the machine has and the event loop has not
+    reported yet.
+    """
     number = descriptor(at)
     return number >= 0 and bool(poll(number, select.POLLIN))
 
@@ -50,16 +58,24 @@
 
 
 def is_own_shortage(error: BaseException) -> bool:
-    """Whether a connection failed for what this machine lacks. The cause is where anyio has the errno."""
+    """Whether a connection failed for what this machine lacks.
+
+    The cause is where anyio has the errno.
+    """
     return any(getattr(at, "errno", None) in OWN_SHORTAGES for at in (error, error.__cause__))
 
 
 def unread_ms(connection: socket.socket) -> int:
-    """For how long what came last has waited to be read there; 0 where nothing waits, or nobody can tell."""
+    """For how long what came last has waited to be read there.
+
+    0 where nothing waits, or nobody can tell.
+    """
     if not readable(connection) or not hasattr(socket, "TCP_INFO"):
         return 0
     try:
-        tcp_info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + 4)
+        tcp_info = connection.getsockopt(
+            socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + 4
+        )
     except OSError:
         return 0
     if len(tcp_info) < LAST_DATA_RECEIVED + 4:
--- a/martenlead/system/state_saver.py
+++ b/martenlead/system/state_saver.py
@@ -1,10 +1,13 @@
-"""Saves of a state that fail for a while: what is logged and counted, and when they are tried again."""
+"""Saves of a state that fail for a while.
+
+What is logged and counted, and when they are tried again.
+"""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Awaitable, Callable
-from typing import Any, Generic, Protocol, TypeVar
+from typing import Generic, Protocol, TypeVar
 
 import anyio
 import anyio.to_thread
@@ -17,11 +20,15 @@
 class Log(Protocol):
     """The part of a structured logger that is used here."""
 
-    def warning(self, event: str, /, **fields: Any) -> Any: ...
+    def warning(self, event: str, /, **fields: object) -> object:
+        """Logs an event with its fields."""
 
 
 class SaveHealth:
-    """Outcomes of the saves of one state: one log line as they begin to fail, one as they succeed again."""
+    """Outcomes of the saves of one state.
+
+    One log line as they begin to fail, one as they succeed again.
+    """
 
     def __init__(
         self,
@@ -31,8 +38,10 @@
         clock: Callable[[], float] = time.monotonic,
         count: Callable[[str, str], None] | None = None,
     ) -> None:
-        """`state` names it in log lines and counters; `count` is called with (event, state) at each outcome;
-        `clock` is monotonic, in seconds."""
+        """`state` names it in log lines and counters.
+
+        `count` is called with (event, state) at each outcome; `clock` is monotonic, in seconds.
+        """
         self.state = state
         self.saved = self.failed = self.recovered = 0
         self._log, self._backoff, self._clock = log, backoff, clock
@@ -42,9 +51,11 @@
 
     @property
     def is_failing(self) -> bool:
+        """Whether the last save failed."""
         return self._failing_since is not None
 
     def success(self) -> None:
+        """Notes a save that succeeded."""
         self.saved += 1
         self._count("state_saved", self.state)
         if self._failing_since is None:
@@ -73,8 +84,11 @@
 
 
 class StateSaver(Generic[State]):
-    """Saves the newest value of a state in a thread whenever it has changed, however often that was
-    meanwhile, and tries a save that failed again until one succeeds."""
+    """Saves the newest value of a state in a thread whenever it has changed.
+
+    Changes during a save lead to one further save. A save that failed is tried again until one
+    succeeds.
+    """
 
     def __init__(
         self,
@@ -83,9 +97,11 @@
         health: SaveHealth,
         prepare: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
-        """`snapshot` is called in the event loop before each attempt, `write` in a thread; `prepare`, awaited
-        before both, is for what has to be read before it is written over. `write` and `prepare` raise OSError
-        for what may succeed later."""
+        """`snapshot` is called in the event loop before each attempt, `write` in a thread.
+
+        `prepare`, awaited before both, is for what has to be read before it is written over.
+        `write` and `prepare` raise OSError for what may succeed later.
+        """
         self.health = health
         self._snapshot, self._write, self._prepare = snapshot, write, prepare
         self._changed = anyio.Event()
@@ -102,7 +118,8 @@
                 await self._changed.wait()
                 self._changed = anyio.Event()
                 self._is_unsaved = True
-                while (wait := await self._attempt()) is not None:
+                # a backoff between attempts, and no poll for an event
+                while (wait := await self._attempt()) is not None:  # noqa: ASYNC110
                     await anyio.sleep(wait)
         finally:
             with anyio.CancelScope(shield=True):
