--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -18,13 +18,10 @@
 
 import click
 
-from martenlead.admission.controller import (
-    MS,
-    AdmissionController,
-    AdmissionLimits,
-    QueueState,
-    ServiceResult,
-)
+from martenlead.admission.controller import AdmissionController
+from martenlead.admission.limits import AdmissionLimits
+from martenlead.admission.queues import AdmissionRequest, QueueState, ServiceResult
+from martenlead.admission.units import NS_PER_MS
 from support.crowd import Crowd, Customer
 
 TWO = {"portal": 1.0, "desk": 1.0}
@@ -51,7 +48,7 @@
         "Jain's index of work": round(jain([crowd.work_in_time[c.name] for c in customers]), 3),
         "came when told": crowd.came,
         "of them served in time": round(crowd.met / crowd.came, 3) if crowd.came else None,
-        "longest wait of one turned back, ms": crowd.sat_on // MS,
+        "longest wait of one turned back, ms": crowd.sat_on // NS_PER_MS,
     }
 
 
@@ -67,12 +64,13 @@
         chance = Random(2)
         begun = perf_counter()
         for n in range(count):
-            now += 1 * MS
-            soft = now + 5000 * MS
+            now += 1 * NS_PER_MS
+            soft = now + 5000 * NS_PER_MS
             who = "desk" if n % 3 else "portal"
-            ticket = gate.submit(
+            arriving = AdmissionRequest(
                 f"m{n % 50}", "o", who, f"c{chance.randrange(1000)}", n, 0.05, 100, soft, soft, False
             )
+            ticket = gate.submit(arriving)
             if ticket.state is QueueState.ADMITTED:
                 inside.append(ticket)
             if len(inside) >= 10:
@@ -102,8 +100,8 @@
             customer = f"customer {n}" if name == "names" else "one"
             client = f"client {n}" if name == "names" else "one"
             model = f"model {n}" if name == "models" else "m"
-            soft = now + 400 * MS
-            gate.submit(model, "o", customer, client, n, 0.1, 1000, soft, soft, False)
+            soft = now + 400 * NS_PER_MS
+            gate.submit(AdmissionRequest(model, "o", customer, client, n, 0.1, 1000, soft, soft, False))
             if n % 500 == 0:
                 for ticket in [
                     t
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -13,15 +13,11 @@
 
 from benchmarks.door import jain
 from martenlead.admission import controller as module
-from martenlead.admission.controller import (
-    MS,
-    SECOND,
-    AdmissionController,
-    FunctionQueue,
-    QueuedRequest,
-    TenantAccount,
-)
+from martenlead.admission.accounts import TenantAccount
+from martenlead.admission.controller import AdmissionController
 from martenlead.admission.heavy_hitters import hash_bucket
+from martenlead.admission.queues import FunctionQueue, QueuedRequest
+from martenlead.admission.units import NS_PER_MS, NS_PER_SECOND
 from support import crowd
 from support.crowd import Crowd, Customer
 
@@ -61,7 +57,7 @@
     ) -> None:
         flow = self._flow(ticket)
         self.turn[flow] = max(self.turn.get(flow, 0.0), min(self.turn.values(), default=0.0)) + 1
-        super()._enter(ticket, queue, account, now, where)
+        super()._admit(ticket, queue, account, now, where)
 
 
 class Deficit(Fifo):
@@ -98,7 +94,7 @@
     ) -> None:
         if ticket.tenant in self.deficit:
             self.deficit[ticket.tenant] -= ticket.work_seconds
-        super()._enter(ticket, queue, account, now, where)
+        super()._admit(ticket, queue, account, now, where)
 
 
 class CoDel(Fifo):
@@ -114,12 +110,12 @@
 
     def _choose_next(self, full: set[str]) -> QueuedRequest | None:
         now = self.clock()
-        while (first := super()._next(full)) is not None:
-            if now - first.arrived_ns < 100 * MS:
+        while (first := super()._choose_next(full)) is not None:
+            if now - first.arrived_ns < 100 * NS_PER_MS:
                 self.above = 0
                 return first
             self.above = self.above or now
-            if now - self.above < 500 * MS:
+            if now - self.above < 500 * NS_PER_MS:
                 return first
             first.start_by_ns = now - 1  # the sweep turns it back
             return first
@@ -132,7 +128,7 @@
     def _estimate_wait_ns(
         self, ticket: QueuedRequest, queue: FunctionQueue, account: TenantAccount, now: int
     ) -> int:
-        return 0 if self.waiting_requests < 50 else 100 * SECOND
+        return 0 if self.waiting_requests < 50 else 100 * NS_PER_SECOND
 
 
 SCENES: dict[str, tuple[list[Customer], dict[str, float]]] = {
--- a/martenlead/admission/heavy_hitters.py
+++ b/martenlead/admission/heavy_hitters.py
@@ -1,8 +1,4 @@
-"""Bounded knowledge of unbounded names: the heaviest by name, everyone by a bucket.
-
-`Heavy` is the space-saving algorithm (Metwally, Agrawal, El Abbadi 2005): with k counters, whoever has more
-than a k-th of all that was counted is among them, and no count is over by more than the least of them.
-"""
+"""Bounded knowledge of unbounded names: the most frequent by name, others by hash bucket."""
 
 from __future__ import annotations
 
@@ -10,17 +6,27 @@
 
 
 def hash_bucket(name: str, buckets: int, salt: int) -> int:
-    """Where a name falls. The salt is a process's own: names cannot be chosen to meet another's bucket."""
+    """The bucket of a name.
+
+    Each process has its own salt, so that nobody can choose a name to share the bucket of another.
+    """
     return xxhash.xxh3_64_intdigest(name.encode("utf-8", "replace"), salt) % buckets
 
 
 class HeavyHitters:
+    """Counts of the most frequent names, by the space-saving algorithm.
+
+    Metwally, Agrawal and El Abbadi, 2005: with k counters, each name with more than a k-th of the
+    total is among them, and no count is too high by more than the least of them.
+    """
+
     def __init__(self, counters: int) -> None:
         self.counters = counters
         self.counts: dict[str, float] = {}
         self.total = 0.0
 
     def add(self, name: str, weight: float = 1.0) -> None:
+        """Counts a name; a new one takes the place and the count of the least frequent."""
         counts = self.counts
         self.total += weight
         if name in counts:
@@ -32,11 +38,13 @@
             counts[name] = counts.pop(least) + weight
 
     def decay(self) -> None:
-        """What was long ago counts half."""
+        """Halves all counts."""
         self.total /= 2
-        self.counts = {name: n / 2 for name, n in self.counts.items()}
-
-    def heaviest(self, count: int) -> list[tuple[str, float]]:
-        """The heaviest, each with its part of all, at most."""
-        ranked = sorted(self.counts.items(), key=lambda pair: (-pair[1], pair[0]))[:count]
-        return [(name, n / self.total) for name, n in ranked] if self.total else []
+        self.counts = {name: count / 2 for name, count in self.counts.items()}
+
+    def heaviest(self, number: int) -> list[tuple[str, float]]:
+        """The most frequent names, each with its share of the total as an upper bound."""
+        if not self.total:
+            return []
+        ranked = sorted(self.counts.items(), key=lambda pair: (-pair[1], pair[0]))[:number]
+        return [(name, count / self.total) for name, count in ranked]
--- a/martenlead/admission/reservation_token.py
+++ b/martenlead/admission/reservation_token.py
@@ -1,12 +1,14 @@
-"""Appointments that travel with the task: what one door promised, another can read and keep.
+"""Reservation tokens: a reservation that travels with its request to another dispatcher.
 
-Doors share nothing but a secret. The token names the task that it was given to and the span in which it may
-come, by the wall clock: doors' clocks differ by less than the grace, or appointments look early or late. A
-door takes a token once; several doors could each take it once, in the span that it names, and for that one
-task: nothing worse follows than that task's going ahead of others.
+Dispatchers share nothing but a secret. A token names the request that it was issued for and the
+window in which the request may come, by the wall clock. The clocks of dispatchers must differ by
+less than the grace, otherwise reservations look early or late. One dispatcher accepts a token once.
+Several dispatchers could each accept it once, in its window and for its request: the worst result
+is one request that goes ahead of others.
 
-Text: `1.SINCE.UNTIL.MAC`, times in ms of Unix time, the MAC 16 bytes of HMAC-SHA-256 (RFC 2104) over version,
-times and the task's `source` and `id`, in base64url without padding (RFC 4648).
+Format: `1.SINCE.UNTIL.MAC`, with times in ms of Unix time. MAC is 16 bytes of HMAC-SHA-256 (RFC
+2104) over version, times, and the `source` and `id` of the request, in base64url without padding
+(RFC 4648).
 """
 
 from __future__ import annotations
@@ -14,31 +16,39 @@
 import hmac
 from base64 import urlsafe_b64encode
 
+VERSION = "1"
 MAX_TOKEN_LENGTH = 80
-MAX_AHEAD_MS = 10 * 60 * 1000  # no door promises more; one that says so was made up or is from a wrong clock
+MAX_AHEAD_MS = 10 * 60 * 1000  # a later end is forged, or a clock is wrong
+MAC_BYTES = 16
+TOKEN_PARTS = 4
 
+RequestId = tuple[str, str]  # CloudEvents' `source` and `id`
 
-def issue(secret: bytes, mark: tuple[str, str], since_ms: int, until_ms: int) -> str:
-    """The token of a task that may come from `since_ms` to `until_ms`."""
-    return f"1.{since_ms}.{until_ms}.{_mac(secret, mark, since_ms, until_ms)}"
 
+def issue(secret: bytes, request_id: RequestId, since_ms: int, until_ms: int) -> str:
+    """The token of a request that may come from `since_ms` to `until_ms`."""
+    mac = _authenticate(secret, request_id, since_ms, until_ms)
+    return f"{VERSION}.{since_ms}.{until_ms}.{mac}"
 
-def verify(secret: bytes, mark: tuple[str, str], token: str, now_ms: int) -> tuple[int, int] | None:
-    """Since and until when; None for what no door with this secret gave to this task."""
+
+def verify(secret: bytes, request_id: RequestId, token: str, now_ms: int) -> tuple[int, int] | None:
+    """The window of a token, start and end in ms; None unless it was issued for this request."""
     parts = token.split(".")
-    if len(token) > MAX_TOKEN_LENGTH or len(parts) != 4 or parts[0] != "1" or not token.isascii():
+    if len(token) > MAX_TOKEN_LENGTH or len(parts) != TOKEN_PARTS or not token.isascii():
         return None
-    if not (parts[1].isdigit() and parts[2].isdigit()):
+    version, since, until, mac = parts
+    if version != VERSION or not (since.isdigit() and until.isdigit()):
         return None
-    since, until = int(parts[1]), int(parts[2])
-    if not since <= until <= now_ms + MAX_AHEAD_MS:
+    since_ms, until_ms = int(since), int(until)
+    if not since_ms <= until_ms <= now_ms + MAX_AHEAD_MS:
         return None
-    good = hmac.compare_digest(parts[3].encode(), _mac(secret, mark, since, until).encode())
-    return (since, until) if good else None
+    expected = _authenticate(secret, request_id, since_ms, until_ms)
+    return (since_ms, until_ms) if hmac.compare_digest(mac.encode(), expected.encode()) else None
 
 
-def _mac(secret: bytes, mark: tuple[str, str], since_ms: int, until_ms: int) -> str:
-    source, name = mark
-    # lengths stand before what may hold any character, so that no two tasks read alike
-    told = f"1.{since_ms}.{until_ms}.{len(source)}.{source}{name}".encode()
-    return urlsafe_b64encode(hmac.digest(secret, told, "sha256")[:16]).rstrip(b"=").decode()
+def _authenticate(secret: bytes, request_id: RequestId, since_ms: int, until_ms: int) -> str:
+    source, name = request_id
+    # the length comes before text that may hold any character, so that no two requests read alike
+    message = f"{VERSION}.{since_ms}.{until_ms}.{len(source)}.{source}{name}".encode()
+    digest = hmac.digest(secret, message, "sha256")[:MAC_BYTES]
+    return urlsafe_b64encode(digest).rstrip(b"=").decode()
--- a/martenlead/edge/listener.py
+++ b/martenlead/edge/listener.py
@@ -12,7 +12,14 @@
 
 from martenlead.admission import controller as gate
 from martenlead.admission import reservation_token as token
-from martenlead.admission.controller import AdmissionController, QueuedRequest, QueueState, ServiceResult
+from martenlead.admission.controller import (
+    AdmissionController,
+    AdmissionRequest,
+    FunctionResources,
+    QueuedRequest,
+    QueueState,
+    ServiceResult,
+)
 from martenlead.config.edge import EdgeSettings, ms_to_ns
 from martenlead.edge.cancellation import UnreadInput
 from martenlead.edge.dispatcher import Dispatcher
@@ -159,22 +166,23 @@
         """Tells the gate of a request of `size` bytes that came at `now`, ns."""
         dispatcher = self.dispatcher
         limit = dispatcher.deadlines_ns[asked.request_class]
-        return gate.submit(
-            asked.function,
-            asked.request_class,
-            asked.tenant or "",
-            event.identity[0],
-            hash(event.identity),
-            asked.cost_seconds,
-            size,
-            now + dispatcher.request_classes[asked.request_class].latency_objective_ns,
-            now
-            + (limit if asked.time_left_ns is None else min(asked.time_left_ns, limit))
-            - dispatcher.deadline_margin_ns,
-            asked.is_retry,
-            (asked.lanes, asked.memory_mb),
-            self._brought(event),
+        time_left_ns = limit if asked.time_left_ns is None else min(asked.time_left_ns, limit)
+        objective_ns = dispatcher.request_classes[asked.request_class].latency_objective_ns
+        arriving = AdmissionRequest(
+            function=asked.function,
+            request_class=asked.request_class,
+            tenant=asked.tenant or "",
+            client=event.identity[0],
+            trace_id=hash(event.identity),
+            work_seconds=asked.cost_seconds,
+            size_bytes=size,
+            respond_by_ns=now + objective_ns,
+            deadline_ns=now + time_left_ns - dispatcher.deadline_margin_ns,
+            is_retry=asked.is_retry,
+            resources=FunctionResources(asked.lanes, asked.memory_mb),
+            reservation=self._brought(event),
         )
+        return gate.submit(arriving)
 
     async def _wait(self, gate: AdmissionController, ticket: QueuedRequest) -> None:
         """Until the gate has decided on a request that waits there, or its time is over."""
--- a/martenlead/emulator/edge.py
+++ b/martenlead/emulator/edge.py
@@ -13,7 +13,13 @@
 import structlog
 
 from martenlead.admission import controller as gate
-from martenlead.admission.controller import AdmissionController, QueuedRequest, ServiceResult
+from martenlead.admission.controller import (
+    AdmissionController,
+    AdmissionRequest,
+    FunctionResources,
+    QueuedRequest,
+    ServiceResult,
+)
 from martenlead.admission.controller import QueueState as At
 from martenlead.config import edge as config
 from martenlead.config.edge import build_policy_settings, ms_to_ns
@@ -316,20 +322,21 @@
 
     def _through(self, gate: AdmissionController, x: Exchange) -> None:
         call, offering = x.call, x.call.offering.name
-        x.ticket = ticket = gate.submit(
-            call.model,
-            offering,
-            call.customer or "",
-            "/portal",
-            call.number,
-            int(call.cost_ms) / 1000,
-            14,
-            self.kernel.now + self.offerings[offering].latency_objective_ns,
-            self._give_up(x),
-            call.again,
-            (call.offering.lanes, float(int(call.offering.memory_mb))),
-            self._brought(call),
+        arriving = AdmissionRequest(
+            function=call.model,
+            request_class=offering,
+            tenant=call.customer or "",
+            client="/portal",
+            trace_id=call.number,
+            work_seconds=int(call.cost_ms) / 1000,
+            size_bytes=14,
+            respond_by_ns=self.kernel.now + self.offerings[offering].latency_objective_ns,
+            deadline_ns=self._give_up(x),
+            is_retry=call.again,
+            resources=FunctionResources(call.offering.lanes, float(int(call.offering.memory_mb))),
+            reservation=self._brought(call),
         )
+        x.ticket = ticket = gate.submit(arriving)
         if ticket.state is At.QUEUED:
             self.waiting[ticket] = x
             self.kernel.at(max(self.kernel.now, ticket.start_by_ns), self._expire, self.life, ticket)
--- a/support/crowd.py
+++ b/support/crowd.py
@@ -8,15 +8,10 @@
 from random import Random
 from typing import Any
 
-from martenlead.admission.controller import (
-    MS,
-    SECOND,
-    AdmissionController,
-    AdmissionLimits,
-    QueuedRequest,
-    QueueState,
-    ServiceResult,
-)
+from martenlead.admission.controller import AdmissionController
+from martenlead.admission.limits import AdmissionLimits
+from martenlead.admission.queues import AdmissionRequest, QueuedRequest, QueueState, ServiceResult
+from martenlead.admission.units import NS_PER_MS, NS_PER_SECOND
 
 
 @dataclass
@@ -78,14 +73,14 @@
         if self.gates:
             for gate in self.gates:
                 self._changed(gate.admit_waiting())
-            self.at(self.now + 10 * MS, self._sweeps)
+            self.at(self.now + 10 * NS_PER_MS, self._sweeps)
 
     def at(self, when: int, what: Any) -> None:
         self._count += 1
         heappush(self._heap, (when, self._count, what))
 
     def run(self, seconds: float) -> None:
-        until = self.now + int(seconds * SECOND)
+        until = self.now + int(seconds * NS_PER_SECOND)
         while self._heap and self._heap[0][0] <= until:
             self.now, _, what = heappop(self._heap)
             what()
@@ -94,7 +89,7 @@
     def _next_of(self, customer: Customer) -> None:
         if customer.rate:
             gap = self.chance.expovariate(customer.rate)
-            self.at(self.now + int(gap * SECOND), lambda: self._comes(customer))
+            self.at(self.now + int(gap * NS_PER_SECOND), lambda: self._comes(customer))
 
     def _comes(self, customer: Customer) -> None:
         self._next_of(customer)
@@ -110,7 +105,7 @@
             return None
         count = len(self.gates)
         at = int(count * self.chance.random() ** 1.3)
-        return self.gates[(at + self.now // (10 * SECOND) * (count // 3 + 1)) % count]
+        return self.gates[(at + self.now // (10 * NS_PER_SECOND) * (count // 3 + 1)) % count]
 
     def _tries(
         self,
@@ -122,7 +117,7 @@
         gate: AdmissionController | None,
     ) -> None:
         came = self.now
-        soft = came + int(customer.soft * SECOND)
+        soft = came + int(customer.soft * NS_PER_SECOND)
         self.came += appointed
         if gate is None:
             ticket = QueuedRequest(
@@ -130,10 +125,11 @@
             )
             ticket.state = QueueState.ADMITTED
         else:
-            give_up = came + int(4 * customer.soft * SECOND)
-            ticket = gate.submit(
+            give_up = came + int(4 * customer.soft * NS_PER_SECOND)
+            arriving = AdmissionRequest(
                 customer.model, "o", customer.name, client, mark, customer.work, 100, soft, give_up, tries > 1
             )
+            ticket = gate.submit(arriving)
         about = customer, client, mark, tries, came, appointed, gate
         if ticket.state is QueueState.ADMITTED:
             self._inside(ticket, about)
@@ -166,23 +162,23 @@
         model = customer.model
         if self.busy[model] >= self.places[model]:
             self._over(ticket, ServiceResult.NO_CAPACITY, about[6])
-            self._back(ticket.retry_after_ns if about[6] else int(500 * MS), about)
+            self._back(ticket.retry_after_ns if about[6] else int(500 * NS_PER_MS), about)
             return
         self.busy[model] += 1
         gate = about[6]
         if gate is not None:
             self.at(self.now, lambda: self._changed(gate.confirm_admission(ticket)))
-        took = int(customer.work * self.chance.uniform(0.7, 1.3) * SECOND)
+        took = int(customer.work * self.chance.uniform(0.7, 1.3) * NS_PER_SECOND)
         self.at(self.now + took, lambda: self._done(ticket, about))
 
     def _done(self, ticket: QueuedRequest, about: Any) -> None:
         customer, _, _, _, came, appointed, gate = about
         self.busy[customer.model] -= 1
-        good = self.now <= came + customer.soft * SECOND
+        good = self.now <= came + customer.soft * NS_PER_SECOND
         if good:
             self.in_time[customer.name] += 1
             self.work_in_time[customer.name] += customer.work  # type: ignore[assignment]
-            self.series[self.now // SECOND] += 1
+            self.series[self.now // NS_PER_SECOND] += 1
         self.met += appointed and good
         self.ends["satisfied" if good else "late"] += 1
         self._over(ticket, ServiceResult.SUCCEEDED, gate)
@@ -198,7 +194,7 @@
             return
         heeds = self.chance.random() < customer.honours
         self.told += heeds
-        then = self.now + (wait if heeds else 50 * MS)
+        then = self.now + (wait if heeds else 50 * NS_PER_MS)
         self.at(then, lambda: self._tries(customer, client, mark, tries + 1, heeds, gate))
 
     def part(self, name: str) -> float:
@@ -206,4 +202,4 @@
         return self.in_time[name] / max(1, self.asked[name])
 
 
-__all__ = ["MS", "Crowd", "Customer", "ServiceResult"]
+__all__ = ["NS_PER_MS", "Crowd", "Customer", "ServiceResult"]
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -7,20 +7,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from martenlead.admission.controller import (
-    CLIENT_BUCKETS,
+from martenlead.admission.controller import CLIENT_BUCKETS, TENANT_BUCKETS, AdmissionController
+from martenlead.admission.heavy_hitters import HeavyHitters, hash_bucket
+from martenlead.admission.limits import AdmissionLimits
+from martenlead.admission.queues import (
     MAX_FUNCTION_QUEUES,
-    MAX_RESERVATIONS,
-    MS,
-    SECOND,
-    TENANT_BUCKETS,
-    AdmissionController,
-    AdmissionLimits,
+    AdmissionRequest,
     QueuedRequest,
     QueueState,
     ServiceResult,
 )
-from martenlead.admission.heavy_hitters import HeavyHitters, hash_bucket
+from martenlead.admission.reservations import MAX_RESERVATIONS
+from martenlead.admission.units import NS_PER_MS, NS_PER_SECOND
 from support.crowd import Crowd, Customer
 
 TWO = {"a": 1.0, "b": 1.0}
@@ -53,11 +51,12 @@
         brought: tuple[int, int] | None = None,
     ) -> QueuedRequest:
         self.marks += 1
-        end = self.now + soft * MS
+        end = self.now + soft * NS_PER_MS
         number = mark or self.marks
-        ticket = self.gate.submit(
-            model, "o", customer, client, number, work, size, end, end, again, appointment=brought
+        arriving = AdmissionRequest(
+            model, "o", customer, client, number, work, size, end, end, again, reservation=brought
         )
+        ticket = self.gate.submit(arriving)
         if ticket.state is QueueState.ADMITTED:
             self.inside.append(ticket)
         return ticket
@@ -126,7 +125,7 @@
     door = Door(1)
     at = door.come()
     for _ in range(20):  # ten a second get done, of 0.1 s each
-        door.now += 100 * MS
+        door.now += 100 * NS_PER_MS
         waits = door.come(soft=2000)
         (at,) = door.end(at)
         assert at is waits
@@ -138,20 +137,20 @@
     door.now = ticket.start_by_ns
     door.gate.expire(ticket)
     assert (ticket.state, ticket.reason) == (QueueState.REJECTED, "it could not be answered in time")
-    assert ticket.retry_after_ns >= 100 * MS
+    assert ticket.retry_after_ns >= 100 * NS_PER_MS
 
 
 def test_appointments_are_one_after_the_other_and_kept_ones_go_first() -> None:
     door = Door(1, waiting=1)
     at = door.come(soft=60_000)
     for _ in range(20):
-        door.now += 100 * MS
+        door.now += 100 * NS_PER_MS
         waits = door.come(soft=60_000)
         (at,) = door.end(at)
         assert at is waits
     door.come(soft=60_000)
     back = [door.come(soft=60_000, mark=1000 + n) for n in range(10)]
-    waits_ = [t.retry_after_ns // MS for t in back]
+    waits_ = [t.retry_after_ns // NS_PER_MS for t in back]
     assert waits_ == sorted(waits_)
     assert waits_[-1] - waits_[0] > 1000  # at a part of ten a second
     door.gate.limits = AdmissionLimits(waiting=100)
@@ -186,20 +185,24 @@
     door = Door(1, weights=TWO)
     at = door.come("a", soft=60_000)
     others = [door.come("b", soft=60_000) for _ in range(5)]
-    span = door.now - 10 * MS, door.now + 2000 * MS
+    span = door.now - 10 * NS_PER_MS, door.now + 2000 * NS_PER_MS
     brought = door.come("a", soft=60_000, mark=500, again=True, brought=span)
     assert (brought.has_reservation, brought.counts_as_retry) == (True, False)
     again = door.come("a", soft=60_000, mark=500, again=True, brought=span)
     assert (again.has_reservation, again.counts_as_retry) == (False, True)
     assert door.end(at) == [brought]  # though "a" has had more than "b"
     assert door.end(brought)[0] in others
-    early = door.come("a", mark=501, again=True, brought=(door.now + 5000 * MS, door.now + 9000 * MS))
+    early = door.come(
+        "a", mark=501, again=True, brought=(door.now + 5000 * NS_PER_MS, door.now + 9000 * NS_PER_MS)
+    )
     assert (early.state, early.reason, early.retry_after_ns) == (
         QueueState.REJECTED,
         "it was told to come later",
-        7000 * MS,
+        7000 * NS_PER_MS,
+    )
+    late = door.come(
+        "a", soft=60_000, mark=502, again=True, brought=(door.now - 9 * NS_PER_SECOND, door.now - NS_PER_MS)
     )
-    late = door.come("a", soft=60_000, mark=502, again=True, brought=(door.now - 9 * SECOND, door.now - MS))
     assert not late.has_reservation
 
 
@@ -210,13 +213,13 @@
         door = Door(1, waiting=1)
         at = door.come(soft=60_000)
         for n in range(40):
-            door.now += 100 * MS
+            door.now += 100 * NS_PER_MS
             waits = door.come(soft=60_000, again=n % 10 >= new, mark=9000 + n)
             door.gate.accounts[waits.tenant].retry_budget = 10
             (at,) = door.end(at)
         door.come(soft=60_000)
         back = [door.come(soft=60_000, mark=1000 + n, again=True) for n in range(10)]
-        gaps.append((back[-1].retry_after_ns - back[0].retry_after_ns) // MS)
+        gaps.append((back[-1].retry_after_ns - back[0].retry_after_ns) // NS_PER_MS)
     assert gaps[0] < 1400 < 2000 < gaps[1]
 
 
@@ -230,7 +233,7 @@
     )
     first, second = door.come(model="m0", soft=60_000), door.come(model="m1", soft=60_000)
     for n in range(20):
-        door.gate._function_queue(f"m{n}", 0).last_placement = where[f"m{n}"]
+        door.gate.queues.use(f"m{n}").last_placement = where[f"m{n}"]
         door.come(model=f"m{n}", soft=60_000)
     asked.clear()
     door.end(first)
@@ -244,7 +247,7 @@
     door = Door(1)
     ticket = door.come()
     assert door.end(ticket, ServiceResult.NO_CAPACITY) == []
-    assert 500 * MS <= ticket.retry_after_ns <= 1700 * MS
+    assert 500 * NS_PER_MS <= ticket.retry_after_ns <= 1700 * NS_PER_MS
     assert ticket.trace_id in door.gate.reservations
 
 
@@ -350,7 +353,10 @@
     crowd = Crowd(10, [Customer("a", 50)], weights={"a": 1.0})
     crowd.run(5)
     for _ in range(1500):
-        crowd.at(crowd.now + int(crowd.chance.uniform(0, 3) * SECOND), lambda: crowd._comes(Customer("a", 0)))
+        crowd.at(
+            crowd.now + int(crowd.chance.uniform(0, 3) * NS_PER_SECOND),
+            lambda: crowd._comes(Customer("a", 0)),
+        )
     crowd.run(35)
     assert crowd.met / crowd.came > 0.9
     worst = min(crowd.series[s] for s in range(5, 25))
