--- a/martenlead/durable_state/__init__.py
+++ b/martenlead/durable_state/__init__.py
@@ -1,1 +1,1 @@
-"""State that survives the process: a small crash-safe store, and what is worth keeping in it."""
+"""Durable state: crash-safe files, what a dispatcher saves in them, and how that ages."""
--- a/martenlead/durable_state/knowledge.py
+++ b/martenlead/durable_state/knowledge.py
@@ -1,62 +1,75 @@
-"""What of a dispatcher's knowledge is kept, and what it is still worth when it is read: free of I/O.
-
-Kept: usual latencies and demand of models, the tasks a second that were satisfied, runners' widths,
-copies held, drains heard, orders of the ration's window. Not kept, since it is not true of another life:
-tasks that were out, credit, what went unanswered, randomness. Not trusted: anything of a runner whose process
-has started anew since; copies that lay idle longer than they are kept, and any copy until its runner has said
-that it stands.
-
-Each kind ages by how fast it was seen to change: its mean change a second, in parts, is measured between
-two savings and kept with it. What was known counts for 1 / (1 + change x age). An age that cannot be
-known, since clocks stepped back, is taken for a long one. Times are ns.
+"""What of a dispatcher's knowledge survives a restart, and how it ages. Free of I/O.
+
+Saved are the usual latencies and the demand of functions, the requests that succeed per second, the
+concurrency limits of workers, replicas, draining workers, and the load requests in the window of
+the load budget. Not saved is what is not true of another incarnation: attempts in flight, retry
+budgets, requests without a response, random state. Not trusted is anything about a worker that has
+restarted since, a replica that was idle longer than its keep-alive, and any replica until its
+worker has confirmed it.
+
+Each aspect ages by how fast it was seen to change. Its mean relative change per second is measured
+between two savings and saved with it. A saved value counts for 1 / (1 + change * age). An age that
+cannot be known, because a clock was stepped back, counts as a long one. Times are nanoseconds.
 """
 
 from __future__ import annotations
 
-from collections.abc import Generator
+from collections.abc import Generator, Mapping
 from statistics import fmean, median
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
-from martenlead.policy import types as io
 from martenlead.policy.policy import Policy
+from martenlead.policy.state import Function
+from martenlead.policy.types import EarlierFunction, EarlierRun, EarlierWorker
 
 SECOND = 1_000_000_000
 UNKNOWN_AGE_NS = 24 * 3600 * SECOND
-DEFAULT_CHANGE_PER_SECOND = {
-    "latency": 1 / 600,
-    "demand": 1 / 60,
-    "width": 1 / 30,
-}  # change a second, until it was seen
+# relative change per second of each aspect, until it was measured; the keys are stored
+DEFAULT_CHANGE_PER_SECOND = {"latency": 1 / 600, "demand": 1 / 60, "width": 1 / 30}
 MIN_CHANGE_PER_SECOND, MAX_CHANGE_PER_SECOND = 1 / 86_400, 1.0
-SMOOTHING_FACTOR = 0.1  # of a newly seen change, in the mean
+SMOOTHING_FACTOR = 0.1  # weight of a new measurement in the mean change
 MAX_FUNCTIONS = 10_000
-FUNCTIONS_PER_STEP = 25  # models that are read at a time
-SAMPLED_FUNCTIONS = 200  # models, those used last, that tell how fast things change
-MAX_RELOADS = 200  # of copies, after a start
+FUNCTIONS_PER_STEP = 25  # read before the event loop may go on
+SAMPLED_FUNCTIONS = 200  # the most recently used, which the changes are measured on
+MIN_SAMPLED_REQUESTS = 4  # of a function whose demand is compared
+MAX_RELOADS = 200  # replicas that are confirmed after a start
+NS_PER_MS = 1e6
+
+# handles of the policy's own objects: any hashable object, which only the policy looks into
+PolicyFunction = Any
+PolicyWorker = Any
+WorkerIdentity = tuple[str, str, bool]  # name, incarnation, whether it says that it is draining
+LiveWorkers = Mapping[str, tuple[PolicyWorker, str]]  # by name; with the present incarnation
 
 
 class SavedReplica(msgspec.Struct, array_like=True):
+    """A replica that was loaded."""
+
     worker: str
-    incarnation: str  # the life of its process
+    incarnation: str  # of the worker
     idle_ns: int  # since its last use
 
 
 class SavedFunction(msgspec.Struct, array_like=True):
+    """What was known of a function."""
+
     name: str
     lanes: int
     memory_mb: float
-    latency_bins: list[float]  # of its latencies
+    latency_bins: list[float]  # of the policy's latency histogram
     latency_sum_ns: float
-    recent_requests: float  # within span
+    recent_requests: float  # within `recent_span_ns`
     recent_span_ns: int
-    mean_gap_ns: int  # mean time between two tasks
-    idle_ns: int  # since its last task
+    mean_gap_ns: int  # between two requests
+    idle_ns: int  # since the last request
     replicas: list[SavedReplica]
 
 
 class SavedWorker(msgspec.Struct, array_like=True):
+    """What was known of a worker."""
+
     name: str
     incarnation: str
     concurrency_limit: float
@@ -64,221 +77,294 @@
 
 
 class SavedKnowledge(msgspec.Struct):
+    """All that is saved of one dispatcher."""
+
     succeeded_per_second: float = msgspec.field(name="rate")
     new_requests_per_second: float = msgspec.field(name="asked")
     functions: list[SavedFunction] = msgspec.field(name="models")
     workers: list[SavedWorker] = msgspec.field(name="runners")
-    load_ages_ns: list[int] = msgspec.field(name="orders")  # their ages
+    load_ages_ns: list[int] = msgspec.field(name="orders")  # of load requests
     change_per_second: dict[str, float] = msgspec.field(name="change")
-    boot_id: str = msgspec.field(default="", name="boot")  # which start of the machine `at` counts from
-    uptime_ns: int = msgspec.field(default=0, name="at")  # its uptime
+    boot_id: str = msgspec.field(default="", name="boot")  # start of the machine
+    uptime_ns: int = msgspec.field(default=0, name="at")  # since that start, when it was saved
+
+
+class ReplicaReload(NamedTuple):
+    """A replica that a worker is asked to confirm after a start."""
+
+    worker: str
+    function: str
+    lanes: int
+    memory_mb: float
+    idle_ms: float
+
+
+Gathered = tuple[int, SavedKnowledge]  # when, and what
+
+
+# -- gathering
 
 
 def gather_knowledge(
     policy: Policy,
-    now: int,
-    names: dict[Any, str],
-    boxes: dict[Any, tuple[str, str, bool]],
-    before: tuple[int, SavedKnowledge] | None = None,
+    now_ns: int,
+    names: Mapping[PolicyFunction, str],
+    workers: Mapping[PolicyWorker, WorkerIdentity],
+    before: Gathered | None = None,
 ) -> SavedKnowledge:
-    """All of `gathering` in one go."""
-    steps = gather_in_steps(policy, now, names, boxes, before)
+    """All steps of `gather_in_steps` in one go."""
+    steps = gather_in_steps(policy, now_ns, names, workers, before)
     while True:
         try:
             next(steps)
         except StopIteration as stop:
-            told: SavedKnowledge = stop.value
-            return told
+            knowledge: SavedKnowledge = stop.value
+            return knowledge
 
 
 def gather_in_steps(
     policy: Policy,
-    now: int,
-    names: dict[Any, str],
-    boxes: dict[Any, tuple[str, str, bool]],
-    before: tuple[int, SavedKnowledge] | None = None,
+    now_ns: int,
+    names: Mapping[PolicyFunction, str],
+    workers: Mapping[PolicyWorker, WorkerIdentity],
+    before: Gathered | None = None,
 ) -> Generator[None, None, SavedKnowledge]:
-    """Reads the module and changes nothing, some models at a time: ten thousand at once would hold up an
-    event loop for as long as some tasks have. `names` are the models', `boxes` tells of each runner its
-    name, its life, and whether it said that it drains; `before` is what was gathered last, and when."""
-    keep = policy.settings.keep_alive_ns
-    models = sorted(policy.state.functions, key=lambda m: (-m.last_request_ns, m.facts.mark))[:MAX_FUNCTIONS]
-    known = []
-    for number, model in enumerate(models):
+    """Reads the policy, a few functions per step, and changes nothing.
+
+    Ten thousand functions at once would hold up the event loop for longer than some requests have.
+    `names` are those of the functions. `before` is what was gathered last.
+    """
+    functions = sorted(policy.state.functions, key=lambda f: (-f.last_request_ns, f.facts.mark))[
+        :MAX_FUNCTIONS
+    ]
+    saved_functions = []
+    for number, function in enumerate(functions):
         if number % FUNCTIONS_PER_STEP == FUNCTIONS_PER_STEP - 1:
             yield
-        if model.requests < 1 and not model.replicas:
+        if function.requests < 1 and not function.replicas:
             continue
-        copies = [
-            SavedReplica(*boxes[c.worker][:2], max(0, now - c.last_used_ns))
-            for c in model.replicas.values()
-            if c.is_retained and c.is_loaded and c.worker in boxes and now - c.last_used_ns < keep
-        ]
-        gap = (
-            (model.last_request_ns - model.first_request_ns) // (model.requests - 1)
-            if model.requests > 1
-            else 0
-        )
-        known.append(
-            SavedFunction(
-                names[model],
-                model.facts.lanes,
-                model.facts.memory_mb,
-                [round(n, 3) for n in model.latency.bins] if model.latency.total else [],
-                model.latency.sum_ns,
-                model.rated_requests + model.new_requests[1],
-                model.rated_span_ns,
-                gap,
-                max(0, now - model.last_request_ns),
-                copies,
-            )
-        )
-    runners = [
-        SavedWorker(*boxes[r][:2], r.concurrency_limit, boxes[r][2])
-        for r in policy.state.workers
-        if r in boxes
-    ]
+        replicas = _save_replicas(policy, function, workers, now_ns)
+        saved_functions.append(_save_function(function, names[function], replicas, now_ns))
+    saved_workers = _save_workers(policy, workers)
     yield
-    window = policy.settings.load_window_ns
-    orders = [now - t for t in policy.load_budget.load_times_ns if now - t < window]
-    told = SavedKnowledge(
+    window_ns = policy.settings.load_window_ns
+    loads_ns = policy.load_budget.load_times_ns
+    knowledge = SavedKnowledge(
         policy.state.traffic.succeeded_per_second,
         policy.state.traffic.new_requests_per_second,
-        known,
-        runners,
-        orders,
+        saved_functions,
+        saved_workers,
+        [now_ns - load_ns for load_ns in loads_ns if now_ns - load_ns < window_ns],
         dict(DEFAULT_CHANGE_PER_SECOND),
     )
     if before is not None:
-        told.change_per_second = measure_changes(before, (now, told))
-    return told
+        knowledge.change_per_second = measure_changes(before, (now_ns, knowledge))
+    return knowledge
+
+
+def _save_function(
+    function: Function, name: str, replicas: list[SavedReplica], now_ns: int
+) -> SavedFunction:
+    span_ns = function.last_request_ns - function.first_request_ns
+    return SavedFunction(
+        name,
+        function.facts.lanes,
+        function.facts.memory_mb,
+        [round(n, 3) for n in function.latency.bins] if function.latency.total else [],
+        function.latency.sum_ns,
+        function.rated_requests + function.new_requests[1],
+        function.rated_span_ns,
+        span_ns // (function.requests - 1) if function.requests > 1 else 0,
+        max(0, now_ns - function.last_request_ns),
+        replicas,
+    )
 
 
-def measure_changes(
-    before: tuple[int, SavedKnowledge], after: tuple[int, SavedKnowledge]
-) -> dict[str, float]:
-    """How fast each kind changes, parts a second: the median over all that both know, into the mean so
-    far."""
-    (then, old), (now, new) = before, after
-    seconds = (now - then) / SECOND
+def _save_replicas(
+    policy: Policy,
+    function: Function,
+    workers: Mapping[PolicyWorker, WorkerIdentity],
+    now_ns: int,
+) -> list[SavedReplica]:
+    keep_alive_ns = policy.settings.keep_alive_ns
+    found = []
+    for replica in function.replicas.values():
+        idle_ns = now_ns - replica.last_used_ns
+        is_loaded = replica.is_retained and replica.is_loaded
+        if is_loaded and replica.worker in workers and idle_ns < keep_alive_ns:
+            name, incarnation, _ = workers[replica.worker]
+            found.append(SavedReplica(name, incarnation, max(0, idle_ns)))
+    return found
+
+
+def _save_workers(
+    policy: Policy, workers: Mapping[PolicyWorker, WorkerIdentity]
+) -> list[SavedWorker]:
+    found = []
+    for worker in policy.state.workers:
+        if worker in workers:
+            name, incarnation, is_draining = workers[worker]
+            found.append(SavedWorker(name, incarnation, worker.concurrency_limit, is_draining))
+    return found
+
+
+# -- aging
+
+
+def measure_changes(before: Gathered, after: Gathered) -> dict[str, float]:
+    """How fast each aspect changes, relative and per second.
+
+    It is the median over all functions or workers in both, taken into the mean so far.
+    """
+    (before_ns, old), (after_ns, new) = before, after
+    seconds = (after_ns - before_ns) / SECOND
     found = dict(old.change_per_second)
     if seconds <= 0:
         return found
-    for kind, was, is_ in (
-        ("latency", _means(old), _means(new)),
-        ("demand", _rates(old), _rates(new)),
-        (
-            "width",
-            {r.name: r.concurrency_limit for r in old.workers},
-            {r.name: r.concurrency_limit for r in new.workers},
-        ),
+    for aspect, was, now in (
+        ("latency", _mean_latencies(old), _mean_latencies(new)),
+        ("demand", _request_rates(old), _request_rates(new)),
+        ("width", _concurrency_limits(old), _concurrency_limits(new)),
     ):
-        parts = [abs(is_[n] - was[n]) / was[n] for n in was.keys() & is_.keys() if was[n] > 0]
-        if parts:
-            seen = min(MAX_CHANGE_PER_SECOND, max(MIN_CHANGE_PER_SECOND, median(parts) / seconds))
-            found[kind] = (
-                found.get(kind, DEFAULT_CHANGE_PER_SECOND[kind]) * (1 - SMOOTHING_FACTOR)
-                + SMOOTHING_FACTOR * seen
-            )
+        changes = [abs(now[n] - was[n]) / was[n] for n in was.keys() & now.keys() if was[n] > 0]
+        if changes:
+            measured = _bound_change(median(changes) / seconds)
+            mean = found.get(aspect, DEFAULT_CHANGE_PER_SECOND[aspect])
+            found[aspect] = mean * (1 - SMOOTHING_FACTOR) + SMOOTHING_FACTOR * measured
     return found
 
 
-def _means(told: SavedKnowledge) -> dict[str, float]:
-    some = told.functions[:SAMPLED_FUNCTIONS]
+def _bound_change(change_per_second: float) -> float:
+    return min(MAX_CHANGE_PER_SECOND, max(MIN_CHANGE_PER_SECOND, change_per_second))
+
+
+def _mean_latencies(knowledge: SavedKnowledge) -> dict[str, float]:
     return {
-        m.name: m.latency_sum_ns / sum(m.latency_bins)
-        for m in some
-        if m.latency_bins and sum(m.latency_bins) > 0
+        f.name: f.latency_sum_ns / sum(f.latency_bins)
+        for f in knowledge.functions[:SAMPLED_FUNCTIONS]
+        if f.latency_bins and sum(f.latency_bins) > 0
     }
 
 
-def _rates(told: SavedKnowledge) -> dict[str, float]:
+def _request_rates(knowledge: SavedKnowledge) -> dict[str, float]:
+    return {
+        f.name: f.recent_requests / f.recent_span_ns
+        for f in knowledge.functions[:SAMPLED_FUNCTIONS]
+        if f.recent_span_ns > 0 and f.recent_requests >= MIN_SAMPLED_REQUESTS
+    }
+
+
+def _concurrency_limits(knowledge: SavedKnowledge) -> dict[str, float]:
+    return {worker.name: worker.concurrency_limit for worker in knowledge.workers}
+
+
+def compute_age_ns(
+    knowledge: SavedKnowledge, saved_ns: int, unix_time_ns: int, boot_id: str, uptime_ns: int
+) -> int:
+    """The time since knowledge was saved.
+
+    The uptime of the machine measures it if the machine has not restarted, otherwise the wall
+    clock. A wall clock that ran backwards measures nothing.
+    """
+    is_same_boot = bool(knowledge.boot_id) and knowledge.boot_id == boot_id
+    if is_same_boot and uptime_ns >= knowledge.uptime_ns:
+        return uptime_ns - knowledge.uptime_ns
+    return unix_time_ns - saved_ns if unix_time_ns >= saved_ns else UNKNOWN_AGE_NS
+
+
+def compute_confidence(change_per_second: float, age_ns: int) -> float:
+    """What a saved value still counts for, in (0, 1]."""
+    return 1 / (1 + _bound_change(change_per_second) * age_ns / SECOND)
+
+
+def _confidences(knowledge: SavedKnowledge, age_ns: int) -> dict[str, float]:
     return {
-        m.name: m.recent_requests / m.recent_span_ns
-        for m in told.functions[:SAMPLED_FUNCTIONS]
-        if m.recent_span_ns > 0 and m.recent_requests >= 4
+        aspect: compute_confidence(knowledge.change_per_second.get(aspect, default), age_ns)
+        for aspect, default in DEFAULT_CHANGE_PER_SECOND.items()
     }
 
 
-def compute_age_ns(told: SavedKnowledge, saved: int, wall: int, boot: str, uptime: int) -> int:
-    """Since it was saved: by the machine's uptime where it has not started anew, else by the wall clock; one
-    that runs backwards says nothing."""
-    if told.boot_id and told.boot_id == boot and uptime >= told.uptime_ns:
-        return uptime - told.uptime_ns
-    return wall - saved if wall >= saved else UNKNOWN_AGE_NS
+def mean_confidence(knowledge: SavedKnowledge, age_ns: int) -> float:
+    """What the knowledge still counts for, over all aspects; for operators."""
+    return fmean(_confidences(knowledge, age_ns).values())
 
 
-def compute_confidence(change: float, age_ns: int) -> float:
-    return 1 / (1 + min(MAX_CHANGE_PER_SECOND, max(MIN_CHANGE_PER_SECOND, change)) * age_ns / SECOND)
+# -- restoring
 
 
 def build_earlier_run(
-    told: SavedKnowledge,
+    knowledge: SavedKnowledge,
     age_ns: int,
-    models: dict[str, Any],
-    runners: dict[str, tuple[Any, str]],
-    window: int,
-) -> io.EarlierRun:
-    """For the module: `models` and `runners` are its objects by name, with the runners' present lives."""
-    of = {
-        kind: compute_confidence(told.change_per_second.get(kind, usual), age_ns)
-        for kind, usual in DEFAULT_CHANGE_PER_SECOND.items()
-    }
-    return io.EarlierRun(
-        succeeded_per_second=told.succeeded_per_second,
-        new_requests_per_second=told.new_requests_per_second,
-        weight=of["demand"],
+    functions: Mapping[str, PolicyFunction],
+    workers: LiveWorkers,
+    load_window_ns: int,
+) -> EarlierRun:
+    """What the policy is given after a start. `functions` and `workers` are its objects by name."""
+    confidence = _confidences(knowledge, age_ns)
+    return EarlierRun(
+        succeeded_per_second=knowledge.succeeded_per_second,
+        new_requests_per_second=knowledge.new_requests_per_second,
+        weight=confidence["demand"],
         functions=[
-            io.EarlierFunction(
-                models[m.name],
-                m.latency_bins,
-                m.latency_sum_ns,
-                of["latency"],
-                m.recent_requests,
-                m.recent_span_ns,
-                m.mean_gap_ns,
-                m.idle_ns + age_ns,
-                of["demand"],
+            EarlierFunction(
+                functions[saved.name],
+                saved.latency_bins,
+                saved.latency_sum_ns,
+                confidence["latency"],
+                saved.recent_requests,
+                saved.recent_span_ns,
+                saved.mean_gap_ns,
+                saved.idle_ns + age_ns,
+                confidence["demand"],
             )
-            for m in told.functions
-            if m.name in models
+            for saved in knowledge.functions
+            if saved.name in functions
         ],
         workers=[
-            io.EarlierWorker(runners[r.name][0], r.concurrency_limit, of["width"])
-            for r in told.workers
-            if r.name in runners and runners[r.name][1] == r.incarnation
+            EarlierWorker(workers[saved.name][0], saved.concurrency_limit, confidence["width"])
+            for saved in knowledge.workers
+            if _is_same_incarnation(saved.name, saved.incarnation, workers)
+        ],
+        load_ages_ns=[
+            load_age_ns + age_ns
+            for load_age_ns in knowledge.load_ages_ns
+            if load_age_ns + age_ns < load_window_ns
         ],
-        load_ages_ns=[a + age_ns for a in told.load_ages_ns if a + age_ns < window],
     )
 
 
+def _is_same_incarnation(name: str, incarnation: str, workers: LiveWorkers) -> bool:
+    """Whether a worker is listed and has not restarted since it was saved."""
+    return name in workers and workers[name][1] == incarnation
+
+
 def list_reloads(
-    told: SavedKnowledge, age_ns: int, keep: int, runners: dict[str, tuple[Any, str]]
-) -> list[tuple[str, str, int, float, float]]:
-    """Copies to ask their runners for: runner, model, lanes, MB, ms since they were used. Those that were
-    used last first; what has lapsed by its age, or was of another life, is not asked for."""
+    knowledge: SavedKnowledge, age_ns: int, keep_alive_ns: int, workers: LiveWorkers
+) -> list[ReplicaReload]:
+    """Replicas to ask their workers for, the most recently used first.
+
+    Left out are those whose keep-alive has ended, and those of a worker that has restarted.
+    """
     found = [
-        (copy.worker, model.name, model.lanes, model.memory_mb, (copy.idle_ns + age_ns) / 1e6)
-        for model in told.functions
-        for copy in model.replicas
-        if copy.idle_ns + age_ns < keep and runners.get(copy.worker, (None, ""))[1] == copy.incarnation
-        if copy.worker in runners
+        ReplicaReload(
+            replica.worker,
+            function.name,
+            function.lanes,
+            function.memory_mb,
+            (replica.idle_ns + age_ns) / NS_PER_MS,
+        )
+        for function in knowledge.functions
+        for replica in function.replicas
+        if replica.idle_ns + age_ns < keep_alive_ns
+        if _is_same_incarnation(replica.worker, replica.incarnation, workers)
     ]
-    return sorted(found, key=lambda ask: ask[4])[:MAX_RELOADS]
+    return sorted(found, key=lambda reload: reload.idle_ms)[:MAX_RELOADS]
 
 
-def list_draining_workers(told: SavedKnowledge, runners: dict[str, tuple[Any, str]]) -> list[str]:
-    """Runners that said themselves that they drain, in the life that they still live."""
+def list_draining_workers(knowledge: SavedKnowledge, workers: LiveWorkers) -> list[str]:
+    """Workers that said that they are draining and have not restarted since."""
     return [
-        r.name
-        for r in told.workers
-        if r.is_draining and r.name in runners and runners[r.name][1] == r.incarnation
+        saved.name
+        for saved in knowledge.workers
+        if saved.is_draining and _is_same_incarnation(saved.name, saved.incarnation, workers)
     ]
-
-
-def mean_confidence(told: SavedKnowledge, age_ns: int) -> float:
-    """For operators: what it counts for, all kinds together."""
-    return fmean(
-        compute_confidence(told.change_per_second.get(kind, usual), age_ns)
-        for kind, usual in DEFAULT_CHANGE_PER_SECOND.items()
-    )
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -158,7 +158,7 @@
             model.latency_bins = [*model.latency_bins[7:], *model.latency_bins[:7]]
             model.recent_requests *= 10 if n % 3 else 0
             model.replicas = [
-                msgspec.structs.replace(c, worker=f"runner-{n % 8}", start="0") for c in model.replicas
+                msgspec.structs.replace(c, worker=f"runner-{n % 8}", incarnation="0") for c in model.replicas
             ]
         for runner in told.workers:
             runner.concurrency_limit = 30.0 if runner.name[-1] in "0246" else 0.3
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -269,7 +269,7 @@
 
 
 def test_a_state_over_its_bound_is_not_written(tmp_path: Path) -> None:
-    opened = store(StateFolder(tmp_path), most=2000)
+    opened = store(StateFolder(tmp_path), max_bytes=2000)
     opened.write(THING, "small")
     with pytest.raises(StateTooLargeError, match="2000 are allowed"):
         opened.write(THING, list(os.urandom(5000)))
