--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -147,7 +147,7 @@
 def main() -> None:
     for scene, (customers, weights) in SCENES.items():
         for kind in (AdmissionController, Deficit, Stochastic, Fifo, CoDel, Length):
-            crowd.Gate = kind  # type: ignore[misc]
+            crowd.AdmissionController = kind  # type: ignore[misc]
             played = Crowd(10, customers, weights=weights)
             played.run(40)
             work = [played.work_in_time[c.name] / weights[c.name] for c in customers]
