--- a/martenlead/config/schema.py
+++ b/martenlead/config/schema.py
@@ -37,7 +37,8 @@
     host: Name = "127.0.0.1"
     port: Annotated[int, Meta(ge=1, le=65535)]
     kept: str | None = None  # file in which the last list is cached
-    quiet_ms: Positive = 3000  # a stream without a line for this long counts as broken
+    # a stream without a line for this long counts as broken
+    silence_timeout_ms: Positive = msgspec.field(default=3000, name="quiet_ms")
     retry_ms: Positive = 100  # first backoff; doubles up to twenty times its length
 
 
--- a/martenlead/layers/agent.py
+++ b/martenlead/layers/agent.py
@@ -82,7 +82,7 @@
 class RosterLink(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
     host: str = "127.0.0.1"
     port: Port
-    quiet_ms: Positive = 3000
+    silence_timeout_ms: Positive = msgspec.field(default=3000, name="quiet_ms")
     retry_ms: Positive = 100
 
 
--- a/martenlead/upstream/endpoint_watch.py
+++ b/martenlead/upstream/endpoint_watch.py
@@ -24,7 +24,7 @@
 
 
 class WatchSettings(Protocol):
-    """Where the roster is. Times are ms: `quiet_ms` without a byte breaks the stream, `retry_ms` is the first
+    """Where the roster is. Times are ms: `silence_timeout_ms` without a byte breaks the stream, `retry_ms` is the first
     wait before it is asked for again; waits double up to twenty of it."""
 
     @property
@@ -32,7 +32,7 @@
     @property
     def port(self) -> int: ...
     @property
-    def quiet_ms(self) -> float: ...
+    def silence_timeout_ms(self) -> float: ...
     @property
     def retry_ms(self) -> float: ...
 
@@ -54,7 +54,7 @@
     while True:
         ask = http.request(b"GET", b"/roster?after=%d" % known.version, host, [(b"user-agent", agent)])
         try:
-            quiet = link.quiet_ms / 1000
+            quiet = link.silence_timeout_ms / 1000
             async with aclosing(
                 read_lines(
                     link.host, link.port, ask, silence_timeout_seconds=quiet, max_line_bytes=MAX_LINE_BYTES
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -29,7 +29,8 @@
     "traces",
     "upstream",
 }
-PROTOCOL_MODULES: set[str] = set()
+PROTOCOL_MODULES: dict[str, str] = {}
+"""Modules that keep words of a protocol or of stored data, with the reason."""
 WITHDRAWN = {
     *("appointment", "asked", "best", "books", "border", "box", "boxes", "brain", "copies", "copy"),
     *("credit", "customer", "customers", "depot", "door", "fading", "fetch", "gate", "going", "hasten"),
