--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,9 +20,9 @@
 from martenlead.node import config
 from martenlead.node import worker_protocol as lines
 from martenlead.node.client_protocol import BODY_BYTES_LIMIT
+from martenlead.node.connection_pool import ConnectionPool
 from martenlead.node.journal import FrameDecoder
 from martenlead.node.worker_age import WorkerAges
-from martenlead.node.worker_client import ConnectionPool
 from martenlead.policy.types import Result, Warmth
 from martenlead.upstream.endpoints import Endpoint, EndpointList, EndpointUpdate
 from martenlead.upstream.outcome import UpstreamOutcome
--- a/benchmarks/scale/pooled.py
+++ b/benchmarks/scale/pooled.py
@@ -30,8 +30,10 @@
 from martenlead.edge.records import IncomingRequest, PendingRequest
 from martenlead.node import client_protocol as rpc
 from martenlead.node import config
+from martenlead.node.call_timeouts import CallTimeouts
 from martenlead.node.serve import RESERVED_DESCRIPTORS
-from martenlead.node.worker_client import UpstreamConnection, WorkerClient
+from martenlead.node.upstream_connection import UpstreamConnection
+from martenlead.node.worker_client import WorkerClient
 
 
 @dataclass(slots=True)
@@ -85,6 +87,13 @@
         self.link.connecting.append(conn)
 
 
+class UnscheduledTimeouts(CallTimeouts):
+    """Time-outs without a timer: the simulation asks for the next one after each event."""
+
+    def schedule(self) -> None:
+        """Sets no timer."""
+
+
 class PooledLink(WorkerClient):
     """The node's link; the simulation carries its lines and runs its time-outs."""
 
@@ -96,6 +105,7 @@
         }
         super().__init__(told.connection_settings, max(16, sockets - RESERVED_DESCRIPTORS) // 2, soft, clock)
         self._task_group: Any = ConnectionsWanted(self)
+        self._timeouts = UnscheduledTimeouts(clock, self._expire)
         self.counts = LinkCounts()
         self.connecting: list[UpstreamConnection] = []
         self.connections_made = 0
@@ -104,16 +114,13 @@
         self.attempts: list[Written] = []
         self.loads: list[Written] = []
 
-    def _schedule_timeout(self) -> None:
-        """The simulation asks for `due` after each event."""
-
     def due(self) -> int | None:
         """When the next time-out is."""
-        return self._timeouts[0][0] if self._timeouts else None
+        return self._timeouts.next_due_ns()
 
     def expire(self) -> None:
         """Runs the time-outs that are due."""
-        self._expire_calls()
+        self._timeouts.expire_due()
 
     def count_connection(self) -> None:
         """One more is being made."""
@@ -208,7 +215,7 @@
     def maintain(self) -> None:
         """The link's periodic look for idle connections."""
         with self.meter.measure(Activity.TIMERS):
-            self.link.sweep()
+            self.link.close_idle_connections()
 
 
 class PooledSimulation(Simulation):
--- a/martenlead/node/__init__.py
+++ b/martenlead/node/__init__.py
@@ -1,2 +1,5 @@
-"""The platform's protocol in and out: JSON-RPC clients, runners' JSON lines, the journal service. Codecs
-without I/O, a link and a roster source for the dispatcher. docs/design/node.md."""
+"""The platform's protocol: JSON-RPC clients, workers' JSON lines and the journal service.
+
+It has codecs without I/O, a client of workers and a source of membership for the dispatcher.
+See docs/design/node.md.
+"""
--- a/martenlead/node/client_protocol.py
+++ b/martenlead/node/client_protocol.py
@@ -1,99 +1,124 @@
-"""Clients' messages: a head with a length, then JSON-RPC 2.0. No I/O; all that a peer can make us hold is
-bounded."""
+"""The clients' protocol: a header with a length, then a JSON-RPC 2.0 message.
+
+This codec does no I/O, and everything that a peer can make it keep is bounded. The structs that
+decode a message have the field names of the wire; `Call` has the names of the program.
+"""
 
 from __future__ import annotations
 
 import math
 import re
-from binascii import Error as BadBase64
+from binascii import Error as Base64Error
 from binascii import a2b_base64
 from dataclasses import dataclass, field
 from typing import Any
 
 import msgspec
 
-HEADER_BYTES_LIMIT = 256  # bytes of a head: it has one field
-BODY_BYTES_LIMIT = 16_384  # bytes of a task's body, by the protocol
-MESSAGE_BYTES_LIMIT = 65_536  # a whole message: the body in base64, and fields
-WAIT_LIMIT_MS = 3_600_000.0  # ms
-LANES_LIMIT, MEMORY_MB_LIMIT, COST_LIMIT_MS = 4096, 1e9, 1e9
-
-PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS, REQUEST_FAILED, REQUEST_REJECTED = (
-    -32700,
-    -32600,
-    -32601,
-    -32602,
-    -32000,
-    -32001,
-)
-
-_HEAD = re.compile(rb"content-length:[ \t]*([0-9]{1,10})[ \t]*", re.I)
+HEADER_BYTES_LIMIT = 256  # it has one field
+BODY_BYTES_LIMIT = 16_384  # of a request, by the protocol
+MESSAGE_BYTES_LIMIT = 65_536  # the body in base64, and the other fields
+WAIT_LIMIT_MS = 3_600_000.0
+LANES_LIMIT = 4096
+MEMORY_MB_LIMIT = 1e9
+COST_LIMIT_MS = 1e9
+NUMBER_LIMIT = 1 << 53  # numbers of messages are below it: JSON has them without loss
+
+# error codes of JSON-RPC, and the two of this protocol
+PARSE_ERROR = -32700
+INVALID_REQUEST = -32600
+METHOD_NOT_FOUND = -32601
+INVALID_PARAMS = -32602
+REQUEST_FAILED = -32000
+REQUEST_REJECTED = -32001
+
+CONTROL_METHODS = frozenset({"ping", "abort"})
+
+_HEADER_END = b"\r\n\r\n"
+_LENGTH_FIELD = b"content-length:"
+_LENGTH_LINE = re.compile(rb"content-length:[ \t]*([0-9]{1,10})[ \t]*", re.I)
+_HEADER_LINE = re.compile(rb"[A-Za-z-]+:[\t\x20-\x7e]*")
 _HEX16 = re.compile(r"[0-9a-f]{16}").fullmatch
 _HEX32 = re.compile(r"[0-9a-f]{32}").fullmatch
 
 
 class FramingError(Exception):
-    """What cannot be framed: nothing behind it on that connection can be read. `done` came whole before."""
+    """The stream cannot be split into messages any more.
+
+    `complete_messages` were read before the place that cannot be read.
+    """
 
-    def __init__(self, detail: str, done: list[bytes]) -> None:
+    def __init__(self, complete_messages: list[bytes], detail: str) -> None:
         super().__init__(detail)
-        self.detail, self.complete_messages = detail, done
+        self.complete_messages, self.detail = complete_messages, detail
 
 
 class MessageDecoder:
-    """Bytes in, messages out."""
+    """Splits received bytes into the bodies of messages."""
 
-    def __init__(self, longest: int = MESSAGE_BYTES_LIMIT) -> None:
-        self.longest = longest
-        self._held = b""
-        self._length = -1
+    def __init__(self, message_bytes_limit: int = MESSAGE_BYTES_LIMIT) -> None:
+        self.message_bytes_limit = message_bytes_limit
+        self._buffer = b""
+        self._length = (
+            -1
+        )  # of the body that is being received; negative before its header is complete
 
     @property
     def has_partial_message(self) -> bool:
-        return bool(self._held) or self._length >= 0
+        """Whether a message has begun and is not complete."""
+        return bool(self._buffer) or self._length >= 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Raises BadFrame."""
-        held = self._held + data if self._held else data
-        at = 0
-        done: list[bytes] = []
+        """Returns the messages that are complete now.
+
+        Raises:
+            FramingError: what follows cannot be read.
+        """
+        buffer = self._buffer + data if self._buffer else data
+        start = 0
+        messages: list[bytes] = []
         while True:
             if self._length < 0:
-                end = held.find(b"\r\n\r\n", at, at + HEADER_BYTES_LIMIT + 4)
+                limit = start + HEADER_BYTES_LIMIT
+                end = buffer.find(_HEADER_END, start, limit + len(_HEADER_END))
                 if end < 0:
-                    if len(held) - at > HEADER_BYTES_LIMIT:
-                        raise FramingError("a head without an end", done)
+                    if len(buffer) > limit:
+                        raise FramingError(messages, "a head without an end")
                     break
-                self._length = self._read_head(held[at:end], done)
-                at = end + 4
-            if len(held) - at < self._length:
+                self._length = self._parse_header(buffer[start:end], messages)
+                start = end + len(_HEADER_END)
+            if len(buffer) - start < self._length:
                 break
-            done.append(held[at : at + self._length])
-            at += self._length
+            messages.append(buffer[start : start + self._length])
+            start += self._length
             self._length = -1
-        self._held = held[at:]
-        return done
+        self._buffer = buffer[start:]
+        return messages
 
-    def _read_head(self, head: bytes, done: list[bytes]) -> int:
+    def _parse_header(self, header: bytes, messages: list[bytes]) -> int:
+        """Returns the length of the body."""
         length = -1
-        for line in head.split(b"\r\n"):
-            found = _HEAD.fullmatch(line)
+        for line in header.split(b"\r\n"):
+            found = _LENGTH_LINE.fullmatch(line)
             if found is not None and length < 0:
                 length = int(found[1])
-            elif found is not None or not re.fullmatch(rb"[A-Za-z-]+:[\t\x20-\x7e]*", line):
-                raise FramingError("not a head", done)
-            elif line[:15].lower() == b"content-length:":
-                raise FramingError("a length that is none", done)
+            elif found is not None or not _HEADER_LINE.fullmatch(line):
+                raise FramingError(messages, "not a head")
+            elif line[: len(_LENGTH_FIELD)].lower() == _LENGTH_FIELD:
+                raise FramingError(messages, "a length that is none")
         if length < 0:
-            raise FramingError("a head without a length", done)
-        if length > self.longest:
-            raise FramingError(f"at most {self.longest} bytes are taken", done)
+            raise FramingError(messages, "a head without a length")
+        if length > self.message_bytes_limit:
+            raise FramingError(messages, f"at most {self.message_bytes_limit} bytes are taken")
         return length
 
 
 class InvalidCallError(Exception):
-    """A message that is read and not taken. `number` is its own where it has a usable one; `close` where
-    answers could no longer be told apart."""
+    """A message that was read and is not accepted.
+
+    `code` and `detail` are for the client. `number` is that of the message, where it has a usable
+    one.
+    """
 
     def __init__(self, code: int, detail: str, number: int | None = None) -> None:
         super().__init__(detail)
@@ -119,9 +144,17 @@
     params: _Params = msgspec.field(default_factory=_Params)
 
 
+class _NumberOnly(msgspec.Struct):
+    id: Any = None  # of whatever type the peer has sent
+
+
 @dataclass(slots=True)
 class Call:
-    """A message that keeps the form. `wait` is ns; `cost` is seconds; `blob` is base64, as it came."""
+    """A message that keeps the form: a request, a ping or a cancel.
+
+    `used_connections` are the worker client's: upstream connections that the request was sent on.
+    `cancelled_id` is what a cancel names: the number of a request, or its id.
+    """
 
     number: int | None
     method: str
@@ -135,53 +168,41 @@
     lanes: int
     memory_mb: float
     body_base64: str
-    used_connections: list[Any] = field(default_factory=list)  # the link's: connections that it was on
-    cancelled_id: int | str | None = None  # of what takes a task back: the task's number, or its id
+    used_connections: list[Any] = field(default_factory=list)
+    cancelled_id: int | str | None = None
 
 
-_decode = msgspec.json.Decoder(_Message).decode
-CONTROL_METHODS = frozenset({"ping", "abort"})
+_decode_message = msgspec.json.Decoder(_Message).decode
+_decode_number = msgspec.json.Decoder(_NumberOnly).decode
+_DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 
 def parse_call(message: bytes) -> Call:
-    """Raises BadCall. Whether names are known is the door's to say."""
+    """Reads one message. The listener checks whether its method and its tenant are known.
+
+    Raises:
+        InvalidCallError: it does not keep the form.
+    """
     try:
-        told = _decode(message)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise _bad(message, str(error)) from None
-    number, params = told.id, told.params
-    if told.jsonrpc != "2.0" or (number is not None and not 0 < number < 1 << 53):
+        decoded = _decode_message(message)
+    except _DECODE_ERRORS as error:
+        raise _describe_undecodable(message, str(error)) from None
+    number, params = decoded.id, decoded.params
+    if decoded.jsonrpc != "2.0" or (number is not None and not 0 < number < NUMBER_LIMIT):
         raise InvalidCallError(INVALID_REQUEST, "not JSON-RPC 2.0")
-    if told.method in CONTROL_METHODS:
-        about: int | str | None = params.id if params.id != "" else number
-        if isinstance(about, str) and about.isdecimal() and not _HEX16(about):
-            about = int(about[:16])
-        return Call(number, told.method, "", 0, None, False, None, "", 0.0, 1, 0.0, "", cancelled_id=about)
+    if decoded.method in CONTROL_METHODS:
+        return _parse_control_call(decoded)
     if number is None:
         raise InvalidCallError(INVALID_REQUEST, "a task without a number")
-    if not isinstance(params.id, str) or not _HEX16(params.id):
-        raise InvalidCallError(INVALID_PARAMS, "id: 16 hex digits were expected", number)
-    if not _HEX16(params.key):
-        raise InvalidCallError(INVALID_PARAMS, "key: 16 hex digits were expected", number)
-    if params.once is not None and not _HEX32(params.once):
-        raise InvalidCallError(INVALID_PARAMS, "once: 32 hex digits were expected", number)
-    if params.wait is None or not 0 <= params.wait <= WAIT_LIMIT_MS:
-        raise InvalidCallError(INVALID_PARAMS, "wait: a number of milliseconds was expected", number)
-    if not 0 <= params.cost <= COST_LIMIT_MS:
-        raise InvalidCallError(INVALID_PARAMS, "cost: a number was expected", number)
-    if not is_base64(params.blob, BODY_BYTES_LIMIT):
-        raise InvalidCallError(
-            INVALID_PARAMS, f"blob: base64 of at most {BODY_BYTES_LIMIT} bytes was expected", number
-        )
-    lanes, memory_mb = _props(params.props, number)
-    again = params.retry not in (0, "", "0", False)
+    _check_params(params, number)
+    lanes, memory_mb = _parse_props(params.props, number) if params.props else (1, 0.0)
     return Call(
         number,
-        told.method,
-        params.id,
-        round(params.wait * 1e6),
+        decoded.method,
+        params.id,  # type: ignore[arg-type]  # `_check_params` has found that it is a string
+        round(params.wait * 1e6),  # type: ignore[operator]  # likewise
         params.tenant,
-        again,
+        params.retry not in (0, "", "0", False),
         params.once,
         params.key,
         params.cost / 1000,
@@ -191,76 +212,121 @@
     )
 
 
-def is_base64(text: str, most: int) -> bool:
+def _parse_control_call(decoded: _Message) -> Call:
+    number, params = decoded.id, decoded.params
+    cancelled_id: int | str | None = params.id if params.id != "" else number
+    if isinstance(cancelled_id, str) and cancelled_id.isdecimal() and not _HEX16(cancelled_id):
+        cancelled_id = int(cancelled_id[:16])
+    return Call(
+        number,
+        decoded.method,
+        "",
+        0,
+        None,
+        False,
+        None,
+        "",
+        0.0,
+        1,
+        0.0,
+        "",
+        cancelled_id=cancelled_id,
+    )
+
+
+def _check_params(params: _Params, number: int) -> None:
+    """Raises InvalidCallError for the first parameter that is not accepted."""
+    if not isinstance(params.id, str) or not _HEX16(params.id):
+        raise InvalidCallError(INVALID_PARAMS, "id: 16 hex digits were expected", number)
+    if not _HEX16(params.key):
+        raise InvalidCallError(INVALID_PARAMS, "key: 16 hex digits were expected", number)
+    if params.once is not None and not _HEX32(params.once):
+        raise InvalidCallError(INVALID_PARAMS, "once: 32 hex digits were expected", number)
+    if params.wait is None or not 0 <= params.wait <= WAIT_LIMIT_MS:
+        raise InvalidCallError(
+            INVALID_PARAMS, "wait: a number of milliseconds was expected", number
+        )
+    if not 0 <= params.cost <= COST_LIMIT_MS:
+        raise InvalidCallError(INVALID_PARAMS, "cost: a number was expected", number)
+    if not is_base64(params.blob, BODY_BYTES_LIMIT):
+        detail = f"blob: base64 of at most {BODY_BYTES_LIMIT} bytes was expected"
+        raise InvalidCallError(INVALID_PARAMS, detail, number)
+
+
+def is_base64(text: str, bytes_limit: int) -> bool:
     """Whether it is base64 of at most so many bytes."""
-    if len(text) > most * 4 // 3 + 4:
+    if len(text) > bytes_limit * 4 // 3 + 4:
         return False
     try:
-        return len(a2b_base64(text, strict_mode=True)) <= most
-    except (BadBase64, ValueError):
+        return len(a2b_base64(text, strict_mode=True)) <= bytes_limit
+    except (Base64Error, ValueError):
         return False
 
 
-def _props(text: str, number: int) -> tuple[int, float]:
+def _parse_props(text: str, number: int) -> tuple[int, float]:
+    """Returns the lanes of a replica, and its memory in MB."""
     lanes, memory_mb = 1.0, 0.0
-    for pair in text.split(";") if text else ():
+    for pair in text.split(";"):
         name, _, value = pair.partition(":")
         try:
             figure = float(value)
         except ValueError:
             figure = math.nan
         if not 0 <= figure <= MEMORY_MB_LIMIT:
-            raise InvalidCallError(INVALID_PARAMS, f"props: {name[:20]!r} is no number that is taken", number)
+            detail = f"props: {name[:20]!r} is no number that is taken"
+            raise InvalidCallError(INVALID_PARAMS, detail, number)
         if name == "lanes":
             lanes = figure
         elif name == "memory_mb":
             memory_mb = figure
     if not 1 <= lanes <= LANES_LIMIT:
-        raise InvalidCallError(INVALID_PARAMS, f"props: lanes from 1 to {LANES_LIMIT} were expected", number)
+        detail = f"props: lanes from 1 to {LANES_LIMIT} were expected"
+        raise InvalidCallError(INVALID_PARAMS, detail, number)
     return int(lanes), memory_mb
 
 
-class _Numbered(msgspec.Struct):
-    id: Any = None
-
-
-def _bad(message: bytes, detail: str) -> InvalidCallError:
-    """Why it could not be read, under its own number if at least that can be."""
+def _describe_undecodable(message: bytes, detail: str) -> InvalidCallError:
+    """Makes the error for a message that cannot be decoded, with its number if there is one."""
     try:
-        number = msgspec.json.decode(message, type=_Numbered).id
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
+        number = _decode_number(message).id
+    except _DECODE_ERRORS:
         return InvalidCallError(PARSE_ERROR, "not JSON")
-    usable = type(number) is int and 0 < number < 1 << 53
-    return (
-        InvalidCallError(INVALID_PARAMS, detail[:200], number)
-        if usable
-        else InvalidCallError(INVALID_REQUEST, detail[:200])
-    )
+    if type(number) is int and 0 < number < NUMBER_LIMIT:
+        return InvalidCallError(INVALID_PARAMS, detail[:200], number)
+    return InvalidCallError(INVALID_REQUEST, detail[:200])
 
 
 def unparsed_call_error(message: bytes) -> InvalidCallError:
-    """For a message that a fault of ours kept from being read: nothing was done for it, it may come again."""
-    return InvalidCallError(REQUEST_REJECTED, "a fault of the dispatcher", _bad(message, "").number)
+    """Makes the error for a message that could not be read because of a fault in this program.
 
+    Nothing was done for the message, so its client may send it again.
+    """
+    number = _describe_undecodable(message, "").number
+    return InvalidCallError(REQUEST_REJECTED, "a fault of the dispatcher", number)
 
-def _frame(body: bytes) -> bytes:
+
+def _encode_frame(body: bytes) -> bytes:
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-def result(number: int, blob: str) -> bytes:
-    return _frame(b'{"jsonrpc":"2.0","id":%d,"result":{"blob":"%b"}}' % (number, blob.encode()))
+def encode_result(number: int, body_base64: str) -> bytes:
+    """Encodes the response to a request that succeeded."""
+    return _encode_frame(
+        b'{"jsonrpc":"2.0","id":%d,"result":{"blob":"%b"}}' % (number, body_base64.encode())
+    )
 
 
-def up(number: int | None, ready: bool) -> bytes:
-    return _frame(
+def encode_ping_result(number: int | None, is_ready: bool) -> bytes:
+    """Encodes the response to a ping."""
+    return _encode_frame(
         b'{"jsonrpc":"2.0","id":%b,"result":{"up":%b}}'
-        % (b"null" if number is None else b"%d" % number, b"true" if ready else b"false")
+        % (b"null" if number is None else b"%d" % number, b"true" if is_ready else b"false")
     )
 
 
-def error(number: int | None, code: int, text: str, after: int = 0) -> bytes:
-    """`after` in ms, 0 for none."""
-    told: dict[str, Any] = {"code": code, "message": text}
-    if after > 0:
-        told["data"] = {"after": after}
-    return _frame(msgspec.json.encode({"jsonrpc": "2.0", "id": number, "error": told}))
+def encode_error(number: int | None, code: int, text: str, retry_after_ms: int = 0) -> bytes:
+    """Encodes an error; `retry_after_ms` is 0 for none."""
+    error: dict[str, Any] = {"code": code, "message": text}  # values of JSON
+    if retry_after_ms > 0:
+        error["data"] = {"after": retry_after_ms}
+    return _encode_frame(msgspec.json.encode({"jsonrpc": "2.0", "id": number, "error": error}))
--- a/martenlead/node/discovery.py
+++ b/martenlead/node/discovery.py
@@ -1,4 +1,4 @@
-"""The journal service as the dispatcher's source of the roster: followed from the last whole event on."""
+"""The journal service as the dispatcher's source of membership, followed from the last event on."""
 
 from __future__ import annotations
 
@@ -7,58 +7,73 @@
 
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.edge.timeouts import time_limit
-from martenlead.node.journal import EVENT_NUMBER, FrameDecoder, JournalFrameError, JournalTables
+from martenlead.node.journal import (
+    EVENT_NUMBER,
+    FrameDecoder,
+    JournalFrameError,
+    JournalTables,
+)
 from martenlead.node.worker_age import NS_PER_MS, WorkerAges
 from martenlead.upstream.endpoints import EndpointList, EndpointUpdate, MissingVersionError
 
-SILENCE_TIMEOUT_SECONDS = 1.6  # s: an empty frame is due each second
-CONNECT_TIMEOUT_SECONDS = 0.5  # s
-MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.02, 0.25  # s, between two tries
+SILENCE_TIMEOUT_SECONDS = 1.6  # a heartbeat is due each second
+CONNECT_TIMEOUT_SECONDS = 0.5
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.02, 0.25  # between two connections
+
+ADDRESS_CHANGED = "it moved"  # why a connection ended
 
 
 class JournalSource:
+    """Follows the journal service, and updates the dispatcher's workers."""
+
     def __init__(
-        self, name: str, at: tuple[str, int], known: list[EndpointUpdate], places: JournalTables
+        self,
+        name: str,
+        address: tuple[str, int],
+        initial_updates: list[EndpointUpdate],
+        tables: JournalTables,
     ) -> None:
-        self.address, self.initial_updates, self.tables = at, known, places
+        self.address, self.initial_updates, self.tables = address, initial_updates, tables
         self.endpoint_list = EndpointList()
         self.worker_ages = WorkerAges()
         self.log = structlog.get_logger().bind(edge=name)
         self._scope: anyio.CancelScope | None = None
-        self._gap: tuple[int, int] | None = None  # the last one met: behind which event, and up to which
+        self._last_gap: tuple[int, int] | None = (
+            None  # between the event before it and the one after
+        )
 
-    def change_address(self, at: tuple[str, int]) -> None:
-        """From now on the journal service is there; the numbers go on."""
-        if at != self.address:
-            self.address = at
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Follows the service at another address; the numbers of events go on."""
+        if address != self.address:
+            self.address = address
             if self._scope is not None:
                 self._scope.cancel()
 
     async def run(self, dispatcher: Dispatcher) -> None:
+        """Follows it until cancelled, in one connection after the other."""
         try:
-            for news in self.initial_updates:
-                self._tell(dispatcher, news)
+            for update in self.initial_updates:
+                self._apply(dispatcher, update)
         except MissingVersionError as error:
             self.log.warning("the events of the configuration are not whole", why=str(error))
         dispatcher.snapshot_received.set()
-        wait = MIN_BACKOFF_SECONDS
+        backoff_seconds = MIN_BACKOFF_SECONDS
         while True:
-            before = self.endpoint_list.version
-            why = "it moved"
+            version_before = self.endpoint_list.version
+            reason = ADDRESS_CHANGED
             with anyio.CancelScope() as self._scope:
-                why = await self._follow(dispatcher)
+                reason = await self._follow(dispatcher)
             dispatcher.counts["roster", "lost"] += 1
-            self.log.info("the journal service is asked again", why=why, after=self.endpoint_list.version)
-            wait = (
-                MIN_BACKOFF_SECONDS
-                if self.endpoint_list.version > before or why == "it moved"
-                else min(2 * wait, MAX_BACKOFF_SECONDS)
-            )
-            await anyio.sleep(wait)
+            version = self.endpoint_list.version
+            self.log.info("the journal service is asked again", why=reason, after=version)
+            if version > version_before or reason == ADDRESS_CHANGED:
+                backoff_seconds = MIN_BACKOFF_SECONDS
+            else:
+                backoff_seconds = min(2 * backoff_seconds, MAX_BACKOFF_SECONDS)
+            await anyio.sleep(backoff_seconds)
 
     async def _follow(self, dispatcher: Dispatcher) -> str:
-        """One connection, to its end; why it ended."""
-        frames = FrameDecoder(self.tables)
+        """Follows one connection to its end; returns why it ended."""
         try:
             with time_limit(CONNECT_TIMEOUT_SECONDS):
                 stream = None
@@ -66,52 +81,58 @@
             if stream is None:
                 return "it is silent"
             async with stream:
-                await stream.send(EVENT_NUMBER.pack(self.endpoint_list.version))
-                while True:
-                    # a whole one: one that has begun and goes on byte by byte tells nothing either
-                    told: list[EndpointUpdate] = []
-                    with time_limit(SILENCE_TIMEOUT_SECONDS):
-                        while not told:
-                            told = frames.feed(await stream.receive())
-                    if not told:
-                        return "it is silent"
-                    for news in told:
-                        self._tell(dispatcher, news)
+                return await self._read_stream(dispatcher, stream)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             return "the connection ended"
         except (JournalFrameError, MissingVersionError) as error:
             return str(error)
-        except Exception as error:  # news that make no sense must not end the program
+        except Exception as error:  # an update that makes no sense must not end the program
             dispatcher.record_fault(error)
             return "a fault of ours"
 
-    def _tell(self, dispatcher: Dispatcher, news: EndpointUpdate) -> None:
-        if news.version <= self.endpoint_list.version:  # nothing new, or written twice
-            if news.endpoints is None:
+    async def _read_stream(self, dispatcher: Dispatcher, stream: anyio.abc.SocketStream) -> str:
+        """Applies its updates until it is silent."""
+        decoder = FrameDecoder(self.tables)
+        await stream.send(EVENT_NUMBER.pack(self.endpoint_list.version))
+        while True:
+            # a complete one: a frame that goes on byte by byte is silence, too
+            updates: list[EndpointUpdate] = []
+            with time_limit(SILENCE_TIMEOUT_SECONDS):
+                while not updates:
+                    updates = decoder.feed(await stream.receive())
+            if not updates:
+                return "it is silent"
+            for update in updates:
+                self._apply(dispatcher, update)
+
+    def _apply(self, dispatcher: Dispatcher, update: EndpointUpdate) -> None:
+        """Raises MissingVersionError for a gap that is met for the first time."""
+        version = self.endpoint_list.version
+        if update.version <= version:  # nothing new, or sent twice
+            if update.endpoints is None:
                 self.worker_ages.confirm(dispatcher.clock())
             return
-        ahead = news.endpoints is None or (
-            not news.is_snapshot and news.version > self.endpoint_list.version + 1
-        )
-        gap = self.endpoint_list.version, news.version
-        if ahead and gap != self._gap:
-            self._gap = gap
-            raise MissingVersionError(f"at {gap[0]}, told of {gap[1]}")
-        if news.endpoints is None:
+        is_delta = not update.is_snapshot and update.version > version + 1
+        has_gap = update.endpoints is None or is_delta
+        gap = version, update.version
+        if has_gap and gap != self._last_gap:
+            self._last_gap = gap
+            detail = f"at {gap[0]}, told of {gap[1]}"
+            raise MissingVersionError(detail)
+        if update.endpoints is None:
             return
-        if ahead:  # asked again it has nothing between: better what changed since than none of it, for good
-            self.endpoint_list.version = news.version - 1
-        self._date(news, dispatcher.clock())
-        if self.endpoint_list.apply(news):
-            dispatcher.update_endpoints(news.endpoints, news.is_snapshot)
+        if has_gap:  # the service has nothing between: what changed since is better than nothing
+            self.endpoint_list.version = update.version - 1
+        self._fill_ages(update, dispatcher.clock())
+        if self.endpoint_list.apply(update):
+            dispatcher.update_endpoints(update.endpoints, update.is_snapshot)
 
-    def _date(self, news: EndpointUpdate, now: int) -> None:
+    def _fill_ages(self, update: EndpointUpdate, now_ns: int) -> None:
         """Turns the starts of workers into ages."""
-        before = self.worker_ages.offset_ns
-        self.worker_ages.fill_ages(news, now)
-        if self.worker_ages.offset_ns != before:
+        offset_before_ns = self.worker_ages.offset_ns
+        self.worker_ages.fill_ages(update, now_ns)
+        offset_ns = self.worker_ages.offset_ns
+        if offset_ns != offset_before_ns:
             self.log.info(
-                "clock_offset_estimated",
-                offset_ms=self.worker_ages.offset_ns / NS_PER_MS,
-                version=news.version,
+                "clock_offset_estimated", offset_ms=offset_ns / NS_PER_MS, version=update.version
             )
--- a/martenlead/node/journal.py
+++ b/martenlead/node/journal.py
@@ -1,9 +1,14 @@
-"""The journal service's events: frames of binary records, and the same events as JSON. No I/O."""
+"""Events of the journal service: frames of binary records, and the same events as JSON.
+
+This codec does no I/O. A frame is a big-endian length, an event number and a kind, and a record for
+each worker. The structs of the configuration's `known` have the field names of the file.
+"""
 
 from __future__ import annotations
 
 import struct
 from dataclasses import dataclass
+from enum import IntEnum
 from socket import inet_ntoa
 from typing import Any
 
@@ -11,13 +16,24 @@
 
 from martenlead.upstream.endpoints import Endpoint, EndpointUpdate
 
-_HEAD = struct.Struct(">IQB")
-_RECORD = struct.Struct(">I4sHBBBHIQ")
-EVENT_NUMBER = struct.Struct(">Q")
-NOTHING, WHOLE, CHANGES = 0, 1, 2
-WORKER_STATES = ("up", "draining", "gone")
+EVENT_NUMBER = struct.Struct(">Q")  # what a subscriber sends: the last event that it has
+WORKER_STATES = ("up", "draining", "gone")  # by their numbers in records
 STATE_BY_PHASE = {"in_service": "up", "terminating": "draining", "terminated": "gone"}
-FRAME_BYTES_LIMIT = 9 + 27 * 20_000
+
+_LENGTH_BYTES = 4
+_HEAD = struct.Struct(">IQB")  # length, event number, kind
+_RECORD = struct.Struct(">I4sHBBBHIQ")
+_LEAST_LENGTH = _HEAD.size - _LENGTH_BYTES  # of a frame without records
+_RECORDS_LIMIT = 20_000
+FRAME_BYTES_LIMIT = _LEAST_LENGTH + _RECORD.size * _RECORDS_LIMIT
+
+
+class EventKind(IntEnum):
+    """What an event is, by its number on the wire."""
+
+    HEARTBEAT = 0
+    SNAPSHOT = 1
+    DELTA = 2
 
 
 class JournalFrameError(Exception):
@@ -26,7 +42,10 @@
 
 @dataclass(slots=True)
 class JournalTables:
-    """The settings' lists that records point into, and MB by kind. `silent`: weights are not told."""
+    """The lists of the settings that records point into, and the memory by kind of machine.
+
+    Where `hides_weights`, the weights of workers are not said.
+    """
 
     zones: list[str]
     kinds: list[str]
@@ -35,20 +54,23 @@
 
     def make_endpoint(
         self,
-        id: str,
+        worker_id: str,
         host: str,
         port: int,
         zone: str,
         kind: str,
         cell: int,
         weight: float,
-        state: Any,
-        started: int,
+        state: Any,  # noqa: ANN401 - one of `WORKER_STATES`, which a table gives as a string
+        started_unix_ms: int,
     ) -> Endpoint:
-        """`started` is a Unix ms of the source's clock, 0 for long past; it stands in `start`, and
-        `worker_age.WorkerAges` turns it into an age."""
+        """Makes an endpoint with the worker's start as its incarnation.
+
+        The start is by the clock of the source, 0 for long past; `worker_age.WorkerAges` makes an
+        age of it.
+        """
         return Endpoint(
-            id=id,
+            id=worker_id,
             host=host,
             port=port,
             zone=zone,
@@ -57,58 +79,79 @@
             memory_mb=self.memory_mb.get(kind, 1.0),
             weight=0.0 if self.hides_weights else weight,
             state=state,
-            incarnation=str(started),
+            incarnation=str(started_unix_ms),
         )
 
 
 class FrameDecoder:
-    """Bytes in, news out; the empty frame is news without runners."""
+    """Splits received bytes into updates; a heartbeat is an update without endpoints."""
 
-    def __init__(self, places: JournalTables) -> None:
-        self.tables = places
-        self._held = b""
+    def __init__(self, tables: JournalTables) -> None:
+        self.tables = tables
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[EndpointUpdate]:
-        """Raises BadFrame."""
-        held, at, told = self._held + data, 0, []
-        while len(held) - at >= 4:
-            length = int.from_bytes(held[at : at + 4], "big")
-            if not 9 <= length <= FRAME_BYTES_LIMIT:
-                raise JournalFrameError(f"a frame of {length} bytes")
-            if len(held) - at - 4 < length:
+        """Returns the updates that are complete now.
+
+        Raises:
+            JournalFrameError: what follows cannot be read.
+        """
+        buffer, start = self._buffer + data, 0
+        updates: list[EndpointUpdate] = []
+        while len(buffer) - start >= _LENGTH_BYTES:
+            length = int.from_bytes(buffer[start : start + _LENGTH_BYTES], "big")
+            if not _LEAST_LENGTH <= length <= FRAME_BYTES_LIMIT:
+                detail = f"a frame of {length} bytes"
+                raise JournalFrameError(detail)
+            end = start + _LENGTH_BYTES + length
+            if len(buffer) < end:
                 break
-            told.append(self._read(held[at : at + 4 + length]))
-            at += 4 + length
-        self._held = held[at:]
-        return told
+            updates.append(self._parse_frame(buffer[start:end]))
+            start = end
+        self._buffer = buffer[start:]
+        return updates
 
-    def _read(self, frame: bytes) -> EndpointUpdate:
+    def _parse_frame(self, frame: bytes) -> EndpointUpdate:
         _, number, kind = _HEAD.unpack_from(frame)
-        if kind == NOTHING:
+        if kind == EventKind.HEARTBEAT:
             return EndpointUpdate(number)
-        if kind not in (WHOLE, CHANGES) or (len(frame) - _HEAD.size) % _RECORD.size:
-            raise JournalFrameError("an event that is none")
-        lines = []
-        places = self.tables
-        for id, address, port, state, zone, kind_, cell, weight, started in _RECORD.iter_unpack(
-            frame[_HEAD.size :]
-        ):
-            if state >= len(WORKER_STATES) or zone >= len(places.zones) or kind_ >= len(places.kinds):
-                raise JournalFrameError("a record that is none")
-            lines.append(
-                places.make_endpoint(
-                    f"s-{id:08x}",
-                    inet_ntoa(address),
-                    port,
-                    places.zones[zone],
-                    places.kinds[kind_],
-                    cell,
-                    weight / 1000,
-                    WORKER_STATES[state],
-                    started,
-                )
-            )
-        return EndpointUpdate(number, kind == WHOLE, lines)
+        is_known = kind in (EventKind.SNAPSHOT, EventKind.DELTA)
+        if not is_known or (len(frame) - _HEAD.size) % _RECORD.size:
+            detail = "an event that is none"
+            raise JournalFrameError(detail)
+        endpoints = [
+            self._parse_record(*record) for record in _RECORD.iter_unpack(frame[_HEAD.size :])
+        ]
+        return EndpointUpdate(number, kind == EventKind.SNAPSHOT, endpoints)
+
+    def _parse_record(
+        self,
+        worker_number: int,
+        address: bytes,
+        port: int,
+        state: int,
+        zone: int,
+        kind: int,
+        cell: int,
+        weight_thousandths: int,
+        started_unix_ms: int,
+    ) -> Endpoint:
+        tables = self.tables
+        is_state = state < len(WORKER_STATES)
+        if not is_state or zone >= len(tables.zones) or kind >= len(tables.kinds):
+            detail = "a record that is none"
+            raise JournalFrameError(detail)
+        return tables.make_endpoint(
+            f"s-{worker_number:08x}",
+            inet_ntoa(address),
+            port,
+            tables.zones[zone],
+            tables.kinds[kind],
+            cell,
+            weight_thousandths / 1000,
+            WORKER_STATES[state],
+            started_unix_ms,
+        )
 
 
 class _Member(msgspec.Struct):
@@ -121,6 +164,21 @@
     size: float = 0.0
     up_since_ms: int = 0
 
+    def to_endpoint(self, tables: JournalTables) -> Endpoint:
+        """Returns the endpoint that a record would give."""
+        host, _, port = self.host_port.rpartition(":")
+        return tables.make_endpoint(
+            self.id,
+            host,
+            int(port),
+            self.locality,
+            self.flavor,
+            self.cell,
+            self.size,
+            STATE_BY_PHASE.get(self.phase, "up"),
+            self.up_since_ms,
+        )
+
 
 class _Hosts(msgspec.Struct):
     members: list[_Member]
@@ -131,24 +189,20 @@
     pos: int
     hosts: _Hosts | None = None
 
+    def to_update(self, tables: JournalTables) -> EndpointUpdate:
+        """Returns the update that a frame would give."""
+        if self.hosts is None:
+            return EndpointUpdate(self.pos, endpoints=[])
+        endpoints = [member.to_endpoint(tables) for member in self.hosts.members]
+        return EndpointUpdate(self.pos, self.hosts.complete, endpoints)
+
 
 class InitialMembership(msgspec.Struct):
-    """`known` of the configuration."""
+    """`known` of the configuration: events up to the start of this process."""
 
     pos: int = 0
     entries: list[_Entry] = []
 
-    def to_updates(self, places: JournalTables) -> list[EndpointUpdate]:
-        told = []
-        for entry in self.entries:
-            lines = []
-            for m in entry.hosts.members if entry.hosts is not None else ():
-                host, _, port = m.host_port.rpartition(":")
-                state = STATE_BY_PHASE.get(m.phase, "up")
-                lines.append(
-                    places.make_endpoint(
-                        m.id, host, int(port), m.locality, m.flavor, m.cell, m.size, state, m.up_since_ms
-                    )
-                )
-            told.append(EndpointUpdate(entry.pos, entry.hosts is not None and entry.hosts.complete, lines))
-        return told
+    def to_updates(self, tables: JournalTables) -> list[EndpointUpdate]:
+        """Returns the events as the journal service's frames would give them."""
+        return [entry.to_update(tables) for entry in self.entries]
--- /dev/null
+++ b/martenlead/node/request_handler.py
@@ -0,0 +1,282 @@
+"""Clients' messages to requests of the dispatcher, and its outcomes to responses. No decisions."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Collection
+
+from martenlead.edge.dispatcher import Dispatcher
+from martenlead.edge.records import FinalOutcome, IncomingRequest, PendingRequest
+from martenlead.node import client_protocol
+from martenlead.node.client_connection import ClientConnection
+from martenlead.node.client_protocol import (
+    Call,
+    InvalidCallError,
+    encode_error,
+    encode_ping_result,
+    encode_result,
+)
+
+REQUESTS_PER_CONNECTION = 32  # open at a time, by the protocol
+ERRORS_PER_CONNECTION = 16  # then it is closed
+NS_PER_MS = 1_000_000
+RESPONSE_TRANSIT_NS = 5 * NS_PER_MS  # until then a request counts as open to its client
+
+
+class RequestHandler:
+    """Accepts, cancels and answers the requests of all connections of a node.
+
+    At most `request_limit` requests are open, with bodies of `body_bytes_limit` in all.
+    """
+
+    def __init__(self, dispatcher: Dispatcher, request_limit: int, body_bytes_limit: int) -> None:
+        self.dispatcher = dispatcher
+        self.request_limit, self.body_bytes_limit = request_limit, body_bytes_limit
+        retry_after_ns = dispatcher.settings.policy_settings.retry_after_limit_ns
+        self.retry_after_ms = retry_after_ns // NS_PER_MS
+        self.open_requests: dict[str, PendingRequest] = {}  # by id
+        self.finished_ids: dict[str, None] = {}  # the oldest first
+        self.rejects_requests = False  # the node stops before a worker could respond
+
+    # -- messages
+
+    def handle_messages(
+        self, connection: ClientConnection, messages: list[bytes], arrived_ns: int
+    ) -> None:
+        """Handles the messages of one read, which may have arrived at `arrived_ns`.
+
+        A request that a later message of the same read cancels is not accepted at all.
+        """
+        now_ns = self.dispatcher.clock()
+        calls = [self._parse(message) for message in messages]
+        # Cancels come first: accepting a request may bring further attempts of those that are open.
+        for call in calls:
+            if isinstance(call, Call) and call.method == "abort":
+                self._cancel(connection, call.cancelled_id, now_ns)
+        cancelled = _find_cancelled(calls) if len(calls) > 1 else ()
+        for index, call in enumerate(calls):
+            if connection.is_closed:
+                return
+            if isinstance(call, InvalidCallError):
+                self._refuse(connection, call)
+                continue
+            try:
+                self._handle_call(connection, call, now_ns, arrived_ns, index in cancelled)
+                connection.has_sent_message = True
+            except InvalidCallError as error:
+                self._refuse(connection, error)
+            except Exception as error:  # ours: the others go on
+                self._report_fault(connection, call, error)
+
+    def _parse(self, message: bytes) -> Call | InvalidCallError:
+        try:
+            return client_protocol.parse_call(message)
+        except InvalidCallError as error:
+            return error
+        except Exception as error:  # ours: the client may send the message again
+            self.dispatcher.record_fault(error)
+            return client_protocol.unparsed_call_error(message)
+
+    def _handle_call(
+        self,
+        connection: ClientConnection,
+        call: Call,
+        now_ns: int,
+        arrived_ns: int,
+        is_cancelled: bool,
+    ) -> None:
+        if call.method == "abort":
+            self._cancel(connection, call.cancelled_id, now_ns)
+            return
+        if call.method == "ping":
+            is_ready = self.dispatcher.snapshot_received.is_set()
+            connection.write(encode_ping_result(call.number, is_ready))
+        else:
+            self._accept_request(connection, call, now_ns, arrived_ns, is_cancelled)
+        if connection.write_blocked_since_ns:
+            connection.error_count += 1  # it asks for ever more, and does not read
+            if connection.error_count > ERRORS_PER_CONNECTION:
+                connection.begin_graceful_close()
+
+    def _refuse(self, connection: ClientConnection, error: InvalidCallError) -> None:
+        self.dispatcher.counts["refused", str(error.code)] += 1
+        connection.error_count += 1
+        number = error.number
+        if number is not None and number in connection.open_requests:
+            number = None  # its one response is still to come
+        refusal = encode_error(number, error.code, error.detail)
+        if number is None:
+            connection.write(refusal)
+        else:
+            connection.respond(number, refusal)
+        if number is None or connection.error_count > ERRORS_PER_CONNECTION:
+            connection.begin_graceful_close()
+
+    def _report_fault(self, connection: ClientConnection, call: Call, error: Exception) -> None:
+        """Answers a message that a fault of this program kept from being handled."""
+        self.dispatcher.record_fault(error)
+        number = call.number
+        if number is None or call.method == "abort":
+            return
+        if number in connection.open_requests or number in connection.answered_in_read:
+            return
+        failure = encode_error(number, client_protocol.REQUEST_FAILED, "a fault of the dispatcher")
+        connection.respond(number, failure)
+
+    # -- requests
+
+    def _accept_request(
+        self,
+        connection: ClientConnection,
+        call: Call,
+        now_ns: int,
+        arrived_ns: int,
+        is_cancelled: bool,
+    ) -> None:
+        number, size_bytes = call.number, len(call.body_base64)
+        assert number is not None
+        self._check(connection, call, number)
+        if is_cancelled:
+            self._finish(call.request_id)
+            return
+        if self._is_full(connection, size_bytes, now_ns):
+            self._reject(connection, number)
+            return
+        dispatcher = self.dispatcher
+
+        def respond(request: PendingRequest) -> None:
+            """Writes the one response, whatever the outcome."""
+            connection.open_requests.pop(number, None)
+            connection.counted_until_ns.append(dispatcher.clock() + RESPONSE_TRANSIT_NS)
+            self._finish(call.request_id)
+            connection.respond(number, _encode_outcome(number, request))
+            closing = connection.graceful_close
+            if closing is not None:  # in the next turn: a decision may be being made
+                asyncio.get_running_loop().call_soon(closing.close_if_finished)
+            # a request and its attempts refer to each other until they are collected
+            request.content = request.response = None
+            dispatcher.defer(dispatcher.close, request)
+
+        incoming = _read_incoming(call)
+        # the outcome may come before `accept` returns
+        request = dispatcher.accept(
+            incoming, arrived_ns, call, size_bytes, done=respond, client=connection
+        )
+        if request.outcome is None:
+            connection.open_requests[number] = request
+            self.open_requests[call.request_id] = request
+
+    def _check(self, connection: ClientConnection, call: Call, number: int) -> None:
+        """Raises InvalidCallError for a request that names what is unknown or was used before."""
+        dispatcher = self.dispatcher
+        if number <= connection.last_number:
+            raise InvalidCallError(client_protocol.INVALID_REQUEST, "a number that was used before")
+        connection.last_number = number
+        if call.method not in dispatcher.request_classes:
+            raise InvalidCallError(client_protocol.METHOD_NOT_FOUND, "no such method", number)
+        if dispatcher.tenants and call.tenant not in dispatcher.tenants:
+            raise InvalidCallError(client_protocol.INVALID_PARAMS, "tenant: no such tenant", number)
+        if call.request_id in self.open_requests:
+            raise InvalidCallError(
+                client_protocol.INVALID_PARAMS, "id: of a request that is open", number
+            )
+        if call.request_id in self.finished_ids:
+            raise InvalidCallError(
+                client_protocol.INVALID_PARAMS, "id: of a request that was answered", number
+            )
+
+    def _is_full(self, connection: ClientConnection, size_bytes: int, now_ns: int) -> bool:
+        dispatcher = self.dispatcher
+        return bool(
+            self.rejects_requests
+            or connection.graceful_close is not None
+            or connection.write_blocked_since_ns
+            or connection.count_open_requests(now_ns) >= REQUESTS_PER_CONNECTION
+            or len(dispatcher.pending_requests) >= self.request_limit
+            or dispatcher.pending_bytes + size_bytes > self.body_bytes_limit
+        )
+
+    def _reject(self, connection: ClientConnection, number: int) -> None:
+        self.dispatcher.counts["final", FinalOutcome.REJECTED.value] += 1
+        rejection = encode_error(
+            number, client_protocol.REQUEST_REJECTED, "too much is open", self.retry_after_ms
+        )
+        connection.respond(number, rejection)
+
+    def _cancel(
+        self, connection: ClientConnection, cancelled_id: int | str | None, now_ns: int
+    ) -> None:
+        """Ends a request that its client has cancelled; no response is owed for either.
+
+        Its worker may go on with it. So it counts as open for a while, or hundreds of requests that
+        are cancelled at once would lead to hundreds of attempts.
+        """
+        for number, request in connection.open_requests.items():
+            if cancelled_id in (number, request.incoming.id):
+                del connection.open_requests[number]
+                decided = request.policy_request
+                if decided is not None and decided.attempts:
+                    objective_ns = decided.request_class.latency_objective_ns
+                    connection.counted_until_ns.append(now_ns + objective_ns)
+                self.abandon_request(request)
+                return
+
+    def abandon_request(self, request: PendingRequest) -> None:
+        """Ends a request whose client waits for it no more."""
+        if request.outcome is not None:
+            return
+        request.on_outcome = request.content = None
+        self._finish(request.incoming.id)
+        request.end(FinalOutcome.CLIENT_LEFT)
+        self.dispatcher.defer(self.dispatcher.close, request)
+
+    def _finish(self, request_id: str) -> None:
+        """Remembers an id that may not be used again.
+
+        Hundreds of requests with one id would count as accepted, and make room for load requests.
+        """
+        self.open_requests.pop(request_id, None)
+        self.finished_ids[request_id] = None
+        if len(self.finished_ids) > self.request_limit:
+            del self.finished_ids[next(iter(self.finished_ids))]
+
+
+def _find_cancelled(calls: list[Call | InvalidCallError]) -> Collection[int]:
+    """Returns the places of the requests that a later message cancels."""
+    cancelled_ids: set[int | str | None] = set()
+    places: set[int] = set()
+    for place in range(len(calls) - 1, -1, -1):
+        call = calls[place]
+        if isinstance(call, InvalidCallError):
+            continue
+        if call.method == "abort":
+            cancelled_ids.add(call.cancelled_id)
+        elif call.number in cancelled_ids or call.request_id in cancelled_ids:
+            places.add(place)
+    return places
+
+
+def _read_incoming(call: Call) -> IncomingRequest:
+    return IncomingRequest(
+        call.method,
+        call.function,
+        call.tenant,
+        call.lanes,
+        call.memory_mb,
+        call.cost_seconds,
+        call.time_left_ns,
+        call.is_retry,
+        call.request_id,
+    )
+
+
+def _encode_outcome(number: int, request: PendingRequest) -> bytes:
+    """Encodes the response to a request that has its outcome."""
+    if request.outcome is FinalOutcome.SUCCEEDED:
+        return encode_result(number, request.response)
+    if request.outcome is FinalOutcome.REJECTED:
+        reason = request.reason or "no runner may take it now"
+        retry_after_ms = request.retry_after_ns // NS_PER_MS
+        return encode_error(number, client_protocol.REQUEST_REJECTED, reason, retry_after_ms)
+    reason = request.reason or "no runner had an answer"
+    return encode_error(number, client_protocol.REQUEST_FAILED, reason)
--- a/martenlead/node/sockets.py
+++ b/martenlead/node/sockets.py
@@ -1,4 +1,4 @@
-"""What waits on a client's connection, in the terms of the dispatcher."""
+"""What a client's connection has received and the event loop has not read."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from martenlead.edge.cancellation import UnreadInput
 from martenlead.system.sockets import ENDED, HALF_CLOSED, descriptor, poll, readable
 
-__all__ = ["descriptor", "pending", "readable"]
+__all__ = ["descriptor", "peek_input", "readable"]
 
 
-def pending(transport: Any) -> UnreadInput:
-    """What waits on a connection. One that is closed here has ended as well."""
+def peek_input(transport: Any) -> UnreadInput:  # noqa: ANN401 - a transport of either event loop
+    """Looks without reading. A connection that was closed on this side counts as ended."""
     number = descriptor(transport)
     if number < 0 or transport.is_closing():
         return UnreadInput.END
--- a/martenlead/node/worker_protocol.py
+++ b/martenlead/node/worker_protocol.py
@@ -1,4 +1,8 @@
-"""What is spoken with runners: one JSON object a line. No I/O; a line's length is bounded."""
+"""The workers' protocol: one JSON object on each line.
+
+This codec does no I/O, and the length of a line is bounded. The structs that decode a line have the
+field names of the wire; `WorkerResponse` has the names of the program.
+"""
 
 from __future__ import annotations
 
@@ -9,20 +13,23 @@
 from martenlead.node.client_protocol import is_base64
 from martenlead.policy.types import Result, Warmth
 
-LINE_BYTES_LIMIT = 131_072  # bytes of a line
+LINE_BYTES_LIMIT = 131_072
 
 RESULT_BY_WORD = {
     "DONE": Result.SUCCEEDED,
     "LACK": Result.FUNCTION_MISSING,
     "WAIT": Result.AT_CAPACITY,
     "BROKE": Result.ERROR,
-    # its time was over before it was begun, which proves that it did not run and that the runner is alive
+    # its time was over before it began: it did not run, and the worker is alive
     "PAST": Result.AT_CAPACITY,
 }
-"""Answer words. Ends without one: a connection that never came up is UNREACHED, and a line that was never
-written, or for whose connection we lack descriptors, memory or ports, NOT_SENT, both of which prove that
-nothing ran; a connection that ended or brought what cannot be read
-is BROKEN, one that stayed silent SILENT, and a hand-off taken back CALLED_OFF: all may have run."""
+"""Results by the word of a response.
+
+Results without a response: `UNREACHABLE` for a connection that was not established, and `NOT_SENT`
+for a line that was not written or for which this machine lacked descriptors, memory or ports. Both
+prove that nothing ran. `CONNECTION_LOST` for a connection that ended or brought what cannot be
+read, `NO_RESPONSE` for a silent one, and `CANCELLED`. After these three the attempt may have run.
+"""
 
 WARMTH_BY_NOTE = {
     "resident": Warmth.WARM,
@@ -31,38 +38,47 @@
     "boot_error": Warmth.LOAD_FAILED,
 }
 
+FIT_WORD = "FIT"  # accepted, though no call of ours ends with it
+
 
 class InvalidLineError(Exception):
-    """Nothing on that connection can be trusted any more. `done` came whole before."""
+    """Nothing on that connection can be trusted any more.
+
+    `complete_lines` were read before the place that cannot be read.
+    """
 
-    def __init__(self, detail: str, done: list[bytes]) -> None:
+    def __init__(self, complete_lines: list[bytes], detail: str) -> None:
         super().__init__(detail)
-        self.complete_lines = done
+        self.complete_lines = complete_lines
 
 
 class LineDecoder:
-    """Bytes in, whole lines out."""
+    """Splits received bytes into lines."""
 
-    def __init__(self, longest: int = LINE_BYTES_LIMIT) -> None:
-        self.longest = longest
-        self._held: list[bytes] = []
-        self._size = 0
+    def __init__(self, line_bytes_limit: int = LINE_BYTES_LIMIT) -> None:
+        self.line_bytes_limit = line_bytes_limit
+        self._parts: list[bytes] = []  # of the line that is not complete yet
+        self._parts_bytes = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Raises BadLine."""
-        *done, rest = data.split(b"\n")
-        if done and self._held:
-            done[0] = b"".join([*self._held, done[0]])
-            self._held, self._size = [], 0
-        for at, line in enumerate(done):
-            if len(line) > self.longest:
-                raise InvalidLineError("a line that is too long", done[:at])
+        """Returns the lines that are complete now.
+
+        Raises:
+            InvalidLineError: a line is too long.
+        """
+        *lines, rest = data.split(b"\n")
+        if lines and self._parts:
+            lines[0] = b"".join([*self._parts, lines[0]])
+            self._parts, self._parts_bytes = [], 0
+        for index, line in enumerate(lines):
+            if len(line) > self.line_bytes_limit:
+                raise InvalidLineError(lines[:index], "a line that is too long")
         if rest:
-            self._held.append(rest)
-            self._size += len(rest)
-            if self._size > self.longest:
-                raise InvalidLineError("a line without an end", done)
-        return done
+            self._parts.append(rest)
+            self._parts_bytes += len(rest)
+            if self._parts_bytes > self.line_bytes_limit:
+                raise InvalidLineError(lines, "a line without an end")
+        return lines
 
 
 class _Props(msgspec.Struct):
@@ -71,7 +87,7 @@
 
 
 class _Line(msgspec.Struct):
-    m: str
+    word: str = msgspec.field(name="m")
     txn: str | int = ""
     props: _Props = msgspec.field(default_factory=_Props)
     raw: str = ""
@@ -79,7 +95,7 @@
 
 @dataclass(slots=True)
 class WorkerResponse:
-    """An answer: its word, under which id, its note, how many copies stand, and the body in base64."""
+    """The end of the call `call_id`: its word and note, the loaded replicas, and the body."""
 
     word: str
     call_id: str
@@ -88,44 +104,68 @@
     body_base64: str
 
 
-_decode = msgspec.json.Decoder(_Line).decode
+_decode_line = msgspec.json.Decoder(_Line).decode
 
 
-def parse_response(line: bytes, body: int) -> WorkerResponse:
-    """Raises BadLine for what is no answer at all. Bodies of at most `body` bytes are taken."""
+def parse_response(line: bytes, body_bytes_limit: int) -> WorkerResponse:
+    """Reads one line of a worker.
+
+    Raises:
+        InvalidLineError: it is no response, or its body is too long.
+    """
     try:
-        told = _decode(line)
-        copies = int(float(told.props.instances))
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError, OverflowError) as error:
-        raise InvalidLineError(str(error)[:200], []) from None
-    if told.m not in RESULT_BY_WORD and told.m != "FIT":
-        raise InvalidLineError("an unknown word", [])
-    if not is_base64(told.raw, body):
-        raise InvalidLineError("a body that is no base64", [])
-    return WorkerResponse(told.m, str(told.txn), told.props.why, max(0, copies), told.raw)
-
-
-def encode_attempt(txn: str, offering: str, model: str, ttl: int, once: str | None, raw: str) -> bytes:
-    """Hands a task off. `ttl` in ms. Id, names and body were checked at the door: none needs an escape but
-    the offering, which is the settings' own."""
-    dedupe = b"" if once is None else b',"dedupe":"%b"' % once.encode()
+        decoded = _decode_line(line)
+        replicas = int(float(decoded.props.instances))
+    except (
+        msgspec.DecodeError,
+        UnicodeDecodeError,
+        RecursionError,
+        ValueError,
+        OverflowError,
+    ) as error:
+        raise InvalidLineError([], str(error)[:200]) from None
+    if decoded.word not in RESULT_BY_WORD and decoded.word != FIT_WORD:
+        raise InvalidLineError([], "an unknown word")
+    if not is_base64(decoded.raw, body_bytes_limit):
+        raise InvalidLineError([], "a body that is no base64")
+    return WorkerResponse(
+        decoded.word, str(decoded.txn), decoded.props.why, max(0, replicas), decoded.raw
+    )
+
+
+def encode_attempt(
+    call_id: str,
+    request_class: str,
+    function: str,
+    time_left_ms: int,
+    idempotency_key: str | None,
+    body_base64: str,
+) -> bytes:
+    """Encodes an attempt.
+
+    The listener has checked the id, the names and the body. None of them needs an escape but the
+    request class, which comes from the settings.
+    """
+    dedupe = b"" if idempotency_key is None else b',"dedupe":"%b"' % idempotency_key.encode()
     return b'{"m":"DO","txn":"%b","props":{"lane":%b,"name":"%b","ttl":%d%b},"raw":"%b"}\n' % (
-        txn.encode(),
-        msgspec.json.encode(offering),
-        model.encode(),
-        ttl,
+        call_id.encode(),
+        msgspec.json.encode(request_class),
+        function.encode(),
+        time_left_ms,
         dedupe,
-        raw.encode(),
+        body_base64.encode(),
     )
 
 
-def encode_cancel(txn: str) -> bytes:
-    return b'{"m":"UNDO","txn":"%b"}\n' % txn.encode()
+def encode_cancel(call_id: str) -> bytes:
+    """Encodes the cancel of an attempt or of a load request."""
+    return b'{"m":"UNDO","txn":"%b"}\n' % call_id.encode()
 
 
-def encode_load_request(txn: str, model: str, copies: int) -> bytes:
+def encode_load_request(call_id: str, function: str, replicas: int) -> bytes:
+    """Encodes a load request for so many replicas of a function."""
     return b'{"m":"PIN","txn":"%b","props":{"name":"%b","instances":%d}}\n' % (
-        txn.encode(),
-        model.encode(),
-        copies,
+        call_id.encode(),
+        function.encode(),
+        replicas,
     )
--- a/tests/test_answer_before_close.py
+++ b/tests/test_answer_before_close.py
@@ -15,7 +15,8 @@
 from anyio.abc import SocketAttribute
 
 from martenlead.node import client_protocol as rpc
-from martenlead.node.client_connection import ERRORS_PER_CONNECTION, ClientConnection, RpcListener
+from martenlead.node.client_connection import ClientConnection
+from martenlead.node.request_handler import ERRORS_PER_CONNECTION, RequestHandler
 from support.fleet import until
 from tests.nodes import Caller, Play, after, done, message, play, silent, word
 
@@ -80,7 +81,7 @@
     async with play(tmp_path, {"a": [after(WORK, done)]}) as p:
         client, own = await connected(p)
         await client.send(client.task() + NO_JSON + client.task())
-        await until(lambda: own.finishing_since_ns)
+        await until(lambda: own.graceful_close)
         await client.ask()
         assert await answers(client) == [
             (None, "error -32700"),
@@ -101,7 +102,7 @@
             client.stream.extra(SocketAttribute.raw_socket).fileno(), client.task()
         )  # without a turn of the loop
         own.data_received(NO_JSON)
-        assert not own.is_closed and own.finishing_since_ns  # what is unread is read first
+        assert not own.is_closed and own.graceful_close  # what is unread is read first
         assert await answers(client) == [(None, "error -32700"), (2, "turned back")]
 
 
@@ -132,7 +133,7 @@
         await until(lambda: own.write_blocked_since_ns)
         for _ in range(ERRORS_PER_CONNECTION + 5):
             await client.ask()
-        await until(lambda: own.finishing_since_ns)
+        await until(lambda: own.graceful_close)
         await anyio.sleep(0.6)  # the sweep comes by
         got = 0
         with anyio.fail_after(5):
@@ -165,20 +166,20 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Once as the message is read, once as it is taken: each has its answer, and the connection goes on."""
-    read, take = rpc.parse_call, RpcListener._accept_request
+    read, take = rpc.parse_call, RequestHandler._accept_request
 
     def faulty_read(data: bytes) -> Any:
         if b'"id": 2,' in data:
             raise KeyError("a fault of ours")
         return read(data)
 
-    def faulty_take(door: RpcListener, client: ClientConnection, call: Any, *more: Any) -> None:
+    def faulty_take(door: RequestHandler, client: ClientConnection, call: Any, *more: Any) -> None:
         if call.number == 3:
             raise KeyError("a fault of ours")
         take(door, client, call, *more)
 
     monkeypatch.setattr(rpc, "parse_call", faulty_read)
-    monkeypatch.setattr(RpcListener, "_accept_request", faulty_take)
+    monkeypatch.setattr(RequestHandler, "_accept_request", faulty_take)
     async with play(tmp_path, {"a": [after(WORK, done)]}) as p:
         client = await p.client()
         await client.send(b"".join(client.task() for _ in range(4)))
@@ -203,7 +204,7 @@
         monkeypatch.setattr(own.decoder, "feed", feed)
         if how == "before an attempt":
             os.write(client.stream.extra(SocketAttribute.raw_socket).fileno(), client.task())
-            assert own.read_unread_input() and own.finishing_since_ns
+            assert own.read_unread_input() and own.graceful_close
         else:
             await client.ask()
         assert await answers(client) == [(1, "satisfied")]
@@ -214,7 +215,7 @@
     async with play(tmp_path, {"a": [silent]}) as p:
         client, own = await connected(p)
         await client.send(client.task() + NO_JSON)
-        await until(lambda: own.finishing_since_ns and p.did())
+        await until(lambda: own.graceful_close and p.did())
         await client.stream.aclose()
         await until(lambda: p.node.dispatcher.counts["final", "left"] == 1)
         await until(lambda: not p.node.listener.clients and not p.node.listener.closing)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -17,7 +17,7 @@
 
 from martenlead.edge.cancellation import UnreadInput
 from martenlead.edge.records import FinalOutcome
-from martenlead.node.worker_client import UpstreamConnection
+from martenlead.node.upstream_connection import UpstreamConnection
 from martenlead.policy.types import Result
 from support.attempt_hooks import before_attempt
 from support.fleet import until
@@ -100,7 +100,7 @@
         await until(lambda: p.node.dispatcher.counts["final", "left"] == 1)
         assert await (await p.client()).call() == "error -32602"  # its id is spent
         assert attempts(p) == []
-        assert not p.node.dispatcher._in_flight and not p.node.listener.open_requests
+        assert not p.node.dispatcher._in_flight and not p.node.listener.requests.open_requests
         assert p.node.dispatcher.counts["hand-off", Result.NOT_SENT.value] == 1
         client.socket.close()
 
@@ -113,7 +113,7 @@
         client = Blocking(p)
         client.put(client.task("unsafe"))
         client.leave(how)
-        await until(lambda: f"{1:016x}" in p.node.listener.finished_ids)
+        await until(lambda: f"{1:016x}" in p.node.listener.requests.finished_ids)
         await until(lambda: not p.node.dispatcher._in_flight)
         assert attempts(p) == []
         client.socket.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -206,7 +206,7 @@
 ) -> None:
     """Hundreds at once come in several reads: who wrote them had none of the answers between."""
     monkeypatch.setattr(
-        "martenlead.node.client_connection.RESPONSE_TRANSIT_NS", 1 << 62
+        "martenlead.node.request_handler.RESPONSE_TRANSIT_NS", 1 << 62
     )  # no answer ever reaches it
     async with play(tmp_path) as p:
         client = await p.client()
@@ -227,12 +227,12 @@
         gone = anyio.Event()
         async with play(tmp_path, {"a": [once(gone, full), done], "b": [once(gone, full), done]}) as p:
             client = await p.client()
-            await until(lambda p=p: p.node.door.clients)  # type: ignore[misc]
+            await until(lambda p=p: p.node.listener.clients)  # type: ignore[misc]
             (own,) = p.node.listener.clients
             await client.ask()
             await until(p.did)
             own.write(b" " * 8_000_000)  # more than the machine's buffers hold
-            await until(lambda own=own: own.stuck)  # type: ignore[misc]
+            await until(lambda own=own: own.write_blocked_since_ns)  # type: ignore[misc]
             await leave(client, how)
             await until(lambda p=p: p.node.dispatcher.counts["final", "left"])  # type: ignore[misc]
             gone.set()
@@ -271,7 +271,7 @@
                     first.append(conn)
 
                     def crossed(transport: Any) -> None:
-                        conn.end("no connection in time")  # the time-out is served first
+                        conn.close("no connection in time")  # the time-out is served first
                         made(transport)
 
                     conn.connection_made = crossed
@@ -388,7 +388,7 @@
         return told
 
     async with play(tmp_path, {"a": [first, second]}) as p:
-        monkeypatch.setattr("martenlead.node.worker_client.lines.read", note)
+        monkeypatch.setattr("martenlead.node.upstream_connection.parse_response", note)
         client = await p.client()
         told = await client.call("keyed", once="0" * 32, wait=1900)
         assert (told, len(p.did()), p.runners["a"].connections) == ("satisfied", 2, 2)
@@ -545,13 +545,11 @@
         new = ClientConnection(p.node.listener)
         new.last_read_ns = 1 << 62
         p.node.listener.add_connection(new)
-        assert (
-            new.finishing_since_ns and not own.finishing_since_ns and not own.is_closed
-        )  # the new one gives way
+        assert new.graceful_close and not own.graceful_close and not own.is_closed  # the new one gives way
         del p.node.listener.clients[new]
         new.is_closed = True
         assert word(await client.answer()) == "satisfied"
-        assert own in p.node.listener.clients and not own.finishing_since_ns
+        assert own in p.node.listener.clients and not own.graceful_close
 
 
 # -- the stop
@@ -571,7 +569,7 @@
         return waits.time_limit(seconds)
 
     async with play(tmp_path) as p:
-        monkeypatch.setattr("martenlead.node.serve.within", within)
+        monkeypatch.setattr("martenlead.node.serve.time_limit", within)
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: came)
         came[0].setblocking(False)
@@ -678,7 +676,7 @@
         await until(lambda: p.ended)
         node = type(p.node)(p.path)
         with anyio.fail_after(5):
-            await node.serve(early=[signal.SIGHUP, signal.SIGTERM, signal.SIGTERM])
+            await node.serve(early_signals=[signal.SIGHUP, signal.SIGTERM, signal.SIGTERM])
         assert node.is_stopping
 
 
@@ -814,7 +812,7 @@
         assert await second.call("lookup") == "error -32602"  # its customer is the other's
         assert await second.call("lookup", id=f"{1:016x}", tenant="other") == "satisfied"
         assert [len(p.did()) for p in (one, two)] == [1, 1]
-        assert [len(p.node.listener.finished_ids) for p in (one, two)] == [1, 1]
+        assert [len(p.node.listener.requests.finished_ids) for p in (one, two)] == [1, 1]
         assert one.node.dispatcher.deadlines_ns != two.node.dispatcher.deadlines_ns
         policies = [p.node.dispatcher.policy_boundary._policy for p in (one, two)]
         for part in (None, "state", "scaling", "tenant_shares", "load_budget", "placement", "attempts"):
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -255,4 +255,4 @@
         (own,) = p.node.listener.clients
         arrivals = [100, 900, 950, 990]
         monkeypatch.setattr(p.node.dispatcher.event_loop_lag, "earliest_arrival", lambda _: arrivals.pop(0))
-        assert [own._arrival(1000, size) for size in (262_144, 65_536, 10, 10)] == [100, 100, 100, 990]
+        assert [own._earliest_arrival_ns(1000, size) for size in (262_144, 65_536, 10, 10)] == [100, 100, 100, 990]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from martenlead.node import client_connection as door
+from martenlead.node import listener as door
 from martenlead.policy.types import Result
 from support.fleet import until
 from tests.apart import DESCRIPTORS, apart, serve_at
@@ -39,7 +39,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Their answers wait in the node, with a descriptor each. Who comes then waits in the backlog."""
-    monkeypatch.setattr("martenlead.node.client_connection.SWEEP_INTERVAL_NS", 1 << 62)  # by hand
+    monkeypatch.setattr("martenlead.node.listener.SWEEP_INTERVAL_NS", 1 << 62)  # by hand
     monkeypatch.setattr("martenlead.node.client_acceptor.EXTRA_DESCRIPTORS", 2)
     async with play(tmp_path) as p:
         door = p.node.listener
@@ -55,7 +55,7 @@
         await late.ask()
         await anyio.sleep(0.05)
         assert (len(door.closing), len(door.clients)) == (3, 0)
-        monkeypatch.setattr("martenlead.node.client_connection.SWEEP_INTERVAL_NS", 0)
+        monkeypatch.setattr("martenlead.node.listener.SWEEP_INTERVAL_NS", 0)
         door.close_overdue_connections()
         assert word(await late.answer()) == "satisfied"
 
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -109,7 +109,7 @@
 
         async def never(conn: Any) -> None:
             await anyio.sleep(p.node.worker_client.settings.connect_timeout_ns / 1e9)
-            conn.end("no connection in time")
+            conn.close("no connection in time")
 
         for number, client in enumerate(clients):
             client.number = number * 10
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -217,9 +217,9 @@
         assert told == ["turned back", *["error -32602"] * 17]
         assert await client.answer() is None
         assert len(p.node.dispatcher.policy_boundary._policy.load_budget.request_times_ns) == 1
-        p.node.listener.request_limit = 3  # as many as may be held are remembered
+        p.node.listener.requests.request_limit = 3  # as many as may be held are remembered
         assert [await (await p.client()).call(id=f"{n:016x}") for n in range(5)] == ["turned back"] * 5
-        assert list(p.node.listener.finished_ids) == [f"{n:016x}" for n in range(2, 5)]
+        assert list(p.node.listener.requests.finished_ids) == [f"{n:016x}" for n in range(2, 5)]
 
 
 async def test_more_than_may_be_open_on_a_connection_is_turned_back(tmp_path: Path) -> None:
@@ -231,7 +231,7 @@
         assert set(told) <= {"satisfied", "turned back"}
         assert "satisfied" in told
         await until(lambda: not p.node.dispatcher.pending_requests)
-        assert not p.node.listener.open_requests
+        assert not p.node.listener.requests.open_requests
         assert p.node.dispatcher.pending_bytes == 0
 
 
@@ -274,7 +274,7 @@
             await client.ask()
         await client.stream.aclose()
         await until(lambda: not p.node.dispatcher.pending_requests and not p.node.listener.clients)
-        assert not p.node.listener.open_requests
+        assert not p.node.listener.requests.open_requests
         await until(lambda: not p.node.dispatcher._in_flight)  # in their time
 
 
--- a/tests/test_node_codecs.py
+++ b/tests/test_node_codecs.py
@@ -39,11 +39,11 @@
 
 @given(st.lists(st.binary(max_size=600), max_size=6))
 def test_noise_in_frames_is_bounded(parts: list[bytes]) -> None:
-    frames = rpc.MessageDecoder(longest=500)
+    frames = rpc.MessageDecoder(message_bytes_limit=500)
     try:
         for part in parts:
             frames.feed(part)
-            assert len(frames._held) <= 500 + rpc.HEADER_BYTES_LIMIT
+            assert len(frames._buffer) <= 500 + rpc.HEADER_BYTES_LIMIT
     except rpc.FramingError:
         pass
 
@@ -78,7 +78,7 @@
 
 
 def test_what_came_whole_before_a_line_without_an_end_counts() -> None:
-    reader = lines.LineDecoder(longest=10)
+    reader = lines.LineDecoder(line_bytes_limit=10)
     with pytest.raises(lines.InvalidLineError) as found:
         reader.feed(b"one\ntwo\n" + b"x" * 11)
     assert found.value.complete_lines == [b"one", b"two"]
--- a/tests/test_shutdown_faults.py
+++ b/tests/test_shutdown_faults.py
@@ -143,7 +143,7 @@
 
         async def never(conn: Any) -> None:
             await anyio.sleep(p.node.worker_client.settings.connect_timeout_ns / 1e9)
-            conn.end("no connection in time")
+            conn.close("no connection in time")
 
         p.node.worker_client._connect = never  # type: ignore[method-assign]
         async with shutdown(p, "unsafe") as crowd:
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -388,7 +388,7 @@
     heard: list[Any] = []
     known = p.node.dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0)
     (box,) = p.node.dispatcher.workers.values()
-    p.node.link.send_load_request(box, known, 0, heard.append)
+    p.node.worker_client.send_load_request(box, known, 0, heard.append)
     await until(lambda: heard)
     return heard[0]
 
--- a/tests/test_worker_connections.py
+++ b/tests/test_worker_connections.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from martenlead.node.worker_client import ConnectionPool
+from martenlead.node.connection_pool import ConnectionPool
 from tests.nodes import done, play
 
 pytestmark = pytest.mark.anyio
