--- a/martenlead/node/discovery.py
+++ b/martenlead/node/discovery.py
@@ -55,7 +55,7 @@
             for update in self.initial_updates:
                 self._apply(dispatcher, update)
         except MissingVersionError as error:
-            self.log.warning("the events of the configuration are not whole", why=str(error))
+            self.log.warning("initial_events_missed", reason=str(error))
         dispatcher.snapshot_received.set()
         backoff_seconds = MIN_BACKOFF_SECONDS
         while True:
@@ -65,7 +65,7 @@
                 reason = await self._follow(dispatcher)
             dispatcher.counts["roster", "lost"] += 1
             version = self.endpoint_list.version
-            self.log.info("the journal service is asked again", why=reason, after=version)
+            self.log.info("journal_connection_lost", reason=reason, version=version)
             if version > version_before or reason == ADDRESS_CHANGED:
                 backoff_seconds = MIN_BACKOFF_SECONDS
             else:
--- a/martenlead/node/serve.py
+++ b/martenlead/node/serve.py
@@ -105,7 +105,7 @@
                 host, port = self.config.listen_address
                 listener = create_listener(await self._bind(), self.listener)
                 listener.start()
-                self.log.info("serves", host=host, port=port)
+                self.log.info("node_started", host=host, port=port)
                 if started is not None:
                     started()
                 for number in early_signals:
@@ -124,7 +124,7 @@
 
         def log_delay(error: OSError) -> None:
             """Logs the first error that may pass."""
-            self.log.warning("listener_delayed", at=address, why=str(error))
+            self.log.warning("listener_delayed", address=address, reason=str(error))
 
         patience_seconds = KILL_MARGIN_SECONDS + KILL_DEADLINE_LIMIT_SECONDS + BIND_MARGIN_SECONDS
         return await bind(address, patience_seconds, delayed=log_delay)
@@ -137,7 +137,8 @@
             self.reload()
         elif not self.is_stopping:
             self.is_stopping = True
-            self.log.info("stops", held=len(self.dispatcher.pending_requests))
+            pending = len(self.dispatcher.pending_requests)
+            self.log.info("shutdown_started", pending_requests=pending)
             group.start_soon(self._shut_down, group, listener)
 
     def _handle_loop_exception(
@@ -158,10 +159,10 @@
         try:
             new_config = config.read_config(self.path)
         except config.ConfigError as error:
-            self.log.warning("the configuration stays as it was", why=str(error))
+            self.log.warning("config_rejected", reason=str(error))
             return
         self.discovery.change_address(new_config.journal_address)
-        self.log.info("the configuration was read again", journal=new_config.journal_address)
+        self.log.info("config_reloaded", journal_address=new_config.journal_address)
 
     async def _shut_down(self, group: TaskGroup, listener: Listener) -> None:
         """Answers all that was accepted, before SIGKILL comes.
@@ -186,7 +187,7 @@
             while clients.closing:  # noqa: ASYNC110 - connections end in the loop's callbacks
                 await anyio.sleep(CLOSE_POLL_SECONDS)
         counts = {" ".join(key): count for key, count in sorted(dispatcher.counts.items())}
-        self.log.info("stopped", counts=counts)
+        self.log.info("node_stopped", counts=counts)
         group.cancel_scope.cancel()
 
     def _seconds_to_last_responses(self) -> float:
@@ -239,7 +240,7 @@
     try:
         node = Node(Path(os.environ.get("ROUTER_CONFIG", "")))
     except config.ConfigError as error:
-        structlog.get_logger().error("no configuration that can be used", why=str(error))
+        structlog.get_logger().error("config_rejected", reason=str(error))
         return EXIT_UNUSABLE
     gc.set_threshold(*COLLECTION_THRESHOLDS)
     freeze_heap()
@@ -247,7 +248,7 @@
         anyio.run(node.serve, None, early_signals, backend_options={"use_uvloop": True})
     except* OSError as errors:
         address, reason = node.config.listen_address, str(errors.exceptions[0])
-        structlog.get_logger().error("it cannot listen", at=address, why=reason)
+        structlog.get_logger().error("listener_failed", address=address, reason=reason)
         return_status = EXIT_UNUSABLE
     else:
         return_status = 0
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -241,7 +241,7 @@
 FLOOD = """
 import socket, sys, time
 import anyio
-from martenlead.events.client import End, Pool
+from martenlead.events.client import ExchangeEnd, Pool
 from martenlead.events.http import request
 from martenlead.events.problem import problem
 from martenlead.events.server import Reply, Server, ServerLimits, listen
@@ -252,16 +252,16 @@
     async def answer(_message, _now):
         return Reply(200, [], b"worked")
 
-    pool = Pool("127.0.0.1", worker_port, connect=2_000_000_000)
+    pool = Pool("127.0.0.1", worker_port, connect_timeout_ns=2_000_000_000)
 
     async def forward(message, _now):
         exchange = await pool.exchange(request(b"GET", b"/", b"w", []))
-        assert exchange.end is End.ANSWERED, exchange
+        assert exchange.end is ExchangeEnd.ANSWERED, exchange
         return Reply(200, [], exchange.message.body)
 
     def of(handler):
-        return Server(handler, ServerLimits(), bad=lambda s, d: problem(s, "bad", d),
-                      crashed=lambda e: problem(500, "fault", repr(e)))
+        return Server(handler, ServerLimits(), make_error_reply=lambda s, d: problem(s, "bad", d),
+                      make_fault_reply=lambda e: problem(500, "fault", repr(e)))
 
     async with anyio.create_task_group() as group:
         group.start_soon(of(answer).serve, worker)
--- a/tests/test_platform_limits.py
+++ b/tests/test_platform_limits.py
@@ -78,7 +78,7 @@
 
 async def test_served_from_start_to_end_with_these_system_calls_refused(tmp_path: Path) -> None:
     async with dispatcher(tmp_path) as (p, process):
-        await logged(process, "serves")
+        await logged(process, "node_started")
         client = await p.client()
         await client.send(message({"jsonrpc": "2.0", "id": 1, "method": "ping", "params": {}}))
         ping: Any = await client.answer()
@@ -86,7 +86,7 @@
         client.number = 1
         assert [await client.call("unsafe", key=f"{n:016x}") for n in range(20)] == ["satisfied"] * 20
         process.send_signal(signal.SIGHUP)
-        await logged(process, "the configuration was read again")
+        await logged(process, "config_reloaded")
         assert await client.call("unsafe") == "satisfied"
         # one process, by `exec`, and one thread
         assert processes_below(process.pid) == []
@@ -99,7 +99,7 @@
 
 async def test_it_listens_on_the_given_address_alone_and_over_ipv4(tmp_path: Path) -> None:
     async with dispatcher(tmp_path) as (p, process):
-        await logged(process, "serves")
+        await logged(process, "node_started")
         links = [os.readlink(path) for path in Path(f"/proc/{process.pid}/fd").iterdir()]
         own = {link[8:-1] for link in links if link.startswith("socket:")}
         listening = [
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -154,6 +154,6 @@
     """Four threads of the event loop resolved the address that was told as a number, and stayed."""
     with node(tmp_path) as served:
         assert served.stderr is not None
-        assert any('"event": "serves"' in line for line in served.stderr)
+        assert any('"event": "node_started"' in line for line in served.stderr)
         assert len(list(Path(f"/proc/{served.pid}/task").iterdir())) == 1
         served.kill()
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -136,7 +136,7 @@
     read_lines = ended.stderr.decode().splitlines()
     said = [line for line in read_lines if '"level": "info"' not in line]  # its list of workers
     assert (ended.returncode, len(said)) == (2, 1), read_lines
-    assert "it cannot listen" in said[0] and "Permission denied" in said[0]
+    assert "listener_failed" in said[0] and "Permission denied" in said[0]
 
 
 @opening
