--- a/tests/test_answer_before_close.py
+++ b/tests/test_answer_before_close.py
@@ -14,7 +14,7 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from martenlead.node import client_protocol as rpc
+from martenlead.node import client_protocol
 from martenlead.node.client_connection import ClientConnection
 from martenlead.node.request_handler import ERRORS_PER_CONNECTION, RequestHandler
 from support.fleet import until
@@ -166,7 +166,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Once as the message is read, once as it is taken: each has its answer, and the connection goes on."""
-    read, take = rpc.parse_call, RequestHandler._accept_request
+    read, take = client_protocol.parse_call, RequestHandler._accept_request
 
     def faulty_read(data: bytes) -> Any:
         if b'"id": 2,' in data:
@@ -178,7 +178,7 @@
             raise KeyError("a fault of ours")
         take(door, client, call, *more)
 
-    monkeypatch.setattr(rpc, "parse_call", faulty_read)
+    monkeypatch.setattr(client_protocol, "parse_call", faulty_read)
     monkeypatch.setattr(RequestHandler, "_accept_request", faulty_take)
     async with play(tmp_path, {"a": [after(WORK, done)]}) as p:
         client = await p.client()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,8 +19,8 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from martenlead.edge import timeouts as waits
-from martenlead.node import worker_protocol as lines
+from martenlead.edge import timeouts
+from martenlead.node import worker_protocol
 from martenlead.node.client_connection import ClientConnection
 from martenlead.policy.types import Result
 from support.fleet import until
@@ -381,7 +381,7 @@
         await done(runner, stream, told)
 
     read: list[str] = []
-    real = lines.parse_response
+    real = worker_protocol.parse_response
 
     def note(line: bytes, most: int) -> Any:
         read.append((told := real(line, most)).word)
@@ -566,7 +566,7 @@
         if not came:
             came.append(socket.create_connection(("127.0.0.1", p.port)))
             came[0].send(caller.task())
-        return waits.time_limit(seconds)
+        return timeouts.time_limit(seconds)
 
     async with play(tmp_path) as p:
         monkeypatch.setattr("martenlead.node.serve.time_limit", within)
@@ -769,7 +769,7 @@
     monkeypatch.setattr(loop, "call_later", lambda s, *a: timers.append(s) or real(s, *a))  # type: ignore
     for seconds in (0.0004, 0.0024, 0.0101):
         before = time.monotonic()
-        with waits.time_limit(seconds) as scope:
+        with timeouts.time_limit(seconds) as scope:
             await anyio.Event().wait()
         assert scope.cancelled_caught and time.monotonic() - before >= seconds
     assert timers == [0.001, 0.003, 0.011]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from martenlead.node import listener as door
+from martenlead.node import listener
 from martenlead.policy.types import Result
 from support.fleet import until
 from tests.apart import DESCRIPTORS, apart, serve_at
@@ -99,8 +99,8 @@
         clients = [await p.client() for _ in range(10)]
         for client in clients[5:]:
             assert await client.call(id=f"{id(client):016x}") == "satisfied"  # it spoke
-        real = door.readable
-        monkeypatch.setattr(door, "readable", lambda at: asked.append(at) or real(at))
+        real = listener.readable
+        monkeypatch.setattr(listener, "readable", lambda at: asked.append(at) or real(at))
         clients += [await p.client() for _ in range(8)]
         await until(lambda: p.node.dispatcher.counts["client", "no place"] == 8)
         assert len(asked) == 8
--- a/tests/test_node_codecs.py
+++ b/tests/test_node_codecs.py
@@ -10,9 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martenlead.node import client_protocol as rpc
-from martenlead.node import journal
-from martenlead.node import worker_protocol as lines
+from martenlead.node import client_protocol, journal, worker_protocol
 from martenlead.upstream.endpoints import EndpointUpdate
 from tests.nodes import answer, frame, message, record
 
@@ -32,19 +30,19 @@
 @given(st.lists(st.binary(max_size=300), max_size=5), st.lists(st.integers(0), max_size=8))
 def test_messages_are_the_same_however_they_are_cut(bodies: list[bytes], at: list[int]) -> None:
     data = b"".join(b"Content-Length: %d\r\n\r\n%b" % (len(body), body) for body in bodies)
-    frames = rpc.MessageDecoder()
+    frames = client_protocol.MessageDecoder()
     assert [m for part in cut(data, at) for m in frames.feed(part)] == bodies
     assert not frames.has_partial_message
 
 
 @given(st.lists(st.binary(max_size=600), max_size=6))
 def test_noise_in_frames_is_bounded(parts: list[bytes]) -> None:
-    frames = rpc.MessageDecoder(message_bytes_limit=500)
+    frames = client_protocol.MessageDecoder(message_bytes_limit=500)
     try:
         for part in parts:
             frames.feed(part)
-            assert len(frames._buffer) <= 500 + rpc.HEADER_BYTES_LIMIT
-    except rpc.FramingError:
+            assert len(frames._buffer) <= 500 + client_protocol.HEADER_BYTES_LIMIT
+    except client_protocol.FramingError:
         pass
 
 
@@ -53,16 +51,16 @@
 
 @given(st.binary(max_size=50) | JSON.map(lambda j: json.dumps(j).encode()))
 def test_any_message_is_a_call_or_a_bad_call(data: bytes) -> None:
-    with pytest.raises(rpc.InvalidCallError):
-        rpc.parse_call(data)
+    with pytest.raises(client_protocol.InvalidCallError):
+        client_protocol.parse_call(data)
 
 
 @given(st.dictionaries(st.sampled_from(MEMBERS), JSON))
 def test_any_params_are_checked(params: dict[str, Any]) -> None:
     told = {"jsonrpc": "2.0", "id": 7, "method": "safe", "params": params}
     try:
-        call = rpc.parse_call(json.dumps(told).encode())
-    except rpc.InvalidCallError as error:
+        call = client_protocol.parse_call(json.dumps(told).encode())
+    except client_protocol.InvalidCallError as error:
         assert error.number == 7
     else:
         assert (len(call.request_id), len(call.function)) == (16, 16)
@@ -72,28 +70,28 @@
     st.lists(st.binary(max_size=100).filter(lambda b: b"\n" not in b)), st.lists(st.integers(0), max_size=8)
 )
 def test_lines_are_the_same_however_they_are_cut(told: list[bytes], at: list[int]) -> None:
-    reader = lines.LineDecoder()
+    reader = worker_protocol.LineDecoder()
     data = b"".join(line + b"\n" for line in told)
     assert [line for part in cut(data, at) for line in reader.feed(part)] == told
 
 
 def test_what_came_whole_before_a_line_without_an_end_counts() -> None:
-    reader = lines.LineDecoder(line_bytes_limit=10)
-    with pytest.raises(lines.InvalidLineError) as found:
+    reader = worker_protocol.LineDecoder(line_bytes_limit=10)
+    with pytest.raises(worker_protocol.InvalidLineError) as found:
         reader.feed(b"one\ntwo\n" + b"x" * 11)
     assert found.value.complete_lines == [b"one", b"two"]
 
 
 @given(st.binary(max_size=60) | JSON.map(lambda j: json.dumps(j).encode()))
 def test_any_line_is_a_word_or_a_bad_line(data: bytes) -> None:
-    with pytest.raises(lines.InvalidLineError):
-        lines.parse_response(data, 100)
+    with pytest.raises(worker_protocol.InvalidLineError):
+        worker_protocol.parse_response(data, 100)
 
 
 def test_fields_of_answers_may_be_strings_or_numbers() -> None:
-    word = lines.parse_response(b'{"m":"DONE","txn":7,"props":{"instances":2}}', 100)
+    word = worker_protocol.parse_response(b'{"m":"DONE","txn":7,"props":{"instances":2}}', 100)
     assert (word.call_id, word.replicas) == ("7", 2)
-    assert lines.parse_response(answer("WAIT", "o1", instances="3"), 100).replicas == 3
+    assert worker_protocol.parse_response(answer("WAIT", "o1", instances="3"), 100).replicas == 3
 
 
 @given(st.lists(st.integers(0), max_size=8))
