--- a/martenlead/upstream/endpoint_watch.py
+++ b/martenlead/upstream/endpoint_watch.py
@@ -24,7 +24,7 @@
 
 
 class WatchSettings(Protocol):
-    """Where the roster is. Times are ms: `silence_timeout_ms` without a byte breaks the stream, `retry_ms` is the first
+    """Where the list is. Times are ms: `silence_timeout_ms` without a byte ends the stream, `retry_ms` is the
     wait before it is asked for again; waits double up to twenty of it."""
 
     @property
