--- a/martenlead/upstream/endpoint_watch.py
+++ b/martenlead/upstream/endpoint_watch.py
@@ -30,7 +30,7 @@
 
 
 class WatchSettings(Protocol):
-    """Where discovery is, and when its stream is broken; named as in the settings."""
+    """Where discovery is, and when its stream is broken."""
 
     @property
     def host(self) -> str:
@@ -41,7 +41,7 @@
         """Its TCP port."""
 
     @property
-    def quiet_ms(self) -> float:
+    def silence_timeout_ms(self) -> float:
         """Time without a byte after which the stream is broken."""
 
     @property
@@ -109,6 +109,6 @@
         settings.host,
         settings.port,
         data,
-        silence_timeout_seconds=settings.quiet_ms / 1000,
+        silence_timeout_seconds=settings.silence_timeout_ms / 1000,
         max_line_bytes=MAX_LINE_BYTES,
     )
