--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -20,13 +20,11 @@
     "days",
     "edge",
     "emulator",
-    "events",
     "layers",
     "planner",
     "simulator_adapter",
     "standins",
     "traces",
-    "upstream",
 }
 PROTOCOL_MODULES: dict[str, str] = {}
 """Modules that keep words of a protocol or of stored data, with the reason."""
