--- /dev/null
+++ b/tests/test_planner_frames.py
@@ -0,0 +1,175 @@
+"""Frames that an earlier version wrote are understood by both ends of the link, and are written the same."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from martenlead.capture import events as ev
+from martenlead.planner import frames as fr
+from martenlead.planner.link import EdgeSession, PlannerSession, SessionLimits
+
+STORED = Path(__file__).parent / "stored" / "planner-link"
+DIRECTIONS = ("to-planner", "to-edge")
+
+# by the earlier version's name of a type: its name of today, and the names of its fields in their order
+MESSAGES: dict[str, tuple[type[fr.Message], dict[str, str]]] = {
+    "Hello": (
+        fr.Hello,
+        {
+            "least": "lowest_version",
+            "most": "highest_version",
+            "edge": "edge_name",
+            "life": "incarnation",
+            "module": "policy_hash",
+        },
+    ),
+    "Welcome": (
+        fr.Welcome,
+        {"version": "version", "planner": "planner_name", "life": "incarnation", "last": "last_sequence"},
+    ),
+    "Lease": (fr.Lease, {"epoch": "epoch", "for_ms": "duration_ms", "resumes": "is_resumed"}),
+    "Snapshot": (fr.Snapshot, {"seq": "sequence", "t": "edge_time_ns"}),
+    "Events": (fr.Events, {"seq": "sequence", "t": "edge_time_ns"}),
+    "Beat": (fr.Heartbeat, {"epoch": "epoch", "seq": "sequence"}),
+    "Decide": (
+        fr.PlanUpdate,
+        {
+            "epoch": "epoch",
+            "seq": "sequence",
+            "orders": "load_requests",
+            "held": "retained",
+            "whole": "is_complete",
+        },
+    ),
+    "Need": (fr.ResyncRequest, {"why": "reason"}),
+    "Recall": (fr.RestoreReplicas, {"epoch": "epoch", "copies": "replicas"}),
+    "Refuse": (fr.LinkRefused, {"why": "reason"}),
+}
+EVENTS: dict[str, tuple[type[ev.CaptureEvent], tuple[str, ...]]] = {
+    "Take": (
+        ev.RequestAccepted,
+        ("t", "task", "name", "model", "offering", "customer", "give_up", "again", "cost"),
+    ),
+    "HandedOff": (ev.AttemptStarted, ("task", "hand_off", "runner", "patience")),
+    "Answered": (ev.AttemptEnded, ("t", "task", "hand_off", "result", "final", "warmth", "lag")),
+    "Closed": (ev.RequestClosed, ("t", "task", "final")),
+    "NewRunner": (ev.WorkerAdded, ("t", "runner", "name", "facts")),
+    "NewModel": (ev.FunctionAdded, ("t", "model", "name", "mark", "lanes", "memory")),
+    "Roster": (ev.WorkersUpdated, ("t", "whole", "lines")),
+    "Tick": (ev.TickChanged, ("t", "tick")),
+    "Carry": (ev.LoadPlanned, ("t", "plan", "runner", "model")),
+    "Ordered": (ev.LoadRequested, ("order", "runner", "model", "copies")),
+    "OrderEnded": (ev.LoadEnded, ("t", "order", "result", "copies")),
+    "Recalled": (ev.ReplicaConfirmed, ("t", "runner", "model", "result", "copies", "touched")),
+}
+
+
+def stored_frames(direction: str) -> list[bytes]:
+    data = (STORED / f"{direction}.frames").read_bytes()
+    found: list[bytes] = []
+    while data:
+        end = fr.HEADER_BYTES + int.from_bytes(data[:4], "big")
+        found.append(data[:end])
+        data = data[end:]
+    return found
+
+
+def earlier_reading(direction: str) -> list[dict[str, Any]]:
+    return [one for one in json.loads((STORED / "read.json").read_text()) if one["to"] == direction]
+
+
+def plain(value: Any) -> Any:
+    """The value as JSON has it: the stored reading is JSON."""
+    return msgspec.json.decode(msgspec.json.encode(value))
+
+
+def decode_one(frame: bytes) -> fr.AnyMessage:
+    (message,) = fr.FrameReader().feed(frame)
+    return message
+
+
+def check_event(event: ev.AnyEvent, earlier: dict[str, Any]) -> None:
+    kind, names = EVENTS[earlier["type"]]
+    assert type(event) is kind
+    assert kind.__struct_encode_fields__ == names
+    for name, stored_name in zip(kind.__struct_fields__, names, strict=True):
+        assert plain(getattr(event, name)) == earlier["fields"][stored_name]
+
+
+@pytest.mark.parametrize("direction", DIRECTIONS)
+def test_each_frame_of_the_version_before_is_read_to_the_same_and_written_to_the_same_bytes(
+    direction: str,
+) -> None:
+    for frame, earlier in zip(stored_frames(direction), earlier_reading(direction), strict=True):
+        message = decode_one(frame)
+        kind, names = MESSAGES[earlier["type"]]
+        assert type(message) is kind
+        for old, new in names.items():
+            assert plain(getattr(message, new)) == earlier["fields"][old]
+        if isinstance(message, fr.Events):
+            for event, told in zip(message.events, earlier["fields"]["events"], strict=True):
+                check_event(event, told)
+        assert fr.encode_frame(message) == frame
+
+
+def test_every_message_and_every_event_of_the_link_is_among_the_stored_frames() -> None:
+    read = [one for direction in DIRECTIONS for one in earlier_reading(direction)]
+    assert {one["type"] for one in read} == set(MESSAGES)
+    assert {kind for kind, _ in MESSAGES.values()} == set(fr.Message.__subclasses__())
+    events = {event["type"] for one in read for event in one["fields"].get("events", [])}
+    assert events == set(EVENTS)
+
+
+def test_a_planner_of_today_follows_the_session_of_an_edge_of_the_version_before() -> None:
+    now = 1_000_000_000
+    numbers = iter(range(1 << 20))
+    planner = PlannerSession("planner-1", "life-1", lambda: now, lambda: next(numbers))
+    planner.connection_made()
+    frames = stored_frames("to-planner")
+    *session, refused = (decode_one(frame) for frame in frames)
+    accepted, sequence = 0, -1
+    for message in session:
+        now = max(now, getattr(message, "edge_time_ns", 0))
+        planner.receive_message(message)
+        if isinstance(message, fr.Snapshot):
+            accepted = 0
+        if isinstance(message, fr.Snapshot | fr.Events):
+            sequence = message.sequence
+        if isinstance(message, fr.Events):
+            accepted += sum(isinstance(event, ev.RequestAccepted) for event in message.events)
+    assert isinstance(refused, fr.LinkRefused)
+    assert planner.policy_replica is not None
+    assert (planner.counts["needed"], planner.counts["snapshots"]) == (0, 2)
+    assert (planner.last_sequence, planner.policy_replica.request_count) == (sequence, accepted)
+    assert accepted > 0
+    assert planner.edge_name == "edge"
+
+
+def test_an_edge_of_today_follows_the_session_of_a_planner_of_the_version_before() -> None:
+    hello = decode_one(stored_frames("to-planner")[0])
+    assert isinstance(hello, fr.Hello)
+    state = {"a": "state"}
+    edge = EdgeSession(
+        "edge", hello.incarnation, hello.policy_hash, lambda: 0, lambda: (state, set()), SessionLimits()
+    )
+    taken: list[fr.PlanUpdate | fr.RestoreReplicas] = []
+    wanted = []
+    for frame in stored_frames("to-edge")[:-1]:
+        message = decode_one(frame)
+        if isinstance(message, fr.Welcome):
+            edge.connection_made()
+            assert edge.next_frame() == stored_frames("to-planner")[0]
+        if isinstance(message, fr.PlanUpdate | fr.RestoreReplicas):
+            wanted.append(message)
+        edge.receive_message(message)
+        taken += edge.pending_decisions
+        edge.pending_decisions.clear()
+    assert taken == wanted
+    assert len(taken) > 3
+    assert (edge.planner_name, edge.planner_incarnation, edge.version) == ("planner-1", "life-1", 2)
+    assert (edge.epoch, edge.counts["needs"], edge.counts["fenced"]) == (2, 1, 0)
