--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -24,6 +24,7 @@
 
 from martenlead.planner import frames as fr
 from martenlead.planner.link import NS_PER_MS
+from martenlead.planner.snapshot import encode_snapshot
 from support.pair import Pair
 from support.planned import answered, planned, planner, until
 
@@ -112,7 +113,7 @@
     begun = perf_counter()
     told, lively = pair.side._take_snapshot()
     took = perf_counter() - begun
-    data = fr.encode_frame(fr.Snapshot(1, pair.now, told))
+    data = fr.encode_frame(fr.Snapshot(1, pair.now, msgspec.Raw(encode_snapshot(told))))
     framed = perf_counter() - begun
     return {
         "lively models": len(lively),
--- a/martenlead/emulator/planned.py
+++ b/martenlead/emulator/planned.py
@@ -12,8 +12,9 @@
 from martenlead.emulator.kernel import Kernel, Signal, Steps
 from martenlead.emulator.records import Records
 from martenlead.planner import frames as fr
-from martenlead.planner.link import LinkProtocolError, PlannerSession
+from martenlead.planner.link import LinkProtocolError
 from martenlead.planner.planner_client import LEASE_CHECK_INTERVAL_NS, PlannerClient
+from martenlead.planner.planner_session import PlannerSession
 from martenlead.planner.server import REFRESH_INTERVAL_SECONDS, Planner, PlannerSettings
 from martenlead.system.clocks import Moment
 
@@ -66,7 +67,7 @@
         self.planner = Planner(settings, self.kernel.clock, self._moment)
         self.planner.incarnation = f"{self.number}-{self.life}"
         if before is not None:
-            self.planner.saved_replicas = before.saved_replicas
+            self.planner.store.saved = before.store.saved
         self.kernel.spawn(self._keeps(self.life))
 
     def _moment(self) -> Moment:
--- a/martenlead/planner/__init__.py
+++ b/martenlead/planner/__init__.py
@@ -1,1 +1,1 @@
-"""The program that decides where models are loaded, and the link between it and the edges."""
+"""The planner program, which decides where functions are loaded, and its link with the edges."""
--- /dev/null
+++ b/martenlead/planner/connection_errors.py
@@ -0,0 +1,18 @@
+"""Errors by which a connection ends, at either end of the link."""
+
+from __future__ import annotations
+
+import anyio
+
+CONNECTION_ERRORS = (
+    OSError,
+    TimeoutError,
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)
+
+
+def describe_error(error: BaseException) -> str:
+    """The type and the text of an error, in one line."""
+    return f"{type(error).__name__} {error}".strip()
--- /dev/null
+++ b/martenlead/planner/edge_session.py
@@ -0,0 +1,339 @@
+"""The edge's end of the link with its planner, as a state machine without I/O."""
+
+from __future__ import annotations
+
+from collections import Counter, deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
+
+import msgspec
+
+from martenlead.capture import events as ev
+from martenlead.planner import frames as fr
+from martenlead.planner.link import LONG_AGO_NS, NS_PER_MS, LinkProtocolError, SessionLimits
+from martenlead.planner.snapshot import PolicySnapshot, encode_snapshot
+from martenlead.planner.status import EdgeLinkStatus
+
+EVENTS_PER_FRAME = 512  # after so many a frame is made at once, also without a planner
+STALLED_LEASES = 4  # leases for which a planner may be alive and acknowledge nothing
+PLANNER_EVENTS = (
+    ev.RequestAccepted,
+    ev.AttemptStarted,
+    ev.AttemptEnded,
+    ev.RequestClosed,
+    ev.WorkerAdded,
+    ev.WorkersUpdated,
+    ev.TickChanged,
+    ev.LoadPlanned,
+    ev.LoadRequested,
+    ev.LoadEnded,
+    ev.ReplicaConfirmed,
+)
+EVENTS_OF_A_FUNCTION = (ev.RequestAccepted, ev.LoadPlanned, ev.ReplicaConfirmed)
+
+
+class ConnectionState(StrEnum):
+    """Whether there is a connection; `GREETING` until the planner's `Welcome`."""
+
+    DOWN = "down"
+    GREETING = "greeting"
+    UP = "up"
+
+
+class TakenSnapshot(NamedTuple):
+    """The state of the edge's policy, and the numbers of the functions in it."""
+
+    state: PolicySnapshot
+    functions: set[int]
+
+
+class OutboxFrame(NamedTuple):
+    """A frame of events that the planner has not acknowledged."""
+
+    sequence: int
+    data: bytes
+
+
+@dataclass(slots=True)
+class Outbox:
+    """Frames in the order of their sequence numbers, and their size."""
+
+    frames: deque[OutboxFrame]
+    size_bytes: int = 0
+
+    def append(self, frame: OutboxFrame) -> None:
+        """Adds the newest frame."""
+        self.frames.append(frame)
+        self.size_bytes += len(frame.data)
+
+    def acknowledge(self, sequence: int) -> None:
+        """Drops all frames up to a sequence number."""
+        while self.frames and self.frames[0].sequence <= sequence:
+            self.size_bytes -= len(self.frames.popleft().data)
+
+    def clear(self) -> None:
+        """Drops all frames."""
+        self.frames.clear()
+        self.size_bytes = 0
+
+
+class EdgeSession:
+    """An edge's end of the link; it outlives connections and planners.
+
+    Only `record_event` runs on the path of a request. It never waits, and the frames that it keeps
+    are bounded by `SessionLimits.outbox_bytes`.
+    """
+
+    def __init__(
+        self,
+        edge_name: str,
+        incarnation: str,
+        policy_hash: str,
+        clock: Callable[[], int],
+        take_snapshot: Callable[[], TakenSnapshot],
+        limits: SessionLimits,
+    ) -> None:
+        self.edge_name = edge_name
+        self.incarnation = incarnation
+        self.policy_hash = policy_hash
+        self.clock = clock
+        self.take_snapshot = take_snapshot
+        self.limits = limits
+        self.epoch = 0
+        self.lease_end_ns = 0
+        self.state = ConnectionState.DOWN
+        self.planner_name = self.planner_incarnation = ""
+        self.version = 0
+        self.last_sequence = self.acknowledged_sequence = 0
+        self.counts: Counter[str] = Counter()
+        self.pending_decisions: deque[fr.PlanUpdate | fr.RestoreReplicas] = deque()
+        self._records_events = False
+        self._needs_snapshot = False
+        self._batch: list[ev.AnyEvent] = []
+        self._outbox = Outbox(deque())
+        self._sent_sequence = 0  # of the last events that were sent on this connection
+        self._control_frames: deque[bytes] = deque()
+        self._functions: dict[int, ev.FunctionAdded] = {}
+        self._known_functions: set[int] = set()  # by the planner
+        self._snapshot_ns = LONG_AGO_NS
+        self._snapshot_sequence = 0
+        self._lease_start_ns = 0
+        self._heartbeat_sequence = 0  # the highest that was acknowledged on this connection
+        self._progress_ns = 0  # when that was last a new one, or all that was sent
+
+    # -- events of the policy
+
+    def record_event(self, event: ev.CaptureEvent) -> None:
+        """Takes in what the policy received or decided, as it happens."""
+        if isinstance(event, ev.FunctionAdded):
+            self._functions[event.function] = event
+        if not self._records_events or not isinstance(event, PLANNER_EVENTS):
+            return
+        if isinstance(event, EVENTS_OF_A_FUNCTION) and event.function not in self._known_functions:
+            self._known_functions.add(event.function)
+            self._batch.append(self._functions[event.function])
+        self._batch.append(event)
+        if len(self._batch) >= EVENTS_PER_FRAME:
+            self.flush()
+
+    def flush(self) -> None:
+        """Puts the events since the last flush into the outbox, as one frame."""
+        if not self._batch:
+            return
+        self.last_sequence += 1
+        data = fr.encode_frame(fr.Events(self.last_sequence, self.clock(), self._batch))
+        self._batch = []
+        self._outbox.append(OutboxFrame(self.last_sequence, data))
+        self.counts["bytes"] += len(data)
+        if self._outbox.size_bytes > self.limits.outbox_bytes:
+            self.counts["overflow"] += 1
+            self._require_snapshot()
+
+    def _require_snapshot(self) -> None:
+        """Drops all events, and records none until the next snapshot."""
+        self._outbox.clear()
+        self._batch = []
+        self._records_events, self._needs_snapshot = False, True
+
+    # -- the connection
+
+    def is_leased(self) -> bool:
+        """Whether a planner may decide for this edge now."""
+        return self.state is ConnectionState.UP and self.clock() < self.lease_end_ns
+
+    def is_established(self) -> bool:
+        """Whether the planner has kept its lease for a while and makes progress.
+
+        After such a planner's connection is lost, it is tried again before the next of the list.
+        """
+        now_ns = self.clock()
+        is_stalled = now_ns - self._progress_ns > STALLED_LEASES * self.limits.lease_ns
+        has_kept_lease = now_ns - self._lease_start_ns > self.limits.lease_ns
+        return self.state is ConnectionState.UP and has_kept_lease and not is_stalled
+
+    def connection_made(self) -> None:
+        """A connection is open: the first frame to send is a `Hello`."""
+        self.state = ConnectionState.GREETING
+        self.lease_end_ns = self.clock() + self.limits.lease_ns
+        self._control_frames.clear()
+        hello = fr.Hello(
+            fr.LOWEST_VERSION,
+            self.limits.highest_version,
+            self.edge_name,
+            self.incarnation,
+            self.policy_hash,
+        )
+        self._control_frames.append(fr.encode_frame(hello))
+
+    def connection_lost(self) -> None:
+        """The connection is closed; the outbox may be sent on the next one."""
+        self.state = ConnectionState.DOWN
+        self._control_frames.clear()
+        self.pending_decisions.clear()
+
+    # -- messages of the planner
+
+    def receive_message(self, message: fr.AnyMessage) -> None:
+        """Takes in a message of the planner.
+
+        Raises:
+            LinkProtocolError: the connection has to be closed.
+        """
+        match message:
+            case fr.Welcome() if self.state is ConnectionState.GREETING:
+                self._start_lease(message)
+            case fr.Heartbeat(epoch=epoch, sequence=sequence) if self.state is ConnectionState.UP:
+                if epoch == self.epoch:
+                    self._renew_lease(sequence)
+            case fr.PlanUpdate() | fr.RestoreReplicas():
+                self._receive_decision(message)
+            case fr.ResyncRequest():
+                self.counts["needs"] += 1
+                self._require_snapshot()
+            case fr.LinkRefused(reason=reason):
+                error = f"the planner refuses: {reason}"
+                raise LinkProtocolError(error)
+            case _:
+                error = f"{type(message).__name__} was not expected while {self.state}"
+                raise LinkProtocolError(error)
+
+    def _receive_decision(self, message: fr.PlanUpdate | fr.RestoreReplicas) -> None:
+        """Drops decisions of another epoch, after the lease, and from before the last snapshot."""
+        if message.epoch != self.epoch or not self.is_leased():
+            self.counts["fenced"] += 1
+        elif isinstance(message, fr.PlanUpdate) and message.sequence < self._snapshot_sequence:
+            self.counts["outdated"] += 1
+        else:
+            self.pending_decisions.append(message)
+
+    def _start_lease(self, welcome: fr.Welcome) -> None:
+        """Begins a new epoch, which fences off whatever still comes of an earlier connection."""
+        if not fr.LOWEST_VERSION <= welcome.version <= self.limits.highest_version:
+            error = f"the planner speaks version {welcome.version}"
+            raise LinkProtocolError(error)
+        is_resumed = self._can_resume(welcome)
+        self.planner_name = welcome.planner_name
+        self.planner_incarnation = welcome.incarnation
+        self.version = welcome.version
+        self.state = ConnectionState.UP
+        self.epoch += 1
+        now_ns = self.clock()
+        self.lease_end_ns = now_ns + self.limits.lease_ns
+        self._lease_start_ns = self._progress_ns = now_ns
+        self._heartbeat_sequence = 0
+        lease = fr.Lease(self.epoch, self.limits.lease_ns / NS_PER_MS, is_resumed)
+        self._control_frames.append(fr.encode_frame(lease))
+        if is_resumed:
+            self.counts["resumed"] += 1
+            self._acknowledge(welcome.last_sequence)
+            self._sent_sequence = welcome.last_sequence
+        else:
+            self._require_snapshot()
+
+    def _can_resume(self, welcome: fr.Welcome) -> bool:
+        """Whether the same planner run is back, and the outbox has all events that it lacks."""
+        frames = self._outbox.frames
+        first_sequence = frames[0].sequence if frames else self.last_sequence + 1
+        return (
+            self._records_events
+            and welcome.incarnation == self.planner_incarnation
+            and welcome.last_sequence >= 0
+            and first_sequence <= welcome.last_sequence + 1 <= self.last_sequence + 1
+        )
+
+    def _renew_lease(self, sequence: int) -> None:
+        now_ns = self.clock()
+        self.lease_end_ns = now_ns + self.limits.lease_ns
+        if sequence > self._heartbeat_sequence or sequence >= self._sent_sequence:
+            self._heartbeat_sequence, self._progress_ns = sequence, now_ns
+        elif now_ns - self._progress_ns > STALLED_LEASES * self.limits.lease_ns:
+            error = "the planner is alive and acknowledges nothing"
+            raise LinkProtocolError(error)
+        self._acknowledge(sequence)
+
+    def _acknowledge(self, sequence: int) -> None:
+        self._outbox.acknowledge(sequence)
+        self.acknowledged_sequence = max(self.acknowledged_sequence, sequence)
+
+    # -- frames to the planner
+
+    def next_frame(self) -> bytes | None:
+        """The next frame to send, None if there is none now.
+
+        Raises:
+            LinkProtocolError: the lease has expired, and the connection has to be closed.
+        """
+        if self.state is ConnectionState.DOWN:
+            return None
+        if self.clock() >= self.lease_end_ns:
+            error = "the planner has not answered in time"
+            raise LinkProtocolError(error)
+        if self._control_frames:
+            return self._control_frames.popleft()
+        if self.state is not ConnectionState.UP:
+            return None
+        if self._is_snapshot_due():
+            return self._snapshot_frame()
+        self.flush()
+        return self._next_outbox_frame()
+
+    def _next_outbox_frame(self) -> bytes | None:
+        for sequence, data in self._outbox.frames:
+            if sequence > self._sent_sequence:
+                self._sent_sequence = sequence
+                return data
+        return None
+
+    def _is_snapshot_due(self) -> bool:
+        earliest_ns = self._snapshot_ns + self.limits.snapshot_interval_ns
+        return self._needs_snapshot and self.clock() >= earliest_ns
+
+    def _snapshot_frame(self) -> bytes:
+        """A snapshot, with its own sequence number: older decisions have a lower one."""
+        snapshot = self.take_snapshot()
+        self._known_functions = snapshot.functions
+        self._snapshot_ns = self.clock()
+        self._needs_snapshot, self._records_events = False, True
+        self.last_sequence += 1
+        self._snapshot_sequence = self._sent_sequence = self.last_sequence
+        self.acknowledged_sequence = self.last_sequence
+        self.counts["snapshots"] += 1
+        state = msgspec.Raw(encode_snapshot(snapshot.state))
+        return fr.encode_frame(fr.Snapshot(self.last_sequence, self.clock(), state))
+
+    def report_status(self) -> EdgeLinkStatus:
+        """For operators."""
+        left_ns = self.lease_end_ns - self.clock() if self.state is ConnectionState.UP else 0
+        return EdgeLinkStatus(
+            planner_name=self.planner_name,
+            state=self.state.value,
+            version=self.version,
+            epoch=self.epoch,
+            lease_ms=max(0.0, left_ns / NS_PER_MS),
+            last_sequence=self.last_sequence,
+            unacknowledged=self.last_sequence - self.acknowledged_sequence,
+            outbox_bytes=self._outbox.size_bytes,
+            counts=dict(self.counts),
+        )
--- a/martenlead/planner/frames.py
+++ b/martenlead/planner/frames.py
@@ -1,33 +1,67 @@
-"""Frames of the link between an edge and its planner: lengths, checksums, versions. No I/O, no decisions.
+"""Frames of the link between an edge and its planner: lengths, checksums, versions, messages.
 
-A frame is a length (4 bytes, big endian), the CRC-32 of the payload (4 bytes) and the payload: one message in
-MessagePack. docs/protocol-plan.md has every message.
+A frame is a length (4 bytes, big endian), the CRC-32 of the payload (4 bytes) and the payload: one
+message in MessagePack. A message is an array whose first element is the message's number, so the
+names of its fields are not sent. docs/protocol-plan.md describes every message. The module does no
+I/O.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import NamedTuple
 from zlib import crc32
 
 import msgspec
 
 from martenlead.capture import events as ev
 
-LOWEST_VERSION, HIGHEST_VERSION = 1, 2  # versions that this program speaks; 2 has `Recall`
+LOWEST_VERSION = 1
+HIGHEST_VERSION = 2
+RESTORE_VERSION = 2  # the first version that has `RestoreReplicas`
 MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
-HEADER_BYTES = 8
+LENGTH_BYTES = 4
+HEADER_BYTES = 8  # length and checksum
 
 
 class FrameError(Exception):
-    """What came is no frame of this protocol; says why."""
+    """The received bytes are no frame of this protocol; the text says why."""
+
+
+class PlannedLoad(NamedTuple):
+    """A load request that a planner decided on, by the planner's number."""
+
+    number: int
+    worker: int
+    function: int
+
+
+class RetentionChange(NamedTuple):
+    """Whether a replica is retained from now on."""
+
+    worker: int
+    function: int
+    is_retained: bool
+
+
+class RetainedReplica(NamedTuple):
+    """A replica that an earlier incarnation of an edge retained, by its names."""
+
+    worker: str
+    function: str
+    lanes: int
+    memory_mb: float
+    idle_ms: float
 
 
 class Message(msgspec.Struct, array_like=True, tag_field="k", frozen=True):
-    """Anything that is framed."""
+    """The base of all messages."""
 
 
 class Hello(Message, frozen=True, tag=0):
-    """The edge's first. `life` names this life of its process, `module` the text of its decisions."""
+    """The edge's first message.
+
+    `incarnation` names one run of its process, `policy_hash` the source text of its policy.
+    """
 
     lowest_version: int
     highest_version: int
@@ -37,8 +71,11 @@
 
 
 class Welcome(Message, frozen=True, tag=1):
-    """The planner's answer. `last` is the number of the last events of this life of the edge that it has, -1
-    for none."""
+    """The planner's answer to `Hello`.
+
+    `last_sequence` is the sequence number of the last events that it has of this incarnation of the
+    edge, -1 for none.
+    """
 
     version: int
     planner_name: str
@@ -47,9 +84,11 @@
 
 
 class Lease(Message, frozen=True, tag=2):
-    """From the edge: until it says otherwise, orders of this epoch are carried out. It holds for `for_ms`
-    after each `Beat`. With `resumes` events go on where the planner has them until, else a `Snapshot` comes
-    first."""
+    """From the edge: it carries out load requests of this epoch until the lease expires.
+
+    The lease lasts `duration_ms` after each `Heartbeat`. If it is resumed, events continue after
+    the last ones that the planner has; otherwise a `Snapshot` comes first.
+    """
 
     epoch: int
     duration_ms: float
@@ -57,16 +96,21 @@
 
 
 class Snapshot(Message, frozen=True, tag=3):
-    """All that the edge's module knows, as of after the events numbered `seq`."""
+    """From the edge: the state of its policy after the events up to `sequence`.
+
+    `state` is an encoded `PolicySnapshot`.
+    """
 
     sequence: int
     edge_time_ns: int
-    state: dict[str, Any]
+    state: msgspec.Raw
 
 
 class Events(Message, frozen=True, tag=4):
-    """What the edge's module was told and decided since the events before; none keeps the link alive. `t` is
-    the edge's clock."""
+    """From the edge: what its policy received and decided since the previous events.
+
+    An empty list only keeps the link alive.
+    """
 
     sequence: int
     edge_time_ns: int
@@ -74,42 +118,40 @@
 
 
 class Heartbeat(Message, frozen=True, tag=5):
-    """From the planner: it lives, and has the events up to `seq`."""
+    """From the planner: it is alive, and has the events up to `sequence`."""
 
     epoch: int
     sequence: int
 
 
 class PlanUpdate(Message, frozen=True, tag=6):
-    """From the planner, on the events up to `seq`: orders by the planner's numbers, and which copies are held
-    from now on and which no longer. With `whole` all that are held are named."""
+    """From the planner: what it decided from the events up to `sequence`.
+
+    If it is complete, `retained` names every replica that is retained.
+    """
 
     epoch: int
     sequence: int
-    load_requests: list[tuple[int, int, int]]  # number, runner, model
-    retained: list[tuple[int, int, bool]]  # runner, model
+    load_requests: list[PlannedLoad]
+    retained: list[RetentionChange]
     is_complete: bool = False
 
 
 class ResyncRequest(Message, frozen=True, tag=7):
-    """From the planner: events are missing, send all that is known."""
+    """From the planner: events are missing, and a new `Snapshot` is needed."""
 
     reason: str
 
 
-RetainedReplica = tuple[str, str, int, float, float]
-
-
 class RestoreReplicas(Message, frozen=True, tag=8):
-    """From the planner, to an edge that has just started: copies that it held in its life before, to be asked
-    for. Runner, model, lanes, memory_mb, ms since they were last used."""
+    """From the planner, to an edge that has just started: what its last incarnation retained."""
 
     epoch: int
     replicas: list[RetainedReplica]
 
 
 class LinkRefused(Message, frozen=True, tag=9):
-    """Either's last: why it goes on with this link no further."""
+    """From either end, its last message: why it ends the link."""
 
     reason: str
 
@@ -131,59 +173,48 @@
 
 
 def encode_frame(message: Message) -> bytes:
+    """The frame of a message."""
     payload = _encode(message)
-    return len(payload).to_bytes(4, "big") + crc32(payload).to_bytes(4, "big") + payload
-
-
-def choose_version(least: int, most: int) -> int | None:
-    """The version to be spoken with one that speaks from `least` to `most`; None where there is none."""
-    version = min(most, HIGHEST_VERSION)
-    return version if version >= max(least, LOWEST_VERSION) else None
+    length = len(payload).to_bytes(LENGTH_BYTES, "big")
+    return length + crc32(payload).to_bytes(HEADER_BYTES - LENGTH_BYTES, "big") + payload
 
 
 class FrameReader:
-    """Bytes in, messages out."""
+    """Takes the bytes of one connection and gives its messages."""
 
-    def __init__(self, longest: int = MAX_PAYLOAD_BYTES) -> None:
-        self.longest = longest
-        self._left = bytearray()
+    def __init__(self, max_payload_bytes: int = MAX_PAYLOAD_BYTES) -> None:
+        self.max_payload_bytes = max_payload_bytes
+        self._unread = bytearray()
 
     def feed(self, data: bytes) -> list[AnyMessage]:
-        """Raises `BadFrame`; nothing more is to be read then."""
-        self._left += data
-        found: list[AnyMessage] = []
-        while len(self._left) >= HEADER_BYTES:
-            size = int.from_bytes(self._left[:4], "big")
-            if size > self.longest:
-                raise FrameError(f"a frame of {size} bytes, {self.longest} at most were expected")
-            if len(self._left) < HEADER_BYTES + size:
-                break
-            payload = bytes(self._left[HEADER_BYTES : HEADER_BYTES + size])
-            if crc32(payload) != int.from_bytes(self._left[4:8], "big"):
-                raise FrameError("a frame whose checksum is another")
-            del self._left[: HEADER_BYTES + size]
+        """The messages that are complete with these bytes.
+
+        Raises:
+            FrameError: the connection cannot be read any further.
+        """
+        self._unread += data
+        messages: list[AnyMessage] = []
+        while (payload := self._next_payload()) is not None:
             try:
-                found.append(_decode(payload))
+                messages.append(_decode(payload))
             except (msgspec.DecodeError, ValueError) as error:
-                raise FrameError(f"no message of this protocol: {error}") from None
-        return found
-
-
-__all__ = [
-    "AnyMessage",
-    "Events",
-    "FrameError",
-    "FrameReader",
-    "Heartbeat",
-    "Hello",
-    "Lease",
-    "LinkRefused",
-    "PlanUpdate",
-    "RestoreReplicas",
-    "ResyncRequest",
-    "RetainedReplica",
-    "Snapshot",
-    "Welcome",
-    "choose_version",
-    "encode_frame",
-]
+                reason = f"no message of this protocol: {error}"
+                raise FrameError(reason) from None
+        return messages
+
+    def _next_payload(self) -> bytes | None:
+        if len(self._unread) < HEADER_BYTES:
+            return None
+        size = int.from_bytes(self._unread[:LENGTH_BYTES], "big")
+        if size > self.max_payload_bytes:
+            reason = f"a frame of {size} bytes, at most {self.max_payload_bytes} are allowed"
+            raise FrameError(reason)
+        end = HEADER_BYTES + size
+        if len(self._unread) < end:
+            return None
+        payload = bytes(self._unread[HEADER_BYTES:end])
+        if crc32(payload) != int.from_bytes(self._unread[LENGTH_BYTES:HEADER_BYTES], "big"):
+            reason = "a frame with a wrong checksum"
+            raise FrameError(reason)
+        del self._unread[:end]
+        return payload
--- /dev/null
+++ b/martenlead/planner/link_recorder.py
@@ -0,0 +1,74 @@
+"""A recorder that gives an edge's events to its link, and takes the snapshots for it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from martenlead.capture import events as ev
+from martenlead.capture.recorder import CaptureRecorder
+from martenlead.planner.edge_session import TakenSnapshot
+from martenlead.planner.snapshot_writer import ObjectNumbers, take_snapshot
+from martenlead.policy.policy import Policy
+from martenlead.policy.state import Function, Worker
+from martenlead.policy.types import FunctionFacts, Settings, Tenant, WorkerFacts
+
+
+class LinkRecorder(CaptureRecorder):
+    """Records events as a capture does, and finds objects by their numbers."""
+
+    def __init__(
+        self, sink: Callable[[ev.CaptureEvent], None], edge: str, function_limit: int
+    ) -> None:
+        """At most `function_limit` functions are in a snapshot."""
+        super().__init__(sink, edge)
+        self.function_limit = function_limit
+        self.workers_by_number: list[Worker] = []
+        self.functions_by_number: list[Function] = []
+        self.worker_names: dict[Worker, str] = {}
+        self.function_names: dict[Function, str] = {}
+        self.start_event: ev.RunStarted | None = None
+
+    def begin_run(
+        self,
+        time_ns: int,
+        settings: Settings,
+        seed: int,
+        names: list[str],
+        tenants: dict[str, Tenant],
+    ) -> None:
+        """Keeps the event of the start for snapshots, which send it in place of an event."""
+        found: list[ev.CaptureEvent] = []
+        sink, self.sink = self.sink, found.append
+        super().begin_run(time_ns, settings, seed, names, tenants)
+        self.sink = sink
+        (event,) = found
+        if isinstance(event, ev.RunStarted):
+            self.start_event = event
+
+    def add_worker(self, time_ns: int, worker: Worker, facts: WorkerFacts, name: str) -> None:
+        """Gives the worker its number."""
+        self.workers_by_number.append(worker)
+        self.worker_names[worker] = name
+        super().add_worker(time_ns, worker, facts, name)
+
+    def add_function(
+        self, time_ns: int, function: Function, facts: FunctionFacts, name: str
+    ) -> None:
+        """Gives the function its number."""
+        self.functions_by_number.append(function)
+        self.function_names[function] = name
+        super().add_function(time_ns, function, facts, name)
+
+    def take_snapshot(self, policy: Policy, _now_ns: int) -> TakenSnapshot:
+        """The state of the policy, and the numbers of the functions in it."""
+        assert self.start_event is not None
+        numbers = ObjectNumbers(
+            self.worker_numbers,
+            self.function_numbers,
+            self.request_numbers,
+            self.tenant_numbers,
+            self.worker_names,
+            self.function_names,
+        )
+        state = take_snapshot(policy, self.start_event, numbers, self.function_limit)
+        return TakenSnapshot(state, {function.number for function in state.functions})
--- a/martenlead/planner/planner_client.py
+++ b/martenlead/planner/planner_client.py
@@ -1,4 +1,7 @@
-"""The edge's end of the link on sockets: beside the dispatcher, in its event loop, never on a task's path."""
+"""An edge's client of its planner: the link on sockets, and who decides on loads.
+
+It runs beside the dispatcher in the same event loop, and never on the path of a request.
+"""
 
 from __future__ import annotations
 
@@ -7,218 +10,235 @@
 from contextlib import suppress
 from random import Random
 from time import monotonic_ns
-from typing import Any
 
 import anyio
 import structlog
 from anyio.abc import SocketStream
 
-from martenlead.capture import events as ev
-from martenlead.capture.recorder import CaptureRecorder, policy_hash
+from martenlead.capture.recorder import policy_hash
 from martenlead.config.edge import Address, EdgeSettings, PlannerLinkSettings, ms_to_ns
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.planner import frames as fr
-from martenlead.planner.link import EdgeSession, LinkProtocolError, SessionLimits
-from martenlead.planner.snapshot import take_snapshot
-from martenlead.policy.policy import Policy
-from martenlead.policy.types import FunctionFacts, Settings, Tenant, WorkerFacts
-
-LEASE_CHECK_INTERVAL_NS = 50_000_000  # ns between two looks at who decides
-CONNECTION_ERRORS = (
-    OSError,
-    TimeoutError,
-    anyio.EndOfStream,
-    anyio.BrokenResourceError,
-    anyio.ClosedResourceError,
+from martenlead.planner.connection_errors import CONNECTION_ERRORS, describe_error
+from martenlead.planner.edge_session import EdgeSession, TakenSnapshot
+from martenlead.planner.link import (
+    LONG_AGO_NS,
+    NS_PER_MS,
+    NS_PER_SECOND,
+    LinkProtocolError,
+    SessionLimits,
 )
+from martenlead.planner.link_recorder import LinkRecorder
+from martenlead.planner.status import JsonObject
+from martenlead.policy.state import Function, Worker
 
-
-class LinkRecorder(CaptureRecorder):
-    """A tape that also finds objects by their numbers, and writes all that the module knows."""
-
-    def __init__(self, sink: Callable[[ev.CaptureEvent], None], edge: str, most: int) -> None:
-        """`most` models are written in a state."""
-        super().__init__(sink, edge)
-        self.function_limit = most
-        self.by_number: tuple[list[Any], list[Any]] = ([], [])
-        self.names: tuple[dict[Any, str], dict[Any, str]] = ({}, {})
-        self.start_event: ev.RunStarted | None = None
-
-    def begin_run(
-        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Tenant]
-    ) -> None:
-        found: list[Any] = []
-        sink = self.sink
-        self.sink = found.append
-        super().begin_run(t, settings, seed, names, customers)
-        self.sink = sink
-        (self.start_event,) = found
-
-    def add_worker(self, t: int, runner: Any, facts: WorkerFacts, name: str) -> None:
-        self.by_number[0].append(runner)
-        self.names[0][runner] = name
-        super().add_worker(t, runner, facts, name)
-
-    def add_function(self, t: int, model: Any, facts: FunctionFacts, name: str) -> None:
-        self.by_number[1].append(model)
-        self.names[1][model] = name
-        super().add_function(t, model, facts, name)
-
-    def take_snapshot(self, policy: Policy, _now: int) -> tuple[dict[str, Any], set[int]]:
-        """All that the module knows, and which models are in it."""
-        assert self.start_event is not None
-        told = take_snapshot(
-            policy,
-            self.start_event,
-            self.worker_numbers,
-            self.function_numbers,
-            self.request_numbers,
-            self.tenant_numbers,
-            self.names,
-            self.function_limit,
-        )
-        return told, {model[0] for model in told["models"]}
+LEASE_CHECK_INTERVAL_NS = 50 * NS_PER_MS
+MS_PER_SECOND = 1000
+BACKOFF_FACTOR = 2
+MAX_BACKOFF_RETRIES = 10  # the longest wait between connections, in `retry_ms`
 
 
 class PlannerClient:
-    """`tape` is to be given to the dispatcher's border; `run` runs beside the dispatcher."""
+    """Keeps the edge linked to a planner, and carries out what the planner decides.
+
+    `recorder` is given to the dispatcher's policy boundary; `run` runs beside the dispatcher.
+    """
 
     def __init__(
-        self, edge: EdgeSettings, link: PlannerLinkSettings, clock: Callable[[], int] = monotonic_ns
+        self,
+        edge: EdgeSettings,
+        link: PlannerLinkSettings,
+        clock: Callable[[], int] = monotonic_ns,
     ) -> None:
         self.edge_settings, self.link_settings, self.clock = edge, link, clock
-        chance = Random(edge.seed) if edge.seed is not None else Random()
-        self.random = chance.random
-        life = f"{Random().getrandbits(64):016x}"
+        self.random = (Random(edge.seed) if edge.seed is not None else Random()).random
+        incarnation = f"{Random().getrandbits(64):016x}"
         limits = SessionLimits(
-            ms_to_ns(link.lease_ms), link.outbox_bytes, ms_to_ns(link.snapshot_ms), link.speaks
+            lease_ns=ms_to_ns(link.lease_ms),
+            outbox_bytes=link.outbox_bytes,
+            snapshot_interval_ns=ms_to_ns(link.snapshot_ms),
+            highest_version=link.speaks,
+        )
+        self.session = EdgeSession(
+            edge.name, incarnation, policy_hash(), clock, self._take_snapshot, limits
         )
-        self.session = EdgeSession(edge.name, life, policy_hash(), clock, self._take_snapshot, limits)
         self.recorder = LinkRecorder(self.session.record_event, edge.name, link.snapshot_functions)
         self.dispatcher: Dispatcher
-        self.plans_locally = (
-            edge.functions.may_request_loads
-        )  # whether this process decides on copies at present
-        self.counts: Counter[str] = Counter()
+        self.plans_locally = edge.functions.may_request_loads  # now; it changes with the lease
+        self.counts: Counter[str] = Counter()  # by the keys of the status page
         self.log = structlog.get_logger().bind(edge=edge.name)
-        self._leased = -1 << 62  # the last moment that a planner had the lease
-        self._retained: set[tuple[int, int]] = set()  # as planners said, by numbers
+        self._last_leased_ns = LONG_AGO_NS
+        self._retained: set[tuple[int, int]] = set()  # by planners: numbers of worker and function
 
-    def _take_snapshot(self) -> tuple[dict[str, Any], set[int]]:
-        told: tuple[dict[str, Any], set[int]] = self.dispatcher.policy_boundary.inspect(
-            self.recorder.take_snapshot
-        )
-        return told
+    def _take_snapshot(self) -> TakenSnapshot:
+        taken: TakenSnapshot = self.dispatcher.policy_boundary.inspect(self.recorder.take_snapshot)
+        return taken
 
     async def run(self, dispatcher: Dispatcher) -> None:
+        """Runs until it is cancelled."""
         self.dispatcher = dispatcher
         dispatcher.report_planner = self.report_status
         async with anyio.create_task_group() as group:
-            group.start_soon(self._watch)
+            group.start_soon(self._watch_lease)
             group.start_soon(self._keep_linked)
 
-    def report_status(self) -> dict[str, Any]:
-        return {**self.session.report_status(), "plans_itself": self.plans_locally, **self.counts}
+    def report_status(self) -> JsonObject:
+        """For operators, by the keys of the status page."""
+        link = self.session.report_status().to_json_object()
+        return {**link, "plans_itself": self.plans_locally, **self.counts}
+
+    # -- who decides on loads
 
-    async def _watch(self) -> None:
+    async def _watch_lease(self) -> None:
         while self.edge_settings.functions.may_request_loads:
             self.check_lease()
-            await anyio.sleep(LEASE_CHECK_INTERVAL_NS / 1e9)
+            await anyio.sleep(LEASE_CHECK_INTERVAL_NS / NS_PER_SECOND)
 
     def check_lease(self) -> None:
-        """Who decides on copies: the planner while it has the lease, this process once there was none for
-        `alone_ms`, and nobody in between."""
-        now = self.clock()
+        """Lets the planner decide on loads while it has the lease.
+
+        This process decides after `alone_ms` without a lease, and nobody in between.
+        """
+        now_ns = self.clock()
         if self.session.is_leased():
-            self._leased = now
+            self._last_leased_ns = now_ns
             if self.plans_locally:
                 self._set_planning(False)
-        elif not self.plans_locally and now - self._leased > ms_to_ns(self.link_settings.alone_ms):
+            return
+        alone_ns = now_ns - self._last_leased_ns
+        if not self.plans_locally and alone_ns > ms_to_ns(self.link_settings.alone_ms):
             self._set_planning(True)
 
-    def _set_planning(self, on: bool) -> None:
-        self.plans_locally = on
-        self.dispatcher.policy_boundary.allow_load_requests(on)
-        self.counts["took over" if on else "handed over"] += 1
-        self.log.info("plans itself" if on else "is planned for", planner=self.session.planner_name)
+    def _set_planning(self, is_local: bool) -> None:
+        self.plans_locally = is_local
+        self.dispatcher.policy_boundary.allow_load_requests(is_local)
+        self.counts["took over" if is_local else "handed over"] += 1
+        event = "planning_taken_over" if is_local else "planning_handed_over"
+        self.log.info(event, planner=self.session.planner_name)
+
+    # -- the connection
 
     async def _keep_linked(self) -> None:
-        at, wait = 0, self.link_settings.retry_ms / 1000
+        """Connects to the planners of the list, one after the other.
+
+        A planner that was established is tried again first and soon.
+        """
+        addresses, retry_seconds = (
+            self.link_settings.at,
+            self.link_settings.retry_ms / MS_PER_SECOND,
+        )
+        attempt, backoff_seconds = 0, retry_seconds
         while True:
-            address = self.link_settings.at[at % len(self.link_settings.at)]
-            try:
-                await self._linked(address)
-                why = "the planner closed the connection"
-            except* (LinkProtocolError, fr.FrameError) as errors:
-                why = str(errors.exceptions[0])
-            except* CONNECTION_ERRORS as errors:
-                why = f"{type(errors.exceptions[0]).__name__} {errors.exceptions[0]}".strip()
-            except* Exception as errors:  # of the event loop or ours: the edge goes on without a planner
-                self.dispatcher.record_fault(errors)
-                why = "a fault of ours"
-            proven = self.session.is_established()
+            address = addresses[attempt % len(addresses)]
+            reason = await self._run_link(address)
+            was_established = self.session.is_established()
             self.session.connection_lost()
             self.counts["links lost"] += 1
-            self.log.warning("no planner", why=why, host=address.host, port=address.port)
-            if proven:
-                wait = self.link_settings.retry_ms / 1000  # it may be back at once
+            self.log.warning("link_lost", reason=reason, host=address.host, port=address.port)
+            if was_established:
+                backoff_seconds = retry_seconds
             else:
-                at += 1
-                wait = min(2 * wait, self.link_settings.retry_ms / 100)
-            await anyio.sleep(wait * (0.5 + self.random()))
-
-    async def _linked(self, address: Address) -> None:
-        with anyio.fail_after(self.link_settings.lease_ms / 1000):
+                attempt += 1
+                longest_seconds = MAX_BACKOFF_RETRIES * retry_seconds
+                backoff_seconds = min(BACKOFF_FACTOR * backoff_seconds, longest_seconds)
+            await anyio.sleep(backoff_seconds * (0.5 + self.random()))
+
+    async def _run_link(self, address: Address) -> str:
+        """Keeps one link until it ends, and gives the reason; a fault costs the link alone."""
+        reason = "the planner closed the connection"
+        try:
+            await self._connect_and_exchange(address)
+        except* (LinkProtocolError, fr.FrameError) as errors:
+            reason = str(errors.exceptions[0])
+        except* CONNECTION_ERRORS as errors:
+            reason = describe_error(errors.exceptions[0])
+        except* Exception as errors:
+            self.dispatcher.record_fault(errors)
+            reason = "an internal fault"
+        return reason
+
+    async def _connect_and_exchange(self, address: Address) -> None:
+        with anyio.fail_after(self.link_settings.lease_ms / MS_PER_SECOND):
             stream = await anyio.connect_tcp(address.host, address.port)
         try:
             self.session.connection_made()
             async with anyio.create_task_group() as group:
-                group.start_soon(self._write, stream)
-                await self._read(stream)
+                group.start_soon(self._write_frames, stream)
+                await self._read_frames(stream)
                 group.cancel_scope.cancel()
         finally:
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
 
-    async def _write(self, stream: SocketStream) -> None:
-        every, longest = self.link_settings.flush_ms / 1000, self.link_settings.lease_ms / 1000
+    async def _write_frames(self, stream: SocketStream) -> None:
+        """Sends frames; a planner that does not read for a lease is as one that does not answer."""
+        flush_seconds = self.link_settings.flush_ms / MS_PER_SECOND
+        lease_seconds = self.link_settings.lease_ms / MS_PER_SECOND
         while True:
             data = self.session.next_frame()
             if data is None:
-                await anyio.sleep(every)
+                await anyio.sleep(flush_seconds)
                 continue
-            with anyio.fail_after(longest):  # one that does not read is as one that does not answer
+            with anyio.fail_after(lease_seconds):
                 await stream.send(data)
 
-    async def _read(self, stream: SocketStream) -> None:
+    async def _read_frames(self, stream: SocketStream) -> None:
+        """Takes in messages until the planner closes the connection."""
         reader = fr.FrameReader()
-        while True:
-            with suppress(anyio.EndOfStream):
+        with suppress(anyio.EndOfStream):
+            while True:
                 data = await stream.receive()
                 for message in reader.feed(data):
                     self.session.receive_message(message)
                 self.apply_decisions()
-                continue
-            return
+
+    # -- the planner's decisions
 
     def apply_decisions(self) -> None:
+        """Carries out the decisions that have arrived.
+
+        Raises:
+            LinkProtocolError: a decision names an object that does not exist.
+        """
         while self.session.pending_decisions:
             message = self.session.pending_decisions.popleft()
             if isinstance(message, fr.RestoreReplicas):
                 self.dispatcher.confirm_replicas(message.replicas)
-                continue
-            runners, models = self.recorder.by_number
-            try:
-                held = [(runners[r], models[m], on) for r, m, on in message.retained]
-                orders = [(number, runners[r], models[m]) for number, r, m in message.load_requests]
-            except IndexError:
-                raise LinkProtocolError("it decided on what there is not") from None
-            if message.is_complete:
-                named = {(r, m) for r, m, _ in message.retained}
-                held += [(runners[r], models[m], False) for r, m in sorted(self._retained - named)]
-                self._retained = named
-            for r, m, on in message.retained:
-                (self._retained.add if on else self._retained.discard)((r, m))
-            given, refused = self.dispatcher.apply_plan(orders, held)
-            self.counts["orders"] += given
-            self.counts["orders refused"] += refused
+            else:
+                self._apply_update(message)
+
+    def _apply_update(self, update: fr.PlanUpdate) -> None:
+        changes = self._retention_changes(update)
+        workers, functions = self.recorder.workers_by_number, self.recorder.functions_by_number
+        try:
+            retained = [(workers[w], functions[f], is_retained) for w, f, is_retained in changes]
+            loads = [(number, workers[w], functions[f]) for number, w, f in update.load_requests]
+        except IndexError:
+            error = "it decided on objects that do not exist"
+            raise LinkProtocolError(error) from None
+        self._note_retained(changes)
+        self._request_loads(loads, retained)
+
+    def _retention_changes(self, update: fr.PlanUpdate) -> list[fr.RetentionChange]:
+        """The changes of an update; a complete one releases every replica that it does not name."""
+        if not update.is_complete:
+            return update.retained
+        named = {(change.worker, change.function) for change in update.retained}
+        released = sorted(self._retained - named)
+        return [*update.retained, *(fr.RetentionChange(*key, False) for key in released)]
+
+    def _note_retained(self, changes: list[fr.RetentionChange]) -> None:
+        for worker, function, is_retained in changes:
+            if is_retained:
+                self._retained.add((worker, function))
+            else:
+                self._retained.discard((worker, function))
+
+    def _request_loads(
+        self,
+        loads: list[tuple[int, Worker, Function]],
+        retained: list[tuple[Worker, Function, bool]],
+    ) -> None:
+        requested, refused = self.dispatcher.apply_plan(loads, retained)
+        self.counts["orders"] += requested
+        self.counts["orders refused"] += refused
--- a/martenlead/planner/policy_replica.py
+++ b/martenlead/planner/policy_replica.py
@@ -1,255 +1,313 @@
-"""The module at the planner: told all that the edge's module is told, and asked for the half that plans.
-
-The edge's instance decides where each task goes and counts what was ordered; this one decides which copies
-are held. Both are the same policy, called as it is: a task is counted here (`Attempts.count_request`, which
-runs the check at once above Rmax), its hand-offs are entered as the edge made them
-(`Attempts.begin_attempt`), their results are recorded (`Policy.record_result`) and the periodic check runs
-(`ReplicaScaling.run`). No task is placed here. Free of I/O; the clock is the edge's, as far as it is known
-here. Times are ns.
+"""The planner's replica of an edge's policy: it receives the edge's events and decides on loads.
+
+The edge's policy chooses a worker for each request and counts the load requests. This replica
+decides which replicas of functions are retained. Both run the same policy code. Here a request is
+counted (`Attempts.count_request`, which checks the function at once above Rmax), its attempts are
+entered as the edge made them (`Attempts.begin_attempt`), their results are recorded
+(`Policy.record_result`), and the periodic check runs (`ReplicaScaling.run`). No worker is chosen
+for a request. The module does no I/O, and its time is the edge's, as well as the planner knows it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Any
+
+import msgspec
 
 from martenlead.capture import events as ev
-from martenlead.planner.snapshot import RestoredPolicy
+from martenlead.planner.frames import PlannedLoad, RetentionChange
+from martenlead.planner.restored_policy import RestoredPolicy
+from martenlead.planner.snapshot import decode_snapshot
 from martenlead.policy.engine import Engine
 from martenlead.policy.policy import Policy
-from martenlead.policy.types import Action, AttemptResult, LoadRequest, Result, Warmth
+from martenlead.policy.state import Function
+from martenlead.policy.types import Action, AttemptResult, LoadRequest, Request, Result, Warmth
+
+CLOSED = "closed"  # as the process of a request: the edge has sent its final response
+UNREADABLE = (msgspec.DecodeError, KeyError, ValueError, TypeError, IndexError, AttributeError)
+INCONSISTENT = (KeyError, ValueError, IndexError, AttributeError)
+
+ReplicaKey = tuple[int, int]  # the numbers of worker and function
+
 
-MAX_CLOCK_DRIFT = 100e-6  # that two clocks may differ by, as a part: the least way is believed for so long
+class OutOfSyncError(Exception):
+    """The replica and the edge's policy differ; the text says where that showed.
+
+    A new snapshot is needed.
+    """
 
 
 @dataclass(slots=True)
 class PlannedChanges:
-    """Since it was asked last: orders by number, runner and model; copies that are held now or no longer."""
+    """What was decided since the changes were taken last.
 
-    load_requests: list[tuple[int, int, int]] = field(default_factory=list)
-    retained: list[tuple[int, int, bool]] = field(default_factory=list)
-    is_complete: bool = False  # `held` has all that are held
+    If it is complete, `retained` names every replica that is retained.
+    """
+
+    load_requests: list[PlannedLoad] = field(default_factory=list)
+    retained: list[RetentionChange] = field(default_factory=list)
+    is_complete: bool = False
 
     def __bool__(self) -> bool:
+        """Whether there is anything to send."""
         return bool(self.load_requests or self.retained or self.is_complete)
 
 
-class EdgeClock:
-    """The edge's clock, read here: from the times in what it sends, taken to have come without delay where it
-    came fastest. Only differences of the own clock count, so it may be set to anything."""
-
-    def __init__(self, own: Callable[[], int]) -> None:
-        self.own_clock = own
-        self.offset_ns = 0
-        self.offset_measured_ns: int | None = None
+@dataclass(slots=True, frozen=True)
+class RetainedReplicaState:
+    """A retained replica, by the names of its worker and function."""
 
-    def record_edge_time(self, t: int) -> None:
-        here = self.own_clock()
-        if self.offset_measured_ns is None or t - here > self.offset_ns - int(
-            MAX_CLOCK_DRIFT * (here - self.offset_measured_ns)
-        ):
-            self.offset_ns, self.offset_measured_ns = t - here, here
-
-    def __call__(self) -> int:
-        return self.own_clock() + self.offset_ns
+    worker: str
+    function: str
+    lanes: int
+    memory_mb: float
+    idle_ns: int
 
 
 class PolicyReplica:
-    """One edge's module, mirrored. What does not make sense raises `Lost`: the whole state is to be asked
-    for."""
+    """One edge's policy, replicated. Events that make no sense raise `OutOfSyncError`."""
 
-    def __init__(self, state: dict[str, Any], now: int, numbers: Callable[[], int]) -> None:
-        """`numbers` gives a new number to each order."""
-        self.next_number = numbers
+    def __init__(
+        self, state: msgspec.Raw | bytes, now_ns: int, next_number: Callable[[], int]
+    ) -> None:
+        """Takes an encoded `PolicySnapshot`; `next_number` gives each load request its number."""
+        self.next_number = next_number
         self.planned_changes = PlannedChanges()
         self.load_requests: dict[int, LoadRequest] = {}  # own, by number, until they have ended
-        self._given: dict[int, LoadRequest] = {}  # by the edge's number
-        self._carried: int | None = None  # the own order that the edge has just taken up
+        self._edge_loads: dict[int, LoadRequest] = {}  # in flight, by the edge's number
+        self._planned_load: int | None = None  # own number of what the edge has just taken up
         self.request_count = 0
         try:
-            self.restored = RestoredPolicy(state, now)
-        except (KeyError, ValueError, TypeError, IndexError, AttributeError) as error:
-            raise OutOfSyncError(f"the state can not be read: {type(error).__name__} {error}") from None
+            self.restored = RestoredPolicy(decode_snapshot(state), now_ns)
+        except UNREADABLE as error:
+            reason = f"the state can not be read: {type(error).__name__} {error}"
+            raise OutOfSyncError(reason) from None
         self.policy: Policy = self.restored.policy
-        self.engine = Engine(self.policy, self._outlet)
-        self._numbers_of = {runner: n for n, runner in self.restored.workers.items()}
-        self._models_of = {model: n for n, model in self.restored.functions.items()}
-        self._held = self._holds(self.policy.state.functions)
+        self.engine = Engine(self.policy, self._handle_action)
+        self._retained = self._find_retained(self.policy.state.functions)
         self.engine.start()
 
-    def _outlet(self, action: Action) -> None:
+    def _handle_action(self, action: Action) -> None:
+        """Of the policy's actions only load requests matter to the edge."""
         if isinstance(action, LoadRequest):
             number = self.next_number()
             self.load_requests[number] = action
-            told = number, self._numbers_of[action.worker], self._models_of[action.function]
-            self.planned_changes.load_requests.append(told)
+            worker = self.restored.worker_numbers[action.worker]
+            function = self.restored.function_numbers[action.function]
+            self.planned_changes.load_requests.append(PlannedLoad(number, worker, function))
+
+    # -- which replicas are retained
 
-    def _holds(self, models: Iterable[Any]) -> set[tuple[int, int]]:
+    def _find_retained(self, functions: Iterable[Function]) -> set[ReplicaKey]:
         return {
-            (self._numbers_of[runner], self._models_of[model])
-            for model in models
-            for runner, copy in model.replicas.items()
-            if copy.is_retained
+            (self.restored.worker_numbers[worker], self.restored.function_numbers[function])
+            for function in functions
+            for worker, replica in function.replicas.items()
+            if replica.is_retained
         }
 
-    def _note_held(self, models: Iterable[Any] | None = None) -> None:
-        """What has changed of what is held, of these models or of all."""
-        now = self._holds(self.policy.state.functions if models is None else models)
-        before = self._held
-        if models is not None:
-            numbers = {self._models_of[model] for model in models}
-            before = {pair for pair in self._held if pair[1] in numbers}
-        for runner, model in sorted(now - before):
-            self.planned_changes.retained.append((runner, model, True))
-        for runner, model in sorted(before - now):
-            self.planned_changes.retained.append((runner, model, False))
-        self._held = (self._held - before) | now
-
-    # -- what the edge tells
+    def _update_retained(self, functions: list[Function]) -> None:
+        """Notes changes of what is retained, of these functions."""
+        numbers = {self.restored.function_numbers[function] for function in functions}
+        before = {key for key in self._retained if key[1] in numbers}
+        self._note_retained(before, self._find_retained(functions))
+
+    def _update_all_retained(self) -> None:
+        """Notes changes of what is retained, of all functions."""
+        self._note_retained(self._retained, self._find_retained(self.policy.state.functions))
+
+    def _note_retained(self, before: set[ReplicaKey], now: set[ReplicaKey]) -> None:
+        changes = self.planned_changes.retained
+        changes += [RetentionChange(*key, True) for key in sorted(now - before)]
+        changes += [RetentionChange(*key, False) for key in sorted(before - now)]
+        self._retained = (self._retained - before) | now
+
+    def list_retained(self) -> list[RetainedReplicaState]:
+        """All replicas that are retained."""
+        restored = self.restored
+        found = []
+        for worker_number, function_number in sorted(self._retained):
+            worker, function = restored.workers[worker_number], restored.functions[function_number]
+            one = RetainedReplicaState(
+                restored.names[worker],
+                restored.names[function],
+                function.facts.lanes,
+                function.facts.memory_mb,
+                self.policy.state.now_ns - function.replicas[worker].last_used_ns,
+            )
+            found.append(one)
+        return found
+
+    # -- the edge's events
 
     def apply_events(self, events: list[ev.AnyEvent]) -> None:
-        """Raises `Lost`."""
+        """Takes in events of the edge in their order.
+
+        Raises:
+            OutOfSyncError: an event does not fit the state.
+        """
+        state = self.policy.state
         try:
             for event in events:
                 if isinstance(event, ev.InputEvent):
-                    self.policy.state.now_ns = max(self.policy.state.now_ns, event.time_ns)
-                self._one(event)
-        except (KeyError, ValueError, IndexError, AttributeError) as error:
-            raise OutOfSyncError(f"{type(event).__name__}: {type(error).__name__} {error}") from None
-
-    def _one(self, event: ev.AnyEvent) -> None:
-        policy, all_ = self.policy, self.restored
-        carried, self._carried = self._carried, None
-        if carried is not None and not isinstance(event, ev.LoadRequested):
-            self._refused(carried)
+                    state.now_ns = max(state.now_ns, event.time_ns)
+                self._apply(event)
+        except INCONSISTENT as error:
+            reason = f"{type(event).__name__}: {type(error).__name__} {error}"
+            raise OutOfSyncError(reason) from None
+
+    def _apply(self, event: ev.AnyEvent) -> None:
+        """Applies one event; a planned load that is not followed by a request was refused."""
+        planned, self._planned_load = self._planned_load, None
+        if planned is not None and not isinstance(event, ev.LoadRequested):
+            self._refuse_load(planned)
         match event:
             case ev.RequestAccepted():
-                self.request_count += 1
-                task = all_.add_request(
-                    event.request,
-                    event.function,
-                    event.request_class,
-                    event.tenant,
-                    event.deadline_ns,
-                    event.is_retry,
-                    event.cost,
-                )
-                orders = 0
-                for action in policy.attempts.count_request(task):
-                    self._outlet(action)
-                    orders += 1
-                if orders:
-                    self._note_held([task.function])
+                self._accept_request(event)
             case ev.AttemptStarted():
-                task = all_.requests[event.request]
-                policy.attempts.begin_attempt(
-                    task, all_.workers[event.worker], policy.state.now_ns + event.timeout_ns
-                )
+                self._start_attempt(event)
             case ev.AttemptEnded():
-                found = all_.requests.get(event.request)
-                if found is None or event.attempt >= len(found.attempts):
-                    return  # of a task that was over when the state was written
-                hand_off = found.attempts[event.attempt]
-                if hand_off.result is None:
-                    result, warmth = Result(event.result), Warmth(event.warmth)
-                    policy.record_result(
-                        AttemptResult(hand_off, result, event.is_final, warmth, event.latency_ns)
-                    )
-                if found.process == "closed" and all(h.result is not None for h in found.attempts):
-                    del all_.requests[event.request]
+                self._end_attempt(event)
             case ev.RequestClosed():
-                found = all_.requests.get(event.request)
-                if found is not None:
-                    found.process = "closed"
-                    if all(h.result is not None for h in found.attempts):
-                        del all_.requests[event.request]
-            case ev.WorkerAdded():
-                facts = ev.unpack_facts(event.facts)
-                runner = all_.workers[event.worker] = policy.new_worker(facts)
-                all_.names[runner] = event.name
-                self._numbers_of[runner] = event.worker
-            case ev.FunctionAdded():
-                if event.function not in all_.functions:
-                    self._models_of[all_.add_function(event)] = event.function
-            case ev.WorkersUpdated(is_complete=whole, workers=lines):
-                policy.update_workers(
-                    [(all_.workers[n], ev.unpack_facts(facts)) for n, facts in lines], whole
-                )
-                self._note_held()
-            case ev.TickChanged(tick_ns=tick):
-                all_.settings.tick_ns = tick
-            case ev.LoadPlanned(plan_number=plan):
-                self._carried = plan
+                self._close_request(event)
+            case ev.LoadPlanned(plan_number=number):
+                self._planned_load = number
             case ev.LoadRequested():
-                self._ordered(event, carried)
-            case ev.LoadEnded(load_request=number, result=result, replicas=copies):
-                order = self._given.pop(number, None)
-                if order is not None:
-                    policy.record_load_end(order, Result(result), copies)
-                    self._note_held([order.function])
-            case ev.ReplicaConfirmed(result=result, replicas=copies, last_used_ns=touched):
-                told = all_.workers[event.worker], all_.functions[event.function]
-                self.engine.confirm_replica(*told, Result(result), copies, touched)
-                self._note_held([told[1]])
+                self._request_load(event, planned)
+            case ev.LoadEnded():
+                self._end_load(event)
             case _:
-                pass  # own timers, and what the edge says of itself
+                self._apply_membership(event)
 
-    def _ordered(self, event: ev.LoadRequested, carried: int | None) -> None:
-        order = self.load_requests.pop(carried, None) if carried is not None else None
-        if order is None:  # the edge's own, or of a planner before this one: it counts all the same
-            copy = self.policy.state.replica(
-                self.restored.functions[event.function], self.restored.workers[event.worker]
+    def _apply_membership(self, event: ev.AnyEvent) -> None:
+        """Applies events of workers, functions and replicas; ignores the edge's own timers."""
+        match event:
+            case ev.WorkerAdded():
+                self.restored.add_worker(event.worker, event.name, ev.unpack_facts(event.facts))
+            case ev.FunctionAdded():
+                if event.function not in self.restored.functions:
+                    self.restored.add_function(event)
+            case ev.WorkersUpdated():
+                self._update_workers(event)
+            case ev.TickChanged(tick_ns=tick_ns):
+                self.restored.settings.tick_ns = tick_ns
+            case ev.ReplicaConfirmed():
+                self._confirm_replica(event)
+            case _:
+                pass
+
+    def _accept_request(self, event: ev.RequestAccepted) -> None:
+        self.request_count += 1
+        request = self.restored.accept_request(event)
+        actions = list(self.policy.attempts.count_request(request))
+        for action in actions:
+            self._handle_action(action)
+        if actions:
+            self._update_retained([request.function])
+
+    def _start_attempt(self, event: ev.AttemptStarted) -> None:
+        request = self.restored.requests[event.request]
+        worker = self.restored.workers[event.worker]
+        timeout_ns = self.policy.state.now_ns + event.timeout_ns
+        self.policy.attempts.begin_attempt(request, worker, timeout_ns)
+
+    def _end_attempt(self, event: ev.AttemptEnded) -> None:
+        """Records a result; ignores attempts that had ended before the snapshot."""
+        request = self.restored.requests.get(event.request)
+        if request is None or event.attempt >= len(request.attempts):
+            return
+        attempt = request.attempts[event.attempt]
+        if attempt.result is None:
+            result, warmth = Result(event.result), Warmth(event.warmth)
+            self.policy.record_result(
+                AttemptResult(attempt, result, event.is_final, warmth, event.latency_ns)
             )
-            order = self.policy.scaling.request_load(copy)
-        self._given[event.load_request] = order
-
-    def _refused(self, number: int) -> None:
-        """The edge's ration, or its word on a drain, is ahead of what is known here."""
-        order = self.load_requests.pop(number, None)
-        if order is not None:
-            stands = self.policy.state.replica(order.function, order.worker).is_loaded
-            self.policy.record_load_end(order, Result.AT_CAPACITY, int(stands))
-            self._note_held([order.function])
+        self._forget_if_over(event.request, request)
+
+    def _close_request(self, event: ev.RequestClosed) -> None:
+        request = self.restored.requests.get(event.request)
+        if request is not None:
+            request.process = CLOSED
+            self._forget_if_over(event.request, request)
+
+    def _forget_if_over(self, number: int, request: Request) -> None:
+        """Drops a request that is closed and has no attempt in flight."""
+        if request.process == CLOSED and all(a.result is not None for a in request.attempts):
+            del self.restored.requests[number]
+
+    def _update_workers(self, event: ev.WorkersUpdated) -> None:
+        workers = self.restored.workers
+        listed = [(workers[number], ev.unpack_facts(facts)) for number, facts in event.workers]
+        self.policy.update_workers(listed, event.is_complete)
+        self._update_all_retained()
+
+    def _confirm_replica(self, event: ev.ReplicaConfirmed) -> None:
+        worker = self.restored.workers[event.worker]
+        function = self.restored.functions[event.function]
+        result = Result(event.result)
+        self.engine.confirm_replica(worker, function, result, event.replicas, event.last_used_ns)
+        self._update_retained([function])
+
+    # -- load requests
+
+    def _request_load(self, event: ev.LoadRequested, planned: int | None) -> None:
+        """Notes a load request in flight.
+
+        One that was not planned here is the edge's own, or an earlier planner's; it counts as well.
+        """
+        load = self.load_requests.pop(planned, None) if planned is not None else None
+        if load is None:
+            function = self.restored.functions[event.function]
+            worker = self.restored.workers[event.worker]
+            replica = self.policy.state.replica(function, worker)
+            load = self.policy.scaling.request_load(replica)
+        self._edge_loads[event.load_request] = load
+
+    def _end_load(self, event: ev.LoadEnded) -> None:
+        load = self._edge_loads.pop(event.load_request, None)
+        if load is not None:
+            self.policy.record_load_end(load, Result(event.result), event.replicas)
+            self._update_retained([load.function])
+
+    def _refuse_load(self, number: int) -> None:
+        """The edge's load budget, or its knowledge of a draining worker, is newer than here."""
+        load = self.load_requests.pop(number, None)
+        if load is not None:
+            is_loaded = self.policy.state.replica(load.function, load.worker).is_loaded
+            self.policy.record_load_end(load, Result.AT_CAPACITY, int(is_loaded))
+            self._update_retained([load.function])
 
     # -- time
 
     def next_due_ns(self) -> int | None:
+        """When the policy has something to do without an event, on the edge's clock."""
         return self.engine.next_due_ns()
 
-    def advance(self, now: int) -> None:
-        self.policy.state.now_ns = max(self.policy.state.now_ns, now)
-        due = self.engine.next_due_ns()
-        if due is not None and due <= self.policy.state.now_ns:
-            self.engine.advance(self.policy.state.now_ns)
-            self._note_held()
+    def advance(self, now_ns: int) -> None:
+        """Lets the policy do what is due."""
+        state = self.policy.state
+        state.now_ns = max(state.now_ns, now_ns)
+        due_ns = self.engine.next_due_ns()
+        if due_ns is not None and due_ns <= state.now_ns:
+            self.engine.advance(state.now_ns)
+            self._update_all_retained()
+
+    # -- decisions for the edge
 
     def resume(self) -> None:
-        """The connection broke and goes on: what was decided may not have come through. Orders that the edge
-        has not taken up to our knowledge count as refused, and what is held is said anew, whole."""
+        """Goes on after a lost connection, on which decisions may have been lost.
+
+        Load requests that the edge has not taken up count as refused, and all that is retained is
+        sent again.
+        """
         for number in list(self.load_requests):
-            self._refused(number)
-        self._note_held()
-        held = [(runner, model, True) for runner, model in sorted(self._held)]
-        self.planned_changes = PlannedChanges([], held, True)
+            self._refuse_load(number)
+        self._update_all_retained()
+        retained = [RetentionChange(*key, True) for key in sorted(self._retained)]
+        self.planned_changes = PlannedChanges([], retained, True)
 
     def take_changes(self) -> PlannedChanges:
         """What was decided since this was called last."""
-        decided, self.planned_changes = self.planned_changes, PlannedChanges()
-        return decided
-
-    def list_retained(self) -> list[tuple[str, str, int, float, int]]:
-        """Copies that are held: runner, model, lanes, memory (MB), and ns since they were last used."""
-        found = []
-        for runner, model in sorted(self._held):
-            r, m = self.restored.workers[runner], self.restored.functions[model]
-            copy = m.replicas[r]
-            used = self.policy.state.now_ns - copy.last_used_ns
-            found.append(
-                (self.restored.names[r], self.restored.names[m], m.facts.lanes, m.facts.memory_mb, used)
-            )
-        return found
-
-
-class OutOfSyncError(Exception):
-    """The mirror and the edge are not of one mind any more; says where that showed."""
+        changes, self.planned_changes = self.planned_changes, PlannedChanges()
+        return changes
--- a/support/pair.py
+++ b/support/pair.py
@@ -13,8 +13,9 @@
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.edge.policy_boundary import PolicyBoundary
 from martenlead.planner import frames as fr
-from martenlead.planner.link import NS_PER_MS, LinkProtocolError, PlannerSession
+from martenlead.planner.link import NS_PER_MS, LinkProtocolError
 from martenlead.planner.planner_client import PlannerClient
+from martenlead.planner.planner_session import PlannerSession
 from martenlead.policy.types import (
     Attempt,
     AttemptResult,
@@ -179,7 +180,7 @@
         life = f"life-{self.planners}"
         count = iter(range(self.planners * 1_000_000, 1 << 40))
         return PlannerSession(
-            f"planner-{self.planners}", life, self.planner_clock, lambda: next(count), speaks=speaks
+            f"planner-{self.planners}", life, self.planner_clock, lambda: next(count), highest_version=speaks
         )
 
     def connect(self) -> None:
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -32,7 +32,9 @@
 from martenlead.layers.cache import Cache, NoRoom
 from martenlead.layers.image import digest_of
 from martenlead.layers.naming import Release
-from martenlead.planner.server import Planner, PlannerSettings, SavedReplicas
+from martenlead.planner.frames import RetainedReplica
+from martenlead.planner.replica_store import SavedReplicas
+from martenlead.planner.server import Planner, PlannerSettings
 from martenlead.system.clocks import Moment
 from martenlead.system.durable_file import Backoff, read_if_there, remove_leftovers, replace_file
 from martenlead.system.state_saver import SaveHealth, StateSaver
@@ -82,11 +84,11 @@
     def __init__(self, root: Path) -> None:
         settings = PlannerSettings(state_path=str(root / "planner"))
         self.planner = Planner(settings, moment=lambda: Moment(0, "boot", 0))
-        self.found = int(self.planner.saved_replicas.saved_unix_seconds) or None
+        self.found = int(self.planner.store.saved.saved_unix_seconds) or None
 
     def save(self, number: int) -> None:
-        self.planner._write_state_file(
-            msgspec.json.encode(SavedReplicas(number, {"edge": [("r", "m", 1, 1.0, 0.0)]}))
+        self.planner.store.write_file(
+            msgspec.json.encode(SavedReplicas(number, {"edge": [RetainedReplica("r", "m", 1, 1.0, 0.0)]}))
         )
 
 
@@ -647,30 +649,36 @@
 async def test_a_planner_keeps_the_newest_and_never_writes_over_what_it_could_not_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.planner.server.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.planner.replica_store.Backoff", QUICK)
     path = tmp_path / "kept"
-    older = SavedReplicas(0.0, {"away": [("r", "m", 1, 1.0, 5.0)], "here": [("r", "old", 1, 1.0, 5.0)]})
+    older = SavedReplicas(
+        0.0,
+        {
+            "away": [RetainedReplica("r", "m", 1, 1.0, 5.0)],
+            "here": [RetainedReplica("r", "old", 1, 1.0, 5.0)],
+        },
+    )
     path.write_bytes(msgspec.json.encode(older))
     disk = DiskFaults(tmp_path, Random(1))
     with capture_logs() as logs, disk():
         disk.fail(errno.EIO, 1)
         planner = Planner(PlannerSettings(state_path=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
-        assert planner.saved_replicas.replicas_by_edge == {}
-        planner.saved_replicas.replicas_by_edge["here"] = [("r", "new", 1, 1.0, 0.0)]
+        assert planner.store.saved.replicas_by_edge == {}
+        planner.store.saved.replicas_by_edge["here"] = [RetainedReplica("r", "new", 1, 1.0, 0.0)]
         async with anyio.create_task_group() as group:
-            group.start_soon(planner.saver.run)
-            planner.saver.changed()
-            await until(lambda: planner.save_counts["state_save_failed"] > 2)
+            group.start_soon(planner.store.saver.run)
+            planner.store.saver.changed()
+            await until(lambda: planner.store.save_counts["state_save_failed"] > 2)
             disk.heal()
-            await until(lambda: planner.save_counts["state_saved"])
+            await until(lambda: planner.store.save_counts["state_saved"])
             group.cancel_scope.cancel()
         disk.crash()
         again = Planner(PlannerSettings(state_path=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
-        assert again.saved_replicas.replicas_by_edge == {
+        assert again.store.saved.replicas_by_edge == {
             "away": [("r", "m", 1, 1.0, 1005.0)],
-            "here": [("r", "new", 1, 1.0, 0.0)],
+            "here": [RetainedReplica("r", "new", 1, 1.0, 0.0)],
         }
-        assert planner.report_status()["saves"]["state_save_recovered"] == 1
+        assert planner.report_status().saves["state_save_recovered"] == 1
     events = [line["event"] for line in logs]
     assert events == ["state_unread", "state_save_failed", "state_save_recovered"]
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 import anyio
+import msgspec
 import pytest
 from click.testing import CliRunner
 
@@ -16,8 +17,8 @@
 from martenlead.cli.status import format_status
 from martenlead.events.server import listen
 from martenlead.planner import frames as fr
-from martenlead.planner.link import PlannerSession
 from martenlead.planner.planner_client import PlannerClient
+from martenlead.planner.planner_session import PlannerSession
 from martenlead.planner.server import Planner, PlannerSettings
 from support.fleet import fleet
 from support.planned import answered, planned, planner, until
@@ -111,7 +112,7 @@
             while not (side.session.is_leased() and side.session.planner_name == "planner"):
                 await answered(f, 1)
                 await anyio.sleep(0.01)
-                assert side.session.report_status()["outbox_bytes"] <= 2000
+                assert side.session.report_status().outbox_bytes <= 2000
         await answered(f)
 
 
@@ -146,7 +147,7 @@
             await anyio.sleep(0.05)
         held = {f.dispatcher.workers[n].endpoint.id for n in f.dispatcher.workers}
         await until(lambda: Path(kept).exists() and '"m"' in Path(kept).read_text())
-        assert first.saved_replicas.replicas_by_edge["edge"][0][:2][1] == "m"
+        assert first.store.saved.replicas_by_edge["edge"][0][:2][1] == "m"
     async with planner(kept=kept) as (_, port), planned([port]) as (f, side):
         await until(lambda: f.dispatcher.counts["ask", "satisfied"] > 0)
         assert {name for _, name, target in f.orders if target.endswith("/m/load")} <= held
@@ -162,7 +163,7 @@
         await answered(f)
         (edge,) = format_status("7000", f.dispatcher.report_status())
         assert edge.startswith("7000 edge edge: 0 tasks held, 1 models; planned by planner; link up, epoch 1")
-        (own, of_edge) = format_status("7001", one.report_status())
+        (own, of_edge) = format_status("7001", msgspec.to_builtins(one.report_status()))
         assert own == "7001 planner planner: 1 edges"
         assert of_edge.startswith("  for edge: epoch 1, events ")
     async with fleet() as f:
@@ -179,4 +180,4 @@
     path = tmp_path / "kept"
     for text in ("", "[1]", json.dumps({"saved": 1, "edges": {"e": [["a"]]}})):
         path.write_text(text)
-        assert Planner(PlannerSettings(state_path=str(path))).saved_replicas.replicas_by_edge == {}
+        assert Planner(PlannerSettings(state_path=str(path))).store.saved.replicas_by_edge == {}
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -13,6 +13,7 @@
 from martenlead.capture import events as ev
 from martenlead.planner import frames as fr
 from martenlead.planner.link import NS_PER_MS, LinkProtocolError
+from martenlead.planner.snapshot import encode_snapshot
 from martenlead.policy.types import WorkerState
 from support.pair import Pair
 
@@ -59,7 +60,7 @@
     bad = bytearray(good)
     bad[at % len(good)] ^= data[0] or 1
     for stream in (bytes(bad), data):
-        reader = fr.FrameReader(longest=1 << 20)
+        reader = fr.FrameReader(max_payload_bytes=1 << 20)
         try:
             found = reader.feed(stream)
         except fr.FrameError:
@@ -113,7 +114,9 @@
     assert held
     runner, model = next(iter(pair.side._retained))
     pair.policy_boundary.set_retained(
-        *(pair.side.recorder.by_number[k][n] for k, n in enumerate((runner, model))), False
+        pair.side.recorder.workers_by_number[runner],
+        pair.side.recorder.functions_by_number[model],
+        False,
     )
     pair.side._retained.discard((runner, model))  # as if the word had been lost
     pair.cut()
@@ -185,7 +188,7 @@
         for model in range(10):
             pair.task(model)
         pair.run(20)
-        assert pair.end.report_status()["outbox_bytes"] <= 4000
+        assert pair.end.report_status().outbox_bytes <= 4000
     assert pair.end.counts["overflow"] >= 1
     pair.run(4000)
     assert pair.settled() == []
@@ -299,7 +302,7 @@
         for model in range(10):
             pair.task(model)
         pair.run(20)
-        assert pair.end.report_status()["outbox_bytes"] <= 20_000
+        assert pair.end.report_status().outbox_bytes <= 20_000
         assert len(pair.end._batch) < 512
     assert pair.end.counts["overflow"] == 1
     pair.connect()
@@ -372,17 +375,17 @@
     pair = Pair()
     busy(pair, 1000)
     state, _ = pair.side._take_snapshot()
-    told = msgspec.msgpack.decode(msgspec.msgpack.encode(state))
+    told = msgspec.msgpack.decode(encode_snapshot(state))
     told["brain"]["a new field"] = 7
     del told["brain"]["rate"]
     told["models"][0][5]["latency"] = {"bins": [1.0], "total": 1.0, "sum": 1.0}
     pair.planner.receive_message(fr.Hello(1, 2, "edge", "x", "another"))
     pair.planner.receive_message(fr.Lease(1, 1000))
-    pair.planner.receive_message(fr.Snapshot(1, pair.now, told))
+    pair.planner.receive_message(fr.Snapshot(1, pair.now, msgspec.Raw(msgspec.msgpack.encode(told))))
     assert pair.planner.policy_replica is not None
     del told["models"][0][5:]
     with pytest.raises(LinkProtocolError, match="the state can not be read"):
-        pair.planner.receive_message(fr.Snapshot(2, pair.now, told))
+        pair.planner.receive_message(fr.Snapshot(2, pair.now, msgspec.Raw(msgspec.msgpack.encode(told))))
 
 
 class Faults(RuleBasedStateMachine):
@@ -450,7 +453,7 @@
 
     @invariant()
     def bounded(self) -> None:
-        assert self.pair.end.report_status()["outbox_bytes"] <= 20_000
+        assert self.pair.end.report_status().outbox_bytes <= 20_000
 
     def teardown(self) -> None:
         """In the end one planner is left in peace: then it knows all, and every task has its end."""
--- a/tests/test_planner_frames.py
+++ b/tests/test_planner_frames.py
@@ -11,7 +11,10 @@
 
 from martenlead.capture import events as ev
 from martenlead.planner import frames as fr
-from martenlead.planner.link import EdgeSession, PlannerSession, SessionLimits
+from martenlead.planner.edge_session import EdgeSession, TakenSnapshot
+from martenlead.planner.link import SessionLimits
+from martenlead.planner.planner_session import PlannerSession
+from martenlead.planner.snapshot import decode_snapshot, encode_snapshot
 
 STORED = Path(__file__).parent / "stored" / "planner-link"
 DIRECTIONS = ("to-planner", "to-edge")
@@ -114,6 +117,9 @@
         if isinstance(message, fr.Events):
             for event, told in zip(message.events, earlier["fields"]["events"], strict=True):
                 check_event(event, told)
+        if isinstance(message, fr.Snapshot):
+            snapshot = decode_snapshot(message.state)
+            assert encode_snapshot(snapshot) == bytes(message.state)
         assert fr.encode_frame(message) == frame
 
 
@@ -150,12 +156,15 @@
     assert planner.edge_name == "edge"
 
 
+def take_snapshot() -> TakenSnapshot:
+    raise AssertionError("no frame asks for the state before it is due")
+
+
 def test_an_edge_of_today_follows_the_session_of_a_planner_of_the_version_before() -> None:
     hello = decode_one(stored_frames("to-planner")[0])
     assert isinstance(hello, fr.Hello)
-    state = {"a": "state"}
     edge = EdgeSession(
-        "edge", hello.incarnation, hello.policy_hash, lambda: 0, lambda: (state, set()), SessionLimits()
+        "edge", hello.incarnation, hello.policy_hash, lambda: 0, take_snapshot, SessionLimits()
     )
     taken: list[fr.PlanUpdate | fr.RestoreReplicas] = []
     wanted = []
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -19,7 +19,8 @@
 from martenlead.durable_state.store import StateStore
 from martenlead.edge.knowledge_saver import KNOWLEDGE
 from martenlead.emulator.policies import _imported_from
-from martenlead.planner.snapshot import RestoredPolicy
+from martenlead.planner.restored_policy import RestoredPolicy
+from martenlead.planner.snapshot import decode_snapshot, encode_snapshot
 from martenlead.policy.policy import Policy
 from support.pair import Pair
 from tests.play import MS, SETTINGS, Play
@@ -29,8 +30,11 @@
 SPAN = 6  # of a stored model: the time that its requests were counted in, ns
 
 
+SNAPSHOT = (STORED / "planner-state.msgpack").read_bytes()
+
+
 def stored_snapshot() -> dict[str, Any]:
-    found: dict[str, Any] = msgspec.msgpack.decode((STORED / "planner-state.msgpack").read_bytes())
+    found: dict[str, Any] = msgspec.msgpack.decode(SNAPSHOT)
     return found
 
 
@@ -45,7 +49,7 @@
 
 def test_a_planner_restores_the_snapshot_of_an_earlier_edge() -> None:
     told = stored_snapshot()
-    restored = RestoredPolicy(told, 7 * SECOND)
+    restored = RestoredPolicy(decode_snapshot(SNAPSHOT), 7 * SECOND)
     state, own = restored.policy.state, told["brain"]
     assert state.traffic.succeeded_per_second == own["rate"] > 0
     assert state.traffic.peak_succeeded_per_second == own["best"] > 0
@@ -80,7 +84,7 @@
     pair = Pair()
     busy(pair, 1000)
     state, _ = pair.side._take_snapshot()
-    now, then = msgspec.msgpack.decode(msgspec.msgpack.encode(state)), stored_snapshot()
+    now, then = msgspec.msgpack.decode(encode_snapshot(state)), stored_snapshot()
     assert now.keys() == then.keys()
     assert now["brain"].keys() == then["brain"].keys() | ADDED_TO_SNAPSHOT
     assert not then["brain"].keys() & ADDED_TO_SNAPSHOT
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -696,7 +696,7 @@
     async with planner() as (one, port), planned([port], name="first") as (f, first):
         await until(first.session.is_leased, within=5)
         with monkeypatch.context() as patch:
-            patch.setattr(one, "end", fault)
+            patch.setattr(one, "get_session", fault)
             stream = await anyio.connect_tcp("127.0.0.1", port)
             await stream.send(
                 fr.encode_frame(fr.Hello(fr.LOWEST_VERSION, fr.HIGHEST_VERSION, "second", "0", "0"))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -29,6 +29,7 @@
 from martenlead.events.cloudevent import Event
 from martenlead.layers.cache import Cache
 from martenlead.layers.image import digest_of
+from martenlead.planner.frames import RetainedReplica
 from martenlead.planner.server import Planner, PlannerSettings
 from martenlead.system import clocks
 from martenlead.system.durable_file import replace_file
@@ -165,15 +166,18 @@
     """Within its life, and in the next one from its file."""
     path = tmp_path / "planner"
     settings = PlannerSettings(state_path=str(path))
-    mirror = SimpleNamespace(all=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
+    mirror = SimpleNamespace(restored=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
     first = Planner(settings)
-    first.saved_replicas.replicas_by_edge["edge"] = [("a", "m", 1, 10.0, 500.0), ("b", "m", 1, 10.0, 9500.0)]
+    first.store.saved.replicas_by_edge["edge"] = [
+        RetainedReplica("a", "m", 1, 10.0, 500.0),
+        RetainedReplica("b", "m", 1, 10.0, 9500.0),
+    ]
     first.refresh_saved_replicas()
-    replace_file(path, endpoints.encode(first.saved_replicas))
+    replace_file(path, endpoints.encode(first.store.saved))
     machine.run(2 * SECOND)
     machine.step = step
     for planner in (first, Planner(settings)):
-        planner.sessions["edge"] = SimpleNamespace(mirror=mirror)  # type: ignore[assignment]
+        planner.sessions["edge"] = SimpleNamespace(policy_replica=mirror)  # type: ignore[assignment]
         assert planner.find_earlier_replicas("edge") == [("a", "m", 1, 10.0, 2500.0)]
 
 
--- a/tests/test_wall_clock_contract.py
+++ b/tests/test_wall_clock_contract.py
@@ -32,6 +32,7 @@
     "upstream/endpoints.py make_cached_endpoints moment": "the time of writing; ages are read back by the boot clock alone",
     "upstream/endpoints.py load_cached_endpoints moment": "the boot clock's part of it; the wall clock's is not used",
     "planner/server.py Planner.__init__ moment": "the time of saving, for another boot of the machine",
+    "planner/replica_store.py ReplicaStore.__init__ moment": "the same, as the planner hands it on",
     "cli/state.py _age moment": "the age of a file from another boot of the machine, for people",
     "capture/writer.py CaptureWriter._new_run wall_ns": "a name for people; above all that are there",
     "capture/recorder.py CaptureRecorder.begin_run wall_ns": "when a capture began, for people; replays do not read it",
