--- a/martenlead/cli/call.py
+++ b/martenlead/cli/call.py
@@ -1,3 +1,5 @@
+"""`martenlead call`: sends one request to an edge."""
+
 from __future__ import annotations
 
 import sys
@@ -7,56 +9,71 @@
 import click
 
 from martenlead.events import http
-from martenlead.events.client import Pool
+from martenlead.events.client import Exchange, Pool
 from martenlead.events.cloudevent import AttributeValue, Event, encode_event
 
+CONNECT_TIMEOUT_NS = 2_000_000_000
+MS_PER_SECOND = 1000
+EXTRA_SECONDS = 1  # that a response is waited for beyond the request's own time
+EXIT_CODES = {200: 0, 429: 3, 503: 3, 502: 4, 504: 4}  # by the status of the response
+NO_RESPONSE = 1
+
 
 @click.command()
 @click.option("--host", default="127.0.0.1", show_default=True)
 @click.option("--port", type=int, required=True)
-@click.option("--offering", required=True, help="the event's type")
-@click.option("--model", required=True)
-@click.option("--customer")
-@click.option("--within", "within_ms", type=float, default=5000, show_default=True, help="time left, ms")
-@click.option("--set", "more", multiple=True, metavar="NAME=VALUE", help="a further attribute")
+@click.option("--offering", "request_class", required=True, help="the event's type")
+@click.option("--model", "function", required=True)
+@click.option("--customer", "tenant")
+@click.option(
+    "--within", "within_ms", type=float, default=5000, show_default=True, help="time left, ms"
+)
+@click.option("--set", "extra", multiple=True, metavar="NAME=VALUE", help="a further attribute")
 @click.option("--data", default="{}", show_default=True, help="JSON, or - for standard input")
 def call(
     host: str,
     port: int,
-    offering: str,
-    model: str,
-    customer: str | None,
+    request_class: str,
+    function: str,
+    tenant: str | None,
     within_ms: float,
-    more: tuple[str, ...],
+    extra: tuple[str, ...],
     data: str,
 ) -> None:
-    """Send one task. Prints the answer; exit 0 if it was satisfied, 3 turned back, 4 scrapped, 1 none of
-    these."""
+    """Send one request and print the response.
+
+    Exit 0 if it succeeded, 3 if it was rejected, 4 if it failed, 1 for anything else.
+    """
     attributes: dict[str, AttributeValue] = {
         "specversion": "1.0",
         "id": uuid.uuid4().hex,
         "source": "/martenlead/call",
-        "type": offering,
-        "model": model,
+        "type": request_class,
+        "model": function,
         "timeleftms": int(within_ms),
     }
-    if customer:
-        attributes["customer"] = customer
-    for pair in more:
+    if tenant:
+        attributes["customer"] = tenant
+    for pair in extra:
         name, _, value = pair.partition("=")
         attributes[name] = value
     body = sys.stdin.buffer.read() if data == "-" else data.encode()
-    headers, body = encode_event(Event(attributes, body, "application/json"))
-
-    async def send() -> int:
-        pool = Pool(host, port, connect_timeout_ns=2_000_000_000)
-        with anyio.move_on_after(within_ms / 1000 + 1) as scope:
-            exchange = await pool.exchange(http.request(b"POST", b"/", host.encode(), headers, body))
-        if scope.cancelled_caught or exchange.message is None:
-            why = "no answer in time" if scope.cancelled_caught else f"{exchange.end.value} {exchange.detail}"
-            click.echo(why, err=True)
-            return 1
-        click.echo(exchange.message.body.decode("utf-8", "replace"))
-        return {200: 0, 429: 3, 503: 3, 502: 4, 504: 4}.get(exchange.message.status, 1)
-
-    sys.exit(anyio.run(send))
+    event = Event(attributes, body, "application/json")
+    sys.exit(anyio.run(_send, host, port, event, within_ms / MS_PER_SECOND + EXTRA_SECONDS))
+
+
+async def _send(host: str, port: int, event: Event, timeout_seconds: float) -> int:
+    """Sends an event, prints the response, and gives the exit code."""
+    headers, body = encode_event(event)
+    pool = Pool(host, port, connect_timeout_ns=CONNECT_TIMEOUT_NS)
+    exchange: Exchange | None = None
+    with anyio.move_on_after(timeout_seconds):
+        exchange = await pool.exchange(http.request(b"POST", b"/", host.encode(), headers, body))
+    if exchange is None:
+        click.echo("no answer in time", err=True)
+        return NO_RESPONSE
+    if exchange.message is None:
+        click.echo(f"{exchange.end.value} {exchange.detail}", err=True)
+        return NO_RESPONSE
+    click.echo(exchange.message.body.decode("utf-8", "replace"))
+    return EXIT_CODES.get(exchange.message.status, NO_RESPONSE)
--- a/martenlead/cli/day.py
+++ b/martenlead/cli/day.py
@@ -1,3 +1,5 @@
+"""`martenlead day`: plays a scripted day on sockets and audits it."""
+
 from __future__ import annotations
 
 import shutil
@@ -6,7 +8,7 @@
 import tempfile
 from collections import defaultdict
 from pathlib import Path
-from typing import Any, Literal, NoReturn
+from typing import Any, Literal, NoReturn, TypedDict
 
 import anyio
 import click
@@ -14,6 +16,7 @@
 
 from martenlead.capture.explain import list_outcomes
 from martenlead.capture.writer import find_runs
+from martenlead.cli.output import format_json
 from martenlead.config.load import ConfigError, decode, evaluate
 from martenlead.days.books import balance
 from martenlead.days.report import kept, table
@@ -21,90 +24,135 @@
 from martenlead.days.script import ON_SOCKETS, Day, plan
 from martenlead.standins.record import read
 
+TERMINATED_EXIT_CODE = 128 + signal.SIGTERM
+STEPS_PER_SECOND = 10  # of the progress bar
+
+Report = dict[str, Any]  # the audit's, as days/report.py builds it
+
+
+class LedgerReport(TypedDict):
+    """How the dispatchers' captures agree with the clients' records."""
+
+    entries: dict[str, int]
+    odd: list[str]
+
 
 @click.command()
 @click.argument("script", type=click.Path(path_type=Path))
 @click.option("--seed", type=int, help="in place of the script's")
-@click.option("--report", "report_file", type=click.Path(path_type=Path), help="take the report as JSON")
-@click.option("--keep", type=click.Path(path_type=Path), help="folder for records and logs, kept")
+@click.option(
+    "--report", "report_file", type=click.Path(path_type=Path), help="take the report as JSON"
+)
+@click.option(
+    "--keep",
+    "keep_folder",
+    type=click.Path(path_type=Path),
+    help="folder for records and logs, kept",
+)
 @click.option("--layers", type=click.Choice(["on", "off"]), help="in place of the script's")
 @click.option(
     "--planner",
     type=click.Choice(["none", "beside", "one"]),
-    help="in place of the script's: who decides on copies",
+    help="in place of the script's: who decides on replicas",
+)
+@click.option(
+    "--capture", is_flag=True, help="each edge captures, into captures/ of the folder kept"
 )
-@click.option("--capture", is_flag=True, help="each edge captures, into captures/ of the folder kept")
 def day(
     script: Path,
     seed: int | None,
     report_file: Path | None,
-    keep: Path | None,
+    keep_folder: Path | None,
     layers: str | None,
     planner: Literal["none", "beside", "one"] | None,
     capture: bool,
 ) -> None:
     """Play a scripted day on loopback and audit it. Exit 0 only if every rule was kept."""
-    made = decode(evaluate(script), Day, str(script))
+    played = decode(evaluate(script), Day, str(script))
     if capture:
-        made = msgspec.structs.replace(made, capture=True)
+        played = msgspec.structs.replace(played, capture=True)
     if layers:
-        if made.layers is None:
-            raise ConfigError(f"{script}: $.layers: none, so there is nothing to be turned {layers}")
-        told_layers = msgspec.structs.replace(made.layers, on=layers == "on")
-        made = msgspec.structs.replace(made, layers=told_layers)
+        if played.layers is None:
+            error = f"{script}: $.layers: none, so there is nothing to be turned {layers}"
+            raise ConfigError(error)
+        own_layers = msgspec.structs.replace(played.layers, on=layers == "on")
+        played = msgspec.structs.replace(played, layers=own_layers)
     if planner:
-        planners = msgspec.structs.replace(made.planners, kind=planner)
-        made = msgspec.structs.replace(made, planners=planners)
-    run_on_sockets(made, str(script), seed, report_file, keep)
+        planners = msgspec.structs.replace(played.planners, kind=planner)
+        played = msgspec.structs.replace(played, planners=planners)
+    run_on_sockets(played, str(script), seed, report_file, keep_folder)
 
 
 def run_on_sockets(
-    made: Day, script: str, seed: int | None, report_file: Path | None, keep: Path | None = None
+    day: Day,
+    script: str,
+    seed: int | None,
+    report_file: Path | None,
+    keep_folder: Path | None = None,
 ) -> NoReturn:
-    """Plays a day on sockets, tells of it, and exits."""
-    for name, count in (("runners.count", made.runners.count), ("edges", made.edges)):
+    """Plays a day on sockets, reports on it, and exits."""
+    seed = day.seed if seed is None else seed
+    _check(day, script, seed)
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED_EXIT_CODE))  # ends its processes
+    with tempfile.TemporaryDirectory(prefix="martenlead-day-") as temporary:
+        folder = keep_folder or Path(temporary)
+        _clear(folder)
+        report = _play(day, seed, folder)
+        report["books"] = _compare_records(day, seed, folder) if day.capture else None
+    click.echo(table(report))
+    if report_file:
+        report_file.write_bytes(format_json(report))
+    sys.exit(0 if kept(report) else 1)
+
+
+def _check(day: Day, script: str, seed: int) -> None:
+    """Raises `ConfigError` for a day that cannot be played on sockets."""
+    for name, count in (("runners.count", day.runners.count), ("edges", day.edges)):
         if count > ON_SOCKETS:
-            raise ConfigError(
-                f"{script}: $.{name}: at most {ON_SOCKETS} on sockets; `martenlead emulate` plays more"
-            )
-    chosen = made.seed if seed is None else seed
+            limit = f"at most {ON_SOCKETS} on sockets; `martenlead emulate` plays more"
+            error = f"{script}: $.{name}: {limit}"
+            raise ConfigError(error)
     try:
-        plan(made, chosen)
+        plan(day, seed)
     except ValueError as error:
-        raise ConfigError(f"{script}: {error}") from None
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # its processes end with it
-    with tempfile.TemporaryDirectory(prefix="martenlead-day-") as temporary:
-        folder = keep or Path(temporary)
-        folder.mkdir(parents=True, exist_ok=True)
-        for old in folder.glob("*.jsonl"):
-            old.unlink()
-        for old in (folder / "vault", *folder.glob("box-*")):
-            shutil.rmtree(old, ignore_errors=True)
-        shown = click.progressbar(length=int(made.seconds * 10), label=f"{made.name}, seed {chosen}")
-        with shown as bar:
-
-            def progress(at: float) -> None:
-                bar.update(int(at * 10) - bar.pos)
-
-            try:
-                told = anyio.run(run, made, chosen, folder, progress)
-            except DayFailed as error:
-                click.echo(str(error), err=True)
-                sys.exit(1)
-            told["books"] = _books(made, chosen, folder) if made.capture else None
-    click.echo(table(told))
-    if report_file:
-        report_file.write_bytes(msgspec.json.format(msgspec.json.encode(told)))
-    sys.exit(0 if kept(told) else 1)
+        message = f"{script}: {error}"
+        raise ConfigError(message) from None
+
+
+def _clear(folder: Path) -> None:
+    """Makes the folder, and removes what an earlier day left in it."""
+    folder.mkdir(parents=True, exist_ok=True)
+    for records in folder.glob("*.jsonl"):
+        records.unlink()
+    for old in (folder / "vault", *folder.glob("box-*")):
+        shutil.rmtree(old, ignore_errors=True)
+
+
+def _play(day: Day, seed: int, folder: Path) -> Report:
+    """Plays the day behind a progress bar; exits 1 if it fails."""
+    steps = int(day.seconds * STEPS_PER_SECOND)
+    with click.progressbar(length=steps, label=f"{day.name}, seed {seed}") as bar:
+
+        def show_progress(played_seconds: float) -> None:
+            """Moves the bar to this time of the day."""
+            bar.update(int(played_seconds * STEPS_PER_SECOND) - bar.pos)
+
+        try:
+            return anyio.run(run, day, seed, folder, show_progress)
+        except DayFailed as error:
+            click.echo(str(error), err=True)
+            sys.exit(1)
 
 
-def _books(day: Day, seed: int, folder: Path) -> dict[str, Any]:
-    """The dispatchers' captures beside the clients' records."""
+def _compare_records(day: Day, seed: int, folder: Path) -> LedgerReport:
+    """Compares the dispatchers' captures with the clients' records."""
     edges = [edge["name"] for edge in plan(day, seed).edges]
-    told: dict[tuple[str, str], list[str]] = defaultdict(list)
-    for one in find_runs([folder / "captures"]):
-        for ident, ends in list_outcomes(one.events()).items():
-            told[one.name.replace("_", "-"), ident] += ends
-    killed = {edges[r["edge"]] for r in read(folder / "processes.jsonl") if r["what"] == "killed"}
-    found = balance(list(read(folder / "clients.jsonl")), edges, told, killed)
-    return {"entries": dict(found.entries), "odd": found.odd}
+    outcomes: dict[tuple[str, str], list[str]] = defaultdict(list)
+    for captured in find_runs([folder / "captures"]):
+        edge = captured.name.replace("_", "-")
+        for request, found in list_outcomes(captured.events()).items():
+            outcomes[edge, request] += found
+    processes = read(folder / "processes.jsonl")
+    killed = {edges[record["edge"]] for record in processes if record["what"] == "killed"}
+    compared = balance(list(read(folder / "clients.jsonl")), edges, outcomes, killed)
+    return {"entries": dict(compared.entries), "odd": compared.odd}
--- a/martenlead/cli/edge.py
+++ b/martenlead/cli/edge.py
@@ -1,3 +1,5 @@
+"""`martenlead edge`: runs one dispatcher."""
+
 from __future__ import annotations
 
 import sys
@@ -10,48 +12,74 @@
 
 from martenlead.capture.recorder import CaptureRecorder
 from martenlead.capture.writer import AlreadyLockedError, CaptureSettings, CaptureWriter
-from martenlead.config.edge import read_edge_settings
+from martenlead.cli.output import print_ready
+from martenlead.config.edge import EdgeSettings, read_edge_settings
 from martenlead.config.load import ConfigError, decode
 from martenlead.edge.knowledge_saver import KnowledgeSaver
-from martenlead.edge.policy_boundary import Recorder as BorderTape
-from martenlead.edge.policy_boundary import TeeRecorder
-from martenlead.edge.serve import configure_log, run
+from martenlead.edge.policy_boundary import Recorder, TeeRecorder
+from martenlead.edge.serve import Companion, configure_log, run
 from martenlead.planner.planner_client import PlannerClient
 
 
 @click.command()
 @click.argument("config", type=click.Path(path_type=Path))
-@click.option("--with-planner", is_flag=True, help="decide on copies here, whatever $.planner says")
+@click.option(
+    "--with-planner", is_flag=True, help="decide on replicas here, whatever $.planner says"
+)
 def edge(config: Path, with_planner: bool) -> None:
-    """Run one dispatcher. Its port is told as JSON on standard output."""
-
-    def started(port: int) -> None:
-        click.echo(f'{{"ready": {{"port": {port}}}}}')
-
+    """Run one dispatcher. It prints its port as JSON on standard output."""
     settings = read_edge_settings(config)
     configure_log(settings)
-    store = None
-    tape: BorderTape | None = None
-    if settings.capture:
-        log = structlog.get_logger().bind(edge=settings.name)
-        told = decode(msgspec.to_builtins(settings.capture), CaptureSettings, str(config))
-        try:
-            store = CaptureWriter(told, settings.name, lambda what, why: log.warning(what, why=why))
-        except AlreadyLockedError as error:
-            raise ConfigError(f"{config}: $.capture.folder: {error}") from None
-        tape = CaptureRecorder(store.put, settings.name)
-    side = PlannerClient(settings, settings.planner) if settings.planner and not with_planner else None
-    if side is not None:
-        tape = cast(BorderTape, TeeRecorder(tape, side.recorder)) if tape is not None else side.recorder
-    keeper = KnowledgeSaver(settings, settings.durable_state) if settings.durable_state is not None else None
-    beside = [one.run for one in (side, keeper) if one is not None]
-    if store is not None:
-        beside.append(store.publish_counters)
+    writer = _open_capture(settings, config)
+    client = None
+    if settings.planner and not with_planner:
+        client = PlannerClient(settings, settings.planner)
+    recorder = _choose_recorder(settings, writer, client)
+    companions = _list_companions(settings, writer, client)
     try:
-        run(settings, started, tape, beside)
+        run(settings, print_ready, recorder, companions)
     except* OSError as errors:
         click.echo(f"{config}: $.listen: {errors.exceptions[0]}", err=True)
         sys.exit(1)
     finally:
-        if store is not None:
-            store.close()
+        if writer is not None:
+            writer.close()
+
+
+def _open_capture(settings: EdgeSettings, config: Path) -> CaptureWriter | None:
+    """The writer of captures, where the settings have one. Raises `ConfigError`."""
+    if not settings.capture:
+        return None
+    log = structlog.get_logger().bind(edge=settings.name)
+    capture = decode(msgspec.to_builtins(settings.capture), CaptureSettings, str(config))
+    try:
+        return CaptureWriter(capture, settings.name, lambda what, why: log.warning(what, why=why))
+    except AlreadyLockedError as error:
+        message = f"{config}: $.capture.folder: {error}"
+        raise ConfigError(message) from None
+
+
+def _choose_recorder(
+    settings: EdgeSettings, writer: CaptureWriter | None, client: PlannerClient | None
+) -> Recorder | None:
+    """The recorder for captures, the one for the planner, both, or none."""
+    captured = CaptureRecorder(writer.put, settings.name) if writer is not None else None
+    if client is None:
+        return captured
+    if captured is None:
+        return client.recorder
+    return cast("Recorder", TeeRecorder(captured, client.recorder))
+
+
+def _list_companions(
+    settings: EdgeSettings, writer: CaptureWriter | None, client: PlannerClient | None
+) -> list[Companion]:
+    """What runs beside the dispatcher."""
+    companions: list[Companion] = []
+    if client is not None:
+        companions.append(client.run)
+    if settings.durable_state is not None:
+        companions.append(KnowledgeSaver(settings, settings.durable_state).run)
+    if writer is not None:
+        companions.append(writer.publish_counters)
+    return companions
--- a/martenlead/cli/emulate.py
+++ b/martenlead/cli/emulate.py
@@ -1,3 +1,7 @@
+"""`martenlead emulate`: plays a scripted day in virtual time and audits it."""
+
+# ruff: noqa: PLC0415 - the emulator is slow to import, and only this sub-command needs it
+
 from __future__ import annotations
 
 from pathlib import Path
@@ -5,25 +9,40 @@
 import click
 import msgspec
 
+from martenlead.cli.output import format_json, print_json
 from martenlead.config.load import ConfigError, decode, evaluate
 from martenlead.days.report import kept, table
 from martenlead.days.script import Day
 
+STEPS_PER_SECOND = 10  # of the progress bar
+
 
 @click.command()
 @click.argument("script", type=click.Path(path_type=Path))
 @click.option("--seed", type=int, help="in place of the script's")
-@click.option("--policy", default="module", help="who decides: module, random, two, least, hash, oracle")
-@click.option("--runners", type=click.IntRange(1), help="in place of the script's")
+@click.option(
+    "--policy",
+    default="module",
+    help="who decides: module, random, two, least, hash, oracle",
+)
+@click.option("--runners", "workers", type=click.IntRange(1), help="in place of the script's")
 @click.option("--edges", type=click.IntRange(1), help="in place of the script's")
-@click.option("--rate", type=click.FloatRange(0, min_open=True), help="tasks a second, for the script's")
-@click.option("--audit/--no-audit", default=True, help="check the rules; keeps all records in memory")
-@click.option("--report", "report_file", type=click.Path(path_type=Path), help="take the report as JSON")
+@click.option(
+    "--rate",
+    type=click.FloatRange(0, min_open=True),
+    help="requests a second, for the script's",
+)
+@click.option(
+    "--audit/--no-audit", default=True, help="check the rules; keeps all records in memory"
+)
+@click.option(
+    "--report", "report_file", type=click.Path(path_type=Path), help="take the report as JSON"
+)
 def emulate(
     script: Path,
     seed: int | None,
     policy: str,
-    runners: int | None,
+    workers: int | None,
     edges: int | None,
     rate: float | None,
     audit: bool,
@@ -32,37 +51,55 @@
     """Play a scripted day in virtual time and audit it. Exit 0 only if every rule was kept."""
     replace = msgspec.structs.replace
     day = decode(evaluate(script), Day, str(script))
-    if runners:
-        day = replace(day, runners=replace(day.runners, count=runners))
+    if workers:
+        day = replace(day, runners=replace(day.runners, count=workers))
     if edges:
         day = replace(day, edges=edges)
     if rate:
-        more = rate / day.clients.rate_per_s
+        factor = rate / day.clients.rate_per_s
         clients = replace(day.clients, rate_per_s=rate)
-        day = replace(day, clients=clients, quota_per_s=day.quota_per_s * more)
+        day = replace(day, clients=clients, quota_per_s=day.quota_per_s * factor)
     run_emulated(day, str(script), seed, policy, audit, report_file)
 
 
 def run_emulated(
     day: Day, script: str, seed: int | None, policy: str, audit: bool, report_file: Path | None
 ) -> None:
-    """Plays a day in virtual time and tells of it. Raises `BadConfig`."""
+    """Plays a day in virtual time and reports on it; exits 1 if a rule was broken.
+
+    Raises:
+        ConfigError: the script cannot be played.
+    """
     from martenlead.emulator.job import Job, run
 
-    chosen = day.seed if seed is None else seed
-    job = Job(script=script, day=day, seed=chosen, policy=policy, audit=audit)
+    job = Job(
+        script=script,
+        day=day,
+        seed=day.seed if seed is None else seed,
+        policy=policy,
+        audit=audit,
+    )
+    steps = int(day.seconds * STEPS_PER_SECOND)
     try:
-        with click.progressbar(length=int(day.seconds * 10), label=f"{day.name}, seed {job.seed}") as bar:
-            outcome, fleet = run(job, lambda at: bar.update(min(bar.length or 0, int(at * 10)) - bar.pos))
+        with click.progressbar(length=steps, label=f"{day.name}, seed {job.seed}") as bar:
+
+            def show_progress(played_seconds: float) -> None:
+                """Moves the bar to this time of the day."""
+                position = min(bar.length or 0, int(played_seconds * STEPS_PER_SECOND))
+                bar.update(position - bar.pos)
+
+            outcome, fleet = run(job, show_progress)
     except ValueError as error:
-        raise ConfigError(f"{script}: {error}") from None
-    told = fleet.report() if audit else msgspec.to_builtins(outcome)
+        message = f"{script}: {error}"
+        raise ConfigError(message) from None
+    report = fleet.report() if audit else msgspec.to_builtins(outcome)
     if report_file is not None:
-        report_file.write_bytes(msgspec.json.format(msgspec.json.encode(told)) + b"\n")
+        report_file.write_bytes(format_json(report) + b"\n")
     if audit:
-        click.echo(table(told))
+        click.echo(table(report))
     else:
-        click.echo(msgspec.json.format(msgspec.json.encode(fleet.tally.told())))
-    click.echo(f"{outcome.events} events; {day.seconds:g} s of the day in {outcome.took_s:.1f} s")
-    if audit and not kept(told):
+        print_json(fleet.tally.told())
+    speed = f"{day.seconds:g} s of the day in {outcome.took_s:.1f} s"
+    click.echo(f"{outcome.events} events; {speed}")
+    if audit and not kept(report):
         raise SystemExit(1)
--- a/martenlead/cli/experiment.py
+++ b/martenlead/cli/experiment.py
@@ -1,65 +1,106 @@
+"""`martenlead experiment`: runs a plan's emulated days and compares their outcomes."""
+
+# ruff: noqa: PLC0415 - the emulator and its plots are slow to import; no other sub-command needs them
+
 from __future__ import annotations
 
 import os
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 import msgspec
 
 from martenlead.config.load import ConfigError
 
+if TYPE_CHECKING:
+    from martenlead.emulator.experiment import Plan
+    from martenlead.emulator.job import Job, Outcome
+
 
 @click.command()
 @click.argument("plan", type=click.Path(path_type=Path))
-@click.option("--out", type=click.Path(path_type=Path), help="folder of the results; else the plan's name")
+@click.option(
+    "--out",
+    "results_folder",
+    type=click.Path(path_type=Path),
+    help="folder of the results; else the plan's name",
+)
 @click.option("--processes", type=click.IntRange(1), help="at once; as many as there are cores")
-@click.option("--against", "against", multiple=True, help="compare with the module at this commit too")
+@click.option(
+    "--against", "commits", multiple=True, help="compare with the policy at this commit too"
+)
 @click.option("--seeds", type=click.IntRange(1), help="in place of the plan's")
 def experiment(
-    plan: Path, out: Path | None, processes: int | None, against: tuple[str, ...], seeds: int | None
+    plan: Path,
+    results_folder: Path | None,
+    processes: int | None,
+    commits: tuple[str, ...],
+    seeds: int | None,
 ) -> None:
-    """Run a plan's emulated days in parallel; one table and one page. Stopped, it goes on where it was."""
-    from martenlead.emulator import experiment as e
-    from martenlead.emulator.page import page, plots
-    from martenlead.emulator.policies import find
+    """Run a plan's emulated days in parallel; one table and one page.
+
+    After an interruption it goes on where it was.
+    """
+    from martenlead.emulator import experiment as experiments
 
-    made = e.read(plan)
+    chosen = _add_policies(experiments.read(plan), commits)
     if seeds:
-        made = msgspec.structs.replace(made, seeds=seeds)
-    if against:
-        more = [f"module@{commit}" for commit in against]
-        made = msgspec.structs.replace(made, policies=[*made.policies, *more])
-        for policy in more:
-            try:
-                find(policy)
-            except ValueError as error:
-                raise ConfigError(str(error)) from None
-    todo = e.jobs(made, plan.parent)
-    folder = out or plan.with_suffix("")
-    failed = []
-    at_once = processes or os.cpu_count() or 1
-    with click.progressbar(length=len(todo), label=made.name) as bar:
-        for job, why in e.do(
-            todo,
-            folder / "jobs",
-            at_once,
-            lambda done, _: bar.update(done - bar.pos),
-        ):
-            failed.append((job, why))
-    outcomes = [o for job in todo if (o := e.kept(folder / "jobs", job)) is not None]
-    for job, why in failed:
-        click.echo(f"failed: {job.script} {job.at} {job.policy} seed {job.seed}: {why}", err=True)
+        chosen = msgspec.structs.replace(chosen, seeds=seeds)
+    folder = results_folder or plan.with_suffix("")
+    jobs = experiments.jobs(chosen, plan.parent)
+    failed = _run_jobs(chosen, jobs, folder, processes or os.cpu_count() or 1)
+    found = [experiments.kept(folder / "jobs", job) for job in jobs]
+    outcomes = [outcome for outcome in found if outcome is not None]
+    for job, reason in failed:
+        place = f"{job.script} {job.at} {job.policy} seed {job.seed}"
+        click.echo(f"failed: {place}: {reason}", err=True)
     if not outcomes:
         raise SystemExit(1)
-    table = e.together(folder, outcomes, "results")
-    shown = folder / "report.html"
-    shown.write_text(page(made, outcomes))
-    (folder / "plots").mkdir(exist_ok=True)
-    for title, drawn in plots(made, outcomes).items():
-        (folder / "plots" / f"{title.lower().replace(' ', '-')}.svg").write_text(drawn[drawn.index("<svg") :])
-    for c in e.compare(outcomes, made.baseline):
-        interval = f"{c.difference:+.4f} ({c.low:+.4f} to {c.high:+.4f})"
-        click.echo(f"{c.script} {c.at} {c.policy:12} {c.mean:.4f}  {interval}")
-    click.echo(f"{table}, {shown}")
-    if failed or any(o.breaches for o in outcomes):
+    _write_results(chosen, outcomes, folder)
+    if failed or any(outcome.breaches for outcome in outcomes):
         raise SystemExit(1)
+
+
+def _add_policies(plan: Plan, commits: tuple[str, ...]) -> Plan:
+    """The plan, with the policies of these commits besides its own. Raises `ConfigError`."""
+    from martenlead.emulator.policies import find
+
+    policies = [f"module@{commit}" for commit in commits]
+    for policy in policies:
+        try:
+            find(policy)
+        except ValueError as error:
+            raise ConfigError(str(error)) from None
+    return msgspec.structs.replace(plan, policies=[*plan.policies, *policies])
+
+
+def _run_jobs(plan: Plan, jobs: list[Job], folder: Path, processes: int) -> list[tuple[Job, str]]:
+    """Runs the jobs that have no outcome yet; gives those that failed, with the reasons."""
+    from martenlead.emulator.experiment import do
+
+    with click.progressbar(length=len(jobs), label=plan.name) as bar:
+
+        def show_progress(done: int, _: object) -> None:
+            """Moves the bar to this number of jobs."""
+            bar.update(done - bar.pos)
+
+        return list(do(jobs, folder / "jobs", processes, show_progress))
+
+
+def _write_results(plan: Plan, outcomes: list[Outcome], folder: Path) -> None:
+    """Writes the table, the page and the plots, and prints the comparison."""
+    from martenlead.emulator.experiment import compare, together
+    from martenlead.emulator.page import page, plots
+
+    table = together(folder, outcomes, "results")
+    report = folder / "report.html"
+    report.write_text(page(plan, outcomes))
+    (folder / "plots").mkdir(exist_ok=True)
+    for title, drawn in plots(plan, outcomes).items():
+        path = folder / "plots" / f"{title.lower().replace(' ', '-')}.svg"
+        path.write_text(drawn[drawn.index("<svg") :])
+    for one in compare(outcomes, plan.baseline):
+        interval = f"{one.difference:+.4f} ({one.low:+.4f} to {one.high:+.4f})"
+        click.echo(f"{one.script} {one.at} {one.policy:12} {one.mean:.4f}  {interval}")
+    click.echo(f"{table}, {report}")
--- a/martenlead/cli/limits.py
+++ b/martenlead/cli/limits.py
@@ -1,6 +1,9 @@
+"""`martenlead limits`: changes the limits of a running edge."""
+
 from __future__ import annotations
 
 import sys
+from http import HTTPStatus
 from pathlib import Path
 
 import anyio
@@ -11,23 +14,31 @@
 from martenlead.events import http
 from martenlead.events.client import Exchange, Pool
 
+TIMEOUT_SECONDS = 5
+
 
 @click.command()
 @click.argument("port", type=click.IntRange(1, 65535))
 @click.argument("config", type=click.Path(path_type=Path))
 @click.option("--host", default="127.0.0.1", show_default=True)
 def limits(port: int, config: Path, host: str) -> None:
-    """Change the limits of a running edge's queues: PORT is its admin's, CONFIG Jsonnet with `waiting`,
-    `bytes` and `weights`. Exit 1, and nothing has changed, if they are wrong."""
-    body = msgspec.json.encode(evaluate(config))
-
-    async def put() -> Exchange:
-        with anyio.move_on_after(5):
-            return await Pool(host, port).exchange(http.request(b"PUT", b"/limits", b"edge", [], body))
-        raise click.ClickException(f"{host}:{port}: no answer in five seconds")
+    """Change the limits of a running edge's queues.
 
-    exchange = anyio.run(put)
+    PORT is its admin's, CONFIG Jsonnet with `waiting`, `bytes` and `weights`. Exit 1, and nothing
+    has changed, if they are wrong.
+    """
+    body = msgspec.json.encode(evaluate(config))
+    exchange = anyio.run(_put_limits, host, port, body)
     message = exchange.message
+    is_failed = message is None or message.status != HTTPStatus.OK
     text = message.body.decode() if message else exchange.detail or exchange.end.value
-    click.echo(text, err=message is None or message.status != 200)
-    sys.exit(message is None or message.status != 200)
+    click.echo(text, err=is_failed)
+    sys.exit(is_failed)
+
+
+async def _put_limits(host: str, port: int, body: bytes) -> Exchange:
+    with anyio.move_on_after(TIMEOUT_SECONDS):
+        request = http.request(b"PUT", b"/limits", b"edge", [], body)
+        return await Pool(host, port).exchange(request)
+    error = f"{host}:{port}: no answer in five seconds"
+    raise click.ClickException(error)
--- a/martenlead/cli/main.py
+++ b/martenlead/cli/main.py
@@ -7,7 +7,7 @@
 import click
 
 from martenlead.cli.call import call
-from martenlead.cli.capture import capture, replay_command
+from martenlead.cli.capture import capture
 from martenlead.cli.config import config
 from martenlead.cli.day import day
 from martenlead.cli.edge import edge
@@ -16,6 +16,7 @@
 from martenlead.cli.layers import layers
 from martenlead.cli.limits import limits
 from martenlead.cli.plan import plan
+from martenlead.cli.replay import replay_command
 from martenlead.cli.standin import standin
 from martenlead.cli.state import state
 from martenlead.cli.status import status
@@ -26,10 +27,10 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="martenlead")
 def commands() -> None:
-    """A gateway that runs tasks on runners which load models on demand."""
+    """A gateway that runs requests on workers, which load functions on demand."""
 
 
-ALL = (
+SUB_COMMANDS = (
     edge,
     plan,
     status,
@@ -46,11 +47,12 @@
     capture,
     layers,
 )
-for command in ALL:
+for command in SUB_COMMANDS:
     commands.add_command(command)
 
 
 def main() -> None:
+    """Runs a sub-command; exits 2 with one line for a wrong configuration."""
     try:
         commands()
     except ConfigError as error:
--- a/martenlead/cli/plan.py
+++ b/martenlead/cli/plan.py
@@ -1,3 +1,5 @@
+"""`martenlead plan`: runs a planner."""
+
 from __future__ import annotations
 
 import sys
@@ -6,6 +8,7 @@
 import anyio
 import click
 
+from martenlead.cli.output import print_ready
 from martenlead.config.load import load
 from martenlead.planner.server import PlannerSettings, serve
 
@@ -13,14 +16,10 @@
 @click.command()
 @click.argument("config", type=click.Path(path_type=Path))
 def plan(config: Path) -> None:
-    """Run a planner. Its port is told as JSON on standard output; SIGTERM ends it."""
-
-    def started(port: int) -> None:
-        click.echo(f'{{"ready": {{"port": {port}}}}}')
-
+    """Run a planner. It prints its port as JSON on standard output; SIGTERM ends it."""
     settings = load(config, PlannerSettings)
     try:
-        anyio.run(serve, settings, started, backend_options={"use_uvloop": True})
+        anyio.run(serve, settings, print_ready, backend_options={"use_uvloop": True})
     except* OSError as errors:
         click.echo(f"{config}: $.listen: {errors.exceptions[0]}", err=True)
         sys.exit(1)
--- a/martenlead/cli/standin.py
+++ b/martenlead/cli/standin.py
@@ -1,3 +1,5 @@
+"""`martenlead standin`: runs one stand-in of what surrounds an edge."""
+
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
@@ -10,6 +12,7 @@
 from martenlead.config.load import load
 from martenlead.standins import client, depot, roster, runner, settings, vault
 
+# by kind: its settings, and the function that runs it; `Any`, as it takes no other settings
 KINDS: dict[str, tuple[type[Any], Callable[[Any], Awaitable[None]]]] = {
     "runner": (settings.Host, runner.run),
     "roster": (settings.RosterPart, roster.run),
@@ -24,5 +27,5 @@
 @click.argument("config", type=click.Path(path_type=Path))
 def standin(kind: str, config: Path) -> None:
     """Run one stand-in by itself."""
-    kinds, play = KINDS[kind]
-    anyio.run(play, load(config, kinds), backend_options={"use_uvloop": True})
+    settings_type, run = KINDS[kind]
+    anyio.run(run, load(config, settings_type), backend_options={"use_uvloop": True})
--- a/martenlead/cli/state.py
+++ b/martenlead/cli/state.py
@@ -1,107 +1,168 @@
+"""`martenlead state`: shows, checks and prunes the durable state of dispatchers."""
+
+# ruff: noqa: PLC0415 - the state store is imported only where a folder is read
+
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import click
-import msgspec
 
+from martenlead.cli.output import print_json
 from martenlead.config.load import ConfigError
 
 if TYPE_CHECKING:
     from martenlead.durable_state.store import StoredState
 
-FOLDER = click.Path(path_type=Path)
+SET_ASIDE_SUFFIX, TEMPORARY_SUFFIX = ".aside", ".part"
+SET_ASIDE, UNREADABLE, COMPLETE = "set aside", "unreadable", "whole"  # as operators see them
+NS_PER_SECOND = 1e9
+MAX_STATE_BYTES = 1 << 30
+
+folder_argument = click.argument("folder", type=click.Path(path_type=Path))
+deployment_option = click.option("--deployment", default="martenlead", help="as in the settings")
+
+
+@dataclass(frozen=True, kw_only=True)
+class StateFile:
+    """What one file of a state folder holds; `contents` depends on the kind of state."""
+
+    file: str
+    state: str
+    size_bytes: int | None = None
+    reason: str | None = None
+    generation: int | None = None
+    version: int | None = None
+    age_seconds: float | None = None
+    contents: dict[str, object] = field(default_factory=dict)
+
+    def to_json_object(self) -> dict[str, object]:
+        """By the keys that operators see, without what is not known."""
+        fields: dict[str, object | None] = {
+            "file": self.file,
+            "bytes": self.size_bytes,
+            "state": self.state,
+            "why": self.reason,
+            "generation": self.generation,
+            "version": self.version,
+            "age_s": self.age_seconds,
+        }
+        known = {name: value for name, value in fields.items() if value is not None}
+        return {**known, **self.contents}
 
 
 @click.group()
 def state() -> None:
-    """What dispatchers keep over their lives, in a folder."""
+    """What dispatchers keep over their incarnations, in a folder."""
+
+
+def _read_folder(folder: Path, deployment: str) -> list[StateFile]:
+    """Every state file below a folder; reads only, and takes no lock. Raises `ConfigError`."""
+    from martenlead.durable_state.store import STATE_FILE_NAME
+
+    _check_folder(folder)
+    found: list[StateFile] = []
+    for path in sorted(folder.rglob("*")):
+        match = STATE_FILE_NAME.match(path.name)
+        if path.name.endswith(SET_ASIDE_SUFFIX):
+            found.append(StateFile(file=str(path.relative_to(folder)), state=SET_ASIDE))
+        if match:
+            found.append(_read_file(path, str(path.relative_to(folder)), match[1], deployment))
+    return found
+
+
+def _check_folder(folder: Path) -> None:
+    if not folder.is_dir():
+        error = f"{folder}: no such folder"
+        raise ConfigError(error)
 
 
-def _read(folder: Path, deployment: str) -> list[dict[str, Any]]:
-    """Every state file below a folder; reads only, and holds no lock."""
+def _read_file(path: Path, name: str, kind: str, deployment: str) -> StateFile:
+    """Reads a file as it was written, of whatever version: nothing is migrated."""
     from martenlead.durable_state.store import (
         EPOCHS_KIND,
-        STATE_FILE_NAME,
         StateKind,
         UnreadableStateError,
         read_version,
         unpack_state,
     )
 
-    if not folder.is_dir():
-        raise ConfigError(f"{folder}: no such folder")
-    found: list[dict[str, Any]] = []
-    for path in sorted(folder.rglob("*")):
-        match = STATE_FILE_NAME.match(path.name)
-        if path.name.endswith(".aside"):
-            found.append({"file": str(path.relative_to(folder)), "state": "set aside"})
-        if not match:
-            continue
-        about: dict[str, Any] = {"file": str(path.relative_to(folder)), "bytes": path.stat().st_size}
-        try:
-            data = path.read_bytes()
-            # as it was written, of whatever version: nothing is migrated to be looked at
-            told = unpack_state(data, StateKind(match[1], read_version(data)), deployment, 1 << 30)
-        except (UnreadableStateError, OSError) as error:
-            found.append({**about, "state": "unreadable", "why": str(error)})
-            continue
-        about |= {"state": "whole", "generation": told.generation, "version": told.version}
-        about["age_s"] = round(_age(told) / 1e9, 1)
-        if match[1] == EPOCHS_KIND:
-            about["epoch"] = told.value
-        elif isinstance(told.value, dict):
-            about |= {
-                name: len(value) if isinstance(value, list) else value for name, value in told.value.items()
-            }
-        found.append(about)
-    return found
+    size_bytes = path.stat().st_size
+    try:
+        data = path.read_bytes()
+        kind_as_written = StateKind(kind, read_version(data))
+        stored = unpack_state(data, kind_as_written, deployment, MAX_STATE_BYTES)
+    except (UnreadableStateError, OSError) as error:
+        return StateFile(file=name, size_bytes=size_bytes, state=UNREADABLE, reason=str(error))
+    return StateFile(
+        file=name,
+        size_bytes=size_bytes,
+        state=COMPLETE,
+        generation=stored.generation,
+        version=stored.version,
+        age_seconds=round(_age(stored) / NS_PER_SECOND, 1),
+        contents=_summarize(stored.value, is_epoch=kind == EPOCHS_KIND),
+    )
+
 
+def _summarize(value: object, *, is_epoch: bool) -> dict[str, object]:
+    """The fields of a state, with the lengths of its lists."""
+    if is_epoch:
+        return {"epoch": value}
+    if not isinstance(value, dict):
+        return {}
+    return {name: len(part) if isinstance(part, list) else part for name, part in value.items()}
 
-def _age(told: StoredState) -> int:
-    """Since a state was saved, ns: by the boot clock where it holds one of this start of the machine."""
+
+def _age(stored: StoredState) -> int:
+    """The time since a state was saved, ns.
+
+    By the boot clock where the state has a time of this start of the machine.
+    """
     from martenlead.system import clocks
 
-    value = told.value if isinstance(told.value, dict) else {}
+    value = stored.value if isinstance(stored.value, dict) else {}
     boot, uptime = value.get("boot"), value.get("at")
     if not isinstance(boot, str) or not isinstance(uptime, int):
         boot, uptime = "", 0
-    return clocks.passed(clocks.Moment(told.saved_ns, boot, uptime), clocks.moment())
-
-
-def _json(told: Any) -> None:
-    click.echo(msgspec.json.format(msgspec.json.encode(told)))
+    return clocks.passed(clocks.Moment(stored.saved_ns, boot, uptime), clocks.moment())
 
 
 @state.command()
-@click.argument("folder", type=FOLDER)
-@click.option("--deployment", default="martenlead", help="as in the settings")
+@folder_argument
+@deployment_option
 def show(folder: Path, deployment: str) -> None:
     """What is kept: files, ages, and how much of each."""
-    _json(_read(folder, deployment))
+    print_json([found.to_json_object() for found in _read_folder(folder, deployment)])
 
 
 @state.command()
-@click.argument("folder", type=FOLDER)
-@click.option("--deployment", default="martenlead", help="as in the settings")
+@folder_argument
+@deployment_option
 def check(folder: Path, deployment: str) -> None:
     """Exit 1 if a state cannot be read."""
-    bad = [one for one in _read(folder, deployment) if one["state"] == "unreadable"]
-    for one in bad:
-        click.echo(f"{one['file']}: {one['why']}", err=True)
-    raise SystemExit(1 if bad else 0)
+    files = _read_folder(folder, deployment)
+    unreadable = [found for found in files if found.state == UNREADABLE]
+    for found in unreadable:
+        click.echo(f"{found.file}: {found.reason}", err=True)
+    raise SystemExit(1 if unreadable else 0)
 
 
 @state.command()
-@click.argument("folder", type=FOLDER)
+@folder_argument
 def prune(folder: Path) -> None:
-    """Remove what was set aside, and what is left of writes that were cut short."""
-    if not folder.is_dir():
-        raise ConfigError(f"{folder}: no such folder")
-    for path in sorted([*folder.rglob("*.aside"), *folder.rglob("*.part")]):
+    """Remove what was set aside, and what is left of interrupted writes."""
+    _check_folder(folder)
+    set_aside, temporary = (
+        folder.rglob(f"*{SET_ASIDE_SUFFIX}"),
+        folder.rglob(f"*{TEMPORARY_SUFFIX}"),
+    )
+    for path in sorted([*set_aside, *temporary]):
         try:
             path.unlink()
         except OSError as error:
-            raise ConfigError(f"{path}: {error.strerror or error}") from None
+            message = f"{path}: {error.strerror or error}"
+            raise ConfigError(message) from None
         click.echo(str(path))
--- a/martenlead/cli/trace.py
+++ b/martenlead/cli/trace.py
@@ -1,179 +1,249 @@
+"""`martenlead trace`: public cluster traces, inspected, converted and played."""
+
+# ruff: noqa: PLC0415 - reading Parquet and the emulator are slow to import; only these commands need them
+
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass, field
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, NamedTuple, TypedDict, TypeVar, Unpack
 
 import click
 import msgspec
 
+from martenlead.cli.output import print_json
 from martenlead.config.load import ConfigError, decode, evaluate
 
 if TYPE_CHECKING:
+    from martenlead.days.script import Day
+    from martenlead.emulator.tally import Latencies
+    from martenlead.traces.problems import Problems
     from martenlead.traces.schemas import Invocation
 
 KINDS = ["minutes", "invocations", "tasks"]
-FILE = click.Path(path_type=Path)
+NS_PER_SECOND = 1e9
+NS_PER_MINUTE = 60_000_000_000
+NEVER_NS = 1 << 62
+TOP_FUNCTIONS = 10
+QUANTILES = (0.1, 0.5, 0.9, 0.99)
+
+file_type = click.Path(path_type=Path)
+Command = TypeVar("Command", bound=Callable[..., None])
+
+
+class ReadOptions(TypedDict):
+    """How a trace is read: the options that `reading_options` adds."""
+
+    schema: str | None
+    durations: Path | None
+    memory: Path | None
+    day: int
+    seed: int
+    bad: float
+
+
+class MappingOptions(TypedDict):
+    """Options that replace a field of the mapping."""
+
+    from_s: float | None
+    until_s: float | None
+    speed: float | None
+    sample: float | None
+
+
+class TraceReading(NamedTuple):
+    """A trace that is being read, and what was wrong with it so far."""
+
+    schema: str
+    invocations: Iterator[Invocation]
+    problems: Problems
 
 
 @click.group()
 def trace() -> None:
-    """Public cluster traces in CSV: looked at, converted, and played."""
-
-
-def of_reading(command: Any) -> Any:
-    for option in reversed(
-        [
-            click.option(
-                "--schema", type=click.Choice(["minutes", "invocations", "tasks"]), help="else guessed"
-            ),
-            click.option("--durations", type=FILE, help="beside a `minutes` file: its functions' durations"),
-            click.option("--memory", type=FILE, help="beside a `minutes` file: its applications' memory"),
-            click.option("--day", type=click.IntRange(0), default=0, help="which day a `minutes` file is"),
-            click.option("--seed", default=1, help="of what a `minutes` file leaves open"),
-            click.option("--bad", type=click.FloatRange(0, 1), default=0.05, help="share that may be"),
-        ]
-    ):
+    """Public cluster traces in CSV: inspected, converted, and played."""
+
+
+def reading_options(command: Command) -> Command:
+    """Adds the options of `ReadOptions` to a command."""
+    options = [
+        click.option("--schema", type=click.Choice(KINDS), help="else guessed"),
+        click.option(
+            "--durations",
+            type=file_type,
+            help="beside a `minutes` file: its functions' durations",
+        ),
+        click.option(
+            "--memory", type=file_type, help="beside a `minutes` file: its applications' memory"
+        ),
+        click.option(
+            "--day", type=click.IntRange(0), default=0, help="which day a `minutes` file is"
+        ),
+        click.option("--seed", default=1, help="of what a `minutes` file leaves open"),
+        click.option("--bad", type=click.FloatRange(0, 1), default=0.05, help="share that may be"),
+    ]
+    for option in reversed(options):
         command = option(command)
     return command
 
 
-def _read(
-    file: Path,
-    schema: str | None,
-    durations: Path | None,
-    memory: Path | None,
-    day: int,
-    seed: int,
-    bad: float,
-) -> tuple[str, Iterator[Invocation], Any]:
+def _open(file: Path, options: ReadOptions) -> TraceReading:
+    """Begins to read a trace. Raises `BadTrace`."""
     from martenlead.traces import schemas, store
     from martenlead.traces.problems import Problems
 
-    problems = Problems(bad)
+    problems = Problems(options["bad"])
     if file.suffix == ".parquet":
-        return "converted", store.read(file), problems
-    found = schema or schemas.guess(file)
-    options = schemas.Options(durations=durations, memory=memory, day=day, seed=seed)
-    return found, schemas.SCHEMAS[found](file, options, problems), problems
+        return TraceReading("converted", store.read(file), problems)
+    schema = options["schema"] or schemas.guess(file)
+    own = schemas.Options(
+        durations=options["durations"],
+        memory=options["memory"],
+        day=options["day"],
+        seed=options["seed"],
+    )
+    return TraceReading(schema, schemas.SCHEMAS[schema](file, own, problems), problems)
+
 
+@dataclass
+class TraceSummary:
+    """What a trace contains; times are ns."""
 
-def _json(told: Any) -> None:
-    click.echo(msgspec.json.format(msgspec.json.encode(told)))
+    durations: Latencies
+    functions: Counter[str] = field(default_factory=Counter)
+    owners: set[str] = field(default_factory=set)
+    by_minute: Counter[int] = field(default_factory=Counter)
+    first_ns: int = NEVER_NS
+    last_ns: int = 0
+
+    def add(self, invocation: Invocation) -> None:
+        """Counts one invocation."""
+        self.functions[invocation.function] += 1
+        self.owners.add(invocation.owner)
+        self.by_minute[invocation.at // NS_PER_MINUTE] += 1
+        self.durations.add(invocation.took)
+        self.first_ns = min(self.first_ns, invocation.at)
+        self.last_ns = max(self.last_ns, invocation.at)
+
+    def to_json_object(self) -> dict[str, object]:
+        """By the keys that `inspect` prints."""
+        total = self.functions.total()
+        span_seconds = max(1.0, (self.last_ns - self.first_ns) / NS_PER_SECOND)
+        top = sum(count for _, count in self.functions.most_common(TOP_FUNCTIONS))
+        quantiles = {f"p{q * 100:g}": self.durations.quantile_ms(q) for q in QUANTILES}
+        return {
+            "invocations": total,
+            "functions": len(self.functions),
+            "owners": len(self.owners),
+            "from_s": self.first_ns / NS_PER_SECOND if total else None,
+            "until_s": self.last_ns / NS_PER_SECOND if total else None,
+            "a_second": round(total / span_seconds, 3) if total else 0,
+            "busiest_minute": self._busiest_minute(),
+            "called_once": sum(count == 1 for count in self.functions.values()),
+            "share_of_the_top_ten": round(top / max(1, total), 4),
+            "took_ms": quantiles,
+        }
+
+    def _busiest_minute(self) -> dict[str, int] | None:
+        for minute, count in self.by_minute.most_common(1):
+            return {"minute": minute, "invocations": count}
+        return None
 
 
 @trace.command()
-@click.argument("file", type=FILE)
-@of_reading
-def inspect(file: Path, **how: Any) -> None:
-    """What is in a trace: its span, its functions, how skewed they are, and what is wrong with it."""
+@click.argument("file", type=file_type)
+@reading_options
+def inspect(file: Path, **options: Unpack[ReadOptions]) -> None:
+    """What is in a trace: its span, its functions, how skewed they are, and what is wrong."""
     from martenlead.emulator.tally import Latencies
     from martenlead.traces.problems import BadTrace
 
+    summary = TraceSummary(Latencies())
     try:
-        schema, found, problems = _read(file, **how)
-        functions: Counter[str] = Counter()
-        owners: set[str] = set()
-        by_minute: Counter[int] = Counter()
-        took = Latencies()
-        first, last = 1 << 62, 0
-        for one in found:
-            functions[one.function] += 1
-            owners.add(one.owner)
-            by_minute[one.at // 60_000_000_000] += 1
-            took.add(one.took)
-            first, last = min(first, one.at), max(last, one.at)
-        problems.check()
+        reading = _open(file, options)
+        for invocation in reading.invocations:
+            summary.add(invocation)
+        reading.problems.check()
     except BadTrace as error:
         raise ConfigError(str(error)) from None
-    total = functions.total()
-    busiest = by_minute.most_common(1)
-    _json(
-        {
-            "schema": schema,
-            "invocations": total,
-            "functions": len(functions),
-            "owners": len(owners),
-            "from_s": first / 1e9 if total else None,
-            "until_s": last / 1e9 if total else None,
-            "a_second": round(total / max(1.0, (last - first) / 1e9), 3) if total else 0,
-            "busiest_minute": {"minute": busiest[0][0], "invocations": busiest[0][1]} if busiest else None,
-            "called_once": sum(n == 1 for n in functions.values()),
-            "share_of_the_top_ten": round(sum(n for _, n in functions.most_common(10)) / max(1, total), 4),
-            "took_ms": {f"p{q * 100:g}": took.quantile_ms(q) for q in (0.1, 0.5, 0.9, 0.99)},
-            "problems": problems.told(),
-        }
-    )
+    problems = reading.problems.told()
+    print_json({"schema": reading.schema, **summary.to_json_object(), "problems": problems})
 
 
 @trace.command()
-@click.argument("file", type=FILE)
-@click.argument("out", type=FILE)
-@of_reading
-def convert(file: Path, out: Path, **how: Any) -> None:
-    """Sort a trace by time into a Parquet file, which the emulator and the stand-in clients read."""
+@click.argument("file", type=file_type)
+@click.argument("target", metavar="OUT", type=file_type)
+@reading_options
+def convert(file: Path, target: Path, **options: Unpack[ReadOptions]) -> None:
+    """Sort a trace by time into a Parquet file, for the emulator and the stand-in clients."""
     from martenlead.traces import store
     from martenlead.traces.problems import BadTrace
 
     try:
-        schema, found, problems = _read(file, **how)
-
-        def whole() -> Iterator[Invocation]:
-            yield from found
-            problems.check()  # before the file takes its place
-
-        told = store.write(out, whole())
+        reading = _open(file, options)
+        written = store.write(target, _read_checked(reading))
     except (BadTrace, OSError) as error:
         raise ConfigError(str(error)) from None
-    _json({"schema": schema, **told, "problems": problems.told()})
+    print_json({"schema": reading.schema, **written, "problems": reading.problems.told()})
+
+
+def _read_checked(reading: TraceReading) -> Iterator[Invocation]:
+    """All invocations; raises `BadTrace` at their end, before the file is put in its place."""
+    yield from reading.invocations
+    reading.problems.check()
 
 
 @trace.command()
-@click.argument("file", type=FILE)
-@click.argument("script", type=FILE)
-@click.option("--on", type=click.Choice(["virtual", "sockets"]), default="virtual", help="where it is played")
-@click.option("--map", "mapping", type=FILE, help="settings of the mapping; else the script's")
-@click.option("--from", "from_s", type=float, help="s of the trace's time; in place of the mapping's")
+@click.argument("file", type=file_type)
+@click.argument("script", type=file_type)
+@click.option(
+    "--on",
+    "clock",
+    type=click.Choice(["virtual", "sockets"]),
+    default="virtual",
+    help="where it is played",
+)
+@click.option("--map", "mapping", type=file_type, help="settings of the mapping; else the script's")
+@click.option(
+    "--from", "from_s", type=float, help="s of the trace's time; in place of the mapping's"
+)
 @click.option("--until", "until_s", type=float)
-@click.option("--speed", type=click.FloatRange(0, min_open=True), help="60 plays an hour in a minute")
+@click.option(
+    "--speed", type=click.FloatRange(0, min_open=True), help="60 plays an hour in a minute"
+)
 @click.option("--sample", type=click.FloatRange(0, 1, min_open=True), help="share of the functions")
-@click.option("--seconds", type=click.FloatRange(0, min_open=True), help="of the day; else the script's")
+@click.option(
+    "--seconds", type=click.FloatRange(0, min_open=True), help="of the day; else the script's"
+)
 @click.option("--seed", type=int, help="in place of the script's")
 @click.option("--policy", default="module", help="virtual time only: who decides")
 @click.option("--audit/--no-audit", default=True, help="virtual time only: check the rules")
-@click.option("--report", "report_file", type=FILE, help="take the report as JSON")
+@click.option("--report", "report_file", type=file_type, help="take the report as JSON")
 def run(
     file: Path,
     script: Path,
-    on: str,
+    clock: str,
     mapping: Path | None,
     seconds: float | None,
     seed: int | None,
     policy: str,
     audit: bool,
     report_file: Path | None,
-    **changed: Any,
+    **changes: Unpack[MappingOptions],
 ) -> None:
     """Play a converted trace against a script's fleet. Exit 0 only if every rule was kept."""
     from martenlead.cli.day import run_on_sockets
     from martenlead.cli.emulate import run_emulated
-    from martenlead.days.script import Day
-    from martenlead.standins.settings import Mapping
     from martenlead.traces.problems import BadTrace
     from martenlead.traces.store import read
 
-    replace = msgspec.structs.replace
-    day = decode(evaluate(script), Day, str(script))
-    told = day.clients.mapping
-    if mapping is not None:
-        told = decode(evaluate(mapping), Mapping, str(mapping))
-    told = replace(told, **{name: value for name, value in changed.items() if value is not None})
-    clients = replace(day.clients, trace=str(file.resolve()), mapping=told)
-    day = replace(day, clients=clients, seconds=seconds or day.seconds)
+    day = _make_day(file, script, mapping, changes)
+    day = msgspec.structs.replace(day, seconds=seconds or day.seconds)
     try:
-        next(read(file), None)  # what is no trace is told here, and not by a process that does not start
-        if on == "virtual":
+        next(read(file), None)  # reports a file that is no trace here, not in a child process
+        if clock == "virtual":
             run_emulated(day, str(script), seed, policy, audit, report_file)
         else:
             run_on_sockets(day, str(script), seed, report_file)
@@ -181,8 +251,24 @@
         raise ConfigError(str(error)) from None
 
 
+def _make_day(file: Path, script: Path, mapping_file: Path | None, changes: MappingOptions) -> Day:
+    """The script's day, with the trace in place of its clients' own requests."""
+    from martenlead.days.script import Day
+    from martenlead.standins.settings import Mapping
+
+    replace = msgspec.structs.replace
+    day = decode(evaluate(script), Day, str(script))
+    mapping = day.clients.mapping
+    if mapping_file is not None:
+        mapping = decode(evaluate(mapping_file), Mapping, str(mapping_file))
+    given = {name: value for name, value in changes.items() if value is not None}
+    mapping = replace(mapping, **given)
+    clients = replace(day.clients, trace=str(file.resolve()), mapping=mapping)
+    return replace(day, clients=clients)
+
+
 @trace.command()
-@click.argument("folder", type=FILE)
+@click.argument("folder", type=file_type)
 @click.option("--seed", default=1)
 def sample(folder: Path, seed: int) -> None:
     """Write small traces of the project's own, in each schema."""
@@ -192,4 +278,5 @@
         for path in make(folder, seed):
             click.echo(str(path))
     except OSError as error:
-        raise ConfigError(f"{folder}: {error.strerror or error}") from None
+        message = f"{folder}: {error.strerror or error}"
+        raise ConfigError(message) from None
--- a/martenlead/planner/server.py
+++ b/martenlead/planner/server.py
@@ -48,16 +48,14 @@
 
 
 class PlannerSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """The planner's settings. What loads an edge's functions may cost is set at the edge.
-
-    `admin` serves GET /state. `state_path` is the file of retained replicas. More than `edge_limit`
-    edges are refused.
-    """
+    """Times are ms. What an edge's loads may cost is set at the edge, and not here."""
 
     name: Annotated[str, Meta(min_length=1, max_length=200)] = "planner"
     listen: ListenAddress = ListenAddress()
-    admin: ListenAddress | None = None
+    admin: ListenAddress | None = None  # GET /state
+    # the file of retained replicas, for edges and planners that start anew
     state_path: str | None = msgspec.field(default=None, name="kept")
+    # beyond: refused
     edge_limit: Annotated[int, Meta(ge=1, le=10_000)] = msgspec.field(default=256, name="edges")
     heartbeat_ms: Positive = msgspec.field(default=200, name="beat_ms")
     highest_version: Annotated[int, Meta(ge=1, le=2)] = msgspec.field(
