--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -56,7 +56,7 @@
     pair = Pair(runners=20)
     spent = 0.0
     planner = pair.planner
-    for name in ("received", "poll"):
+    for name in ("receive_message", "poll"):
         inner = getattr(planner, name)
 
         def timed(*args: Any, inner: Any = inner) -> Any:
--- a/martenlead/cli/config.py
+++ b/martenlead/cli/config.py
@@ -13,7 +13,7 @@
 from martenlead.days.script import Day
 from martenlead.layers.agent import AgentSettings
 from martenlead.layers.samples import Samples
-from martenlead.planner.server import PlannerSettings
+from martenlead.planner.settings import PlannerSettings
 
 KINDS: dict[str, type[msgspec.Struct]] = {
     "edge": EdgeSettings,
--- a/martenlead/cli/plan.py
+++ b/martenlead/cli/plan.py
@@ -1,5 +1,7 @@
 """`martenlead plan`: runs a planner."""
 
+# ruff: noqa: PLC0415 - no other sub-command needs the planner's server
+
 from __future__ import annotations
 
 import sys
@@ -10,13 +12,15 @@
 
 from martenlead.cli.output import print_ready
 from martenlead.config.load import load
-from martenlead.planner.server import PlannerSettings, serve
+from martenlead.planner.settings import PlannerSettings
 
 
 @click.command()
 @click.argument("config", type=click.Path(path_type=Path))
 def plan(config: Path) -> None:
     """Run a planner. It prints its port as JSON on standard output; SIGTERM ends it."""
+    from martenlead.planner.server import serve
+
     settings = load(config, PlannerSettings)
     try:
         anyio.run(serve, settings, print_ready, backend_options={"use_uvloop": True})
--- a/martenlead/cli/state.py
+++ b/martenlead/cli/state.py
@@ -4,11 +4,11 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import click
+import msgspec
 
 from martenlead.cli.output import print_json
 from martenlead.config.load import ConfigError
@@ -25,8 +25,7 @@
 deployment_option = click.option("--deployment", default="martenlead", help="as in the settings")
 
 
-@dataclass(frozen=True, kw_only=True)
-class StateFile:
+class StateFile(msgspec.Struct, frozen=True, kw_only=True):
     """What one file of a state folder holds; `contents` depends on the kind of state."""
 
     file: str
@@ -36,7 +35,7 @@
     generation: int | None = None
     version: int | None = None
     age_seconds: float | None = None
-    contents: dict[str, object] = field(default_factory=dict)
+    contents: dict[str, object] = msgspec.field(default_factory=dict)
 
     def to_json_object(self) -> dict[str, object]:
         """By the keys that operators see, without what is not known."""
--- a/martenlead/cli/trace.py
+++ b/martenlead/cli/trace.py
@@ -6,7 +6,6 @@
 
 from collections import Counter
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
 from pathlib import Path
 from typing import TYPE_CHECKING, NamedTuple, TypedDict, TypeVar, Unpack
 
@@ -107,16 +106,16 @@
     return TraceReading(schema, schemas.SCHEMAS[schema](file, own, problems), problems)
 
 
-@dataclass
 class TraceSummary:
-    """What a trace contains; times are ns."""
-
-    durations: Latencies
-    functions: Counter[str] = field(default_factory=Counter)
-    owners: set[str] = field(default_factory=set)
-    by_minute: Counter[int] = field(default_factory=Counter)
-    first_ns: int = NEVER_NS
-    last_ns: int = 0
+    """What a trace contains."""
+
+    def __init__(self, durations: Latencies) -> None:
+        self.durations = durations
+        self.functions: Counter[str] = Counter()
+        self.owners: set[str] = set()
+        self.by_minute: Counter[int] = Counter()
+        self.first_ns = NEVER_NS
+        self.last_ns = 0
 
     def add(self, invocation: Invocation) -> None:
         """Counts one invocation."""
--- a/martenlead/emulator/planned.py
+++ b/martenlead/emulator/planned.py
@@ -15,7 +15,8 @@
 from martenlead.planner.link import LinkProtocolError
 from martenlead.planner.planner_client import LEASE_CHECK_INTERVAL_NS, PlannerClient
 from martenlead.planner.planner_session import PlannerSession
-from martenlead.planner.server import REFRESH_INTERVAL_SECONDS, Planner, PlannerSettings
+from martenlead.planner.server import REFRESH_INTERVAL_SECONDS, Planner
+from martenlead.planner.settings import PlannerSettings
 from martenlead.system.clocks import Moment
 
 START_UP = 600_000_000  # ns that a planner's process takes until it listens
--- a/martenlead/planner/edge_session.py
+++ b/martenlead/planner/edge_session.py
@@ -4,7 +4,6 @@
 
 from collections import Counter, deque
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import StrEnum
 from typing import NamedTuple
 
@@ -56,12 +55,12 @@
     data: bytes
 
 
-@dataclass(slots=True)
 class Outbox:
     """Frames in the order of their sequence numbers, and their size."""
 
-    frames: deque[OutboxFrame]
-    size_bytes: int = 0
+    def __init__(self) -> None:
+        self.frames: deque[OutboxFrame] = deque()
+        self.size_bytes = 0
 
     def append(self, frame: OutboxFrame) -> None:
         """Adds the newest frame."""
@@ -112,7 +111,7 @@
         self._records_events = False
         self._needs_snapshot = False
         self._batch: list[ev.AnyEvent] = []
-        self._outbox = Outbox(deque())
+        self._outbox = Outbox()
         self._sent_sequence = 0  # of the last events that were sent on this connection
         self._control_frames: deque[bytes] = deque()
         self._functions: dict[int, ev.FunctionAdded] = {}
--- a/martenlead/planner/link.py
+++ b/martenlead/planner/link.py
@@ -18,7 +18,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
 from martenlead.planner import frames
 
@@ -31,8 +31,7 @@
     """The connection is of no further use; the text says why."""
 
 
-@dataclass(slots=True, frozen=True)
-class SessionLimits:
+class SessionLimits(msgspec.Struct, frozen=True):
     """The limits that an edge sets for its link."""
 
     lease_ns: int = 1500 * NS_PER_MS
--- a/martenlead/planner/policy_replica.py
+++ b/martenlead/planner/policy_replica.py
@@ -11,12 +11,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
 
 import msgspec
 
 from martenlead.capture import events as ev
-from martenlead.planner.frames import PlannedLoad, RetentionChange
+from martenlead.planner.frames import PlannedLoad, RetainedReplica, RetentionChange
+from martenlead.planner.link import NS_PER_MS
 from martenlead.planner.restored_policy import RestoredPolicy
 from martenlead.planner.snapshot import decode_snapshot
 from martenlead.policy.engine import Engine
@@ -38,15 +38,14 @@
     """
 
 
-@dataclass(slots=True)
-class PlannedChanges:
+class PlannedChanges(msgspec.Struct):
     """What was decided since the changes were taken last.
 
     If it is complete, `retained` names every replica that is retained.
     """
 
-    load_requests: list[PlannedLoad] = field(default_factory=list)
-    retained: list[RetentionChange] = field(default_factory=list)
+    load_requests: list[PlannedLoad] = msgspec.field(default_factory=list)
+    retained: list[RetentionChange] = msgspec.field(default_factory=list)
     is_complete: bool = False
 
     def __bool__(self) -> bool:
@@ -54,17 +53,6 @@
         return bool(self.load_requests or self.retained or self.is_complete)
 
 
-@dataclass(slots=True, frozen=True)
-class RetainedReplicaState:
-    """A retained replica, by the names of its worker and function."""
-
-    worker: str
-    function: str
-    lanes: int
-    memory_mb: float
-    idle_ns: int
-
-
 class PolicyReplica:
     """One edge's policy, replicated. Events that make no sense raise `OutOfSyncError`."""
 
@@ -123,18 +111,19 @@
         changes += [RetentionChange(*key, False) for key in sorted(before - now)]
         self._retained = (self._retained - before) | now
 
-    def list_retained(self) -> list[RetainedReplicaState]:
+    def list_retained(self) -> list[RetainedReplica]:
         """All replicas that are retained."""
         restored = self.restored
         found = []
         for worker_number, function_number in sorted(self._retained):
             worker, function = restored.workers[worker_number], restored.functions[function_number]
-            one = RetainedReplicaState(
+            idle_ns = self.policy.state.now_ns - function.replicas[worker].last_used_ns
+            one = RetainedReplica(
                 restored.names[worker],
                 restored.names[function],
                 function.facts.lanes,
                 function.facts.memory_mb,
-                self.policy.state.now_ns - function.replicas[worker].last_used_ns,
+                idle_ns / NS_PER_MS,
             )
             found.append(one)
         return found
--- a/martenlead/planner/server.py
+++ b/martenlead/planner/server.py
@@ -9,13 +9,11 @@
 from pathlib import Path
 from random import Random
 from time import monotonic_ns
-from typing import Annotated
 
 import anyio
 import msgspec
 import structlog
 from anyio.abc import SocketStream
-from msgspec import Meta
 
 from martenlead.events.http import Message
 from martenlead.events.problem import problem
@@ -25,6 +23,7 @@
 from martenlead.planner.link import NS_PER_MS, NS_PER_SECOND, LinkProtocolError
 from martenlead.planner.planner_session import PlannerSession
 from martenlead.planner.replica_store import ReplicaStore
+from martenlead.planner.settings import PlannerSettings
 from martenlead.planner.status import PlannerStatus
 from martenlead.system import clocks
 from martenlead.system.clocks import Moment
@@ -36,32 +35,6 @@
 MAX_UNSAVED_SECONDS = 5.0  # the idle times that are saved are wrong by this at most
 MIN_WAIT_SECONDS, MAX_WAIT_SECONDS = 0.001, 1.0  # of a link, between two polls
 
-Port = Annotated[int, Meta(ge=0, le=65535)]
-Positive = Annotated[float, Meta(gt=0)]
-
-
-class ListenAddress(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """An address to listen on; port 0 is any free one."""
-
-    host: str = "127.0.0.1"
-    port: Port = 0
-
-
-class PlannerSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """Times are ms. What an edge's loads may cost is set at the edge, and not here."""
-
-    name: Annotated[str, Meta(min_length=1, max_length=200)] = "planner"
-    listen: ListenAddress = ListenAddress()
-    admin: ListenAddress | None = None  # GET /state
-    # the file of retained replicas, for edges and planners that start anew
-    state_path: str | None = msgspec.field(default=None, name="kept")
-    # beyond: refused
-    edge_limit: Annotated[int, Meta(ge=1, le=10_000)] = msgspec.field(default=256, name="edges")
-    heartbeat_ms: Positive = msgspec.field(default=200, name="beat_ms")
-    highest_version: Annotated[int, Meta(ge=1, le=2)] = msgspec.field(
-        default=fr.HIGHEST_VERSION, name="speaks"
-    )
-
 
 class Planner:
     """A planner: its sessions with edges, and the store of what they retain."""
@@ -103,12 +76,7 @@
                 continue
             retained = session.policy_replica.list_retained()
             if retained or session.policy_replica.request_count:
-                replicas[edge] = [
-                    fr.RetainedReplica(
-                        one.worker, one.function, one.lanes, one.memory_mb, one.idle_ns / NS_PER_MS
-                    )
-                    for one in retained
-                ]
+                replicas[edge] = retained
         return self.store.update(replicas)
 
     async def _keep_saving(self) -> None:
--- a/martenlead/planner/snapshot.py
+++ b/martenlead/planner/snapshot.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
@@ -16,31 +16,31 @@
 NO_WORKER = NO_TENANT = -1  # in place of a number
 
 
-class TenantRecord(NamedTuple):
+class _Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    pass
+
+
+class TenantRecord(_Record, frozen=True):
     """A tenant and its allowed rate."""
 
     name: str
     rate_limit_per_second: float
 
 
-class TenantRequests(NamedTuple):
+class TenantRequests(_Record, frozen=True):
     """How many requests of a tenant were counted in the period; `tenant` is its number."""
 
     tenant: int
     requests: int
 
 
-class TenantRate(NamedTuple):
+class TenantRate(_Record, frozen=True):
     """How many requests a tenant sends; `tenant` is its number."""
 
     tenant: int
     requests_per_second: int | float
 
 
-class _Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    pass
-
-
 class WorkerRecord(_Record, frozen=True):
     """A worker."""
 
--- a/martenlead/planner/snapshot_fields.py
+++ b/martenlead/planner/snapshot_fields.py
@@ -16,6 +16,7 @@
 FieldValues = dict[str, Any]  # a field of another version may have any type; the reader checks it
 
 NUMBERS = (int, float, bool)
+LISTS = (list, deque)
 OMITTED_FIELDS = {"now_ns"}  # the reader sets it
 
 # fields whose name in a snapshot is another than in the policy; docs/protocol-plan.md
@@ -87,20 +88,19 @@
         if name in OMITTED_FIELDS:
             continue
         stored_name = names.get(name, name)
-        match value:
-            case int() | float():
-                packed[stored_name] = value
-            case LatencyHistogram():
-                packed[stored_name] = {
-                    "bins": value.bins,
-                    "total": value.total,
-                    "sum": value.sum_ns,
-                }
-            case list() | deque() if value and all(isinstance(v, NUMBERS) for v in value):
-                packed[stored_name] = list(value)
+        if isinstance(value, NUMBERS):
+            packed[stored_name] = value
+        elif isinstance(value, LatencyHistogram):
+            packed[stored_name] = _pack_histogram(value)
+        elif isinstance(value, LISTS) and value and all(isinstance(v, NUMBERS) for v in value):
+            packed[stored_name] = list(value)
     return packed
 
 
+def _pack_histogram(histogram: LatencyHistogram) -> FieldValues:
+    return {"bins": histogram.bins, "total": histogram.total, "sum": histogram.sum_ns}
+
+
 def unpack_fields(owner: object, packed: Mapping[str, object], names: Mapping[str, str]) -> None:
     """Sets the fields of an object from their packed values; ignores values that do not fit."""
     for name, current in list(vars(owner).items()):
@@ -110,22 +110,16 @@
 
 
 def _unpack_field(owner: object, name: str, current: object, value: object) -> None:
-    match current:
-        case LatencyHistogram():
-            _unpack_histogram(current, value)
-        case deque():
-            if isinstance(value, list):
-                current.clear()
-                current.extend(value)
-        case list():
-            if isinstance(value, list) and len(value) == len(current):
-                setattr(owner, name, list(value))
-        case bool():
-            if isinstance(value, NUMBERS):
-                setattr(owner, name, bool(value))
-        case int() | float():
-            if isinstance(value, NUMBERS):
-                setattr(owner, name, value)
+    if isinstance(current, NUMBERS):
+        if isinstance(value, NUMBERS):
+            setattr(owner, name, bool(value) if isinstance(current, bool) else value)
+    elif isinstance(current, LatencyHistogram):
+        _unpack_histogram(current, value)
+    elif isinstance(current, deque) and isinstance(value, list):
+        current.clear()
+        current.extend(value)
+    elif isinstance(current, list) and isinstance(value, list) and len(value) == len(current):
+        setattr(owner, name, list(value))
 
 
 def _unpack_histogram(histogram: LatencyHistogram, value: object) -> None:
--- a/martenlead/planner/snapshot_writer.py
+++ b/martenlead/planner/snapshot_writer.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
+
+import msgspec
 
 from martenlead.capture import events as ev
 from martenlead.planner.snapshot import (
@@ -33,8 +34,7 @@
 from martenlead.policy.types import Attempt, Request, Tenant
 
 
-@dataclass(slots=True, frozen=True)
-class ObjectNumbers:
+class ObjectNumbers(msgspec.Struct, frozen=True):
     """The numbers and names that the edge's events give to the policy's objects."""
 
     workers: Mapping[Worker, int]
--- a/support/planned.py
+++ b/support/planned.py
@@ -12,7 +12,8 @@
 from martenlead.config.load import decode
 from martenlead.events.server import listen
 from martenlead.planner.planner_client import PlannerClient
-from martenlead.planner.server import Planner, PlannerSettings
+from martenlead.planner.server import Planner
+from martenlead.planner.settings import PlannerSettings
 from support.fleet import OFFERINGS, Fleet, fleet
 
 RATION = {"ration": {"window_ms": 5000, "free": 20, "share": 0.5}}
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -34,7 +34,8 @@
 from martenlead.layers.naming import Release
 from martenlead.planner.frames import RetainedReplica
 from martenlead.planner.replica_store import SavedReplicas
-from martenlead.planner.server import Planner, PlannerSettings
+from martenlead.planner.server import Planner
+from martenlead.planner.settings import PlannerSettings
 from martenlead.system.clocks import Moment
 from martenlead.system.durable_file import Backoff, read_if_there, remove_leftovers, replace_file
 from martenlead.system.state_saver import SaveHealth, StateSaver
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -19,7 +19,8 @@
 from martenlead.planner import frames as fr
 from martenlead.planner.planner_client import PlannerClient
 from martenlead.planner.planner_session import PlannerSession
-from martenlead.planner.server import Planner, PlannerSettings
+from martenlead.planner.server import Planner
+from martenlead.planner.settings import PlannerSettings
 from support.fleet import fleet
 from support.planned import answered, planned, planner, until
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -30,7 +30,8 @@
 from martenlead.layers.cache import Cache
 from martenlead.layers.image import digest_of
 from martenlead.planner.frames import RetainedReplica
-from martenlead.planner.server import Planner, PlannerSettings
+from martenlead.planner.server import Planner
+from martenlead.planner.settings import PlannerSettings
 from martenlead.system import clocks
 from martenlead.system.durable_file import replace_file
 from martenlead.upstream import endpoints
