--- a/martenlead/cli/emulate.py
+++ b/martenlead/cli/emulate.py
@@ -5,6 +5,7 @@
 from __future__ import annotations
 
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 import msgspec
@@ -14,6 +15,10 @@
 from martenlead.days.report import kept, table
 from martenlead.days.script import Day
 
+if TYPE_CHECKING:
+    from martenlead.emulator.fleet import Fleet
+    from martenlead.emulator.job import Job, Outcome
+
 STEPS_PER_SECOND = 10  # of the progress bar
 
 
@@ -70,25 +75,12 @@
     Raises:
         ConfigError: the script cannot be played.
     """
-    from martenlead.emulator.job import Job, run
-
-    job = Job(
-        script=script,
-        day=day,
-        seed=day.seed if seed is None else seed,
-        policy=policy,
-        audit=audit,
-    )
-    steps = int(day.seconds * STEPS_PER_SECOND)
-    try:
-        with click.progressbar(length=steps, label=f"{day.name}, seed {job.seed}") as bar:
-
-            def show_progress(played_seconds: float) -> None:
-                """Moves the bar to this time of the day."""
-                position = min(bar.length or 0, int(played_seconds * STEPS_PER_SECOND))
-                bar.update(position - bar.pos)
+    from martenlead.emulator.job import Job
 
-            outcome, fleet = run(job, show_progress)
+    seed = day.seed if seed is None else seed
+    job = Job(script=script, day=day, seed=seed, policy=policy, audit=audit)
+    try:
+        outcome, fleet = _run_job(job)
     except ValueError as error:
         message = f"{script}: {error}"
         raise ConfigError(message) from None
@@ -103,3 +95,18 @@
     click.echo(f"{outcome.events} events; {speed}")
     if audit and not kept(report):
         raise SystemExit(1)
+
+
+def _run_job(job: Job) -> tuple[Outcome, Fleet]:
+    """Runs a job behind a progress bar. Raises ValueError for a script that cannot be played."""
+    from martenlead.emulator.job import run
+
+    steps = int(job.day.seconds * STEPS_PER_SECOND)
+    with click.progressbar(length=steps, label=f"{job.day.name}, seed {job.seed}") as bar:
+
+        def show_progress(played_seconds: float) -> None:
+            """Moves the bar to this time of the day."""
+            position = min(bar.length or 0, int(played_seconds * STEPS_PER_SECOND))
+            bar.update(position - bar.pos)
+
+        return run(job, show_progress)
--- a/support/pair.py
+++ b/support/pair.py
@@ -100,7 +100,7 @@
 
     # what a dispatcher does
 
-    def fault(self, error: Exception) -> None:
+    def record_fault(self, error: Exception) -> None:
         raise error
 
     def _run_due(self) -> None:
@@ -256,15 +256,15 @@
                 if getattr(runner, name) != getattr(other, name):
                     found.append(f"r{number}.{name}: {getattr(runner, name)}, {getattr(other, name)}")
         for model, number in self.side.recorder.function_numbers.items():
-            other = mirror.restored.functions.get(number)
-            if other is None:
+            function = mirror.restored.functions.get(number)
+            if function is None:
                 if model.replicas:
                     found.append(f"m{number} unknown")
                 continue
-            if model.requests != other.requests:
-                found.append(f"m{number}.tasks: {model.requests}, {other.requests}")
+            if model.requests != function.requests:
+                found.append(f"m{number}.tasks: {model.requests}, {function.requests}")
             for runner, copy in model.replicas.items():
-                there = other.replicas.get(mirror.restored.workers[self.side.recorder.worker_numbers[runner]])
+                there = function.replicas.get(mirror.restored.workers[self.side.recorder.worker_numbers[runner]])
                 where = f"m{number} at r{self.side.recorder.worker_numbers[runner]}"
                 if there is None:
                     found.append(f"{where} unknown")
