--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -29,7 +29,9 @@
 from martenlead.events.cloudevent import Event
 from martenlead.layers.cache import Cache
 from martenlead.layers.image import digest_of
-from martenlead.planner.server import Planner, PlannerSettings
+from martenlead.planner.frames import RetainedReplica
+from martenlead.planner.server import Planner
+from martenlead.planner.settings import PlannerSettings
 from martenlead.system import clocks
 from martenlead.system.durable_file import replace_file
 from martenlead.upstream import endpoints
@@ -167,9 +169,12 @@
     settings = PlannerSettings(state_path=str(path))
     mirror = SimpleNamespace(restored=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
     first = Planner(settings)
-    first.saved_replicas.replicas_by_edge["edge"] = [("a", "m", 1, 10.0, 500.0), ("b", "m", 1, 10.0, 9500.0)]
+    first.store.saved.replicas_by_edge["edge"] = [
+        RetainedReplica("a", "m", 1, 10.0, 500.0),
+        RetainedReplica("b", "m", 1, 10.0, 9500.0),
+    ]
     first.refresh_saved_replicas()
-    replace_file(path, endpoints.encode(first.saved_replicas))
+    replace_file(path, endpoints.encode(first.store.saved))
     machine.run(2 * SECOND)
     machine.step = step
     for planner in (first, Planner(settings)):
--- a/tests/test_wall_clock_contract.py
+++ b/tests/test_wall_clock_contract.py
@@ -32,6 +32,7 @@
     "upstream/endpoints.py make_cached_endpoints moment": "the time of writing, for people",
     "upstream/endpoints.py load_cached_endpoints moment": "its boot clock alone",
     "planner/server.py Planner.__init__ moment": "the time of saving, for another boot",
+    "planner/replica_store.py ReplicaStore.__init__ moment": "the same, handed on by the planner",
     "cli/state.py _age moment": "the age of a file from another boot of the machine, for people",
     "capture/writer.py CaptureWriter._new_run wall_ns": "a name for people; above all that are there",
     "capture/recorder.py CaptureRecorder.begin_run wall_ns": "when a capture began, for people",
