--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -240,7 +240,7 @@
                 "_closed",
             )
         },
-        "tape": {name: value for name, value in vars(replayer._tape).items() if name not in ("sink", "edge")},
+        "tape": replayer._tape.pack_state(),
         "start": msgspec.msgpack.encode(replayer.start),
     }
     with _without_replicas_of_workers(replayer.policy, replayer.runners):
@@ -282,8 +282,7 @@
     engine._count = state["count"]
     for name, value in state["replayer"].items():
         setattr(replayer, name, value)
-    for name, value in state["tape"].items():
-        setattr(replayer._tape, name, value)
+    replayer._tape.restore_state(state["tape"])
     replayer.start = msgspec.msgpack.decode(state["start"], type=RunStarted)
 
     def process(stub: Any) -> Process:
--- a/martenlead/capture/recorder.py
+++ b/martenlead/capture/recorder.py
@@ -1,6 +1,7 @@
-"""Writes down what crosses the border: numbers objects, and gives each call and decision to a sink.
+"""Turns the policy's notifications and decisions into the events that captures store.
 
-It is given what the module is given and asks nothing of it.
+Numbers stand for objects in stored events. The recorder gives them out in the order in which the
+objects come, and reads nothing of the policy's state.
 """
 
 from __future__ import annotations
@@ -30,26 +31,26 @@
     state,
     tenant_shares,
 )
+from martenlead.policy import boundary_events as boundary
+from martenlead.policy.state import Function, Worker
 from martenlead.policy.types import (
     Action,
     Attempt,
-    AttemptResult,
     Cancel,
-    EarlierRun,
+    EarlierFunction,
     Fail,
-    FunctionFacts,
     ListWorkers,
     LoadRequest,
     Reject,
     Request,
-    Result,
-    Settings,
+    RequestClass,
     Tenant,
-    WorkerFacts,
 )
 from martenlead.system.clocks import wall_ns
 
 PROGRAM_VERSION = "0.2.0"
+NS_PER_SECOND = 1e9
+NO_TENANT = -1  # in place of a tenant's number
 DECISION_MODULES = (
     attempts,
     candidates,
@@ -69,183 +70,297 @@
     tenant_shares,
 )
 
+# the recorder's state by the names that checkpoints store
+STORED_STATE = {
+    "_runners": "_worker_numbers",
+    "_models": "_function_numbers",
+    "_tasks": "_request_numbers",
+    "_orders": "_load_numbers",
+    "_offerings": "_request_class_numbers",
+    "_customers": "_tenant_numbers",
+    "_over": "_closed_requests",
+    "_count": "_request_count",
+    "_ordered": "_load_count",
+}
+
 
 def policy_hash() -> str:
-    """Of the text of all modules that decide."""
+    """The hash of the text of all modules that decide: equal ones decide the same."""
     source = "".join(inspect.getsource(module) for module in DECISION_MODULES)
     return hashlib.sha256(source.encode()).hexdigest()[:16]
 
 
 class CaptureRecorder:
+    """Numbers the objects of one run, and gives each stored event to a sink."""
+
     def __init__(self, sink: Callable[[ev.CaptureEvent], None], edge: str) -> None:
+        """`edge` is the dispatcher's name."""
         self.sink, self.edge = sink, edge
-        self._runners: dict[Any, int] = {}
-        self._models: dict[Any, int] = {}
-        self._tasks: dict[Request, int] = {}
-        self._orders: dict[LoadRequest, int] = {}
-        self._offerings: dict[Any, int] = {}
-        self._customers: dict[Any, int] = {}
-        self._over: set[Request] = set()  # closed, with hand-offs whose answers are still to come
-        self._count = self._ordered = 0
-
-    # -- inputs
-
-    def begin_run(
-        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Tenant]
-    ) -> None:
-        self._offerings = {o: n for n, o in enumerate(settings.request_classes)}
-        self._customers = {c: n for n, c in enumerate(customers.values())}
-        told = [(name, c.rate_limit_per_second) for name, c in customers.items()]
-        packed = ev.pack_settings(settings)
-        python = platform.python_version()
+        self._worker_numbers: dict[Worker, int] = {}
+        self._function_numbers: dict[Function, int] = {}
+        self._request_numbers: dict[Request, int] = {}
+        self._load_numbers: dict[LoadRequest, int] = {}
+        self._request_class_numbers: dict[RequestClass, int] = {}
+        self._tenant_numbers: dict[Tenant, int] = {}
+        self._closed_requests: set[Request] = set()  # with attempts that have no result yet
+        self._request_count = self._load_count = 0
+        # each method takes its own kind of event, so what the table's methods take is `Any`
+        self._record: dict[type[boundary.BoundaryEvent], Callable[[Any], None]] = {
+            boundary.RunStarted: self._record_start,
+            boundary.EngineStarted: self._record_engine_start,
+            boundary.TickChanged: self._record_tick,
+            boundary.WorkerAdded: self._record_worker,
+            boundary.FunctionAdded: self._record_function,
+            boundary.WorkersUpdated: self._record_worker_updates,
+            boundary.RequestAccepted: self._record_request,
+            boundary.AttemptEnded: self._record_attempt_end,
+            boundary.LoadEnded: self._record_load_end,
+            boundary.RequestClosed: self._record_request_end,
+            boundary.Advance: self._record_advance,
+            boundary.RetentionChanged: self._record_retention,
+            boundary.LoadPlanned: self._record_planned_load,
+            boundary.LoadRequestsAllowed: self._record_permission,
+            boundary.ReplicaConfirmed: self._record_confirmation,
+            boundary.WorkerChoiceRequested: self._record_worker_choice,
+            boundary.KnowledgeRestored: self._record_knowledge,
+        }
+
+    def record(self, event: boundary.BoundaryEvent) -> None:
+        """Stores one notification."""
+        self._record[type(event)](event)
+
+    # -- the numbers that stand for objects
+
+    @property
+    def worker_numbers(self) -> dict[Worker, int]:
+        """Of all workers."""
+        return self._worker_numbers
+
+    @property
+    def function_numbers(self) -> dict[Function, int]:
+        """Of all functions."""
+        return self._function_numbers
+
+    @property
+    def request_numbers(self) -> dict[Request, int]:
+        """Of all requests that are open, or have an attempt without a result."""
+        return self._request_numbers
+
+    @property
+    def tenant_numbers(self) -> dict[Tenant, int]:
+        """Of all tenants."""
+        return self._tenant_numbers
+
+    # -- its state in a checkpoint
+
+    def pack_state(self) -> dict[str, object]:
+        """All that it has numbered, by the names that checkpoints store."""
+        return {stored: getattr(self, name) for stored, name in STORED_STATE.items()}
+
+    def restore_state(self, state: dict[str, object]) -> None:
+        """Takes over what another recorder has numbered."""
+        for stored, value in state.items():
+            setattr(self, STORED_STATE[stored], value)
+
+    # -- notifications
+
+    def _record_start(self, event: boundary.RunStarted) -> None:
+        tenants = event.tenants
+        self._request_class_numbers = {c: n for n, c in enumerate(event.settings.request_classes)}
+        self._tenant_numbers = {tenant: n for n, tenant in enumerate(tenants.values())}
         self.sink(
             ev.RunStarted(
-                t,
-                wall_ns() / 1e9,
+                event.time_ns,
+                wall_ns() / NS_PER_SECOND,
                 self.edge,
                 policy_hash(),
                 PROGRAM_VERSION,
-                python,
-                seed,
-                packed,
-                names,
-                told,
+                platform.python_version(),
+                event.seed,
+                ev.pack_settings(event.settings),
+                event.request_class_names,
+                [(name, tenant.rate_limit_per_second) for name, tenant in tenants.items()],
             )
         )
 
-    def start_engine(self, t: int) -> None:
-        self.sink(ev.EngineStarted(t))
+    def _record_engine_start(self, event: boundary.EngineStarted) -> None:
+        self.sink(ev.EngineStarted(event.time_ns))
 
-    def set_tick(self, t: int, tick: int) -> None:
-        self.sink(ev.TickChanged(t, tick))
+    def _record_tick(self, event: boundary.TickChanged) -> None:
+        self.sink(ev.TickChanged(event.time_ns, event.tick_ns))
 
-    def add_worker(self, t: int, runner: Any, facts: WorkerFacts, name: str) -> None:
-        number = self._runners[runner] = len(self._runners)
-        self.sink(ev.WorkerAdded(t, number, name, ev.pack_facts(facts)))
+    def _record_worker(self, event: boundary.WorkerAdded) -> None:
+        number = self._worker_numbers[event.worker] = len(self._worker_numbers)
+        self.sink(ev.WorkerAdded(event.time_ns, number, event.name, ev.pack_facts(event.facts)))
 
-    def add_function(self, t: int, model: Any, facts: FunctionFacts, name: str) -> None:
-        number = self._models[model] = len(self._models)
-        self.sink(ev.FunctionAdded(t, number, name, f"{facts.mark:x}", facts.lanes, facts.memory_mb))
-
-    def update_workers(self, t: int, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
+    def _record_function(self, event: boundary.FunctionAdded) -> None:
+        number = self._function_numbers[event.function] = len(self._function_numbers)
+        facts = event.facts
         self.sink(
-            ev.WorkersUpdated(t, whole, [(self._runners[r], ev.pack_facts(facts)) for r, facts in news])
+            ev.FunctionAdded(
+                event.time_ns, number, event.name, f"{facts.mark:x}", facts.lanes, facts.memory_mb
+            )
         )
 
-    def accept_request(self, t: int, task: Request, name: str) -> None:
-        self._count += 1
-        number = self._tasks[task] = self._count
-        customer = -1 if task.tenant is None else self._customers[task.tenant]
-        model, offering = self._models[task.function], self._offerings[task.request_class]
+    def _record_worker_updates(self, event: boundary.WorkersUpdated) -> None:
+        updates = [
+            (self._worker_numbers[worker], ev.pack_facts(facts)) for worker, facts in event.updates
+        ]
+        self.sink(ev.WorkersUpdated(event.time_ns, event.is_complete, updates))
+
+    def _record_request(self, event: boundary.RequestAccepted) -> None:
+        request = event.request
+        self._request_count += 1
+        number = self._request_numbers[request] = self._request_count
         self.sink(
             ev.RequestAccepted(
-                t, number, name, model, offering, customer, task.deadline_ns, task.is_retry, task.cost
+                event.time_ns,
+                number,
+                event.name,
+                self._function_numbers[request.function],
+                self._request_class_numbers[request.request_class],
+                NO_TENANT if request.tenant is None else self._tenant_numbers[request.tenant],
+                request.deadline_ns,
+                request.is_retry,
+                request.cost,
             )
         )
 
-    def record_result(self, t: int, answer: AttemptResult) -> None:
-        task = answer.attempt.request
-        number = self._tasks[task]
-        at = task.attempts.index(answer.attempt)
-        result, warmth = answer.result.value, answer.warmth.value
-        self.sink(ev.AttemptEnded(t, number, at, result, answer.is_final, warmth, answer.latency_ns))
-        if task in self._over and sum(h.result is None for h in task.attempts) == 1:  # this one
-            self._over.discard(task)
-            del self._tasks[task]
-
-    def record_load_end(self, t: int, order: LoadRequest, result: Result, copies: int) -> None:
-        self.sink(ev.LoadEnded(t, self._orders.pop(order), result.value, copies))
-
-    def close_request(self, t: int, task: Request, final: str) -> None:
-        self.sink(ev.RequestClosed(t, self._tasks[task], final))
-        if any(h.result is None for h in task.attempts):
-            self._over.add(task)
+    def _record_attempt_end(self, event: boundary.AttemptEnded) -> None:
+        result = event.result
+        request = result.attempt.request
+        self.sink(
+            ev.AttemptEnded(
+                event.time_ns,
+                self._request_numbers[request],
+                request.attempts.index(result.attempt),
+                result.result.value,
+                result.is_final,
+                result.warmth.value,
+                result.latency_ns,
+            )
+        )
+        # the policy sets the result after this: the last one without a result has ended now
+        if (
+            request in self._closed_requests
+            and sum(a.result is None for a in request.attempts) == 1
+        ):
+            self._closed_requests.discard(request)
+            del self._request_numbers[request]
+
+    def _record_load_end(self, event: boundary.LoadEnded) -> None:
+        number = self._load_numbers.pop(event.load_request)
+        self.sink(ev.LoadEnded(event.time_ns, number, event.result.value, event.replicas))
+
+    def _record_request_end(self, event: boundary.RequestClosed) -> None:
+        request = event.request
+        self.sink(ev.RequestClosed(event.time_ns, self._request_numbers[request], event.outcome))
+        if any(attempt.result is None for attempt in request.attempts):
+            self._closed_requests.add(request)
         else:
-            del self._tasks[task]
-
-    def advance(self, t: int) -> None:
-        self.sink(ev.Advance(t))
-
-    def set_retained(self, t: int, runner: Any, model: Any, held: bool) -> None:
-        self.sink(ev.RetentionChanged(t, self._runners[runner], self._models[model], held))
-
-    def request_load(self, t: int, plan: int, runner: Any, model: Any) -> None:
-        self.sink(ev.LoadPlanned(t, plan, self._runners[runner], self._models[model]))
-
-    def allow_load_requests(self, t: int, on: bool) -> None:
-        self.sink(ev.LoadRequestsAllowed(t, on))
-
-    def confirm_replica(
-        self, t: int, runner: Any, model: Any, result: Result, copies: int, touched: int
-    ) -> None:
-        told = self._runners[runner], self._models[model]
-        self.sink(ev.ReplicaConfirmed(t, *told, result.value, copies, touched))
-
-    def choose_worker(self, t: int, task: Request) -> None:
-        model, offering = self._models[task.function], self._offerings[task.request_class]
-        self.sink(ev.WorkerChoiceRequested(t, model, offering, task.is_deferrable, task.cost))
-
-    def restore(self, t: int, past: EarlierRun) -> None:
-        models = [
-            [
-                self._models[m.function],
-                m.bins,
-                m.latency_sum_ns,
-                m.latency_weight,
-                m.requests,
-                m.span_ns,
-                m.mean_gap_ns,
-                m.idle_ns,
-                m.demand_weight,
-            ]
-            for m in past.functions
-        ]
-        runners = [[self._runners[r.worker], r.concurrency_limit, r.weight] for r in past.workers]
-        told = (
-            past.succeeded_per_second,
-            past.new_requests_per_second,
-            past.weight,
-            models,
-            runners,
-            past.load_ages_ns,
+            del self._request_numbers[request]
+
+    def _record_advance(self, event: boundary.Advance) -> None:
+        self.sink(ev.Advance(event.time_ns))
+
+    def _record_retention(self, event: boundary.RetentionChanged) -> None:
+        worker, function = (
+            self._worker_numbers[event.worker],
+            self._function_numbers[event.function],
         )
-        self.sink(ev.KnowledgeRestored(t, *told))
+        self.sink(ev.RetentionChanged(event.time_ns, worker, function, event.is_retained))
 
-    # -- the numbers that stand for objects
+    def _record_planned_load(self, event: boundary.LoadPlanned) -> None:
+        worker, function = (
+            self._worker_numbers[event.worker],
+            self._function_numbers[event.function],
+        )
+        self.sink(ev.LoadPlanned(event.time_ns, event.plan_number, worker, function))
 
-    @property
-    def worker_numbers(self) -> dict[Any, int]:
-        return self._runners
+    def _record_permission(self, event: boundary.LoadRequestsAllowed) -> None:
+        self.sink(ev.LoadRequestsAllowed(event.time_ns, event.is_allowed))
 
-    @property
-    def function_numbers(self) -> dict[Any, int]:
-        return self._models
+    def _record_confirmation(self, event: boundary.ReplicaConfirmed) -> None:
+        self.sink(
+            ev.ReplicaConfirmed(
+                event.time_ns,
+                self._worker_numbers[event.worker],
+                self._function_numbers[event.function],
+                event.result.value,
+                event.replicas,
+                event.last_used_ns,
+            )
+        )
 
-    @property
-    def request_numbers(self) -> dict[Request, int]:
-        return self._tasks
+    def _record_worker_choice(self, event: boundary.WorkerChoiceRequested) -> None:
+        request = event.request
+        function = self._function_numbers[request.function]
+        request_class = self._request_class_numbers[request.request_class]
+        self.sink(
+            ev.WorkerChoiceRequested(
+                event.time_ns, function, request_class, request.is_deferrable, request.cost
+            )
+        )
 
-    @property
-    def tenant_numbers(self) -> dict[Any, int]:
-        return self._customers
+    def _record_knowledge(self, event: boundary.KnowledgeRestored) -> None:
+        earlier = event.earlier
+        self.sink(
+            ev.KnowledgeRestored(
+                event.time_ns,
+                earlier.succeeded_per_second,
+                earlier.new_requests_per_second,
+                earlier.weight,
+                [self._pack_earlier_function(function) for function in earlier.functions],
+                [
+                    [self._worker_numbers[w.worker], w.concurrency_limit, w.weight]
+                    for w in earlier.workers
+                ],
+                earlier.load_ages_ns,
+            )
+        )
+
+    def _pack_earlier_function(self, earlier: EarlierFunction) -> list[Any]:
+        """All fields in their order, with the function's number in place of the function."""
+        return [
+            self._function_numbers[earlier.function],
+            earlier.bins,
+            earlier.latency_sum_ns,
+            earlier.latency_weight,
+            earlier.requests,
+            earlier.span_ns,
+            earlier.mean_gap_ns,
+            earlier.idle_ns,
+            earlier.demand_weight,
+        ]
 
     # -- decisions
 
     def record_action(self, action: Action) -> None:
+        """Stores one decision."""
         match action:
-            case Attempt(request=task, worker=runner, timeout_ns=patience):
-                at = len(task.attempts) - 1
-                self.sink(ev.AttemptStarted(self._tasks[task], at, self._runners[runner], patience))
-            case Reject(request=task, retry_after_ns=wait):
-                self.sink(ev.RequestRejected(self._tasks[task], wait))
-            case Fail(request=task):
-                self.sink(ev.RequestFailed(self._tasks[task]))
-            case Cancel(attempt=hand_off):
-                task = hand_off.request
-                self.sink(ev.AttemptCancelled(self._tasks[task], task.attempts.index(hand_off)))
-            case LoadRequest(worker=runner, function=model, replicas=copies):
-                self._ordered += 1
-                number = self._orders[action] = self._ordered
-                self.sink(ev.LoadRequested(number, self._runners[runner], self._models[model], copies))
+            case Attempt(request=request, worker=worker, timeout_ns=timeout_ns):
+                attempt, number = len(request.attempts) - 1, self._request_numbers[request]
+                self.sink(
+                    ev.AttemptStarted(number, attempt, self._worker_numbers[worker], timeout_ns)
+                )
+            case Reject(request=request, retry_after_ns=retry_after_ns):
+                self.sink(ev.RequestRejected(self._request_numbers[request], retry_after_ns))
+            case Fail(request=request):
+                self.sink(ev.RequestFailed(self._request_numbers[request]))
+            case Cancel(attempt=cancelled):
+                request = cancelled.request
+                attempt = request.attempts.index(cancelled)
+                self.sink(ev.AttemptCancelled(self._request_numbers[request], attempt))
+            case LoadRequest(worker=worker, function=function, replicas=replicas):
+                self._load_count += 1
+                number = self._load_numbers[action] = self._load_count
+                self.sink(
+                    ev.LoadRequested(
+                        number,
+                        self._worker_numbers[worker],
+                        self._function_numbers[function],
+                        replicas,
+                    )
+                )
             case ListWorkers():
                 self.sink(ev.WorkerListRequested())
--- a/martenlead/capture/replay.py
+++ b/martenlead/capture/replay.py
@@ -16,6 +16,7 @@
 from martenlead.capture import events as ev
 from martenlead.capture.checkpoint import Checkpoint, restore, save
 from martenlead.capture.recorder import CaptureRecorder
+from martenlead.policy import boundary_events as boundary
 from martenlead.policy.engine import Engine
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import (
@@ -121,7 +122,9 @@
         self.policy.state.now_ns = event.time_ns
         self.engine = Engine(self.policy, self._outlet)
         customers = dict(zip((name for name, _ in event.tenants), self._customers, strict=True))
-        self._tape.begin_run(event.time_ns, self._settings, event.seed, event.request_classes, customers)
+        self._tape.record(
+            boundary.RunStarted(event.time_ns, self._settings, event.seed, event.request_classes, customers)
+        )
 
     def _input(self, event: ev.InputEvent) -> None:
         policy, engine, tape, t = self.policy, self.engine, self._tape, event.time_ns
@@ -135,12 +138,12 @@
                 runner = policy.new_worker(facts)
                 self.runners.append(runner)
                 self.names[runner] = name
-                tape.add_worker(t, runner, facts, name)
+                tape.record(boundary.WorkerAdded(t, runner, facts, name))
             case ev.FunctionAdded(name=name):
                 model = policy.new_function(ev.unpack_function_facts(event))
                 self.models.append(model)
                 self.names[model] = name
-                tape.add_function(t, model, ev.unpack_function_facts(event), name)
+                tape.record(boundary.FunctionAdded(t, model, ev.unpack_function_facts(event), name))
             case ev.WorkersUpdated(is_complete=whole, workers=lines):
                 policy.update_workers(
                     [(self.runners[n], ev.unpack_facts(facts)) for n, facts in lines], whole
@@ -156,7 +159,7 @@
                 )
                 self.tasks[event.request] = task
                 self.names[task] = event.name
-                tape.accept_request(t, task, event.name)
+                tape.record(boundary.RequestAccepted(t, task, event.name))
                 engine.handle_request(task)
             case ev.AttemptEnded():
                 self._answered(event)
@@ -166,7 +169,7 @@
                     engine.record_load_end(order, Result(result), copies)
             case ev.RequestClosed(request=number, outcome=final):
                 task = self.tasks[number]
-                tape.close_request(t, task, final)
+                tape.record(boundary.RequestClosed(t, task, final))
                 engine.close_request(task)
                 self._closed.add(number)
                 self._over(number, task)
@@ -210,7 +213,7 @@
         answer = AttemptResult(
             hand_off, Result(event.result), event.is_final, Warmth(event.warmth), event.latency_ns
         )
-        self._tape.record_result(event.time_ns, answer)
+        self._tape.record(boundary.AttemptEnded(event.time_ns, answer))
         self.engine.record_result(answer)
         self._over(event.request, task)
 
--- a/martenlead/capture/simulator_recorder.py
+++ b/martenlead/capture/simulator_recorder.py
@@ -1,6 +1,6 @@
-"""A bench day on tape: the adapter's instances with their module's border recorded, one run each.
+"""Captures of simulated runs: one for each instance of the simulator's adapter.
 
-Off unless `MARTENLEAD_CAPTURE` names a folder (`benchlink/__main__.py`); nothing of it is loaded then.
+The adapter's program imports this only where `MARTENLEAD_CAPTURE` names a folder.
 """
 
 from __future__ import annotations
@@ -11,8 +11,10 @@
 
 from martenlead.capture.recorder import CaptureRecorder
 from martenlead.capture.writer import CaptureSettings, CaptureWriter
+from martenlead.policy import boundary_events as boundary
 from martenlead.policy.engine import Engine
 from martenlead.policy.policy import Policy
+from martenlead.policy.state import Function, Worker
 from martenlead.policy.types import (
     Action,
     AttemptResult,
@@ -28,7 +30,7 @@
 
 
 class DispatcherProfile(Protocol):
-    """The decoded settings of a dispatcher. Request classes and tenants are by name, in their order."""
+    """The decoded settings of a dispatcher, with request classes and tenants by name."""
 
     settings: Settings
     request_classes: dict[str, RequestClass]
@@ -46,102 +48,118 @@
     def profile(self) -> DispatcherProfile:
         """What the dispatcher was begun with."""
 
-    def carry_out(self, action: Action) -> None:
+    def perform(self, action: Action) -> None:
         """Carries out what the policy decided."""
 
 
 InstanceT = TypeVar("InstanceT", bound=RecordableInstance)
 
+QUEUE_EVENTS = (
+    10_000_000  # a simulated run has no clock to keep up with: the queue has all that it brings
+)
+CLOSED = "closed"  # the simulator does not say by which outcome
+
 # number of the dispatcher, the event that begins it, the time in ns, and where its replies go
 InstanceFactory = Callable[[int, dict[str, Any], int, list[dict[str, Any]]], InstanceT]
 
 
 class _RecordedInstance:
-    """Stands for the instance's policy and engine, and writes down each call before it passes it on."""
+    """Stands for an instance's policy and engine, and records each call before it passes it on."""
 
-    def __init__(self, instance: RecordableInstance, tape: CaptureRecorder) -> None:
-        self._instance, self._recorder = instance, tape
+    def __init__(self, instance: RecordableInstance, recorder: CaptureRecorder) -> None:
+        self._instance, self._recorder = instance, recorder
         self._policy, self._engine = instance.policy, instance.engine
         self.state = self._policy.state  # the adapter sets its clock
-        self._engine.outlet = self._carry_out
+        self._engine.outlet = self._record_and_perform
 
     @property
-    def _now(self) -> int:
+    def _now_ns(self) -> int:
         return self.state.now_ns
 
-    def _carry_out(self, action: Action) -> None:
+    def _record_and_perform(self, action: Action) -> None:
         self._recorder.record_action(action)
-        self._instance.carry_out(action)
+        self._instance.perform(action)
 
-    def new_worker(self, facts: WorkerFacts) -> Any:
-        runner = self._policy.new_worker(facts)
-        self._recorder.add_worker(self._now, runner, facts, f"{facts.mark:x}")
-        return runner
+    def new_worker(self, facts: WorkerFacts) -> Worker:
+        worker = self._policy.new_worker(facts)
+        self._recorder.record(boundary.WorkerAdded(self._now_ns, worker, facts, f"{facts.mark:x}"))
+        return worker
 
-    def new_function(self, facts: FunctionFacts) -> Any:
-        model = self._policy.new_function(facts)
-        self._recorder.add_function(self._now, model, facts, f"{facts.mark:x}")
-        return model
+    def new_function(self, facts: FunctionFacts) -> Function:
+        function = self._policy.new_function(facts)
+        self._recorder.record(
+            boundary.FunctionAdded(self._now_ns, function, facts, f"{facts.mark:x}")
+        )
+        return function
 
-    def update_workers(self, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
-        self._recorder.update_workers(self._now, news, whole)
-        self._policy.update_workers(news, whole)
+    def update_workers(self, updates: list[tuple[Worker, WorkerFacts]], is_complete: bool) -> None:
+        self._recorder.record(boundary.WorkersUpdated(self._now_ns, updates, is_complete))
+        self._policy.update_workers(updates, is_complete)
 
     def start(self) -> None:
-        self._recorder.start_engine(self._now)
+        self._recorder.record(boundary.EngineStarted(self._now_ns))
         self._engine.start()
 
-    def handle_request(self, task: Request) -> None:
-        self._recorder.accept_request(self._now, task, self._instance.request_ids[task])
-        self._engine.handle_request(task)
+    def handle_request(self, request: Request) -> None:
+        request_id = self._instance.request_ids[request]
+        self._recorder.record(boundary.RequestAccepted(self._now_ns, request, request_id))
+        self._engine.handle_request(request)
 
-    def record_result(self, answer: AttemptResult) -> None:
-        self._recorder.record_result(self._now, answer)
-        self._engine.record_result(answer)
+    def record_result(self, result: AttemptResult) -> None:
+        self._recorder.record(boundary.AttemptEnded(self._now_ns, result))
+        self._engine.record_result(result)
 
-    def record_load_end(self, order: LoadRequest, result: Result, copies: int) -> None:
-        self._recorder.record_load_end(self._now, order, result, copies)
-        self._engine.record_load_end(order, result, copies)
+    def record_load_end(self, load_request: LoadRequest, result: Result, replicas: int) -> None:
+        self._recorder.record(boundary.LoadEnded(self._now_ns, load_request, result, replicas))
+        self._engine.record_load_end(load_request, result, replicas)
 
-    def close_request(self, task: Request) -> None:
-        self._recorder.close_request(self._now, task, "closed")
-        self._engine.close_request(task)
+    def close_request(self, request: Request) -> None:
+        self._recorder.record(boundary.RequestClosed(self._now_ns, request, CLOSED))
+        self._engine.close_request(request)
 
     def next_due_ns(self) -> int | None:
         return self._engine.next_due_ns()
 
-    def advance(self, now: int) -> None:
-        due = self._engine.next_due_ns()
-        if due is not None and due <= now:
-            self._recorder.advance(now)
-            self._engine.advance(now)
+    def advance(self, now_ns: int) -> None:
+        due_ns = self._engine.next_due_ns()
+        if due_ns is not None and due_ns <= now_ns:
+            self._recorder.record(boundary.Advance(now_ns))
+            self._engine.advance(now_ns)
 
 
 def record_instances(folder: str, create: InstanceFactory[InstanceT]) -> InstanceFactory[InstanceT]:
-    """Makes instances that capture into a folder; each life of each instance is a run of its own.
+    """Makes a factory of instances that are captured in a folder.
 
-    `create` makes the instance that is recorded.
+    `create` makes the instance that is recorded. Each life of each instance is a run of its own.
     """
-    stores: dict[int, CaptureWriter] = {}
-
-    def close() -> None:
-        for store in stores.values():
-            store.close()
-
-    atexit.register(close)
-
-    def make(number: int, event: dict[str, Any], now: int, out: list[dict[str, Any]]) -> InstanceT:
-        if number in stores:
-            stores[number].close()
-        # a bench day has no clock to keep up with: the queue holds what the day brings
-        settings = CaptureSettings(folder=folder, queue=10_000_000, checkpoints=False)
-        store = stores[number] = CaptureWriter(settings, f"instance{number}", lambda *_: None)
-        instance = create(number, event, now, out)
-        tape = CaptureRecorder(store.put, f"instance{number}")
+    writers: dict[int, CaptureWriter] = {}
+
+    def close_all() -> None:
+        for writer in writers.values():
+            writer.close()
+
+    atexit.register(close_all)
+
+    def make(
+        number: int, event: dict[str, Any], now_ns: int, replies: list[dict[str, Any]]
+    ) -> InstanceT:
+        if number in writers:
+            writers[number].close()
+        settings = CaptureSettings(folder=folder, queue=QUEUE_EVENTS, checkpoints=False)
+        name = f"instance{number}"
+        writer = writers[number] = CaptureWriter(settings, name, lambda *_: None)
+        instance = create(number, event, now_ns, replies)
+        recorder = CaptureRecorder(writer.put, name)
         profile = instance.profile
-        tape.begin_run(now, profile.settings, event["seed"], list(profile.request_classes), profile.tenants)
-        tapped: Any = _RecordedInstance(instance, tape)
-        instance.policy = instance.engine = tapped
+        class_names = list(profile.request_classes)
+        recorder.record(
+            boundary.RunStarted(
+                now_ns, profile.settings, event["seed"], class_names, profile.tenants
+            )
+        )
+        # it has only those methods of a policy and of an engine that the adapter calls
+        recorded: Any = _RecordedInstance(instance, recorder)
+        instance.policy = instance.engine = recorded
         return instance
 
     return make
--- a/martenlead/edge/policy_boundary.py
+++ b/martenlead/edge/policy_boundary.py
@@ -1,16 +1,20 @@
-"""All that reaches the module passes here, in order and with its time; all that it decides leaves here.
+"""The only place that calls the policy: all notifications and decisions pass here.
 
-The module is never called around this border, so that whoever records it has recorded everything: a run is
-the settings, the seed and the calls of this class.
+The boundary reads the clock once for each notification and hands both to the recorder, if there is
+one, before the policy is called. So a recorder has all that a replay needs: the settings, the seed
+and the notifications with their times.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol, TypeVar
 
+from martenlead.policy import boundary_events as events
+from martenlead.policy.boundary_events import BoundaryEvent
 from martenlead.policy.engine import Engine
 from martenlead.policy.policy import Policy
+from martenlead.policy.state import Function, Worker
 from martenlead.policy.types import (
     Action,
     AttemptResult,
@@ -25,211 +29,237 @@
     WorkerFacts,
 )
 
+T = TypeVar("T")
+
 
 class Recorder(Protocol):
-    """Whoever writes down what passes; told before the module is. Times are ns."""
-
-    def begin_run(
-        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Tenant]
-    ) -> None: ...
-    def start_engine(self, t: int) -> None: ...
-    def set_tick(self, t: int, tick: int) -> None: ...
-    def add_worker(self, t: int, runner: Any, facts: WorkerFacts, name: str) -> None: ...
-    def add_function(self, t: int, model: Any, facts: FunctionFacts, name: str) -> None: ...
-    def update_workers(self, t: int, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None: ...
-    def accept_request(self, t: int, task: Request, name: str) -> None: ...
-    def record_result(self, t: int, answer: AttemptResult) -> None: ...
-    def record_load_end(self, t: int, order: LoadRequest, result: Result, copies: int) -> None: ...
-    def close_request(self, t: int, task: Request, final: str) -> None: ...
-    def advance(self, t: int) -> None: ...
-    def set_retained(self, t: int, runner: Any, model: Any, held: bool) -> None: ...
-    def request_load(self, t: int, plan: int, runner: Any, model: Any) -> None: ...
-    def allow_load_requests(self, t: int, on: bool) -> None: ...
-    def choose_worker(self, t: int, task: Request) -> None: ...
-    def confirm_replica(
-        self, t: int, runner: Any, model: Any, result: Result, copies: int, touched: int
-    ) -> None: ...
-    def restore(self, t: int, past: EarlierRun) -> None: ...
-    def record_action(self, action: Action) -> None: ...
+    """Stores what a policy is notified of, before the policy is, and what it decides."""
+
+    def record(self, event: BoundaryEvent) -> None:
+        """Stores one notification."""
+
+    def record_action(self, action: Action) -> None:
+        """Stores one decision, made in the course of the last notification."""
 
 
 class TeeRecorder:
-    """Two tapes as one."""
+    """Hands everything to two recorders, one after the other."""
 
     def __init__(self, first: Recorder, second: Recorder) -> None:
-        self._recorders = first, second
+        self._first, self._second = first, second
 
-    def __getattr__(self, name: str) -> Callable[..., None]:
-        one, two = (getattr(tape, name) for tape in self._recorders)
+    def record(self, event: BoundaryEvent) -> None:
+        """Stores one notification in both."""
+        self._first.record(event)
+        self._second.record(event)
 
-        def tell(*args: Any) -> None:
-            one(*args)
-            two(*args)
-
-        setattr(self, name, tell)
-        return tell
+    def record_action(self, action: Action) -> None:
+        """Stores one decision in both."""
+        self._first.record_action(action)
+        self._second.record_action(action)
 
 
 class PolicyBoundary:
+    """One policy with its engine, its clock and its recorder."""
+
     def __init__(
         self,
         settings: Settings,
         seed: int,
         clock: Callable[[], int],
-        outlet: Callable[[Action], None],
-        tape: Recorder | None = None,
+        perform: Callable[[Action], None],
+        recorder: Recorder | None = None,
         names: tuple[list[str], dict[str, Tenant]] = ([], {}),
         policy: type[Policy] = Policy,
     ) -> None:
-        """`names` are the offerings' and customers', for the tape; `policy` is the module but in
-        comparisons."""
+        """Makes the policy; comparisons of policies pass another class.
+
+        `perform` gets every decision. `names` are those of the request classes, in the order of
+        the settings, and the tenants by theirs; only the recorder reads them.
+        """
         self._settings = settings
         self._clock = clock
-        self._recorder = tape
-        self._carry_out = outlet
+        self._recorder = recorder
+        self._perform = perform
         self._policy = policy(settings, seed)
-        self._engine = Engine(self._policy, outlet if tape is None else self._decided)
+        self._engine = Engine(
+            self._policy, perform if recorder is None else self._record_and_perform
+        )
         now = self._now()
-        if tape is not None:
-            tape.begin_run(now, settings, seed, *names)
+        if recorder is not None:
+            recorder.record(events.RunStarted(now, settings, seed, *names))
 
-    def _decided(self, action: Action) -> None:
+    def _record_and_perform(self, action: Action) -> None:
         assert self._recorder is not None
         self._recorder.record_action(action)
-        self._carry_out(action)
+        self._perform(action)
 
     def _now(self) -> int:
-        now = max(self._clock(), self._policy.state.now_ns)  # a clock that steps back stands still here
+        """The time, which the policy gets too; while the clock steps back it stands still."""
+        now = max(self._clock(), self._policy.state.now_ns)
         self._policy.state.now_ns = now
         return now
 
     def start(self) -> None:
+        """Begins what the policy runs as long as the dispatcher does."""
         now = self._now()
         if self._recorder is not None:
-            self._recorder.start_engine(now)
+            self._recorder.record(events.EngineStarted(now))
         self._engine.start()
 
-    def set_tick(self, tick: int) -> None:
-        """What the event loop achieves at present, ns."""
+    def set_tick(self, tick_ns: int) -> None:
+        """Notes the tick that the event loop achieves at present."""
         if self._recorder is not None:
-            self._recorder.set_tick(self._now(), tick)
-        self._settings.tick_ns = tick
+            self._recorder.record(events.TickChanged(self._now(), tick_ns))
+        self._settings.tick_ns = tick_ns
 
-    def add_worker(self, facts: WorkerFacts, name: str) -> Any:
+    def add_worker(self, facts: WorkerFacts, name: str) -> Worker:
+        """Makes the policy's object for a worker that is named for the first time."""
         now = self._now()
-        runner = self._policy.new_worker(facts)
+        worker = self._policy.new_worker(facts)
         if self._recorder is not None:
-            self._recorder.add_worker(now, runner, facts, name)
-        return runner
+            self._recorder.record(events.WorkerAdded(now, worker, facts, name))
+        return worker
 
-    def add_function(self, facts: FunctionFacts, name: str) -> Any:
+    def add_function(self, facts: FunctionFacts, name: str) -> Function:
+        """Makes the policy's object for a function that is named for the first time."""
         now = self._now()
-        model = self._policy.new_function(facts)
+        function = self._policy.new_function(facts)
         if self._recorder is not None:
-            self._recorder.add_function(now, model, facts, name)
-        return model
+            self._recorder.record(events.FunctionAdded(now, function, facts, name))
+        return function
 
-    def update_workers(self, news: list[tuple[Any, WorkerFacts]], whole: bool) -> None:
+    def update_workers(self, updates: list[tuple[Worker, WorkerFacts]], is_complete: bool) -> None:
+        """Notifies of what discovery says; a complete list has all workers that there are."""
         now = self._now()
         if self._recorder is not None:
-            self._recorder.update_workers(now, news, whole)
-        self._policy.update_workers(news, whole)
+            self._recorder.record(events.WorkersUpdated(now, updates, is_complete))
+        self._policy.update_workers(updates, is_complete)
 
     def accept_request(
         self,
-        model: Any,
-        offering: RequestClass,
-        customer: Tenant | None,
-        give_up: int,
-        again: bool,
+        function: Function,
+        request_class: RequestClass,
+        tenant: Tenant | None,
+        deadline_ns: int,
+        is_retry: bool,
         cost: float,
-        known: Callable[[Request], None],
+        on_created: Callable[[Request], None],
         name: str = "",
     ) -> None:
-        """`known` gets the task before the module does anything for it."""
+        """Notifies of a new request.
+
+        `on_created` gets the policy's object for it before the policy decides anything.
+        """
         now = self._now()
-        task = Request(model, offering, customer, give_up, again, cost)
-        known(task)
+        request = Request(function, request_class, tenant, deadline_ns, is_retry, cost)
+        on_created(request)
         if self._recorder is not None:
-            self._recorder.accept_request(now, task, name)
-        self._engine.handle_request(task)
+            self._recorder.record(events.RequestAccepted(now, request, name))
+        self._engine.handle_request(request)
 
-    def record_result(self, answer: AttemptResult) -> None:
+    def record_result(self, result: AttemptResult) -> None:
+        """Notifies of an attempt's result."""
         now = self._now()
         if self._recorder is not None:
-            self._recorder.record_result(now, answer)
-        self._engine.record_result(answer)
+            self._recorder.record(events.AttemptEnded(now, result))
+        self._engine.record_result(result)
 
-    def record_load_end(self, order: LoadRequest, result: Result, copies: int) -> None:
+    def record_load_end(self, load_request: LoadRequest, result: Result, replicas: int) -> None:
+        """Notifies of the end of a load request."""
         now = self._now()
         if self._recorder is not None:
-            self._recorder.record_load_end(now, order, result, copies)
-        self._engine.record_load_end(order, result, copies)
+            self._recorder.record(events.LoadEnded(now, load_request, result, replicas))
+        self._engine.record_load_end(load_request, result, replicas)
 
-    def close_request(self, task: Request, final: str) -> None:
+    def close_request(self, request: Request, outcome: str) -> None:
+        """Notifies that a request has its final response, or that its client has left."""
         now = self._now()
         if self._recorder is not None:
-            self._recorder.close_request(now, task, final)
-        self._engine.close_request(task)
+            self._recorder.record(events.RequestClosed(now, request, outcome))
+        self._engine.close_request(request)
 
-    def choose_worker(self, model: Any, offering: RequestClass, spare: bool, cost: float) -> Any:
-        """The runner that a task like this would be handed to now, or None; nothing is begun."""
+    def choose_worker(
+        self, function: Function, request_class: RequestClass, is_deferrable: bool, cost: float
+    ) -> Worker | None:
+        """The worker that would have such a request now; nothing is begun."""
         now = self._now()
-        task = Request(model, offering, None, now, False, cost, is_deferrable=spare)
+        request = Request(
+            function, request_class, None, now, False, cost, is_deferrable=is_deferrable
+        )
         if self._recorder is not None:
-            self._recorder.choose_worker(now, task)
-        return self._engine.choose_worker(task)
+            self._recorder.record(events.WorkerChoiceRequested(now, request))
+        return self._engine.choose_worker(request)
 
     # -- what a planner decided for this dispatcher
 
-    def set_retained(self, runner: Any, model: Any, held: bool) -> None:
+    def set_retained(self, worker: Worker, function: Function, is_retained: bool) -> None:
+        """Notifies of a planner's decision whether a replica is retained."""
         now = self._now()
         if self._recorder is not None:
-            self._recorder.set_retained(now, runner, model, held)
-        self._engine.set_retained(runner, model, held)
+            self._recorder.record(events.RetentionChanged(now, worker, function, is_retained))
+        self._engine.set_retained(worker, function, is_retained)
+
+    def request_load(
+        self, plan_number: int, worker: Worker, function: Function
+    ) -> LoadRequest | None:
+        """The load request that a planner decided on, None where the load budget is spent.
 
-    def request_load(self, plan: int, runner: Any, model: Any) -> LoadRequest | None:
-        """None where the order may not be given: the ration of all orders is counted here."""
+        The budget is counted here, whoever decides on load requests.
+        """
         now = self._now()
         if self._recorder is not None:
-            self._recorder.request_load(now, plan, runner, model)
-        return self._engine.request_load(runner, model)
+            self._recorder.record(events.LoadPlanned(now, plan_number, worker, function))
+        return self._engine.request_load(worker, function)
 
-    def allow_load_requests(self, on: bool) -> None:
-        """Whether copies are decided on here."""
+    def allow_load_requests(self, is_allowed: bool) -> None:
+        """Sets whether this policy decides on replicas, or a planner does."""
         if self._recorder is not None:
-            self._recorder.allow_load_requests(self._now(), on)
-        self._settings.may_request_loads = on
+            self._recorder.record(events.LoadRequestsAllowed(self._now(), is_allowed))
+        self._settings.may_request_loads = is_allowed
 
-    def confirm_replica(self, runner: Any, model: Any, result: Result, copies: int, touched: int) -> None:
-        """What became of an ask for a copy that was held in a life before, and was last used then."""
+    # -- what an earlier run of this dispatcher left
+
+    def confirm_replica(
+        self, worker: Worker, function: Function, result: Result, replicas: int, last_used_ns: int
+    ) -> None:
+        """Notifies of the answer to the question after a replica of an earlier run."""
         now = self._now()
         if self._recorder is not None:
-            self._recorder.confirm_replica(now, runner, model, result, copies, touched)
-        self._engine.confirm_replica(runner, model, result, copies, touched)
+            self._recorder.record(
+                events.ReplicaConfirmed(now, worker, function, result, replicas, last_used_ns)
+            )
+        self._engine.confirm_replica(worker, function, result, replicas, last_used_ns)
 
-    def restore(self, past: EarlierRun) -> None:
-        """What was kept of an earlier life, once, before tasks are taken."""
+    def restore(self, earlier: EarlierRun) -> None:
+        """Hands over what an earlier run had learnt: once, before the first request."""
         now = self._now()
         if self._recorder is not None:
-            self._recorder.restore(now, past)
-        self._engine.restore(past)
+            self._recorder.record(events.KnowledgeRestored(now, earlier))
+        self._engine.restore(earlier)
+
+    # -- questions, which change nothing
 
-    def inspect(self, read: Callable[[Policy, int], Any]) -> Any:
-        """Gives the module's state to whoever reads it and changes nothing of it, with the time."""
+    def inspect(self, read: Callable[[Policy, int], T]) -> T:
+        """What `read` finds in the policy's state at this time; it may not change the state."""
         return read(self._policy, self._now())
 
-    def may_reject(self, task: Request) -> bool:
-        return self._policy.repeats.may_reject(task)
+    def may_reject(self, request: Request) -> bool:
+        """Whether the client may repeat it: nothing ran, or the repeat would be dropped."""
+        return self._policy.repeats.may_reject(request)
+
+    # -- timers
 
     def next_due_ns(self) -> int | None:
+        """When `advance` is to be called next, None for never."""
         return self._engine.next_due_ns()
 
     def advance(self) -> None:
+        """Resumes whatever has waited until now."""
         now = self._now()
-        due = self._engine.next_due_ns()
-        if due is None or due > now:
+        due_ns = self._engine.next_due_ns()
+        if due_ns is None or due_ns > now:
             return
         if self._recorder is not None:
-            self._recorder.advance(now)
+            self._recorder.record(events.Advance(now))
         self._engine.advance(now)
--- a/martenlead/planner/planner_client.py
+++ b/martenlead/planner/planner_client.py
@@ -20,8 +20,8 @@
 from martenlead.planner import frames as fr
 from martenlead.planner.link import EdgeSession, LinkProtocolError, SessionLimits
 from martenlead.planner.snapshot import take_snapshot
+from martenlead.policy.boundary_events import BoundaryEvent, FunctionAdded, RunStarted, WorkerAdded
 from martenlead.policy.policy import Policy
-from martenlead.policy.types import FunctionFacts, Settings, Tenant, WorkerFacts
 
 LEASE_CHECK_INTERVAL_NS = 50_000_000  # ns between two looks at who decides
 CONNECTION_ERRORS = (
@@ -44,26 +44,27 @@
         self.names: tuple[dict[Any, str], dict[Any, str]] = ({}, {})
         self.start_event: ev.RunStarted | None = None
 
-    def begin_run(
-        self, t: int, settings: Settings, seed: int, names: list[str], customers: dict[str, Tenant]
-    ) -> None:
+    def record(self, event: BoundaryEvent) -> None:
+        match event:
+            case RunStarted():
+                self._record_start_event(event)
+                return
+            case WorkerAdded(worker=worker, name=name):
+                self.by_number[0].append(worker)
+                self.names[0][worker] = name
+            case FunctionAdded(function=function, name=name):
+                self.by_number[1].append(function)
+                self.names[1][function] = name
+        super().record(event)
+
+    def _record_start_event(self, event: RunStarted) -> None:
         found: list[Any] = []
         sink = self.sink
         self.sink = found.append
-        super().begin_run(t, settings, seed, names, customers)
+        super().record(event)
         self.sink = sink
         (self.start_event,) = found
 
-    def add_worker(self, t: int, runner: Any, facts: WorkerFacts, name: str) -> None:
-        self.by_number[0].append(runner)
-        self.names[0][runner] = name
-        super().add_worker(t, runner, facts, name)
-
-    def add_function(self, t: int, model: Any, facts: FunctionFacts, name: str) -> None:
-        self.by_number[1].append(model)
-        self.names[1][model] = name
-        super().add_function(t, model, facts, name)
-
     def take_snapshot(self, policy: Policy, _now: int) -> tuple[dict[str, Any], set[int]]:
         """All that the module knows, and which models are in it."""
         assert self.start_event is not None
--- a/martenlead/simulator_adapter/wire.py
+++ b/martenlead/simulator_adapter/wire.py
@@ -68,7 +68,7 @@
         self.profile = Profile(event["profile-data"])
         self.policy = Policy(self.profile.settings, event["seed"])
         self.policy.state.now_ns = now
-        self.engine = Engine(self.policy, self.carry_out)
+        self.engine = Engine(self.policy, self.perform)
         self.workers: dict[str, Any] = {}
         self.worker_ids: dict[Any, str] = {}
         self.functions: dict[str, Any] = {}
@@ -193,7 +193,7 @@
 
     # -- actions
 
-    def carry_out(self, action: Action) -> None:
+    def perform(self, action: Action) -> None:
         match action:
             case Attempt(request=task, worker=runner, timeout_ns=patience):
                 ref = self.request_ids[task]
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -106,10 +106,10 @@
 import sys
 from pathlib import Path
 from martenlead.capture.replay import replay
-from martenlead.capture.store import runs
-for run in runs([Path(sys.argv[1])]):
+from martenlead.capture.writer import find_runs
+for run in find_runs([Path(sys.argv[1])]):
     told = replay(run.events())
-    print("identical" if told.divergence is None and not told.stopped else told, told.decisions)
+    print("identical" if told.divergence is None and not told.stop_reason else told, told.decisions)
 """
 
 
@@ -491,7 +491,7 @@
 def test_a_capture_of_another_module_is_a_what_if_and_no_divergence(tmp_path: Path) -> None:
     events = list(find_runs([CAPTURES])[0].events())
     assert isinstance(events[0], ev.RunStarted)
-    other = msgspec.structs.replace(events[0], module="another")
+    other = msgspec.structs.replace(events[0], policy_hash="another")
     made, _ = store(tmp_path)
     for event in [other, *events[1:]]:
         made.put(event)
--- a/tests/test_wall_clock_contract.py
+++ b/tests/test_wall_clock_contract.py
@@ -34,7 +34,7 @@
     "planner/server.py Planner.__init__ moment": "the time of saving, for another boot of the machine",
     "cli/state.py _age moment": "the age of a file from another boot of the machine, for people",
     "capture/writer.py CaptureWriter._new_run wall_ns": "a name for people; above all that are there",
-    "capture/recorder.py CaptureRecorder.begin_run wall_ns": "when a capture began, for people; replays do not read it",
+    "capture/recorder.py CaptureRecorder._record_start wall_ns": "when a capture began, for people; replays do not read it",
     "layers/cache.py Cache._next_aside wall_ns": "a name for people; above all that are there",
     "layers/cache.py Cache._note_use wall_ns": "the time of last use; later than all before it",
     "layers/cache.py Cache._note_use utime": "keeps that time with the file",
