--- a/martenlead/simulator_adapter/settings.py
+++ b/martenlead/simulator_adapter/settings.py
@@ -39,7 +39,7 @@
     give_up: Positive | None = None  # the wire tells it with each task
     group: Literal["all", "zone", "cell", ""] | None = None
     dedup_window: Seconds | None = None
-    late_value: Number | None = msgspec.field(default=None, name="late_revenue")
+    late_value: Number | None = None
 
 
 class TenantSettings(SettingsPart, frozen=True):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,6 +14,7 @@
 
 from martenlead.node import config
 from martenlead.policy.types import WorkerState
+from martenlead.simulator_adapter import settings as simulator_settings
 from martenlead.simulator_adapter.settings import Profile, SettingsError
 from martenlead.simulator_adapter.wire import SimulatedDispatcher
 from tests.nodes import SETTINGS
@@ -93,6 +94,33 @@
     )
 
 
+def test_every_key_of_the_settings_is_that_of_the_wire() -> None:
+    """A key that is spelt otherwise would be passed over as one of a site's own."""
+    keys = {
+        simulator_settings.RequestClassSettings: (
+            "name effect on-time give-up group dedup-window late-value"
+        ),
+        simulator_settings.TenantSettings: "name quota-per-s",
+        simulator_settings.DispatcherLimits: (
+            "attempts-cap may-duplicate cancel retry-after max-retry-after streams-per-conn"
+            " connect-timeout conn-idle"
+        ),
+        simulator_settings.SlowStartSettings: "cold-from cold fall-multiple ask-every",
+        simulator_settings.FunctionSettings: (
+            "kind-memory-mb placement-calls tells-warm if-cold linger-idle load-period loads-anyway"
+            " loads-per-request memory-price order-limit"
+        ),
+        simulator_settings.Prices: "origin",
+        simulator_settings.SimulatorSettings: (
+            "allowed rules classes balancers granularity family-info orgs azs skus weights"
+            " over-share-worth prices registry-mode"
+        ),
+    }
+    assert {kind: " ".join(kind.__struct_encode_fields__) for kind in keys} == keys
+    late = [{**c, "late-value": 0.25} for c in SETTINGS["classes"]]
+    assert Profile({**SETTINGS, "classes": late}).settings.late_value == 0.25
+
+
 @pytest.mark.parametrize(
     "wrong",
     [
