--- a/martenlead/benchlink/__main__.py
+++ b/martenlead/benchlink/__main__.py
@@ -1,5 +1,5 @@
 """Starts the simulator's adapter under its earlier name."""
 
-import runpy
+from martenlead.simulator_adapter.__main__ import main
 
-runpy.run_module("martenlead.simulator_adapter", run_name="__main__")
+main()
--- a/martenlead/capture/simulator_recorder.py
+++ b/martenlead/capture/simulator_recorder.py
@@ -54,13 +54,12 @@
 
 InstanceT = TypeVar("InstanceT", bound=RecordableInstance)
 
-QUEUE_EVENTS = (
-    10_000_000  # a simulated run has no clock to keep up with: the queue has all that it brings
-)
+QUEUE_EVENTS = 10_000_000  # a simulated run has no clock to keep up with: the queue has all that it brings
 CLOSED = "closed"  # the simulator does not say by which outcome
 
-# number of the dispatcher, the event that begins it, the time in ns, and where its replies go
-InstanceFactory = Callable[[int, dict[str, Any], int, list[dict[str, Any]]], InstanceT]
+# number of the dispatcher, the event that begins it, the time in ns, and where its replies go; what
+# these are is the adapter's matter
+InstanceFactory = Callable[[int, dict[str, Any], int, list[Any]], InstanceT]
 
 
 class _RecordedInstance:
@@ -87,9 +86,7 @@
 
     def new_function(self, facts: FunctionFacts) -> Function:
         function = self._policy.new_function(facts)
-        self._recorder.record(
-            boundary.FunctionAdded(self._now_ns, function, facts, f"{facts.mark:x}")
-        )
+        self._recorder.record(boundary.FunctionAdded(self._now_ns, function, facts, f"{facts.mark:x}"))
         return function
 
     def update_workers(self, updates: list[tuple[Worker, WorkerFacts]], is_complete: bool) -> None:
@@ -140,9 +137,7 @@
 
     atexit.register(close_all)
 
-    def make(
-        number: int, event: dict[str, Any], now_ns: int, replies: list[dict[str, Any]]
-    ) -> InstanceT:
+    def make(number: int, event: dict[str, Any], now_ns: int, replies: list[Any]) -> InstanceT:
         if number in writers:
             writers[number].close()
         settings = CaptureSettings(folder=folder, queue=QUEUE_EVENTS, checkpoints=False)
@@ -153,9 +148,7 @@
         profile = instance.profile
         class_names = list(profile.request_classes)
         recorder.record(
-            boundary.RunStarted(
-                now_ns, profile.settings, event["seed"], class_names, profile.tenants
-            )
+            boundary.RunStarted(now_ns, profile.settings, event["seed"], class_names, profile.tenants)
         )
         # it has only those methods of a policy and of an engine that the adapter calls
         recorded: Any = _RecordedInstance(instance, recorder)
--- a/martenlead/simulator_adapter/__main__.py
+++ b/martenlead/simulator_adapter/__main__.py
@@ -1,12 +1,25 @@
-"""The adapter's program. With `MARTENLEAD_CAPTURE` naming a folder, its instances are recorded there."""
+"""The adapter's program: `python -m martenlead.simulator_adapter`.
+
+Where `MARTENLEAD_CAPTURE` names a folder, every instance is captured there.
+"""
 
 import os
 
-from martenlead.simulator_adapter.wire import SimulatedDispatcher, main
+from martenlead.simulator_adapter.batch_loop import serve
+from martenlead.simulator_adapter.dispatcher import SimulatedDispatcher
+
+
+def main() -> None:
+    """Answers batches until standard input ends."""
+    folder = os.environ.get("MARTENLEAD_CAPTURE")
+    if not folder:
+        serve(SimulatedDispatcher)
+        return
+    # captures need packages that a plain run does without
+    from martenlead.capture.simulator_recorder import record_instances  # noqa: PLC0415
+
+    serve(record_instances(folder, SimulatedDispatcher))
 
-if folder := os.environ.get("MARTENLEAD_CAPTURE"):
-    from martenlead.capture.simulator_recorder import record_instances
 
-    main(record_instances(folder, SimulatedDispatcher))
-else:
-    main(SimulatedDispatcher)
+if __name__ == "__main__":
+    main()
--- a/martenlead/simulator_adapter/settings.py
+++ b/martenlead/simulator_adapter/settings.py
@@ -1,57 +1,78 @@
-"""Reads the settings that an instance is handed into the module's types. What can't be used is refused as a
-whole: a day played on a guess costs more than a start that says what is wrong."""
+"""The settings that the simulator hands to an instance, turned into the policy's types.
+
+Settings that cannot be used are refused as a whole: a run on a guess costs more than a start that
+says what is wrong.
+"""
 
 from __future__ import annotations
 
 import math
-from typing import Annotated, Any, Literal
+from typing import Annotated, Literal
 
 import msgspec
 from msgspec import Meta
 
 from martenlead.policy.types import DeduplicationScope, Effect, RequestClass, Settings, Tenant
 
-MAX_SECONDS = 1e9  # s: in ns it still has room in 64 bits
+NS_PER_SECOND = 1e9
+MAX_SECONDS = 1e9  # in ns it still has room in 64 bits
+MAX_NUMBER = 1e15
+MAX_COUNT = 1_000_000
+MAX_SLOW_START_MULTIPLE = 1e6
 Seconds = Annotated[float, Meta(ge=0, le=MAX_SECONDS)]
-Positive = Annotated[float, Meta(gt=0, le=MAX_SECONDS)]
-Number = Annotated[float, Meta(ge=0, le=1e15)]
-Count = Annotated[int, Meta(ge=1, le=1_000_000)]
+PositiveSeconds = Annotated[float, Meta(gt=0, le=MAX_SECONDS)]
+Number = Annotated[float, Meta(ge=0, le=MAX_NUMBER)]
+PositiveNumber = Annotated[float, Meta(gt=0, le=MAX_SECONDS)]
+Count = Annotated[int, Meta(ge=1, le=MAX_COUNT)]
+Share = Annotated[float, Meta(ge=0, le=1)]
 EFFECTS = {
     "read_like": Effect.IDEMPOTENT,
     "idempotency_key": Effect.WITH_IDEMPOTENCY_KEY,
     "non_idempotent": Effect.NON_IDEMPOTENT,
 }
+DEFAULT_LIST_INTERVAL_SECONDS = 10
 
 
 class SettingsError(ValueError):
-    """Nothing can be served with them; says why, and where."""
+    """Nothing can be served with these settings; says why, and where."""
 
 
 class SettingsPart(msgspec.Struct, rename="kebab", frozen=True):
-    """What has a default may be absent or null: the feature is, then. Keys that are not known are passed
-    over, as sites add some."""
+    """A part of the settings, with the keys of the wire.
+
+    What has a default may be absent or null: its feature is absent then. Unknown keys are passed
+    over, as sites add some.
+    """
 
 
 class RequestClassSettings(SettingsPart, frozen=True):
+    """One request class."""
+
     name: str
     effect: Literal["read_like", "idempotency_key", "non_idempotent"]
-    on_time: Positive
-    give_up: Positive | None = None  # the wire tells it with each task
-    group: Literal["all", "zone", "cell", ""] | None = None
-    dedup_window: Seconds | None = None
+    latency_objective: PositiveSeconds = msgspec.field(name="on-time")
+    deadline: PositiveSeconds | None = msgspec.field(name="give-up", default=None)
+    deduplication_scope: Literal["all", "zone", "cell", ""] | None = msgspec.field(
+        name="group", default=None
+    )
+    idempotency_window: Seconds | None = msgspec.field(name="dedup-window", default=None)
     late_value: Number | None = None
 
 
 class TenantSettings(SettingsPart, frozen=True):
+    """One tenant and its rate limit."""
+
     name: str
-    quota_per_s: Number
+    rate_limit_per_second: Number = msgspec.field(name="quota-per-s")
 
 
 class DispatcherLimits(SettingsPart, frozen=True):
-    attempts_cap: Count
-    may_duplicate: bool | None = None
-    cancel: bool | None = None
-    retry_after: bool | None = None
+    """What a dispatcher may do with requests and connections."""
+
+    attempt_limit: Count = msgspec.field(name="attempts-cap")
+    may_hedge: bool | None = msgspec.field(name="may-duplicate", default=None)
+    may_cancel: bool | None = msgspec.field(name="cancel", default=None)
+    has_retry_after: bool | None = msgspec.field(name="retry-after", default=None)
     max_retry_after: Seconds | None = None
     streams_per_conn: Annotated[int, Meta(ge=0)] | None = None
     connect_timeout: Seconds | None = None
@@ -59,103 +80,132 @@
 
 
 class SlowStartSettings(SettingsPart, frozen=True):
-    cold_from: Annotated[float, Meta(ge=0, le=1)]
-    cold: Seconds
-    fall_multiple: Annotated[float, Meta(gt=0, le=1e6)]
-    ask_every: Seconds | None = None
+    """The ramp of a worker that has just started, and how often discovery is asked."""
+
+    initial_share: Share = msgspec.field(name="cold-from")
+    ramp: Seconds = msgspec.field(name="cold")
+    multiple: Annotated[float, Meta(gt=0, le=MAX_SLOW_START_MULTIPLE)] = msgspec.field(
+        name="fall-multiple"
+    )
+    list_interval: Seconds | None = msgspec.field(name="ask-every", default=None)
 
 
 class FunctionSettings(SettingsPart, frozen=True):
-    kind_memory_mb: list[Positive] | None = None
-    placement_calls: bool | None = None
-    tells_warm: bool | None = None
-    if_cold: Literal["load", "miss"] | None = None
-    linger_idle: Seconds | None = None
-    load_period: Seconds | None = None
-    loads_anyway: Number | None = None
+    """How workers load functions, and what replicas cost."""
+
+    memory_mb_of_kinds: list[PositiveNumber] | None = msgspec.field(
+        name="kind-memory-mb", default=None
+    )
+    may_request_loads: bool | None = msgspec.field(name="placement-calls", default=None)
+    tells_warmth: bool | None = msgspec.field(name="tells-warm", default=None)
+    on_miss: Literal["load", "miss"] | None = msgspec.field(name="if-cold", default=None)
+    keep_alive: Seconds | None = msgspec.field(name="linger-idle", default=None)
+    load_window: Seconds | None = msgspec.field(name="load-period", default=None)
+    free_loads_per_window: Number | None = msgspec.field(name="loads-anyway", default=None)
     loads_per_request: Number | None = None
     memory_price: Number | None = None
-    order_limit: Seconds | None = None
+    load_timeout: Seconds | None = msgspec.field(name="order-limit", default=None)
 
 
 class Prices(SettingsPart, frozen=True):
-    origin: Number | None = None
+    """What is paid for."""
+
+    load: Number | None = msgspec.field(name="origin", default=None)
 
 
 class SimulatorSettings(SettingsPart, frozen=True):
+    """All settings of an instance."""
+
     allowed: DispatcherLimits
-    rules: SlowStartSettings
-    classes: Annotated[list[RequestClassSettings], Meta(min_length=1)]
-    balancers: Count
-    granularity: Seconds
-    family_info: FunctionSettings | None = None
-    orgs: list[TenantSettings] | None = None
+    slow_start: SlowStartSettings = msgspec.field(name="rules")
+    request_classes: Annotated[list[RequestClassSettings], Meta(min_length=1)] = msgspec.field(
+        name="classes"
+    )
+    dispatchers: Count = msgspec.field(name="balancers")
+    tick: Seconds = msgspec.field(name="granularity")
+    functions: FunctionSettings | None = msgspec.field(name="family-info", default=None)
+    tenants: list[TenantSettings] | None = msgspec.field(name="orgs", default=None)
     azs: list[str] | None = None
-    skus: list[str] | None = None
+    machine_kinds: list[str] | None = msgspec.field(name="skus", default=None)
     weights: Literal["silent", "nominal", "rough", "live"] | None = None
-    over_share_worth: Number | None = None
+    over_share: Number | None = msgspec.field(name="over-share-worth", default=None)
     prices: Prices | None = None
     registry_mode: Literal["pushed", "on_request"] | None = None
 
 
 def seconds_to_ns(seconds: float) -> int:
-    return round(seconds * 1e9)
+    """The wire's seconds in the policy's whole nanoseconds."""
+    return round(seconds * NS_PER_SECOND)
 
 
 class Profile:
     """The decoded settings, with the objects that their names stand for."""
 
-    def __init__(self, told: Any) -> None:
-        """Raises BadSettings."""
+    def __init__(self, settings: object) -> None:
+        """Raises SettingsError; `settings` is what JSON decodes to."""
         try:
-            self.decoded = read = msgspec.convert(told, SimulatorSettings)
+            self.decoded = decoded = msgspec.convert(settings, SimulatorSettings)
         except (msgspec.ValidationError, RecursionError) as error:
             raise SettingsError(str(error)) from None
-        allowed, rules = read.allowed, read.rules
-        family = read.family_info or FunctionSettings()
-        memory, self.machine_kinds = family.kind_memory_mb or [], read.skus or []
-        if memory and len(memory) != len(self.machine_kinds):
-            raise SettingsError(
-                f"{len(self.machine_kinds)} kinds of machine, and the memory of {len(memory)}"
-            )
-        self.request_classes = {
-            c.name: RequestClass(
-                latency_objective_ns=seconds_to_ns(c.on_time),
-                effect=EFFECTS[c.effect],
-                deduplication_scope=DeduplicationScope(c.group or "all"),
-                idempotency_window_ns=seconds_to_ns(c.dedup_window or 0),
-            )
-            for c in read.classes
+        functions = decoded.functions or FunctionSettings()
+        self.machine_kinds = decoded.machine_kinds or []
+        self.memory_mb_by_kind = self._pair_kinds_and_memory(functions.memory_mb_of_kinds or [])
+        self.request_classes = {c.name: _make_request_class(c) for c in decoded.request_classes}
+        self.deadlines_ns = {
+            c.name: seconds_to_ns(c.deadline) for c in decoded.request_classes if c.deadline
         }
-        self.deadlines_ns = {c.name: seconds_to_ns(c.give_up) for c in read.classes if c.give_up}
-        self.load_timeout_seconds = family.order_limit
-        self.tenants = {o.name: Tenant(o.quota_per_s) for o in read.orgs or []}
-        self.memory_mb_by_kind = dict(zip(self.machine_kinds, memory, strict=False))
-        self.has_silent_weights = (read.weights or "silent") == "silent"
-        self.settings = Settings(
-            dispatchers=read.balancers,
-            tick_ns=seconds_to_ns(read.granularity),
-            attempt_limit=allowed.attempts_cap,
-            may_hedge=bool(allowed.may_duplicate),
-            may_cancel=bool(allowed.cancel),
-            may_request_loads=bool(family.placement_calls),
-            tells_warmth=bool(family.tells_warm),
-            loads_on_miss=(family.if_cold or "load") == "load",
-            retry_after_limit_ns=seconds_to_ns(allowed.max_retry_after or 0) if allowed.retry_after else 0,
-            keep_alive_ns=seconds_to_ns(family.linger_idle or 0),
+        self.load_timeout_seconds = functions.load_timeout
+        self.tenants = {t.name: Tenant(t.rate_limit_per_second) for t in decoded.tenants or []}
+        self.has_silent_weights = (decoded.weights or "silent") == "silent"
+        self.settings = self._make_settings(decoded.allowed, functions, decoded.slow_start)
+
+    def _pair_kinds_and_memory(self, memory_mb: list[float]) -> dict[str, float]:
+        kinds = self.machine_kinds
+        if memory_mb and len(memory_mb) != len(kinds):
+            error = f"{len(kinds)} kinds of machine, and the memory of {len(memory_mb)}"
+            raise SettingsError(error)
+        return dict(zip(kinds, memory_mb, strict=False))
+
+    def _make_settings(
+        self, allowed: DispatcherLimits, functions: FunctionSettings, slow_start: SlowStartSettings
+    ) -> Settings:
+        decoded = self.decoded
+        retry_after_seconds = (allowed.max_retry_after or 0) if allowed.has_retry_after else 0
+        list_interval_seconds = slow_start.list_interval or DEFAULT_LIST_INTERVAL_SECONDS
+        rate_limits = [tenant.rate_limit_per_second for tenant in self.tenants.values()]
+        return Settings(
+            dispatchers=decoded.dispatchers,
+            tick_ns=seconds_to_ns(decoded.tick),
+            attempt_limit=allowed.attempt_limit,
+            may_hedge=bool(allowed.may_hedge),
+            may_cancel=bool(allowed.may_cancel),
+            may_request_loads=bool(functions.may_request_loads),
+            tells_warmth=bool(functions.tells_warmth),
+            loads_on_miss=(functions.on_miss or "load") == "load",
+            retry_after_limit_ns=seconds_to_ns(retry_after_seconds),
+            keep_alive_ns=seconds_to_ns(functions.keep_alive or 0),
             connect_timeout_ns=seconds_to_ns(allowed.connect_timeout or 0),
-            load_window_ns=seconds_to_ns(family.load_period or 0),
-            free_loads_per_window=family.loads_anyway or 0,
-            loads_per_request=family.loads_per_request or 0,
-            slow_start_share=rules.cold_from,
-            slow_start_ns=seconds_to_ns(rules.cold),
-            slow_start_multiple=rules.fall_multiple,
-            rate_limit_per_second=sum(c.rate_limit_per_second for c in self.tenants.values()) or math.inf,
-            over_share=1.0 if read.over_share_worth is None else read.over_share_worth,
-            memory_price=family.memory_price or 0.0,
-            late_value=min(c.late_value or 0.0 for c in read.classes),
-            load_price=(read.prices or Prices()).origin or 0.0,
-            lists_workers=read.registry_mode == "on_request",
-            list_interval_ns=seconds_to_ns(rules.ask_every or 10),
+            load_window_ns=seconds_to_ns(functions.load_window or 0),
+            free_loads_per_window=functions.free_loads_per_window or 0,
+            loads_per_request=functions.loads_per_request or 0,
+            slow_start_share=slow_start.initial_share,
+            slow_start_ns=seconds_to_ns(slow_start.ramp),
+            slow_start_multiple=slow_start.multiple,
+            rate_limit_per_second=sum(rate_limits) or math.inf,
+            over_share=1.0 if decoded.over_share is None else decoded.over_share,
+            memory_price=functions.memory_price or 0.0,
+            late_value=min(c.late_value or 0.0 for c in decoded.request_classes),
+            load_price=(decoded.prices or Prices()).load or 0.0,
+            lists_workers=decoded.registry_mode == "on_request",
+            list_interval_ns=seconds_to_ns(list_interval_seconds),
             request_classes=list(self.request_classes.values()),
         )
+
+
+def _make_request_class(settings: RequestClassSettings) -> RequestClass:
+    return RequestClass(
+        latency_objective_ns=seconds_to_ns(settings.latency_objective),
+        effect=EFFECTS[settings.effect],
+        deduplication_scope=DeduplicationScope(settings.deduplication_scope or "all"),
+        idempotency_window_ns=seconds_to_ns(settings.idempotency_window or 0),
+    )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,13 +10,15 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
 from martenlead.node import config
 from martenlead.policy.types import WorkerState
 from martenlead.simulator_adapter import settings as simulator_settings
+from martenlead.simulator_adapter.dispatcher import SimulatedDispatcher
+from martenlead.simulator_adapter.messages import Reply
 from martenlead.simulator_adapter.settings import Profile, SettingsError
-from martenlead.simulator_adapter.wire import SimulatedDispatcher
 from tests.nodes import SETTINGS
 
 GONE: Any = object()
@@ -148,14 +150,14 @@
 
 
 def test_events_with_odd_fields_prove_nothing_and_lose_no_task() -> None:
-    out: list[dict[str, Any]] = []
+    out: list[Reply] = []
     one = SimulatedDispatcher(0, {"profile-data": SETTINGS, "seed": 1}, 0, out)
 
     def hear(msg: str, **event: Any) -> list[dict[str, Any]]:
         out.clear()
         one.handle_event({"msg": msg, **event}, 10**9)
         one.advance_timers(10**9)
-        return [a for a in out if a["msg"] != "remind"]
+        return [a for a in msgspec.to_builtins(out) if a["msg"] != "remind"]
 
     lines = [{"runner": "a:1", "heft": "big", "campus": 3, "cluster": []}, {"runner": "b:1", "status": "Z"}]
     hear("update", form="C", items=[*lines, {"campus": "x"}, 7])
