--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -21,8 +21,8 @@
 
 from martenlead.capture import events as ev
 from martenlead.capture.format import Segment
+from martenlead.capture.reader import find_runs
 from martenlead.capture.replay import replay
-from martenlead.capture.writer import find_runs
 
 KINDS: dict[str, dict[str, Any]] = {
     "off": {},
--- /dev/null
+++ b/martenlead/capture/checkpoint_process.py
@@ -0,0 +1,54 @@
+"""Checkpoints that a process of its own makes, so that neither the event loop nor the writer waits for it."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+import time
+from collections.abc import Callable
+from pathlib import Path
+
+TIMEOUT_SECONDS = 600.0  # the longest that a checkpoint may take
+LOWEST_PRIORITY = "19"
+
+
+class CheckpointProcess:
+    """At most one process, which makes the checkpoint before one segment."""
+
+    def __init__(self, log: Callable[[str, str], None]) -> None:
+        self._log = log
+        self._process: subprocess.Popen[bytes] | None = None
+        self._started_seconds = 0.0  # by the monotonic clock
+        self.segment: Path | None = None  # that was asked for last
+
+    @property
+    def is_running(self) -> bool:
+        """Whether a process is at work."""
+        return self._process is not None and self._process.poll() is None
+
+    def start(self, segment: Path) -> None:
+        """Begins to make the checkpoint before a segment."""
+        self.segment, self._started_seconds = segment, time.monotonic()
+        command = [sys.executable, "-m", "martenlead", "capture", "checkpoint", str(segment)]
+        try:
+            self._process = subprocess.Popen(
+                ["nice", "-n", LOWEST_PRIORITY, *command],
+                stdin=subprocess.DEVNULL,
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.DEVNULL,
+            )
+        except OSError as error:
+            self._log("checkpoint_start_failed", str(error))
+
+    def collect(self) -> bool:
+        """Whether none is at work any more. One that takes too long is killed."""
+        if self._process is None:
+            return True
+        is_in_time = time.monotonic() - self._started_seconds < TIMEOUT_SECONDS
+        if self.is_running and is_in_time:
+            return False
+        self._process.kill()
+        if self._process.wait():
+            self._log("checkpoint_failed", str(self.segment))
+        self._process = None
+        return True
--- /dev/null
+++ b/martenlead/capture/reader.py
@@ -0,0 +1,131 @@
+"""Reads runs back from their segments: all events that are whole, with gaps where some are missing."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from itertools import dropwhile
+from pathlib import Path
+
+from martenlead.capture.checkpoint import Checkpoint, checkpoint_path, load
+from martenlead.capture.events import CaptureEvent, Gap, InputEvent
+from martenlead.capture.format import HEADER_BYTES, CaptureFormatError, Segment
+from martenlead.capture.run_folder import SEGMENT_SUFFIX, parse_segment_name
+
+
+class CaptureRun:
+    """The segments of one life of a dispatcher, in order."""
+
+    def __init__(self, name: str, number: int, paths: list[Path]) -> None:
+        self.name, self.number, self.paths = name, number, paths
+        self.torn_bytes = 0
+        self.missing_segments: list[int] = []
+
+    def events(self) -> Iterator[CaptureEvent]:
+        """All events that are whole.
+
+        Where the first segments are gone and the first that is there has a checkpoint, that comes first, in
+        place of what was before. A segment that is missing, or a torn end with more behind it, shows as a
+        `Gap`. Raises `CaptureFormatError` for what is no capture.
+        """
+        return _RunEvents(self).read()
+
+
+class _RunEvents:
+    """One pass through a run: which segment is expected next, and the time of the last event."""
+
+    def __init__(self, run: CaptureRun) -> None:
+        self._run = run
+        self._expected_segment = 0
+        self._last_ns = 0
+
+    def read(self) -> Iterator[CaptureEvent]:
+        for path in self._run.paths:
+            try:
+                segment = Segment(path.read_bytes())
+            except FileNotFoundError:  # removed by the bound on disk while it was about to be read
+                continue
+            except CaptureFormatError as error:
+                yield from self._skip_without_header(path, error)
+                continue
+            yield from self._read_segment(path, segment)
+            self._run.torn_bytes += segment.torn_bytes
+            self._expected_segment = segment.header.segment + 1
+
+    def _skip_without_header(self, path: Path, error: CaptureFormatError) -> Iterator[CaptureEvent]:
+        """Passes over a segment that was begun as the process was killed or the power was cut."""
+        if not _is_without_header(path):
+            raise CaptureFormatError(f"{path}: {error}") from None
+        self._run.torn_bytes += path.stat().st_size
+        if not self._is_last(path):
+            yield self._torn_gap(path)
+            parsed = parse_segment_name(path)
+            assert parsed is not None
+            self._expected_segment = parsed.segment + 1
+
+    def _read_segment(self, path: Path, segment: Segment) -> Iterator[CaptureEvent]:
+        number = segment.header.segment
+        if number != self._expected_segment:
+            checkpoint = _load_if_whole(path) if not self._expected_segment else None
+            if checkpoint is not None:
+                yield checkpoint
+                yield from dropwhile(_is_decision, self._frame_events(segment))
+                return
+            yield self._missing_gap(segment)
+        yield from self._frame_events(segment)
+        if segment.torn_bytes and not self._is_last(path):
+            yield self._torn_gap(path)
+
+    def _frame_events(self, segment: Segment) -> Iterator[CaptureEvent]:
+        for frame in segment.frames():
+            self._last_ns = frame.last_time_ns
+            yield from frame.events()
+
+    def _missing_gap(self, segment: Segment) -> Gap:
+        expected, found = self._expected_segment, segment.header.segment
+        self._run.missing_segments += range(expected, found)
+        reason = f"segments {expected} to {found - 1} are gone"
+        return Gap(self._last_ns, segment.header.first_time_ns, 0, reason)
+
+    def _torn_gap(self, path: Path) -> Gap:
+        return Gap(self._last_ns, self._last_ns, 0, f"{path.name} is torn")
+
+    def _is_last(self, path: Path) -> bool:
+        return path is self._run.paths[-1]
+
+
+def _is_decision(event: CaptureEvent) -> bool:
+    """What stands before the first input was decided before the checkpoint."""
+    return not isinstance(event, InputEvent)
+
+
+def _load_if_whole(path: Path) -> Checkpoint | None:
+    """The checkpoint before a segment, None without one, or where a power cut has torn it."""
+    try:
+        return load(checkpoint_path(path))
+    except (OSError, CaptureFormatError):
+        return None
+
+
+def _is_without_header(path: Path) -> bool:
+    """Whether the disk lost a segment's first bytes: too few, or zeros that a power cut left."""
+    with path.open("rb") as file:
+        header = file.read(HEADER_BYTES)
+    return len(header) < HEADER_BYTES or not any(header)
+
+
+def find_runs(paths: list[Path]) -> list[CaptureRun]:
+    """The runs in some files and folders, by name and time.
+
+    Raises `CaptureFormatError` where there is none.
+    """
+    files: dict[tuple[str, int], set[Path]] = {}
+    for path in paths:
+        found = sorted(path.glob(f"*{SEGMENT_SUFFIX}")) if path.is_dir() else [path]
+        for file in found:
+            parsed = parse_segment_name(file)
+            if parsed is None or not file.is_file():
+                raise CaptureFormatError(f"{file}: no capture; NAME-RUN-SEGMENT{SEGMENT_SUFFIX} was expected")
+            files.setdefault((parsed.name, parsed.run), set()).add(file)
+    if not files:
+        raise CaptureFormatError(f"{', '.join(map(str, paths))}: no captures there")
+    return [CaptureRun(name, run, sorted(found)) for (name, run), found in sorted(files.items())]
--- /dev/null
+++ b/martenlead/capture/retention.py
@@ -0,0 +1,84 @@
+"""The bound on the disk space of one name's segments: the oldest go first.
+
+A segment goes only once the one behind it has its checkpoint, so that the rest of the run can be replayed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from itertools import pairwise
+from pathlib import Path
+
+from martenlead.capture.checkpoint import checkpoint_path
+from martenlead.capture.checkpoint_process import CheckpointProcess
+from martenlead.capture.run_folder import RunFolder, parse_segment_name
+from martenlead.system.durable_file import remove_leftovers
+
+MAX_FAILURES = 4  # segments begun while older ones cannot be removed; beyond it nothing is written
+
+
+class Retention:
+    """Removes the oldest segments of a folder beyond a number of bytes."""
+
+    def __init__(
+        self,
+        folder: RunFolder,
+        max_bytes: int,
+        has_checkpoints: bool,
+        log: Callable[[str, str], None],
+    ) -> None:
+        self.checkpoint_process = CheckpointProcess(log)
+        self._folder = folder
+        self._max_bytes = max_bytes
+        self._has_checkpoints = has_checkpoints
+        self._log = log
+        self._failures = 0  # in a row
+
+    def enforce(self) -> None:
+        """Removes what is beyond the bound.
+
+        Raises OSError where that could not be done for a while: the bound comes before what is new.
+        """
+        try:
+            self._remove_oldest()
+            self._failures = 0
+        except OSError as error:
+            self._failures += 1
+            if self._failures == 1:
+                self._log("segment_removal_failed", str(error))
+            if self._failures > MAX_FAILURES:
+                raise
+
+    def _remove_oldest(self) -> None:
+        """Stops where a checkpoint has to be made first; what is written meanwhile is beyond the bound."""
+        segments = self._folder.segments()
+        total_bytes = sum(path.stat().st_size for path in segments)
+        if not self.checkpoint_process.collect():
+            return
+        for path, following in pairwise(segments):
+            if total_bytes <= self._max_bytes:
+                return
+            if self._needs_checkpoint(path, following):
+                self.checkpoint_process.start(following)
+                return
+            total_bytes -= path.stat().st_size
+            self._remove(path)
+
+    def _needs_checkpoint(self, path: Path, following: Path) -> bool:
+        """Whether a checkpoint is still to be made before a segment goes; it is tried once."""
+        if not self._has_checkpoints or _run_of(path) != _run_of(following):
+            return False
+        is_made = checkpoint_path(following).exists()
+        return not is_made and self.checkpoint_process.segment != following
+
+    def _remove(self, path: Path) -> None:
+        path.unlink(missing_ok=True)
+        checkpoint = checkpoint_path(path)
+        checkpoint.unlink(missing_ok=True)
+        remove_leftovers(checkpoint)
+        self._log("segment_removed", path.name)
+
+
+def _run_of(path: Path) -> int | None:
+    parsed = parse_segment_name(path)
+    return parsed.run if parsed is not None else None
--- a/martenlead/cli/capture.py
+++ b/martenlead/cli/capture.py
@@ -11,6 +11,7 @@
 from martenlead.capture.checkpoint import CheckpointError, checkpoint_path
 from martenlead.capture.explain import OutcomeSummary, explain_request, summarize_outcomes
 from martenlead.capture.format import CaptureFormatError, Segment
+from martenlead.capture.reader import CaptureRun, find_runs
 from martenlead.capture.recorder import policy_hash
 from martenlead.capture.replay import (
     Divergence,
@@ -20,7 +21,6 @@
     replay,
     write_checkpoint_between,
 )
-from martenlead.capture.writer import CaptureRun, find_runs
 
 PATHS = click.argument("paths", type=click.Path(path_type=Path, exists=True), nargs=-1, required=True)
 
--- a/martenlead/cli/day.py
+++ b/martenlead/cli/day.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from martenlead.capture.explain import list_outcomes
-from martenlead.capture.writer import find_runs
+from martenlead.capture.reader import find_runs
 from martenlead.config.load import ConfigError, decode, evaluate
 from martenlead.days.books import balance
 from martenlead.days.report import kept, table
--- a/martenlead/cli/edge.py
+++ b/martenlead/cli/edge.py
@@ -9,7 +9,8 @@
 import structlog
 
 from martenlead.capture.recorder import CaptureRecorder
-from martenlead.capture.writer import AlreadyLockedError, CaptureSettings, CaptureWriter
+from martenlead.capture.run_folder import AlreadyLockedError
+from martenlead.capture.writer import CaptureSettings, CaptureWriter
 from martenlead.config.edge import read_edge_settings
 from martenlead.config.load import ConfigError, decode
 from martenlead.edge.knowledge_saver import KnowledgeSaver
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -25,6 +25,7 @@
 from martenlead.capture import format as fm
 from martenlead.capture.checkpoint import Checkpoint, load
 from martenlead.capture.explain import explain_request, summarize_outcomes
+from martenlead.capture.reader import find_runs
 from martenlead.capture.recorder import CaptureRecorder
 from martenlead.capture.replay import (
     Replayer,
@@ -33,7 +34,8 @@
     replay,
     write_checkpoint_between,
 )
-from martenlead.capture.writer import AlreadyLockedError, CaptureSettings, CaptureWriter, find_runs
+from martenlead.capture.run_folder import AlreadyLockedError
+from martenlead.capture.writer import CaptureSettings, CaptureWriter
 from martenlead.cli.main import commands
 from martenlead.policy.policy import Policy
 from support.fleet import after, closes, draining, error, fleet, full, satisfied, silent
@@ -106,7 +108,7 @@
 import sys
 from pathlib import Path
 from martenlead.capture.replay import replay
-from martenlead.capture.writer import find_runs
+from martenlead.capture.reader import find_runs
 for run in find_runs([Path(sys.argv[1])]):
     told = replay(run.events())
     print("identical" if told.divergence is None and not told.stop_reason else told, told.decisions)
@@ -296,7 +298,7 @@
             settle(made, n - 5)
     made.close()
     assert sum(p.stat().st_size for p in tmp_path.glob("*.mlc")) <= 4600
-    assert "the oldest segment is removed" in told
+    assert "segment_removed" in told
     (run,) = find_runs([tmp_path])
     first, *rest = run.events()
     assert isinstance(first, ev.Gap)
@@ -310,7 +312,7 @@
     for n in range(50):
         made.put(ev.Advance(n))
     assert made.dropped == 40
-    made._queue.popleft()
+    made.queue.events.popleft()
     made.put(ev.Advance(99))
     made.close()
     gap = next(e for e in find_runs([tmp_path])[0].events() if isinstance(e, ev.Gap))
@@ -341,7 +343,7 @@
     assert [type(e).__name__ for e in found] == ["Advance", "Gap", "Advance"]
     assert isinstance(found[1], ev.Gap)
     assert (found[1].time_ns, found[1].dropped) == (2, 2)
-    assert told == ["the capture is not written", "capture_resumed"]
+    assert told == ["capture_write_failed", "capture_resumed"]
 
 
 def test_two_of_one_name_are_refused_and_two_names_share_a_folder(tmp_path: Path) -> None:
@@ -424,11 +426,11 @@
         made.put(event)
         if n % 400 == 399:
             settle(made, n - 400)
-            while made._child is not None and made._child.poll() is None:
+            while made.retention.checkpoint_process.is_running:
                 time.sleep(0.01)
     made.close()
-    assert "the oldest segment is removed" in told
-    assert "no checkpoint before the oldest segment goes" not in told
+    assert "segment_removed" in told
+    assert "checkpoint_failed" not in told
     (run,) = find_runs([tmp_path])
     assert run.paths[0].name.endswith("-000000.mlc") is False
     outcome = replay(run.events())
--- a/tests/test_capture_disk_faults.py
+++ b/tests/test_capture_disk_faults.py
@@ -15,7 +15,9 @@
 
 from martenlead.capture import checkpoint as checkpoints
 from martenlead.capture import events as ev
-from martenlead.capture.writer import AlreadyLockedError, CaptureSettings, find_runs
+from martenlead.capture.reader import find_runs
+from martenlead.capture.run_folder import AlreadyLockedError
+from martenlead.capture.writer import CaptureSettings
 from martenlead.capture.writer import CaptureWriter as Captures
 from martenlead.system.durable_file import Backoff
 from support.disk_faults import ERRNOS, DiskFaults
@@ -26,7 +28,7 @@
 
 
 def captures(root: Path, monkeypatch: pytest.MonkeyPatch, **more: Any) -> tuple[Captures, list[str]]:
-    monkeypatch.setattr("martenlead.capture.writer.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.capture.disk_failures.Backoff", QUICK)
     told: list[str] = []
     settings = CaptureSettings(folder=str(root), flush_ms=1, sync="flush", checkpoints=False, **more)
     return Captures(settings, "edge", lambda what, _: told.append(what)), told
@@ -88,7 +90,7 @@
             assert (len(times), lost) == (written, dropped), k
             assert times == sorted(set(times)), k
             assert times[-4:] == [5, 6, 7, 8], k
-            assert told.count("the capture is not written") == told.count("capture_resumed"), k
+            assert told.count("capture_write_failed") == told.count("capture_resumed"), k
             assert made.recoveries == told.count("capture_resumed")
             disk.crash()
             assert read(root) == (times, lost), k
@@ -117,7 +119,7 @@
         times, lost = read(tmp_path)
         assert (len(times), lost) == (made.written, made.dropped)
         assert lost == 3
-        assert told == ["the capture is not written", "capture_resumed"] * 3
+        assert told == ["capture_write_failed", "capture_resumed"] * 3
 
 
 def test_a_capture_folder_that_cannot_be_used_at_the_start_is_tried_again(
@@ -127,7 +129,7 @@
     with disk():
         disk.fail(errno.EROFS, 1)
         made, told = captures(tmp_path / "captures", monkeypatch)
-        assert told == ["the capture is not written"]
+        assert told == ["capture_write_failed"]
         for n in (1, 2):
             made.put(ev.Advance(n))
         end = time.monotonic() + 10
@@ -140,7 +142,7 @@
             captures(tmp_path / "captures", monkeypatch)
         made.close()
         assert read(tmp_path / "captures") == ([1, 2, 3, 4], 0)  # a run is replayed from its beginning only
-        assert told == ["the capture is not written", "capture_resumed"]
+        assert told == ["capture_write_failed", "capture_resumed"]
 
 
 @pytest.mark.anyio
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,7 +13,7 @@
 import pytest
 
 from martenlead.capture import events as ev
-from martenlead.capture.writer import find_runs
+from martenlead.capture.reader import find_runs
 from martenlead.durable_state.disk import StateFolder
 from martenlead.durable_state.knowledge import SECOND, SavedKnowledge, build_earlier_run, gather_knowledge
 from martenlead.durable_state.store import StateStore
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -17,7 +17,8 @@
 from martenlead.admission import reservation_token as token
 from martenlead.admission.controller import EARLY_ARRIVAL_SHARE, RESERVATION_GRACE_NS
 from martenlead.capture import events as ev
-from martenlead.capture.writer import CaptureSettings, CaptureWriter, find_runs
+from martenlead.capture.reader import find_runs
+from martenlead.capture.writer import CaptureSettings, CaptureWriter
 from martenlead.cli.state import state
 from martenlead.durable_state import knowledge
 from martenlead.durable_state.disk import StateFolder
--- a/tests/test_wall_clock_contract.py
+++ b/tests/test_wall_clock_contract.py
@@ -33,7 +33,7 @@
     "upstream/endpoints.py load_cached_endpoints moment": "its boot clock alone",
     "planner/server.py Planner.__init__ moment": "the time of saving, for another boot",
     "cli/state.py _age moment": "the age of a file from another boot of the machine, for people",
-    "capture/writer.py CaptureWriter._new_run wall_ns": "a name for people; above all that are there",
+    "capture/run_folder.py RunFolder._next_run wall_ns": "a name for people; above all that are there",
     "capture/recorder.py CaptureRecorder._record_start wall_ns": "when a capture began, for people",
     "layers/cache.py Cache._next_aside wall_ns": "a name for people; above all that are there",
     "layers/cache.py Cache._note_use wall_ns": "the time of last use; later than all before it",
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -15,8 +15,9 @@
 import anyio
 import pytest
 
+from martenlead.capture.reader import find_runs
 from martenlead.capture.recorder import CaptureRecorder
-from martenlead.capture.writer import CaptureSettings, CaptureWriter, find_runs
+from martenlead.capture.writer import CaptureSettings, CaptureWriter
 from martenlead.config.edge import DurableStateSettings
 from martenlead.edge.knowledge_saver import KnowledgeSaver
 from martenlead.system import clocks
