--- a/martenlead/capture/__init__.py
+++ b/martenlead/capture/__init__.py
@@ -1,2 +1,5 @@
-"""What a dispatcher was told and decided, on disk; its replay through the same `Engine`, and what a replay
-tells."""
+"""What a dispatcher was notified of and decided, on disk, and the replay of it.
+
+A recorder makes events, a writer stores them in segments, a reader gives them back, and a replayer
+drives the same policy with them. docs/format-capture.md is the format.
+"""
--- a/martenlead/capture/checkpoint_process.py
+++ b/martenlead/capture/checkpoint_process.py
@@ -1,4 +1,4 @@
-"""Checkpoints that a process of its own makes, so that neither the event loop nor the writer waits for it."""
+"""Checkpoints, made by a process of its own: neither the event loop nor the writer waits for it."""
 
 from __future__ import annotations
 
--- a/martenlead/capture/disk_failures.py
+++ b/martenlead/capture/disk_failures.py
@@ -1,4 +1,4 @@
-"""What the disk did not take: counted, noted in the capture as a gap, and tried again with backoff."""
+"""What the disk did not take: counted, and noted in the capture as a gap. Retries back off."""
 
 from __future__ import annotations
 
@@ -41,14 +41,15 @@
         """The gap that stands for what was lost before a batch, if anything was."""
         if not self._unnoted:
             return []
-        until_ns = next((e.time_ns for e in batch if isinstance(e, InputEvent)), self._lost_since_ns)
+        times = (e.time_ns for e in batch if isinstance(e, InputEvent))
+        until_ns = next(times, self._lost_since_ns)
         return [Gap(self._lost_since_ns or until_ns, until_ns, self._unnoted, NOT_WRITTEN)]
 
     def lose(self, batch: Sequence[CaptureEvent]) -> None:
         """Counts events that are in no file; a gap among them stands for events counted before."""
         if batch and not self._unnoted:
-            inputs = (e.time_ns for e in batch if isinstance(e, InputEvent))
-            self._lost_since_ns = next(inputs, 0)
+            times = (e.time_ns for e in batch if isinstance(e, InputEvent))
+            self._lost_since_ns = next(times, 0)
         self._unnoted += sum(e.dropped if isinstance(e, Gap) else 1 for e in batch)
         self.lost_events += sum(not isinstance(e, Gap) for e in batch)
 
--- a/martenlead/capture/event_queue.py
+++ b/martenlead/capture/event_queue.py
@@ -1,4 +1,4 @@
-"""The events that wait for the disk: a bounded queue between the event loop and the writer's thread."""
+"""The events that wait for the disk, between the event loop and the writer's thread."""
 
 from __future__ import annotations
 
@@ -29,6 +29,7 @@
         self.dropped = 0
 
     def __len__(self) -> int:
+        """How many events wait."""
         return len(self.events)
 
     def put(self, event: CaptureEvent) -> None:
--- a/martenlead/capture/events.py
+++ b/martenlead/capture/events.py
@@ -1,18 +1,18 @@
-"""What crosses the module's border, as it is written down: one structure for each call, and for each
-decision.
+"""What a dispatcher's policy was notified of and what it decided, as captures store it.
 
-Inputs carry `t`, the time (monotonic ns) at which the module was told. A decision carries none: it is made in
-the course of the input before it. Objects are numbered in the order in which they came; names stand where a
-number is given out. docs/format-capture.md has every field.
+Each type is one kind of event. Inputs carry the time (monotonic ns) of the notification. A decision
+carries none: it is made in the course of the input before it. Numbers stand for objects, in the
+order in which these came; names stand where a number is given out. docs/format-capture.md has every
+field, by the stored names.
 """
 
 from __future__ import annotations
 
-from dataclasses import fields
 from typing import Any
 
 import msgspec
 
+from martenlead.capture.setting_names import SETTING_FIELDS
 from martenlead.policy.types import (
     DeduplicationScope,
     Effect,
@@ -26,15 +26,17 @@
 
 
 class CaptureEvent(msgspec.Struct, array_like=True, tag_field="k", frozen=True):
-    """Anything that is written down."""
+    """Anything that a capture stores."""
 
 
 class InputEvent(CaptureEvent, frozen=True):
+    """Something that the policy was notified of."""
+
     time_ns: int = msgspec.field(name="t")
 
 
 class PackedWorkerFacts(msgspec.Struct, array_like=True, frozen=True):
-    """`RunnerFacts`; the mark in hexadecimal, since it may be longer than an integer of the format."""
+    """`WorkerFacts`, the mark in hexadecimal: it may be longer than an integer of the format."""
 
     mark: str
     zone: str
@@ -46,32 +48,40 @@
 
 
 class RunStarted(InputEvent, frozen=True, tag=0):
-    wall_seconds: float = msgspec.field(name="wall")  # s since 1970, of the same moment
+    """The policy was made, with these settings and this seed."""
+
+    wall_seconds: float = msgspec.field(name="wall")  # since 1970, of the same moment
     edge: str
-    policy_hash: str = msgspec.field(name="module")  # hash of the decision module's text
+    policy_hash: str = msgspec.field(name="module")  # of the policy's text
     program_version: str = msgspec.field(name="program")
     python_version: str = msgspec.field(name="python")
     seed: int
-    settings: dict[str, Any]
+    settings: dict[str, Any]  # by stored names, with values of many types
     request_classes: list[str] = msgspec.field(name="offerings")
     tenants: list[tuple[str, float]] = msgspec.field(name="customers")  # name, quota
 
 
 class EngineStarted(InputEvent, frozen=True, tag=1):
-    pass
+    """What runs as long as the dispatcher does began."""
 
 
 class TickChanged(InputEvent, frozen=True, tag=2):
+    """The event loop achieves another tick."""
+
     tick_ns: int = msgspec.field(name="tick")
 
 
 class WorkerAdded(InputEvent, frozen=True, tag=3):
+    """A worker was named for the first time, and got a number."""
+
     worker: int = msgspec.field(name="runner")
     name: str
     facts: PackedWorkerFacts
 
 
 class FunctionAdded(InputEvent, frozen=True, tag=4):
+    """A function was named for the first time, and got a number."""
+
     function: int = msgspec.field(name="model")
     name: str
     mark: str
@@ -80,11 +90,15 @@
 
 
 class WorkersUpdated(InputEvent, frozen=True, tag=5):
+    """What discovery said of some workers, or of all where it is complete."""
+
     is_complete: bool = msgspec.field(name="whole")
     workers: list[tuple[int, PackedWorkerFacts]] = msgspec.field(name="lines")
 
 
 class RequestAccepted(InputEvent, frozen=True, tag=6):
+    """A request arrived, and got a number."""
+
     request: int = msgspec.field(name="task")
     name: str
     function: int = msgspec.field(name="model")
@@ -96,6 +110,8 @@
 
 
 class AttemptEnded(InputEvent, frozen=True, tag=7):
+    """An attempt had its result."""
+
     request: int = msgspec.field(name="task")
     attempt: int = msgspec.field(name="hand_off")
     result: str
@@ -105,22 +121,26 @@
 
 
 class LoadEnded(InputEvent, frozen=True, tag=8):
+    """A load request ended, and so many replicas are loaded at its worker."""
+
     load_request: int = msgspec.field(name="order")
     result: str
     replicas: int = msgspec.field(name="copies")
 
 
 class RequestClosed(InputEvent, frozen=True, tag=9):
+    """A request had its final response, or its client left."""
+
     request: int = msgspec.field(name="task")
     outcome: str = msgspec.field(name="final")
 
 
 class Advance(InputEvent, frozen=True, tag=10):
-    pass
+    """Timers that were due fired."""
 
 
 class Gap(InputEvent, frozen=True, tag=11):
-    """`dropped` events are missing between `t` and `until`: nothing behind it can be replayed."""
+    """So many events are missing between two times: nothing behind it can be replayed."""
 
     until_ns: int = msgspec.field(name="until")
     dropped: int
@@ -128,7 +148,7 @@
 
 
 class RetentionChanged(InputEvent, frozen=True, tag=13):
-    """A planner's word: whether a copy is held."""
+    """A planner decided whether a replica is retained."""
 
     worker: int = msgspec.field(name="runner")
     function: int = msgspec.field(name="model")
@@ -136,7 +156,7 @@
 
 
 class LoadPlanned(InputEvent, frozen=True, tag=14):
-    """A planner's order, by the planner's number; followed by `Ordered` if it may be given."""
+    """A planner decided on a load request; `LoadRequested` follows if the budget allows it."""
 
     plan_number: int = msgspec.field(name="plan")
     worker: int = msgspec.field(name="runner")
@@ -144,13 +164,13 @@
 
 
 class LoadRequestsAllowed(InputEvent, frozen=True, tag=15):
-    """Whether the dispatcher decides on copies itself from here on."""
+    """Whether the dispatcher decides on replicas itself from here on."""
 
     is_allowed: bool = msgspec.field(name="on")
 
 
 class ReplicaConfirmed(InputEvent, frozen=True, tag=16):
-    """The answer to an ask for a copy that was held in a life before; `touched`: when it was last used."""
+    """The answer to the question after a replica of an earlier run."""
 
     worker: int = msgspec.field(name="runner")
     function: int = msgspec.field(name="model")
@@ -160,8 +180,10 @@
 
 
 class WorkerChoiceRequested(InputEvent, frozen=True, tag=17):
-    """The door asks whether a task like this would be handed off now; asking draws from the module's
-    chance."""
+    """Admission asked which worker would have such a request now.
+
+    The choice draws from the policy's random numbers, so a replay has to make it too.
+    """
 
     function: int = msgspec.field(name="model")
     request_class: int = msgspec.field(name="offering")
@@ -170,18 +192,24 @@
 
 
 class KnowledgeRestored(InputEvent, frozen=True, tag=18):
-    """What was kept of an earlier life. A model: number, bins, sum of lags, worth of these, tasks, span, gap,
-    idle, worth of these; a runner: number, width, worth; ages of orders."""
+    """What an earlier run had learnt.
+
+    A function is its number and the other fields of `EarlierFunction` in their order, a worker its
+    number, concurrency limit and weight.
+    """
 
     succeeded_per_second: float = msgspec.field(name="rate")
     new_requests_per_second: float = msgspec.field(name="asked")
     weight: float = msgspec.field(name="worth")
+    # lists of numbers, and of lists of numbers
     functions: list[list[Any]] = msgspec.field(name="models")
     workers: list[list[Any]] = msgspec.field(name="runners")
     load_ages_ns: list[int] = msgspec.field(name="orders")
 
 
 class AttemptStarted(CaptureEvent, frozen=True, tag=32):
+    """The policy sent an attempt of a request to a worker."""
+
     request: int = msgspec.field(name="task")
     attempt: int = msgspec.field(name="hand_off")
     worker: int = msgspec.field(name="runner")
@@ -189,20 +217,28 @@
 
 
 class RequestRejected(CaptureEvent, frozen=True, tag=33):
+    """The policy rejected a request, which may come again after a while."""
+
     request: int = msgspec.field(name="task")
     retry_after_ns: int = msgspec.field(name="wait")
 
 
 class RequestFailed(CaptureEvent, frozen=True, tag=34):
+    """The policy failed a request."""
+
     request: int = msgspec.field(name="task")
 
 
 class AttemptCancelled(CaptureEvent, frozen=True, tag=35):
+    """The policy cancelled an attempt in flight."""
+
     request: int = msgspec.field(name="task")
     attempt: int = msgspec.field(name="hand_off")
 
 
 class LoadRequested(CaptureEvent, frozen=True, tag=36):
+    """The policy asked a worker for replicas; the load request got a number."""
+
     load_request: int = msgspec.field(name="order")
     worker: int = msgspec.field(name="runner")
     function: int = msgspec.field(name="model")
@@ -210,7 +246,7 @@
 
 
 class WorkerListRequested(CaptureEvent, frozen=True, tag=37):
-    pass
+    """The policy asked discovery for changes of the worker list."""
 
 
 AnyEvent = (
@@ -252,10 +288,12 @@
 
 
 def request_number(event: CaptureEvent) -> int | None:
+    """The number of the request that an event is about, None where it is about none."""
     return getattr(event, "request", None)
 
 
 def pack_facts(facts: WorkerFacts) -> PackedWorkerFacts:
+    """The stored form of what discovery said of a worker."""
     return PackedWorkerFacts(
         f"{facts.mark:x}",
         facts.zone,
@@ -268,70 +306,66 @@
 
 
 def unpack_facts(packed: PackedWorkerFacts) -> WorkerFacts:
-    p = packed
+    """What discovery said of a worker."""
     return WorkerFacts(
-        int(p.mark, 16), p.zone, p.cell, p.memory_mb, p.weight, WorkerState(p.state), p.started_ns
+        int(packed.mark, 16),
+        packed.zone,
+        packed.cell,
+        packed.memory_mb,
+        packed.weight,
+        WorkerState(packed.state),
+        packed.started_ns,
     )
 
 
 def unpack_function_facts(event: FunctionAdded) -> FunctionFacts:
+    """What was stated of a function."""
     return FunctionFacts(int(event.mark, 16), event.lanes, event.memory_mb)
 
 
-# by which captures store the policy's settings, and `replay --set` takes them
-SETTING_NAMES = {
-    "dispatchers": "front_ends",
-    "tick_ns": "tick",
-    "attempt_limit": "hand_offs",
-    "may_hedge": "twice_out",
-    "may_cancel": "call_off",
-    "may_request_loads": "orders",
-    "tells_warmth": "tells_warm",
-    "retry_after_limit_ns": "turn_back_wait",
-    "keep_alive_ns": "keep",
-    "load_window_ns": "ration_window",
-    "free_loads_per_window": "ration_free",
-    "loads_per_request": "ration_share",
-    "slow_start_share": "cold_from",
-    "slow_start_ns": "cold",
-    "slow_start_multiple": "fall_multiple",
-    "rate_limit_per_second": "quota",
-    "late_value": "late_revenue",
-    "load_price": "fetch_price",
-    "lists_workers": "asks_roster",
-    "list_interval_ns": "roster_every",
-    "request_classes": "offerings",
-    "connect_timeout_ns": "reach",
-    "function_limit": "functions",
-}
-# the fields of `Settings`, by the names under which they are stored
-SETTING_FIELDS = {SETTING_NAMES.get(f.name, f.name): f.name for f in fields(Settings)}
-
-
-def pack_settings(settings: Settings) -> dict[str, Any]:
-    """All fields; offerings as lists of theirs, infinity as text, since not every format has it."""
-    told = {stored: getattr(settings, name) for stored, name in SETTING_FIELDS.items()}
-    told["offerings"] = [
-        [o.latency_objective_ns, o.effect.value, o.deduplication_scope.value, o.idempotency_window_ns]
+def pack_settings(settings: Settings) -> dict[str, object]:
+    """The stored form of all settings.
+
+    Request classes are lists of their fields, and a rate limit is text, since not every format has
+    infinity.
+    """
+    stored_settings: dict[str, object] = {
+        stored: getattr(settings, name) for stored, name in SETTING_FIELDS.items()
+    }
+    stored_settings["offerings"] = [
+        [
+            o.latency_objective_ns,
+            o.effect.value,
+            o.deduplication_scope.value,
+            o.idempotency_window_ns,
+        ]
         for o in settings.request_classes
     ]
-    told["quota"] = str(settings.rate_limit_per_second)
-    return told
+    stored_settings["quota"] = str(settings.rate_limit_per_second)
+    return stored_settings
+
 
+def unpack_settings(stored_settings: dict[str, Any]) -> Settings:
+    """The settings of a run, from values of many types.
 
-def unpack_settings(told: dict[str, Any]) -> Settings:
-    """A field that this version does not have is passed over; one that the writer did not have is absent."""
-    known = {SETTING_FIELDS[stored]: value for stored, value in told.items() if stored in SETTING_FIELDS}
+    A field that this version does not have is passed over; one that the writer lacked is absent.
+    """
+    known = {
+        SETTING_FIELDS[stored]: value
+        for stored, value in stored_settings.items()
+        if stored in SETTING_FIELDS
+    }
     known["request_classes"] = [
-        RequestClass(soft, Effect(kind), DeduplicationScope(group), w)
-        for soft, kind, group, w in told["offerings"]
+        RequestClass(objective_ns, Effect(effect), DeduplicationScope(scope), window_ns)
+        for objective_ns, effect, scope, window_ns in stored_settings["offerings"]
     ]
-    known["rate_limit_per_second"] = float(told["quota"])
+    known["rate_limit_per_second"] = float(stored_settings["quota"])
     return Settings(**known)
 
 
 def unpack_tenants(start: RunStarted) -> list[Tenant]:
-    return [Tenant(quota) for _, quota in start.tenants]
+    """The tenants of a run, in their order."""
+    return [Tenant(rate_limit_per_second) for _, rate_limit_per_second in start.tenants]
 
 
 KIND_NAMES: dict[type[CaptureEvent], str] = {
@@ -358,7 +392,7 @@
     LoadRequested: "Ordered",
     WorkerListRequested: "Asked",
 }
-"""The names of kinds that `capture show`, `stats` and `replay` print, where they are not the classes' own."""
+"""The names of kinds that the command line prints, where they are not the classes' own."""
 
 
 def kind_name(event: CaptureEvent) -> str:
--- a/martenlead/capture/explain.py
+++ b/martenlead/capture/explain.py
@@ -1,215 +1,177 @@
-"""The story of a task, and why tasks were not satisfied: read from a replay, so that the module logs
-nothing."""
+"""The story of one request, read from a replay, so that the policy logs nothing."""
 
 from __future__ import annotations
 
-from collections import Counter, defaultdict
 from collections.abc import Iterable
-from dataclasses import dataclass, field
-from typing import Any
 
 from martenlead.capture import events as ev
-from martenlead.capture.replay import Replayer, ReplayError
+from martenlead.capture.replayer import Replayer, ReplayError
+from martenlead.policy.policy import Policy
+from martenlead.policy.state import Replica, Worker
 from martenlead.policy.types import Request
 
-MS = 1_000_000
-LOST_WITH_DISPATCHER = "lost with its dispatcher"
+NS_PER_MS = 1_000_000
+INDENT = " " * 17  # of lines that belong to the one before
 
 
-def explain_request(events: Iterable[ev.CaptureEvent], wanted: str) -> list[str]:
-    """Lines on all tries of one task: what came, each decision, what was known of each runner just then.
+def explain_request(events: Iterable[ev.CaptureEvent], name: str) -> list[str]:
+    """Lines on all attempts of one request: what came, what was decided, what was known.
 
-    `wanted` is the event's id, its source and id with a blank between, or the task's number in the capture.
-    What is said of runners is the module's own state right behind the decision, with the hand-off counted in.
+    `name` is the event's id, its source and id with a blank between, or the request's number in the
+    capture. What is said of workers is the policy's own state right behind the decision, with the
+    attempt counted in.
     """
-    replayer, lines = Replayer(), list[str]()
-    begun = 0
-    numbers: set[int] = set()
+    story = _Story(name)
+    for event in events:
+        if not story.add(event):
+            break
+    return story.lines
 
-    def say(text: str) -> None:
-        lines.append(f"{(replayer.policy.state.now_ns - begun) / MS:12.3f} ms  {text}")
 
-    mine: set[Request] = set()
+class _StoryReplayer(Replayer):
+    """A replayer that notes which requests a story is about, before the policy decides on them."""
 
-    def listen() -> None:
-        place = replayer.policy.placement.choose_worker
+    def __init__(self) -> None:
+        super().__init__()
+        self.numbers: set[int] = set()
+        self.chosen: set[Request] = set()
 
-        def told(request: Request, excluded: set[Any]) -> Any:
-            if request in mine:
-                lines.extend(f"{'':17}{line}" for line in _known(replayer, request))
-            return place(request, excluded)
+    def create_request(self, event: ev.RequestAccepted) -> Request:
+        """The policy's object for a request, noted if the story is about it."""
+        request = super().create_request(event)
+        if event.request in self.numbers:
+            self.chosen.add(request)
+        return request
 
-        replayer.policy.placement.choose_worker = told  # type: ignore[method-assign]
 
-    for event in events:
-        if isinstance(event, ev.RunStarted):
-            begun = event.time_ns
-        if isinstance(event, ev.RequestAccepted) and wanted in _names(event):
-            numbers.add(event.request)
-        number = ev.request_number(event)
-        if isinstance(event, ev.InputEvent):
-            if number in numbers:
-                replayer.policy.state.now_ns = event.time_ns
-                say(_said(replayer, event))
-            try:
-                if isinstance(event, ev.RequestAccepted) and event.request in numbers:
-                    _feed_and_mark(replayer, event, mine)
-                else:
-                    replayer.feed(event)
-                if isinstance(event, ev.RunStarted):
-                    listen()
-            except ReplayError as error:
-                lines.append(f"(nothing further: {error})")
-                return lines
-            replayer.pending_decisions.clear()
-        elif number in numbers:
-            say(_said(replayer, event))
-    return lines
+class _Story:
+    """The lines on one request, event by event."""
 
+    def __init__(self, name: str) -> None:
+        self._name = name
+        self._replayer = _StoryReplayer()
+        self._started_ns = 0
+        self.lines: list[str] = []
 
-def _names(event: ev.RequestAccepted) -> tuple[str, str, str]:
-    return event.name, event.name.rpartition(" ")[2], str(event.request)
+    def add(self, event: ev.CaptureEvent) -> bool:
+        """Whether the story goes on behind this event."""
+        if isinstance(event, ev.RunStarted):
+            self._started_ns = event.time_ns
+        if isinstance(event, ev.RequestAccepted) and self._name in _names(event):
+            self._replayer.numbers.add(event.request)
+        is_chosen = ev.request_number(event) in self._replayer.numbers
+        if not isinstance(event, ev.InputEvent):
+            if is_chosen:
+                self._add_line(event)
+            return True
+        if is_chosen:
+            self._replayer.policy.state.now_ns = event.time_ns
+            self._add_line(event)
+        return self._feed(event)
+
+    def _feed(self, event: ev.InputEvent) -> bool:
+        try:
+            self._replayer.feed(event)
+        except ReplayError as error:
+            self.lines.append(f"(nothing further: {error})")
+            return False
+        if isinstance(event, ev.RunStarted):
+            self._watch_choices()
+        self._replayer.pending_decisions.clear()
+        return True
 
+    def _add_line(self, event: ev.CaptureEvent) -> None:
+        passed_ms = (self._replayer.policy.state.now_ns - self._started_ns) / NS_PER_MS
+        self.lines.append(f"{passed_ms:12.3f} ms  {_describe(self._replayer, event)}")
 
-def _feed_and_mark(replayer: Replayer, event: ev.RequestAccepted, mine: set[Request]) -> None:
-    """The module decides while it takes the task: it has to be known as ours before that."""
-    number = event.request
+    def _watch_choices(self) -> None:
+        """Adds what is known of the workers whenever one is chosen for the request."""
+        placement = self._replayer.policy.placement
+        choose_worker = placement.choose_worker
 
-    class Marking(dict[int, Request]):
-        def __setitem__(self, key: int, task: Request) -> None:
-            if key == number:
-                mine.add(task)
-            super().__setitem__(key, task)
+        def choose_and_report(request: Request, excluded: set[Worker]) -> Worker | None:
+            """Chooses as the policy does."""
+            if request in self._replayer.chosen:
+                known = describe_workers(self._replayer, request)
+                self.lines.extend(f"{INDENT}{line}" for line in known)
+            return choose_worker(request, excluded)
 
-    replayer.tasks, old = Marking(replayer.tasks), replayer.tasks
-    replayer.feed(event)
-    old.update(replayer.tasks)
-    replayer.tasks = old
+        placement.choose_worker = choose_and_report  # type: ignore[method-assign]
 
 
-def _said(replayer: Replayer, event: ev.CaptureEvent) -> str:
-    def runner(number: int) -> str:
-        return replayer.names[replayer.runners[number]]
+def _names(event: ev.RequestAccepted) -> tuple[str, ...]:
+    return event.name, event.name.rpartition(" ")[2], str(event.request)
+
 
+def _describe(replayer: Replayer, event: ev.CaptureEvent) -> str:
+    """One event in words."""
+    text = ev.kind_name(event)
     match event:
-        case ev.RequestAccepted(name=name, deadline_ns=give_up, is_retry=again):
-            left = (give_up - event.time_ns) / MS
-            start = replayer.start
-            offering = start.request_classes[event.request_class] if start else "?"
-            model = replayer.names[replayer.models[event.function]]
-            return (
-                f"task {event.request} ({name}): {offering}, {model}, {left:.1f} ms left{', again' * again}"
-            )
-        case ev.AttemptStarted(attempt=n, worker=number, timeout_ns=patience):
-            return f"hand-off {n} to {runner(number)}, for {patience / MS:.1f} ms at most"
-        case ev.AttemptEnded(attempt=n, result=result, warmth=warmth, latency_ns=lag):
-            return f"hand-off {n} ended after {lag / MS:.1f} ms: {result}, copy {warmth}"
-        case ev.RequestRejected(retry_after_ns=wait):
-            return f"turned back, to come again after {wait / MS:.0f} ms"
+        case ev.RequestAccepted():
+            text = _describe_request(replayer, event)
+        case ev.AttemptStarted(attempt=attempt, worker=number, timeout_ns=timeout_ns):
+            worker = replayer.names[replayer.workers[number]]
+            text = f"hand-off {attempt} to {worker}, for {timeout_ns / NS_PER_MS:.1f} ms at most"
+        case ev.AttemptEnded(attempt=attempt, result=result, warmth=warmth, latency_ns=latency_ns):
+            latency_ms = latency_ns / NS_PER_MS
+            text = f"hand-off {attempt} ended after {latency_ms:.1f} ms: {result}, copy {warmth}"
+        case ev.RequestRejected(retry_after_ns=retry_after_ns):
+            text = f"turned back, to come again after {retry_after_ns / NS_PER_MS:.0f} ms"
         case ev.RequestFailed():
-            return "scrapped"
-        case ev.AttemptCancelled(attempt=n):
-            return f"hand-off {n} is called off"
-        case ev.RequestClosed(outcome=final):
-            return f"over: {final or 'no answer'}"
-    return ev.kind_name(event)
-
-
-def _known(replayer: Replayer, task: Request) -> list[str]:
-    """A line a runner, with every reason why it may not take the task now."""
+            text = "scrapped"
+        case ev.AttemptCancelled(attempt=attempt):
+            text = f"hand-off {attempt} is called off"
+        case ev.RequestClosed(outcome=outcome):
+            text = f"over: {outcome or 'no answer'}"
+    return text
+
+
+def _describe_request(replayer: Replayer, event: ev.RequestAccepted) -> str:
+    start = replayer.start
+    request_class = start.request_classes[event.request_class] if start else "?"
+    function = replayer.names[replayer.functions[event.function]]
+    left_ms = (event.deadline_ns - event.time_ns) / NS_PER_MS
+    again = ", again" if event.is_retry else ""
+    title = f"task {event.request} ({event.name})"
+    return f"{title}: {request_class}, {function}, {left_ms:.1f} ms left{again}"
+
+
+def describe_workers(replayer: Replayer, request: Request) -> list[str]:
+    """A line for each worker, with every reason why it may not have the request now."""
     policy, lines = replayer.policy, []
-    for runner in policy.state.workers:
-        copy = task.function.replicas.get(runner)
-        why = []
-        if not policy.state.accepts_work(runner):
-            why.append(runner.facts.state.value)
-        elif policy.outliers.is_silent(runner):
-            why.append("quiet")
-        if policy.slow_start.is_warming_up(runner):
-            why.append("cold")
-        if runner.next_attempt_ns > policy.state.now_ns:
-            why.append("its next task is not due")
-        if runner.warm_in_flight >= max(1.0, runner.concurrency_limit):
-            why.append("full")
-        if task.attempts and runner.retry_budget < 1:
-            why.append("no credit")
-        if not policy.repeats.may_send(task, runner):
-            why.append("a repeat may not go there")
-        held = ""
-        if copy is not None:
-            loads = "loads" if copy.load_requested_ns else ""
-            held = "held" if copy.is_retained else "stands" if policy.state.is_warm(copy) else loads
-        home = ", home" * (task.function.home is runner)
+    for worker in policy.state.workers:
+        replica = _describe_replica(policy, request.function.replicas.get(worker))
+        home = ", home" if request.function.home is worker else ""
+        refusals = _refusals(policy, worker, request)
         lines.append(
-            f"{replayer.names[runner]}: copy {held or 'none'}{home}; {runner.warm_in_flight} running of "
-            f"{runner.concurrency_limit:.1f}, pace {policy.placement.pace(runner):.2f}, "
-            f"credit {runner.retry_budget:.1f}"
-            f"{'; ' + ', '.join(why) if why else ''}"
+            f"{replayer.names[worker]}: copy {replica}{home}; {worker.warm_in_flight} running of "
+            f"{worker.concurrency_limit:.1f}, pace {policy.placement.pace(worker):.2f}, "
+            f"credit {worker.retry_budget:.1f}"
+            f"{'; ' + ', '.join(refusals) if refusals else ''}"
         )
     return lines
 
 
-@dataclass
-class OutcomeSummary:
-    """What became of the tasks of some runs. A task without an end was held when its dispatcher died."""
-
-    requests: int = 0
-    outcomes: Counter[str] = field(default_factory=Counter)
-    causes: Counter[tuple[str, str]] = field(default_factory=Counter)
-    examples: dict[tuple[str, str], list[str]] = field(default_factory=lambda: defaultdict(list))
-
-    def format_lines(self) -> list[str]:
-        outcomes = ", ".join(f"{n} {name}" for name, n in sorted(self.outcomes.items()))
-        lines = [f"tasks {self.requests}: {outcomes}"]
-        for (final, cause), n in self.causes.most_common():
-            some = ", ".join(self.examples[final, cause][:3])
-            lines.append(f"{n:7} {final}: {cause} ({some})")
-        return lines
-
-
-def summarize_outcomes(
-    events: Iterable[ev.CaptureEvent], into: OutcomeSummary | None = None
-) -> OutcomeSummary:
-    """Groups what was not satisfied by its final answer and the ends of its hand-offs, in order."""
-    told = into or OutcomeSummary()
-    open_: dict[int, tuple[str, list[str]]] = {}
-    for event in events:
-        match event:
-            case ev.RequestAccepted(request=task, name=name):
-                told.requests += 1
-                open_[task] = name, []
-            case ev.AttemptEnded(request=task, attempt=at, result=result) if task in open_:
-                results = open_[task][1]
-                results[at] = result
-            case ev.AttemptStarted(request=task) if task in open_:
-                open_[task][1].append("out")
-            case ev.RequestClosed(request=task, outcome=final) if task in open_:
-                name, results = open_.pop(task)
-                _enter(told, final, name, results)
-    for name, results in open_.values():
-        _enter(told, LOST_WITH_DISPATCHER, name, results)
-    return told
-
-
-def list_outcomes(events: Iterable[ev.CaptureEvent]) -> dict[str, list[str]]:
-    """The final answers of each task's tries in order, by the event's id."""
-    told: dict[str, list[str]] = defaultdict(list)
-    names: dict[int, tuple[str, int]] = {}
-    for event in events:
-        match event:
-            case ev.RequestAccepted(request=task, name=name):
-                ident = name.rpartition(" ")[2]
-                names[task] = ident, len(told[ident])
-                told[ident].append(LOST_WITH_DISPATCHER)
-            case ev.RequestClosed(request=task, outcome=final) if task in names:
-                ident, at = names.pop(task)
-                told[ident][at] = final
-    return told
-
-
-def _enter(told: OutcomeSummary, final: str, name: str, results: list[str]) -> None:
-    told.outcomes[final] += 1
-    if final != "satisfied":
-        cause = final, ", then ".join(results) or "never handed off"
-        told.causes[cause] += 1
-        told.examples[cause].append(name)
+def _describe_replica(policy: Policy, replica: Replica | None) -> str:
+    if replica is None:
+        return "none"
+    if replica.is_retained:
+        return "held"
+    if policy.state.is_warm(replica):
+        return "stands"
+    return "loads" if replica.load_requested_ns else "none"
+
+
+def _refusals(policy: Policy, worker: Worker, request: Request) -> list[str]:
+    """Why the worker may not have the request now."""
+    accepts_work = policy.state.accepts_work(worker)
+    refusals = {
+        worker.facts.state.value: not accepts_work,
+        "quiet": accepts_work and policy.outliers.is_silent(worker),
+        "cold": policy.slow_start.is_warming_up(worker),
+        "its next task is not due": worker.next_attempt_ns > policy.state.now_ns,
+        "full": worker.warm_in_flight >= max(1.0, worker.concurrency_limit),
+        "no credit": bool(request.attempts) and worker.retry_budget < 1,
+        "a repeat may not go there": not policy.repeats.may_send(request, worker),
+    }
+    return [reason for reason, applies in refusals.items() if applies]
--- a/martenlead/capture/format.py
+++ b/martenlead/capture/format.py
@@ -1,8 +1,8 @@
 """Segments of a capture, byte by byte, without I/O. docs/format-capture.md is the reference.
 
-A segment is a header and frames; a frame holds some events, compressed, and is checked as a whole. The last
-frame of a segment that was closed in order is its index. Cut at any byte, a segment gives all frames before
-the cut.
+A segment is a header and frames; a frame has some events, compressed, and is checked as a whole.
+The last frame of a segment that was closed in order is its index. Cut at any byte, a segment gives
+all frames before the cut.
 """
 
 from __future__ import annotations
@@ -19,9 +19,12 @@
 
 MAGIC = b"mlcaptur"
 VERSION = 1
-HEADER = struct.Struct("<8sHHIqq")  # magic, version, 0, segment, run (ns since 1970), first time
-FRAME = struct.Struct("<4sIIIqq")  # kind, bytes that follow, bytes raw, events, first time, last time
+# magic, version, 0, segment, run (ns since 1970), first time
+HEADER = struct.Struct("<8sHHIqq")
+# kind, bytes of the payload, its bytes before compression, events, first time, last time
+FRAME = struct.Struct("<4sIIIqq")
 CHECKSUM = struct.Struct("<Q")  # XXH3 of all before it in the header or frame
+HEADER_BYTES = HEADER.size + CHECKSUM.size
 EVENTS, INDEX = b"EVTS", b"INDX"
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 
@@ -32,6 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentHeader:
+    """The first bytes of a segment."""
+
     version: int
     segment: int
     run: int
@@ -39,7 +44,7 @@
 
 
 class IndexEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A frame in the index: where it begins, its times, and the tasks that it tells of."""
+    """A frame in the index: where it begins, its times, and the requests of its events."""
 
     offset: int
     first_time_ns: int
@@ -49,7 +54,10 @@
 
 @dataclass(slots=True)
 class Frame:
+    """One whole frame. `end` is the offset of the next."""
+
     offset: int
+    end: int
     kind: bytes
     first_time_ns: int
     last_time_ns: int
@@ -57,30 +65,33 @@
     payload: bytes
 
     def events(self) -> list[CaptureEvent]:
+        """Its events, in their order."""
         return list(decode(self.payload))
 
 
-def pack_header(segment: int, run: int, first: int) -> bytes:
-    raw = HEADER.pack(MAGIC, VERSION, 0, segment, run, first)
-    return raw + CHECKSUM.pack(xxhash.xxh3_64_intdigest(raw))
-
-
-HEADER_BYTES = HEADER.size + CHECKSUM.size
+def pack_header(segment: int, run: int, first_time_ns: int) -> bytes:
+    """The first bytes of a segment, with their checksum."""
+    header = HEADER.pack(MAGIC, VERSION, 0, segment, run, first_time_ns)
+    return header + CHECKSUM.pack(xxhash.xxh3_64_intdigest(header))
 
 
 def unpack_header(data: bytes) -> SegmentHeader:
-    """Raises `BadCapture`: no capture, a torn header, or a version that is newer than this program."""
-    if len(data) < HEADER_BYTES or data[:8] != MAGIC:
-        raise CaptureFormatError("no capture: its first bytes are others")
-    raw, (told,) = data[: HEADER.size], CHECKSUM.unpack_from(data, HEADER.size)
-    _, version, _, segment, run, first = HEADER.unpack(raw)
+    """Reads the first bytes of a segment.
+
+    Raises `CaptureFormatError`: no capture, a torn header, or a version above this program's.
+    """
+    if len(data) < HEADER_BYTES or not data.startswith(MAGIC):
+        error = "no capture: its first bytes are others"
+        raise CaptureFormatError(error)
+    header, (checksum,) = data[: HEADER.size], CHECKSUM.unpack_from(data, HEADER.size)
+    _, version, _, segment, run, first_time_ns = HEADER.unpack(header)
     if version > VERSION:
-        raise CaptureFormatError(
-            f"written in version {version} of the format; this program reads up to {VERSION}"
-        )
-    if xxhash.xxh3_64_intdigest(raw) != told:
-        raise CaptureFormatError("its header does not have its checksum")
-    return SegmentHeader(version, segment, run, first)
+        error = f"written in version {version} of the format; this program reads up to {VERSION}"
+        raise CaptureFormatError(error)
+    if xxhash.xxh3_64_intdigest(header) != checksum:
+        error = "its header does not have its checksum"
+        raise CaptureFormatError(error)
+    return SegmentHeader(version, segment, run, first_time_ns)
 
 
 class FrameEncoder:
@@ -88,65 +99,81 @@
 
     def __init__(self, level: int = 3) -> None:
         self._compressor = zstandard.ZstdCompressor(level=level)
-        self._last = 0
+        self._last_time_ns = 0
 
     def pack_events(self, events: Sequence[CaptureEvent]) -> bytes:
-        times = [e.time_ns for e in events if isinstance(e, InputEvent)] or [self._last]
-        self._last = times[-1]
-        return self._frame(EVENTS, encode(events), len(events), min(times), max(times))
+        """One frame of events."""
+        times_ns = _input_times_ns(events) or [self._last_time_ns]
+        self._last_time_ns = times_ns[-1]
+        return self._frame(EVENTS, encode(events), len(events), (min(times_ns), max(times_ns)))
 
     def pack_index(self, entries: Sequence[IndexEntry]) -> bytes:
-        times = (entries[0].first_time_ns, entries[-1].last_time_ns) if entries else (0, 0)
-        return self._frame(INDEX, encode(entries), len(entries), *times)
+        """The last frame of a segment."""
+        times_ns = (entries[0].first_time_ns, entries[-1].last_time_ns) if entries else (0, 0)
+        return self._frame(INDEX, encode(entries), len(entries), times_ns)
 
-    def _frame(self, kind: bytes, raw: bytes, count: int, first: int, last: int) -> bytes:
-        packed = self._compressor.compress(raw)
-        body = FRAME.pack(kind, len(packed), len(raw), count, first, last) + packed
-        return body + CHECKSUM.pack(xxhash.xxh3_64_intdigest(body))
+    def _frame(self, kind: bytes, content: bytes, count: int, times_ns: tuple[int, int]) -> bytes:
+        payload = self._compressor.compress(content)
+        frame = FRAME.pack(kind, len(payload), len(content), count, *times_ns) + payload
+        return frame + CHECKSUM.pack(xxhash.xxh3_64_intdigest(frame))
 
 
-def index_entry(at: int, events: Sequence[CaptureEvent]) -> IndexEntry:
-    times = [e.time_ns for e in events if isinstance(e, InputEvent)] or [0]
-    return IndexEntry(
-        at, min(times), max(times), sorted({n for e in events if (n := request_number(e)) is not None})
-    )
+def _input_times_ns(events: Sequence[CaptureEvent]) -> list[int]:
+    return [event.time_ns for event in events if isinstance(event, InputEvent)]
 
 
-def read_frame(data: memoryview, at: int) -> tuple[Frame, int] | None:
-    """The frame that begins there and where the next one does; None where there is no whole one."""
-    if len(data) - at < FRAME.size + CHECKSUM.size:
+def index_entry(offset: int, events: Sequence[CaptureEvent]) -> IndexEntry:
+    """The entry of a frame that begins there."""
+    times_ns = _input_times_ns(events) or [0]
+    requests = {number for e in events if (number := request_number(e)) is not None}
+    return IndexEntry(offset, min(times_ns), max(times_ns), sorted(requests))
+
+
+def read_frame(data: memoryview, offset: int) -> Frame | None:
+    """The frame that begins there, None where there is no whole one."""
+    if len(data) - offset < FRAME.size + CHECKSUM.size:
+        return None
+    kind, payload_bytes, content_bytes, count, first_ns, last_ns = FRAME.unpack_from(data, offset)
+    payload_offset = offset + FRAME.size
+    end = payload_offset + payload_bytes
+    is_complete = end + CHECKSUM.size <= len(data)
+    if kind not in (EVENTS, INDEX) or content_bytes > MAX_FRAME_BYTES or not is_complete:
         return None
-    kind, size, raw, count, first, last = FRAME.unpack_from(data, at)
-    end = at + FRAME.size + size
-    if kind not in (EVENTS, INDEX) or raw > MAX_FRAME_BYTES or end + CHECKSUM.size > len(data):
+    (checksum,) = CHECKSUM.unpack_from(data, end)
+    if xxhash.xxh3_64_intdigest(data[offset:end]) != checksum:
         return None
-    (told,) = CHECKSUM.unpack_from(data, end)
-    if xxhash.xxh3_64_intdigest(data[at:end]) != told:
+    content = _decompress(data[payload_offset:end], content_bytes)
+    if content is None:
         return None
+    return Frame(offset, end + CHECKSUM.size, kind, first_ns, last_ns, count, content)
+
+
+def _decompress(payload: memoryview, content_bytes: int) -> bytes | None:
     try:
-        payload = zstandard.ZstdDecompressor().decompress(data[at + FRAME.size : end], max_output_size=raw)
+        return zstandard.ZstdDecompressor().decompress(payload, max_output_size=content_bytes)
     except zstandard.ZstdError:
         return None
-    return Frame(at, kind, first, last, count, payload), end + CHECKSUM.size
 
 
 class Segment:
-    """The whole frames of one segment's bytes. `torn` is how many bytes at its end belong to none."""
+    """The whole frames of one segment's bytes; `torn_bytes` at its end belong to none."""
 
     def __init__(self, data: bytes) -> None:
+        """Raises `CaptureFormatError`."""
         self.header = unpack_header(data)
         self._data = memoryview(data)
         self.torn_bytes = 0
         self.is_closed = False
 
     def frames(self) -> Iterator[Frame]:
-        at = HEADER_BYTES
-        while at < len(self._data):
-            found = read_frame(self._data, at)
-            if found is None:
-                self.torn_bytes = len(self._data) - at
+        """All frames of events."""
+        offset = HEADER_BYTES
+        while offset < len(self._data):
+            frame = read_frame(self._data, offset)
+            if frame is None:
+                self.torn_bytes = len(self._data) - offset
                 return
-            frame, at = found
+            offset = frame.end
             if frame.kind == INDEX:
                 self.is_closed = True
             else:
@@ -155,9 +182,9 @@
     def index(self) -> list[IndexEntry]:
         """Its index; one that has none, as after a kill, is read through instead."""
         entries: list[IndexEntry] = []
-        at = HEADER_BYTES
-        while (found := read_frame(self._data, at)) is not None:
-            frame, at = found
+        offset = HEADER_BYTES
+        while (frame := read_frame(self._data, offset)) is not None:
+            offset = frame.end
             if frame.kind == INDEX:
                 return msgspec.msgpack.decode(frame.payload, type=list[IndexEntry])
             entries.append(index_entry(frame.offset, frame.events()))
--- a/martenlead/capture/reader.py
+++ b/martenlead/capture/reader.py
@@ -1,4 +1,4 @@
-"""Reads runs back from their segments: all events that are whole, with gaps where some are missing."""
+"""Reads runs back from their segments, with gaps where events are missing."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     def events(self) -> Iterator[CaptureEvent]:
         """All events that are whole.
 
-        Where the first segments are gone and the first that is there has a checkpoint, that comes first, in
-        place of what was before. A segment that is missing, or a torn end with more behind it, shows as a
-        `Gap`. Raises `CaptureFormatError` for what is no capture.
+        Where the first segments are gone and the first that is there has a checkpoint, that comes
+        first, in place of what was before. A segment that is missing, or a torn end with more
+        behind it, shows as a `Gap`. Raises `CaptureFormatError` for what is no capture.
         """
         return _RunEvents(self).read()
 
@@ -39,6 +39,7 @@
         self._last_ns = 0
 
     def read(self) -> Iterator[CaptureEvent]:
+        """All events that are whole. Raises `CaptureFormatError`."""
         for path in self._run.paths:
             try:
                 segment = Segment(path.read_bytes())
@@ -54,7 +55,8 @@
     def _skip_without_header(self, path: Path, error: CaptureFormatError) -> Iterator[CaptureEvent]:
         """Passes over a segment that was begun as the process was killed or the power was cut."""
         if not _is_without_header(path):
-            raise CaptureFormatError(f"{path}: {error}") from None
+            message = f"{path}: {error}"
+            raise CaptureFormatError(message) from None
         self._run.torn_bytes += path.stat().st_size
         if not self._is_last(path):
             yield self._torn_gap(path)
@@ -65,7 +67,7 @@
     def _read_segment(self, path: Path, segment: Segment) -> Iterator[CaptureEvent]:
         number = segment.header.segment
         if number != self._expected_segment:
-            checkpoint = _load_if_whole(path) if not self._expected_segment else None
+            checkpoint = _load_if_intact(path) if not self._expected_segment else None
             if checkpoint is not None:
                 yield checkpoint
                 yield from dropwhile(_is_decision, self._frame_events(segment))
@@ -98,7 +100,7 @@
     return not isinstance(event, InputEvent)
 
 
-def _load_if_whole(path: Path) -> Checkpoint | None:
+def _load_if_intact(path: Path) -> Checkpoint | None:
     """The checkpoint before a segment, None without one, or where a power cut has torn it."""
     try:
         return load(checkpoint_path(path))
@@ -124,8 +126,10 @@
         for file in found:
             parsed = parse_segment_name(file)
             if parsed is None or not file.is_file():
-                raise CaptureFormatError(f"{file}: no capture; NAME-RUN-SEGMENT{SEGMENT_SUFFIX} was expected")
+                message = f"{file}: no capture; NAME-RUN-SEGMENT{SEGMENT_SUFFIX} was expected"
+                raise CaptureFormatError(message)
             files.setdefault((parsed.name, parsed.run), set()).add(file)
     if not files:
-        raise CaptureFormatError(f"{', '.join(map(str, paths))}: no captures there")
+        message = f"{', '.join(map(str, paths))}: no captures there"
+        raise CaptureFormatError(message)
     return [CaptureRun(name, run, sorted(found)) for (name, run), found in sorted(files.items())]
--- a/martenlead/capture/recorder.py
+++ b/martenlead/capture/recorder.py
@@ -203,7 +203,9 @@
         )
 
     def _record_worker_updates(self, event: boundary.WorkersUpdated) -> None:
-        updates = [(self._worker_numbers[worker], ev.pack_facts(facts)) for worker, facts in event.updates]
+        updates = [
+            (self._worker_numbers[worker], ev.pack_facts(facts)) for worker, facts in event.updates
+        ]
         self.sink(ev.WorkersUpdated(event.time_ns, event.is_complete, updates))
 
     def _record_request(self, event: boundary.RequestAccepted) -> None:
@@ -238,8 +240,11 @@
                 result.latency_ns,
             )
         )
-        # the policy sets the result after this: the last one without a result has ended now
-        if request in self._closed_requests and sum(a.result is None for a in request.attempts) == 1:
+        # the policy sets the result after this: so the last one without has just ended
+        if (
+            request in self._closed_requests
+            and sum(a.result is None for a in request.attempts) == 1
+        ):
             self._closed_requests.discard(request)
             del self._request_numbers[request]
 
@@ -306,12 +311,15 @@
                 earlier.new_requests_per_second,
                 earlier.weight,
                 [self._pack_earlier_function(function) for function in earlier.functions],
-                [[self._worker_numbers[w.worker], w.concurrency_limit, w.weight] for w in earlier.workers],
+                [
+                    [self._worker_numbers[w.worker], w.concurrency_limit, w.weight]
+                    for w in earlier.workers
+                ],
                 earlier.load_ages_ns,
             )
         )
 
-    def _pack_earlier_function(self, earlier: EarlierFunction) -> list[Any]:
+    def _pack_earlier_function(self, earlier: EarlierFunction) -> list[object]:
         """All fields in their order, with the function's number in place of the function."""
         return [
             self._function_numbers[earlier.function],
@@ -332,7 +340,9 @@
         match action:
             case Attempt(request=request, worker=worker, timeout_ns=timeout_ns):
                 attempt, number = len(request.attempts) - 1, self._request_numbers[request]
-                self.sink(ev.AttemptStarted(number, attempt, self._worker_numbers[worker], timeout_ns))
+                self.sink(
+                    ev.AttemptStarted(number, attempt, self._worker_numbers[worker], timeout_ns)
+                )
             case Reject(request=request, retry_after_ns=retry_after_ns):
                 self.sink(ev.RequestRejected(self._request_numbers[request], retry_after_ns))
             case Fail(request=request):
--- a/martenlead/capture/retention.py
+++ b/martenlead/capture/retention.py
@@ -1,6 +1,7 @@
 """The bound on the disk space of one name's segments: the oldest go first.
 
-A segment goes only once the one behind it has its checkpoint, so that the rest of the run can be replayed.
+A segment goes only once the one behind it has its checkpoint, so that the rest of the run can be
+replayed.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
                 raise
 
     def _remove_oldest(self) -> None:
-        """Stops where a checkpoint has to be made first; what is written meanwhile is beyond the bound."""
+        """Stops where a checkpoint has to be made first; meanwhile the bound is overrun."""
         segments = self._folder.segments()
         total_bytes = sum(path.stat().st_size for path in segments)
         if not self.checkpoint_process.collect():
--- a/martenlead/capture/run_folder.py
+++ b/martenlead/capture/run_folder.py
@@ -1,7 +1,8 @@
 """The folder of a dispatcher's captures: names of files, the lock, and the number of a run.
 
-Files are named NAME-RUN-SEGMENT.mlc, and one run is one life of a dispatcher. Only the holder of NAME.lock
-writes or removes files of that name, so dispatchers share a folder as long as their names differ.
+Files are named NAME-RUN-SEGMENT.mlc, and one run is one life of a dispatcher. Only the holder of
+NAME.lock writes or removes files of that name, so dispatchers share a folder as long as their names
+differ.
 """
 
 from __future__ import annotations
--- a/martenlead/capture/segments.py
+++ b/martenlead/capture/segments.py
@@ -1,6 +1,6 @@
 """The segments of one run as they are written: begun, appended to, synced and closed.
 
-After an error no event stands in a file that is counted as lost, as far as the disk still takes orders.
+After an error no event is in a file that counts as lost, as far as the disk still takes orders.
 """
 
 from __future__ import annotations
@@ -128,7 +128,7 @@
         self.written_bytes += len(data)
 
     def _sync_segment(self) -> None:
-        """Syncs once: after a failed sync another may report success while nothing is on the disk."""
+        """Syncs once: after a failed sync the next may report success with nothing on the disk."""
         if self._file is None or self._sync == "never":
             return
         try:
--- a/martenlead/capture/simulator_recorder.py
+++ b/martenlead/capture/simulator_recorder.py
@@ -54,7 +54,7 @@
 
 InstanceT = TypeVar("InstanceT", bound=RecordableInstance)
 
-QUEUE_EVENTS = 10_000_000  # a simulated run has no clock to keep up with: the queue has all that it brings
+QUEUE_EVENTS = 10_000_000  # all that a run brings: a simulated one has no clock to keep up with
 CLOSED = "closed"  # the simulator does not say by which outcome
 
 # number of the dispatcher, the event that begins it, the time in ns, and where its replies go; what
@@ -80,44 +80,56 @@
         self._instance.perform(action)
 
     def new_worker(self, facts: WorkerFacts) -> Worker:
+        """As the policy has it."""
         worker = self._policy.new_worker(facts)
         self._recorder.record(boundary.WorkerAdded(self._now_ns, worker, facts, f"{facts.mark:x}"))
         return worker
 
     def new_function(self, facts: FunctionFacts) -> Function:
+        """As the policy has it."""
         function = self._policy.new_function(facts)
-        self._recorder.record(boundary.FunctionAdded(self._now_ns, function, facts, f"{facts.mark:x}"))
+        self._recorder.record(
+            boundary.FunctionAdded(self._now_ns, function, facts, f"{facts.mark:x}")
+        )
         return function
 
     def update_workers(self, updates: list[tuple[Worker, WorkerFacts]], is_complete: bool) -> None:
+        """As the policy has it."""
         self._recorder.record(boundary.WorkersUpdated(self._now_ns, updates, is_complete))
         self._policy.update_workers(updates, is_complete)
 
     def start(self) -> None:
+        """As the engine has it."""
         self._recorder.record(boundary.EngineStarted(self._now_ns))
         self._engine.start()
 
     def handle_request(self, request: Request) -> None:
+        """As the engine has it."""
         request_id = self._instance.request_ids[request]
         self._recorder.record(boundary.RequestAccepted(self._now_ns, request, request_id))
         self._engine.handle_request(request)
 
     def record_result(self, result: AttemptResult) -> None:
+        """As the engine has it."""
         self._recorder.record(boundary.AttemptEnded(self._now_ns, result))
         self._engine.record_result(result)
 
     def record_load_end(self, load_request: LoadRequest, result: Result, replicas: int) -> None:
+        """As the engine has it."""
         self._recorder.record(boundary.LoadEnded(self._now_ns, load_request, result, replicas))
         self._engine.record_load_end(load_request, result, replicas)
 
     def close_request(self, request: Request) -> None:
+        """As the engine has it."""
         self._recorder.record(boundary.RequestClosed(self._now_ns, request, CLOSED))
         self._engine.close_request(request)
 
     def next_due_ns(self) -> int | None:
+        """As the engine has it."""
         return self._engine.next_due_ns()
 
     def advance(self, now_ns: int) -> None:
+        """As the engine has it; nothing is recorded where nothing is due."""
         due_ns = self._engine.next_due_ns()
         if due_ns is not None and due_ns <= now_ns:
             self._recorder.record(boundary.Advance(now_ns))
@@ -132,12 +144,14 @@
     writers: dict[int, CaptureWriter] = {}
 
     def close_all() -> None:
+        """Writes what still waits as the program ends."""
         for writer in writers.values():
             writer.close()
 
     atexit.register(close_all)
 
     def make(number: int, event: dict[str, Any], now_ns: int, replies: list[Any]) -> InstanceT:
+        """Makes an instance and captures it."""
         if number in writers:
             writers[number].close()
         settings = CaptureSettings(folder=folder, queue=QUEUE_EVENTS, checkpoints=False)
@@ -148,7 +162,9 @@
         profile = instance.profile
         class_names = list(profile.request_classes)
         recorder.record(
-            boundary.RunStarted(now_ns, profile.settings, event["seed"], class_names, profile.tenants)
+            boundary.RunStarted(
+                now_ns, profile.settings, event["seed"], class_names, profile.tenants
+            )
         )
         # it has only those methods of a policy and of an engine that the adapter calls
         recorded: Any = _RecordedInstance(instance, recorder)
--- a/martenlead/capture/writer.py
+++ b/martenlead/capture/writer.py
@@ -1,8 +1,9 @@
-"""Writes a dispatcher's events to its folder, by a thread that is never in the way of the event loop.
+"""Writes a dispatcher's events to its folder, by a thread of its own.
 
-A disk that fails for a while costs the batches that were tried meanwhile: they are counted, a `Gap` stands
-in their place, and writing goes on in a new segment once an attempt succeeds. Attempts back off; in between,
-events wait in the bounded queue, and so does the beginning of a run until it is written.
+The event loop never waits for the disk. A disk that fails for a while costs the batches that were
+tried meanwhile: they are counted, a `Gap` stands in their place, and writing goes on in a new
+segment once an attempt succeeds. Attempts back off; in between, events wait in the bounded queue,
+and so does the beginning of a run until it is written.
 """
 
 from __future__ import annotations
@@ -53,10 +54,13 @@
 class CaptureWriter:
     """One run of one dispatcher: `put` takes its events, a thread of its own writes them."""
 
-    def __init__(self, settings: CaptureSettings, name: str, log: Callable[[str, str], None]) -> None:
+    def __init__(
+        self, settings: CaptureSettings, name: str, log: Callable[[str, str], None]
+    ) -> None:
         """Raises `AlreadyLockedError` where another process writes under that name.
 
-        A folder that cannot be used is tried again by the thread. `log` takes an event and the reason.
+        A folder that cannot be used is tried again by the thread. `log` takes an event and a
+        reason.
         """
         self.settings = settings
         self._folder = RunFolder(Path(settings.folder), name)
--- a/martenlead/cli/capture.py
+++ b/martenlead/cli/capture.py
@@ -9,18 +9,14 @@
 
 from martenlead.capture import events as ev
 from martenlead.capture.checkpoint import CheckpointError, checkpoint_path
-from martenlead.capture.explain import OutcomeSummary, explain_request, summarize_outcomes
+from martenlead.capture.explain import explain_request
 from martenlead.capture.format import CaptureFormatError, Segment
+from martenlead.capture.outcomes import OutcomeSummary, summarize_outcomes
 from martenlead.capture.reader import CaptureRun, find_runs
 from martenlead.capture.recorder import policy_hash
-from martenlead.capture.replay import (
-    Divergence,
-    ReplayError,
-    compare_with_change,
-    parse_setting_change,
-    replay,
-    write_checkpoint_between,
-)
+from martenlead.capture.replay import Divergence, replay, write_checkpoint_between
+from martenlead.capture.replayer import ReplayError
+from martenlead.capture.what_if import compare_with_change, parse_setting_change
 
 PATHS = click.argument("paths", type=click.Path(path_type=Path, exists=True), nargs=-1, required=True)
 
--- a/martenlead/cli/day.py
+++ b/martenlead/cli/day.py
@@ -12,7 +12,7 @@
 import click
 import msgspec
 
-from martenlead.capture.explain import list_outcomes
+from martenlead.capture.outcomes import list_outcomes
 from martenlead.capture.reader import find_runs
 from martenlead.config.load import ConfigError, decode, evaluate
 from martenlead.days.books import balance
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -24,17 +24,14 @@
 from martenlead.capture import events as ev
 from martenlead.capture import format as fm
 from martenlead.capture.checkpoint import Checkpoint, load
-from martenlead.capture.explain import explain_request, summarize_outcomes
+from martenlead.capture.explain import explain_request
+from martenlead.capture.outcomes import summarize_outcomes
 from martenlead.capture.reader import find_runs
 from martenlead.capture.recorder import CaptureRecorder
-from martenlead.capture.replay import (
-    Replayer,
-    compare_with_change,
-    parse_setting_change,
-    replay,
-    write_checkpoint_between,
-)
+from martenlead.capture.replay import replay, write_checkpoint_between
+from martenlead.capture.replayer import Replayer
 from martenlead.capture.run_folder import AlreadyLockedError
+from martenlead.capture.what_if import compare_with_change, parse_setting_change
 from martenlead.capture.writer import CaptureSettings, CaptureWriter
 from martenlead.cli.main import commands
 from martenlead.policy.policy import Policy
--- a/tests/test_placement_at_scale.py
+++ b/tests/test_placement_at_scale.py
@@ -15,7 +15,8 @@
 from martenlead.capture import events as ev
 from martenlead.capture.checkpoint import load
 from martenlead.capture.recorder import CaptureRecorder
-from martenlead.capture.replay import Replayer, replay, write_checkpoint_between
+from martenlead.capture.replay import replay, write_checkpoint_between
+from martenlead.capture.replayer import Replayer
 from martenlead.policy import replica_scaling
 from martenlead.policy import types as io
 from martenlead.policy.candidates import CANDIDATES, CandidateIndex, Ranking
