--- a/martenlead/cli/capture.py
+++ b/martenlead/cli/capture.py
@@ -10,10 +10,12 @@
 
 from martenlead.capture import events as ev
 from martenlead.capture.checkpoint import CheckpointError, checkpoint_path
-from martenlead.capture.explain import OutcomeSummary, explain_request, summarize_outcomes
+from martenlead.capture.explain import explain_request
 from martenlead.capture.format import CaptureFormatError, Segment
-from martenlead.capture.replay import ReplayError, write_checkpoint_between
-from martenlead.capture.writer import CaptureRun, find_runs
+from martenlead.capture.outcomes import OutcomeSummary, summarize_outcomes
+from martenlead.capture.reader import CaptureRun, find_runs
+from martenlead.capture.replay import write_checkpoint_between
+from martenlead.capture.replayer import ReplayError
 from martenlead.cli.capture_runs import find_runs_or_exit, format_event, paths_argument
 
 REQUEST_KIND = "Take"  # the kind of event that begins a request
--- a/martenlead/cli/capture_runs.py
+++ b/martenlead/cli/capture_runs.py
@@ -10,7 +10,7 @@
 
 from martenlead.capture import events as ev
 from martenlead.capture.format import CaptureFormatError
-from martenlead.capture.writer import CaptureRun, find_runs
+from martenlead.capture.reader import CaptureRun, find_runs
 
 UNREADABLE_EXIT_CODE = 2
 
--- a/martenlead/cli/day.py
+++ b/martenlead/cli/day.py
@@ -14,8 +14,8 @@
 import click
 import msgspec
 
-from martenlead.capture.explain import list_outcomes
-from martenlead.capture.writer import find_runs
+from martenlead.capture.outcomes import list_outcomes
+from martenlead.capture.reader import find_runs
 from martenlead.cli.output import format_json
 from martenlead.config.load import ConfigError, decode, evaluate
 from martenlead.days.books import balance
--- a/martenlead/cli/replay.py
+++ b/martenlead/cli/replay.py
@@ -9,14 +9,10 @@
 
 from martenlead.capture import events as ev
 from martenlead.capture.format import CaptureFormatError
+from martenlead.capture.reader import CaptureRun
 from martenlead.capture.recorder import policy_hash
-from martenlead.capture.replay import (
-    Divergence,
-    compare_with_change,
-    parse_setting_change,
-    replay,
-)
-from martenlead.capture.writer import CaptureRun
+from martenlead.capture.replay import Divergence, replay
+from martenlead.capture.what_if import compare_with_change, parse_setting_change
 from martenlead.cli.capture_runs import (
     UNREADABLE_EXIT_CODE,
     find_runs_or_exit,
--- a/martenlead/planner/link_recorder.py
+++ b/martenlead/planner/link_recorder.py
@@ -8,9 +8,9 @@
 from martenlead.capture.recorder import CaptureRecorder
 from martenlead.planner.edge_session import TakenSnapshot
 from martenlead.planner.snapshot_writer import ObjectNumbers, take_snapshot
+from martenlead.policy.boundary_events import BoundaryEvent, FunctionAdded, RunStarted, WorkerAdded
 from martenlead.policy.policy import Policy
 from martenlead.policy.state import Function, Worker
-from martenlead.policy.types import FunctionFacts, Settings, Tenant, WorkerFacts
 
 
 class LinkRecorder(CaptureRecorder):
@@ -28,36 +28,29 @@
         self.function_names: dict[Function, str] = {}
         self.start_event: ev.RunStarted | None = None
 
-    def begin_run(
-        self,
-        time_ns: int,
-        settings: Settings,
-        seed: int,
-        names: list[str],
-        tenants: dict[str, Tenant],
-    ) -> None:
+    def record(self, event: BoundaryEvent) -> None:
+        """Notes the objects that an event numbers, and records it."""
+        match event:
+            case RunStarted():
+                self._keep_start_event(event)
+                return
+            case WorkerAdded(worker=worker, name=name):
+                self.workers_by_number.append(worker)
+                self.worker_names[worker] = name
+            case FunctionAdded(function=function, name=name):
+                self.functions_by_number.append(function)
+                self.function_names[function] = name
+        super().record(event)
+
+    def _keep_start_event(self, event: RunStarted) -> None:
         """Keeps the event of the start for snapshots, which send it in place of an event."""
         found: list[ev.CaptureEvent] = []
         sink, self.sink = self.sink, found.append
-        super().begin_run(time_ns, settings, seed, names, tenants)
+        super().record(event)
         self.sink = sink
-        (event,) = found
-        if isinstance(event, ev.RunStarted):
-            self.start_event = event
-
-    def add_worker(self, time_ns: int, worker: Worker, facts: WorkerFacts, name: str) -> None:
-        """Gives the worker its number."""
-        self.workers_by_number.append(worker)
-        self.worker_names[worker] = name
-        super().add_worker(time_ns, worker, facts, name)
-
-    def add_function(
-        self, time_ns: int, function: Function, facts: FunctionFacts, name: str
-    ) -> None:
-        """Gives the function its number."""
-        self.functions_by_number.append(function)
-        self.function_names[function] = name
-        super().add_function(time_ns, function, facts, name)
+        (packed,) = found
+        if isinstance(packed, ev.RunStarted):
+            self.start_event = packed
 
     def take_snapshot(self, policy: Policy, _now_ns: int) -> TakenSnapshot:
         """The state of the policy, and the numbers of the functions in it."""
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,12 +10,15 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
 from martenlead.node import config
 from martenlead.policy.types import WorkerState
+from martenlead.simulator_adapter import settings as simulator_settings
+from martenlead.simulator_adapter.dispatcher import SimulatedDispatcher
+from martenlead.simulator_adapter.messages import Reply
 from martenlead.simulator_adapter.settings import Profile, SettingsError
-from martenlead.simulator_adapter.wire import SimulatedDispatcher
 from tests.nodes import SETTINGS
 
 GONE: Any = object()
@@ -93,6 +96,33 @@
     )
 
 
+def test_every_key_of_the_settings_is_that_of_the_wire() -> None:
+    """A key that is spelt otherwise would be passed over as one of a site's own."""
+    keys = {
+        simulator_settings.RequestClassSettings: (
+            "name effect on-time give-up group dedup-window late-value"
+        ),
+        simulator_settings.TenantSettings: "name quota-per-s",
+        simulator_settings.DispatcherLimits: (
+            "attempts-cap may-duplicate cancel retry-after max-retry-after streams-per-conn"
+            " connect-timeout conn-idle"
+        ),
+        simulator_settings.SlowStartSettings: "cold-from cold fall-multiple ask-every",
+        simulator_settings.FunctionSettings: (
+            "kind-memory-mb placement-calls tells-warm if-cold linger-idle load-period loads-anyway"
+            " loads-per-request memory-price order-limit"
+        ),
+        simulator_settings.Prices: "origin",
+        simulator_settings.SimulatorSettings: (
+            "allowed rules classes balancers granularity family-info orgs azs skus weights"
+            " over-share-worth prices registry-mode"
+        ),
+    }
+    assert {kind: " ".join(kind.__struct_encode_fields__) for kind in keys} == keys
+    late = [{**c, "late-value": 0.25} for c in SETTINGS["classes"]]
+    assert Profile({**SETTINGS, "classes": late}).settings.late_value == 0.25
+
+
 @pytest.mark.parametrize(
     "wrong",
     [
@@ -120,14 +150,14 @@
 
 
 def test_events_with_odd_fields_prove_nothing_and_lose_no_task() -> None:
-    out: list[dict[str, Any]] = []
+    out: list[Reply] = []
     one = SimulatedDispatcher(0, {"profile-data": SETTINGS, "seed": 1}, 0, out)
 
     def hear(msg: str, **event: Any) -> list[dict[str, Any]]:
         out.clear()
         one.handle_event({"msg": msg, **event}, 10**9)
         one.advance_timers(10**9)
-        return [a for a in out if a["msg"] != "remind"]
+        return [a for a in msgspec.to_builtins(out) if a["msg"] != "remind"]
 
     lines = [{"runner": "a:1", "heft": "big", "campus": 3, "cluster": []}, {"runner": "b:1", "status": "Z"}]
     hear("update", form="C", items=[*lines, {"campus": "x"}, 7])
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -15,12 +15,10 @@
 
 ROOT = Path(__file__).parent.parent / "martenlead"
 TO_BE_DONE = {
-    "capture",
     "days",
     "edge",
     "emulator",
     "layers",
-    "simulator_adapter",
     "standins",
     "traces",
 }
