--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -230,7 +230,7 @@
                 call.id,
                 call.id,
             )
-            self.dispatcher.accept(wanted, call.arrived, call, len(BODY_BASE64), done=call.done)
+            self.dispatcher.accept(wanted, call.arrived, call, len(BODY_BASE64), on_outcome=call.done)
             self.dispatcher.defer(_nothing)
 
     def answered(self, sent: SentAttempt, line: bytes, met: Met) -> None:
--- a/benchmarks/scale/pooled.py
+++ b/benchmarks/scale/pooled.py
@@ -190,7 +190,7 @@
                 call.id,
                 call.id,
             )
-            self.dispatcher.accept(wanted, call.arrived, message, len(BODY_BASE64), done=over)
+            self.dispatcher.accept(wanted, call.arrived, message, len(BODY_BASE64), on_outcome=over)
             self.dispatcher.defer(_nothing)
 
     def connected(self, conn: UpstreamConnection) -> None:
--- a/martenlead/edge/__init__.py
+++ b/martenlead/edge/__init__.py
@@ -1,2 +1,1 @@
-"""The program at the edge: the door for clients, one dispatcher around one `Engine`, and an end in good
-order."""
+"""The program at the edge: a listener, a dispatcher around one policy, and a graceful stop."""
--- a/martenlead/edge/decision_loop.py
+++ b/martenlead/edge/decision_loop.py
@@ -1,66 +1,76 @@
-"""When the policy decides: what is due, what has to wait until a decision has ended, and faults in between.
+"""When the policy decides: what is due, what has to wait until a decision has ended, and faults.
 
-The policy may not be called back in the middle of a decision: its generator is running then. `DecisionLoop`
-knows whether it is, keeps what comes meanwhile, and does it with all that is due once the decision has ended.
+The policy may not be called back in the middle of a decision, since its generator is running then.
+`DecisionLoop` knows whether it is. It keeps what comes meanwhile, and does it with all that is due
+once the decision has ended.
 """
 
 from __future__ import annotations
 
 from collections import Counter, deque
 from collections.abc import Callable
-from typing import Any
+from typing import TypeVar
 
 import anyio
+import anyio.lowlevel
 import structlog
 
 from martenlead.edge.policy_boundary import PolicyBoundary
 from martenlead.edge.timeouts import time_limit
 
-NEVER = 1 << 62  # ns, later than any clock
-LONGEST_SLEEP = 3600  # s
+NEVER_NS = 1 << 62  # later than any clock
+LONGEST_SLEEP_SECONDS = 3600
 NS_PER_SECOND = 1e9
 
+ResultT = TypeVar("ResultT")
+
 
 class DecisionLoop:
-    """Calls the border, one call at a time. `run` wakes it for what is due while nothing else happens."""
+    """Makes one call of the policy boundary at a time, and wakes for what is due in between."""
 
     def __init__(
-        self, border: PolicyBoundary, clock: Callable[[], int], counts: Counter[tuple[str, str]], name: str
+        self,
+        policy_boundary: PolicyBoundary,
+        clock: Callable[[], int],
+        counts: Counter[tuple[str, str]],
+        name: str,
     ) -> None:
-        """`clock` gives ns; faults are added to `counts`; `name` is the dispatcher's, for the log."""
-        self.policy_boundary, self.clock, self.counts = border, clock, counts
+        """`clock` gives ns; `counts` takes faults; `name` is the dispatcher's, for the log."""
+        self.policy_boundary, self.clock, self.counts = policy_boundary, clock, counts
         self.log = structlog.get_logger().bind(edge=name)
         self.fault_count = 0
         self.fault_recorded = anyio.Event()  # set at the first fault
-        self._deferred: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
+        self._deferred: deque[tuple[Callable[..., object], tuple[object, ...]]] = deque()
         self._is_busy = False  # the policy is deciding, or what waits for that is being done
         self._due_sooner = anyio.Event()  # something is due before `run` would wake
         self._wakes_ns = 0
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Does what is due as its time comes, until it is cancelled."""
         while True:
-            due = self.policy_boundary.next_due_ns()
-            self._wakes_ns = NEVER if due is None else due
-            left = (self._wakes_ns - self.clock()) / NS_PER_SECOND
-            if left > 0:
-                with time_limit(min(left, LONGEST_SLEEP)):
+            due_ns = self.policy_boundary.next_due_ns()
+            self._wakes_ns = NEVER_NS if due_ns is None else due_ns
+            left_seconds = (self._wakes_ns - self.clock()) / NS_PER_SECOND
+            if left_seconds > 0:
+                with time_limit(min(left_seconds, LONGEST_SLEEP_SECONDS)):
                     await self._due_sooner.wait()
             if self._due_sooner.is_set():
                 self._due_sooner = anyio.Event()
             self.run_due()
-            await anyio.sleep(0)
+            await anyio.lowlevel.checkpoint()
 
-    def defer(self, work: Callable[..., None], *args: Any) -> None:
-        """Does it once the policy has decided, or at once if it is not deciding. In the middle of a decision
-        the policy may not be called back: its generator is running."""
+    def defer(self, work: Callable[..., object], *args: object) -> None:
+        """Does the work once the policy has decided, or at once if it is not deciding."""
         self._deferred.append((work, args))
         if not self._is_busy:
             self.run_due()
 
     def run_due(self) -> None:
-        """After each call of the border: what had to wait for its end, and what is due. That is done here and
-        now: a busy loop comes to its timers late, and behind all that is ready already."""
+        """Does what had to wait for the end of a decision, and what is due.
+
+        It is called after each call of the policy boundary, and does the work before it returns: a
+        busy event loop runs its timers late, behind all else that is ready.
+        """
         if self._is_busy:
             return
         self._is_busy = True
@@ -70,23 +80,26 @@
                     work, args = self._deferred.popleft()
                     work(*args)
                     continue
-                due = self.policy_boundary.next_due_ns()
-                if due is None or due > self.clock():
+                due_ns = self.policy_boundary.next_due_ns()
+                if due_ns is None or due_ns > self.clock():
                     break
                 self.policy_boundary.advance()
         except Exception as error:
             self.record_fault(error)
-            if self._deferred:  # one that fails costs no other its turn
+            if self._deferred:  # work that fails does not keep the rest from being done
                 self._due_sooner.set()
         finally:
             self._is_busy = False
-        due = self.policy_boundary.next_due_ns()
-        if due is not None and due < self._wakes_ns:
-            self._wakes_ns = due
+        due_ns = self.policy_boundary.next_due_ns()
+        if due_ns is not None and due_ns < self._wakes_ns:
+            self._wakes_ns = due_ns
             self._due_sooner.set()
 
-    def decide(self, call: Callable[..., Any], *args: Any) -> Any:
-        """One call of the border, whose decisions are carried out meanwhile; None after a fault."""
+    def decide(self, call: Callable[..., ResultT], *args: object) -> ResultT | None:
+        """Makes one call of the policy boundary; its decisions are carried out meanwhile.
+
+        Returns what the call returns, or None after a fault.
+        """
         nested, self._is_busy = self._is_busy, True
         try:
             return call(*args)
@@ -99,9 +112,8 @@
                 self.run_due()
 
     def record_fault(self, error: Exception) -> None:
-        """An exception where none should be, of the policy or ours: it is logged and counted, and costs
-        no other request anything."""
-        self.log.error("a fault of ours", exc_info=error)
+        """Logs and counts an exception of the policy or of ours; it costs no other request."""
+        self.log.error("fault_recorded", exc_info=error)
         self.counts["fault", type(error).__name__] += 1
         self.fault_count += 1
         self.fault_recorded.set()
--- a/martenlead/edge/dispatcher.py
+++ b/martenlead/edge/dispatcher.py
@@ -1,16 +1,20 @@
-"""Tells the policy what happens and carries out what it decides. It decides nothing itself.
+"""Tells the policy what happens and carries out what it decides, deciding nothing itself.
 
-A request's way: `take` makes it known to the policy, whose generator asks for attempts through `_outlet`; the
-link carries each to its worker and reports its end by `ended`, which goes back as an `Answer`; the final
-response is set on `Held`, whose `done` tells the listener. Here stand the held requests and their attempts;
-membership, functions, load requests and the decision loop are parts that the dispatcher holds. What is spoken
-with clients, workers and discovery is known to the listeners, links and sources alone.
+The way of a request: `accept` makes it known to the policy, whose generator asks for attempts
+through `_carry_out`. The link carries each attempt to its worker and reports its end by
+`attempt_ended`, which goes back to the policy as an `AttemptResult`. The final outcome is set on
+`PendingRequest`, whose `on_outcome` tells the listener; the listener calls `close` as the response
+leaves.
+
+Membership, functions, load requests and the decision loop are parts that the dispatcher holds. What
+is spoken with clients, workers and discovery is known to the listeners, links and sources alone.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable, Iterable
+from functools import partial
 from random import Random
 from time import monotonic_ns
 from typing import Any
@@ -29,9 +33,13 @@
 from martenlead.edge.records import (
     DispatcherSettings,
     FinalOutcome,
+    FunctionEntry,
     IncomingRequest,
     InFlightAttempt,
+    OpaqueContent,
     PendingRequest,
+    PolicyFunction,
+    PolicyWorker,
     UpstreamWorker,
 )
 from martenlead.policy.types import (
@@ -50,299 +58,324 @@
 from martenlead.upstream.endpoints import Endpoint
 from martenlead.upstream.outcome import UpstreamOutcome
 
-FAULT_CHECK_SECONDS = 0.005  # after a fault, between two looks for requests past their time
+FAULT_CHECK_SECONDS = 0.005  # after a fault, between two looks for requests past their deadline
+FAULT_REASON = "a fault of the dispatcher"
+STOP_REASON = "the dispatcher stops"
+
+# what another part reports of itself, in plain values of its own
+StatusReporter = Callable[[], dict[str, Any]]
 
 
 class Dispatcher:
-    """One policy engine and what is around it. `run` holds its task group; all else is called inside it."""
+    """One policy engine and what is around it.
+
+    `run` holds its task group; all other methods are called while it runs.
+    """
 
     def __init__(
         self,
-        about: DispatcherSettings,
-        link: UpstreamLink,
-        source: MembershipSource,
+        settings: DispatcherSettings,
+        link: UpstreamLink[Dispatcher],
+        source: MembershipSource[Dispatcher],
         clock: Callable[[], int] = monotonic_ns,
-        tape: Recorder | None = None,
+        recorder: Recorder | None = None,
     ) -> None:
-        self.settings, self.link, self.source, self.clock = about, link, source, clock
-        told = about.policy_settings
-        told.function_limit = about.function_limit
-        self.request_classes, self.tenants, self.deadlines_ns = (
-            about.request_classes,
-            about.tenants,
-            about.deadlines_ns,
-        )
-        self.deadline_margin_ns = about.deadline_margin_ns
-        names = list(self.request_classes), self.tenants
-        self.policy_boundary = PolicyBoundary(told, about.seed, clock, self._carry_out, tape, names)
-        self.random = Random(about.seed)
+        self.settings, self.link, self.source, self.clock = settings, link, source, clock
+        self.request_classes, self.tenants = settings.request_classes, settings.tenants
+        self.deadlines_ns = settings.deadlines_ns
+        self.deadline_margin_ns = settings.deadline_margin_ns
+        self.random = Random(settings.seed)
         self.counts: Counter[tuple[str, str]] = Counter()
-        self.decision_loop = DecisionLoop(self.policy_boundary, clock, self.counts, about.name)
-        # bound here, as `known` is below: a call of them passes no further layer
-        self.defer, self._decide, self._run_due = (
-            self.decision_loop.defer,
-            self.decision_loop.decide,
-            self.decision_loop.run_due,
-        )
-        self.event_loop_lag = EventLoopLag(
-            clock, told.tick_ns, lambda tick: self.policy_boundary.set_tick(tick)
-        )
-        self.membership = Membership(source.endpoint_list, self.decision_loop, link, about.name)
-        self.workers, self.by_policy_worker = self.membership.workers, self.membership.by_policy_worker
-        self.function_table = FunctionTable(self.decision_loop, about.function_limit)
-        self.functions_by_name, self.by_policy_function = (
-            self.function_table.by_name,
-            self.function_table.by_policy_function,
-        )
-        self.find_or_add_function = self.function_table.find_or_add
         self.pending_requests: dict[Request, PendingRequest] = {}
         self.pending_bytes = 0
-        self.endpoint_list = source.endpoint_list
-        self.least_time_left_ns: int | None = None  # least time left at a final answer, ns
+        self.least_time_left_ns: int | None = None  # at a final response
         self._in_flight: dict[Attempt, InFlightAttempt] = {}
+        # set by the parts that report to operators
+        self.report_planner: StatusReporter | None = None
+        self.report_queues: StatusReporter | None = None
+        self._make_decision_parts(recorder)
+        self._make_tables()
+        link.attach(self)
+
+    def _make_decision_parts(self, recorder: Recorder | None) -> None:
+        """The policy boundary and what calls it."""
+        settings = self.settings
+        policy_settings = settings.policy_settings
+        policy_settings.function_limit = settings.function_limit
+        self.policy_boundary = PolicyBoundary(
+            policy_settings,
+            settings.seed,
+            self.clock,
+            self._carry_out,
+            recorder,
+            (list(self.request_classes), self.tenants),
+        )
+        loop = DecisionLoop(self.policy_boundary, self.clock, self.counts, settings.name)
+        self.decision_loop = loop
+        # bound here, so that a call passes no further layer
+        self.defer, self._decide, self._run_due = loop.defer, loop.decide, loop.run_due
+        self.event_loop_lag = EventLoopLag(self.clock, policy_settings.tick_ns, self._set_tick)
+
+    def _make_tables(self) -> None:
+        """Membership, functions and load requests, and their tables under names of this object."""
+        name, loop = self.settings.name, self.decision_loop
+        self.endpoint_list = self.source.endpoint_list
+        self.membership = Membership(self.endpoint_list, loop, self.link, name)
+        self.workers = self.membership.workers
+        self.by_policy_worker = self.membership.by_policy_worker
+        self.snapshot_received = self.membership.snapshot_received
+        self.function_table = FunctionTable(loop, self.settings.function_limit)
+        self.functions_by_name = self.function_table.by_name
+        self.by_policy_function = self.function_table.by_policy_function
+        self.find_or_add_function = self.function_table.find_or_add
         self._decision_log: DecisionLog | None = None
-        if about.logs_decisions:
+        if self.settings.logs_decisions:
             self._decision_log = DecisionLog(
-                about.name, self.by_policy_worker, self.by_policy_function, self.pending_requests
+                name, self.by_policy_worker, self.by_policy_function, self.pending_requests
             )
         self.load_requester = LoadRequester(
-            link, self.decision_loop, self.membership, self.function_table, self._decision_log
+            self.link, loop, self.membership, self.function_table, self._decision_log
         )
-        self.snapshot_received = self.membership.snapshot_received
-        self.report_planner: Callable[[], dict[str, Any]] | None = None
-        self.report_queues: Callable[[], dict[str, Any]] | None = None
-        link.attach(self)
-
-    def use_policy_boundary(self, border: PolicyBoundary) -> None:
-        """Puts another border in the place of its own, such as one that measures; before `run`."""
-        self.policy_boundary = self.decision_loop.policy_boundary = border
 
-    # -- life
+    def use_policy_boundary(self, policy_boundary: PolicyBoundary) -> None:
+        """Replaces the policy boundary, by one that measures for instance; before `run`."""
+        self.policy_boundary = self.decision_loop.policy_boundary = policy_boundary
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Serves until it is cancelled."""
         async with anyio.create_task_group() as group:
             self.policy_boundary.start()
             group.start_soon(self.decision_loop.run)
             group.start_soon(self.event_loop_lag.run)
-            group.start_soon(self._guard)
+            group.start_soon(self._end_overdue_after_fault)
             group.start_soon(self.link.run)
             group.start_soon(self.source.run, self)
 
     def record_fault(self, error: Exception) -> None:
-        """An exception where none should be. The request that it left without a wait is ended by `_guard`."""
+        """Logs and counts an exception of the policy or of ours.
+
+        The request that it left without a wait is ended by `_end_overdue_after_fault`.
+        """
         self.decision_loop.record_fault(error)
 
-    async def _guard(self) -> None:
-        """After a fault: no request is held past its time, whatever became of its generator."""
+    async def _end_overdue_after_fault(self) -> None:
+        """After a fault: ends each request at its deadline, whatever became of its generator."""
         await self.decision_loop.fault_recorded.wait()
         while True:
             await anyio.sleep(FAULT_CHECK_SECONDS)
-            late = self.clock() + self.event_loop_lag.tick_ns
-            for task, held in list(self.pending_requests.items()):
-                if late > task.deadline_ns and held.outcome is None:
-                    held.reason = "a fault of the dispatcher"
-                    held.end(
-                        FinalOutcome.REJECTED
-                        if self.policy_boundary.may_reject(task)
-                        else FinalOutcome.FAILED
-                    )
+            overdue_from_ns = self.clock() + self.event_loop_lag.tick_ns
+            for policy_request, request in list(self.pending_requests.items()):
+                if overdue_from_ns > policy_request.deadline_ns and request.outcome is None:
+                    self._end_without_response(request, policy_request, FAULT_REASON)
             self._run_due()
 
+    def _end_without_response(
+        self, request: PendingRequest, policy_request: Request, reason: str
+    ) -> None:
+        """Rejects a request that certainly did not run; fails one that may have."""
+        may_reject = self.policy_boundary.may_reject(policy_request)
+        request.reason = reason
+        request.end(FinalOutcome.REJECTED if may_reject else FinalOutcome.FAILED)
+
+    def _set_tick(self, tick_ns: int) -> None:
+        self.policy_boundary.set_tick(tick_ns)
+
     # -- membership
 
-    def update_endpoints(self, told: list[Endpoint], whole: bool) -> None:
-        """What a source was told, of changes or of the whole list."""
-        self.membership.update_endpoints(told, whole)
+    def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
+        """Takes in changes of the membership, or a whole list, from the source."""
+        self.membership.update_endpoints(endpoints, is_snapshot)
 
-    def mark_draining(self, box: UpstreamWorker) -> None:
-        """A worker's own word that it drains."""
-        self.membership.mark_draining(box)
+    def mark_draining(self, worker: UpstreamWorker) -> None:
+        """Takes a worker's own word that it drains."""
+        self.membership.mark_draining(worker)
 
     # -- requests
 
     def accept(
         self,
-        wanted: IncomingRequest,
-        arrived: int,
-        content: Any = None,
-        size: int = 0,
-        again: bool | None = None,
-        done: Callable[[PendingRequest], None] | None = None,
-        client: CancellationSource | None = None,
+        incoming: IncomingRequest,
+        arrived_ns: int,
+        content: OpaqueContent = None,
+        size_bytes: int = 0,
+        is_retry: bool | None = None,
+        on_outcome: Callable[[PendingRequest], None] | None = None,
+        client: CancellationSource[PendingRequest] | None = None,
     ) -> PendingRequest:
-        """Makes a request known to the policy. The listener has checked the names and the limits, and calls
-        `over` once the final answer, which `done` is told of, is on its way. `again` goes before what
-        `wanted` says."""
-        held = PendingRequest(wanted, arrived, content, size, done, client)
-        known = self.find_or_add_function(wanted.function, wanted.lanes, wanted.memory_mb)
-        limit = self.deadlines_ns[wanted.request_class]
-        left = limit if wanted.time_left_ns is None else min(wanted.time_left_ns, limit)
-        give_up = arrived + left - self.deadline_margin_ns
-
-        def note(task: Request) -> None:
-            held.policy_request = task
-            self.pending_requests[task] = held
-            self.pending_bytes += size
-            known.pending_requests += 1
-
-        customer = self.tenants.get(wanted.tenant or "")
-        offering, faults = self.request_classes[wanted.request_class], self.decision_loop.fault_count
-        again = wanted.is_retry if again is None else again
+        """Makes a request known to the policy.
+
+        The listener has checked its names and the limits. It calls `close` once the final response,
+        of which `on_outcome` is told, is on its way. `is_retry` overrides what `incoming` states.
+        """
+        request = PendingRequest(incoming, arrived_ns, content, size_bytes, on_outcome, client)
+        entry = self.find_or_add_function(incoming.function, incoming.lanes, incoming.memory_mb)
+        limit_ns, left_ns = self.deadlines_ns[incoming.request_class], incoming.time_left_ns
+        if left_ns is not None:
+            limit_ns = min(left_ns, limit_ns)
+        faults_before = self.decision_loop.fault_count
         self._decide(
             self.policy_boundary.accept_request,
-            known.policy_function,
-            offering,
-            customer,
-            give_up,
-            again,
-            wanted.cost_seconds,
-            note,
-            wanted.trace_id,
+            entry.policy_function,
+            self.request_classes[incoming.request_class],
+            self.tenants.get(incoming.tenant or ""),
+            arrived_ns + limit_ns - self.deadline_margin_ns,
+            incoming.is_retry if is_retry is None else is_retry,
+            incoming.cost_seconds,
+            partial(self._add_pending, request, entry),
+            incoming.trace_id,
         )
-        if self.decision_loop.fault_count > faults and (
-            held.policy_request is None or not held.policy_request.attempts
-        ):
-            held.reason = "a fault of the dispatcher"  # nothing was sent: no need to wait for `_guard`
-            held.end(FinalOutcome.REJECTED)
-        return held
-
-    async def wait_for_outcome(self, held: PendingRequest) -> None:
-        """Waits for the final answer. Cancelled, the client has left."""
+        if self.decision_loop.fault_count > faults_before:
+            self._reject_if_unsent(request)
+        return request
+
+    def _add_pending(
+        self, request: PendingRequest, entry: FunctionEntry, policy_request: Request
+    ) -> None:
+        """Called as the policy boundary has made its request, before the policy decides on it."""
+        request.policy_request = policy_request
+        self.pending_requests[policy_request] = request
+        self.pending_bytes += request.size_bytes
+        entry.pending_requests += 1
+
+    @staticmethod
+    def _reject_if_unsent(request: PendingRequest) -> None:
+        """After a fault as the request was accepted: one without an attempt need not wait."""
+        if request.policy_request is None or not request.policy_request.attempts:
+            request.reason = FAULT_REASON
+            request.end(FinalOutcome.REJECTED)
+
+    async def wait_for_outcome(self, request: PendingRequest) -> None:
+        """Waits for the final outcome. If it is cancelled, the client has left."""
         try:
-            if held.outcome is None:
+            if request.outcome is None:
                 event = anyio.Event()
-                held.on_outcome = lambda _: event.set()
+                request.on_outcome = lambda _: event.set()
                 await event.wait()
         finally:
-            held.end(FinalOutcome.CLIENT_LEFT)
-            self.close(held)
+            request.end(FinalOutcome.CLIENT_LEFT)
+            self.close(request)
 
     def finish_all(self) -> None:
-        """Every held request gets its answer now."""
-        for held in list(self.pending_requests.values()):
-            if held.policy_request is not None and held.outcome is None:
-                back = self.policy_boundary.may_reject(held.policy_request)
-                held.reason = "the dispatcher stops"
-                held.end(FinalOutcome.REJECTED if back else FinalOutcome.FAILED)
-
-    def close(self, held: PendingRequest) -> None:
-        """The final answer is on its way, or nobody waits for it: what is still out is cancelled."""
-        task = held.policy_request
-        if task is None or self.pending_requests.pop(task, None) is None:
+        """Gives every pending request its final outcome now."""
+        for request in list(self.pending_requests.values()):
+            if request.policy_request is not None and request.outcome is None:
+                self._end_without_response(request, request.policy_request, STOP_REASON)
+
+    def close(self, request: PendingRequest) -> None:
+        """Closes a request whose response is on its way, or for which nobody waits.
+
+        Attempts that are still in flight are cancelled.
+        """
+        policy_request, outcome = request.policy_request, request.outcome
+        if policy_request is None or self.pending_requests.pop(policy_request, None) is None:
             return
-        self.pending_bytes -= held.size_bytes
-        known = self.by_policy_function.get(task.function)
-        if known is not None:
-            known.pending_requests -= 1
-        if held.outcome is not None:
-            self.counts["final", held.outcome.value] += 1
-            if held.outcome is not FinalOutcome.CLIENT_LEFT:
-                left = task.deadline_ns - self.clock()
-                self.least_time_left_ns = (
-                    left if self.least_time_left_ns is None else min(self.least_time_left_ns, left)
+        self.pending_bytes -= request.size_bytes
+        entry = self.by_policy_function.get(policy_request.function)
+        if entry is not None:
+            entry.pending_requests -= 1
+        if outcome is not None:
+            self.counts["final", outcome.value] += 1
+            if outcome is not FinalOutcome.CLIENT_LEFT:
+                left_ns, least_ns = (
+                    policy_request.deadline_ns - self.clock(),
+                    self.least_time_left_ns,
                 )
-        self._decide(self.policy_boundary.close_request, task, held.outcome.value if held.outcome else "")
+                self.least_time_left_ns = left_ns if least_ns is None else min(least_ns, left_ns)
+        final = outcome.value if outcome is not None else ""
+        self._decide(self.policy_boundary.close_request, policy_request, final)
 
     def _carry_out(self, action: Action) -> None:
-        """Carries out one decision. Nothing here calls the policy back: it is in the middle of deciding."""
+        """Carries out one decision. It must not call the policy, which is in the middle of it."""
         match action:
-            case Attempt(request=task, worker=runner):
-                box = self.by_policy_worker[runner]
-                out = self._in_flight[action] = InFlightAttempt(
-                    action, self.pending_requests[task], box, len(task.attempts) - 1
+            case Attempt(request=policy_request, worker=policy_worker):
+                worker = self.by_policy_worker[policy_worker]
+                request, number = (
+                    self.pending_requests[policy_request],
+                    len(policy_request.attempts) - 1,
                 )
-                box.in_flight += 1
-                self.link.send_attempt(out)
-            case Reject(request=task, retry_after_ns=wait):
-                held = self.pending_requests[task]
-                held.retry_after_ns = wait
-                held.end(FinalOutcome.REJECTED)
-            case Fail(request=task):
-                self.pending_requests[task].end(FinalOutcome.FAILED)
-            case Cancel(attempt=hand_off):
-                found = self._in_flight.get(hand_off)
+                attempt = InFlightAttempt(action, request, worker, number)
+                self._in_flight[action] = attempt
+                worker.in_flight += 1
+                self.link.send_attempt(attempt)
+            case Reject(request=policy_request, retry_after_ns=retry_after_ns):
+                request = self.pending_requests[policy_request]
+                request.retry_after_ns = retry_after_ns
+                request.end(FinalOutcome.REJECTED)
+            case Fail(request=policy_request):
+                self.pending_requests[policy_request].end(FinalOutcome.FAILED)
+            case Cancel(attempt=policy_attempt):
+                found = self._in_flight.get(policy_attempt)
                 if found is not None:
                     self.link.cancel_attempt(found)
             case LoadRequest():
                 self.load_requester.send(action)
             case ListWorkers() | Wait():
-                pass  # the roster is pushed; the engine keeps the waits
+                pass  # the source sends the list unasked; the engine keeps the waits
         if self._decision_log is not None:
             self._decision_log.log_decision(action)
 
     # -- ends of attempts
 
-    def attempt_ended(self, out: InFlightAttempt, told: UpstreamOutcome) -> None:
-        """From the link: the one end of an attempt."""
-        self.defer(self._end_attempt, out, told, self.clock())
+    def attempt_ended(self, attempt: InFlightAttempt, outcome: UpstreamOutcome) -> None:
+        """Takes the one end of an attempt from the link."""
+        self.defer(self._end_attempt, attempt, outcome, self.clock())
 
-    def _end_attempt(self, out: InFlightAttempt, told: UpstreamOutcome, now: int) -> None:
-        hand_off, held, box = out.policy_attempt, out.request, out.worker
-        if self._in_flight.pop(hand_off, None) is None:
+    def _end_attempt(
+        self, attempt: InFlightAttempt, upstream: UpstreamOutcome, ended_ns: int
+    ) -> None:
+        policy_attempt, request, worker = attempt.policy_attempt, attempt.request, attempt.worker
+        if self._in_flight.pop(policy_attempt, None) is None:
             return
-        box.in_flight -= 1
-        if told.is_draining:
-            self.mark_draining(box)
-        box.load_report.update(told.load_report)
-        self.counts["hand-off", told.result.value] += 1
-        if told.load_failure:
-            self.counts["load failed", told.load_failure] += 1
-        if held.outcome is None:
-            held.reason = told.reason
-        first = told.result is Result.SUCCEEDED and held.outcome is None
-        final = first or held.outcome is not None
-        if first:
-            held.response = told.response
-            held.end(FinalOutcome.SUCCEEDED)
-        lag = max(0, now - hand_off.sent_ns)
-        self._decide(
-            self.policy_boundary.record_result, AttemptResult(hand_off, told.result, final, told.warmth, lag)
+        worker.in_flight -= 1
+        if upstream.is_draining:
+            self.mark_draining(worker)
+        worker.load_report.update(upstream.load_report)
+        self.counts["hand-off", upstream.result.value] += 1
+        if upstream.load_failure:
+            self.counts["load failed", upstream.load_failure] += 1
+        is_final = request.outcome is not None
+        if not is_final:
+            request.reason = upstream.reason
+            if upstream.result is Result.SUCCEEDED:
+                is_final = True
+                request.response = upstream.response
+                request.end(FinalOutcome.SUCCEEDED)
+        latency_ns = max(0, ended_ns - policy_attempt.sent_ns)
+        result = AttemptResult(
+            policy_attempt, upstream.result, is_final, upstream.warmth, latency_ns
         )
-        self.membership.forget_if_gone(box)
+        self._decide(self.policy_boundary.record_result, result)
+        self.membership.forget_if_gone(worker)
         if self._decision_log is not None:
-            self._decision_log.log_attempt_end(out, told)
+            self._decision_log.log_attempt_end(attempt, upstream)
 
     # -- what a planner decided
 
     def apply_plan(
-        self, orders: Iterable[tuple[int, Any, Any]], held: Iterable[tuple[Any, Any, bool]]
+        self,
+        load_requests: Iterable[tuple[int, PolicyWorker, PolicyFunction]],
+        retained: Iterable[tuple[PolicyWorker, PolicyFunction, bool]],
     ) -> tuple[int, int]:
-        """Load requests by the planner's number, worker and function, and which replicas are held. Returns
-        how many load requests were sent, and how many the budget had no room for."""
-        given = refused = 0
+        """Carries out what a planner decided.
+
+        `load_requests` are the planner's number, the worker and the function of each; `retained`
+        says of replicas whether they are retained. Returns how many load requests were sent, and
+        how many the load budget did not allow.
+        """
+        sent = refused = 0
         try:
-            for runner, model, on in held:
-                self.policy_boundary.set_retained(runner, model, on)
-            for number, runner, model in orders:
-                if self.policy_boundary.request_load(number, runner, model) is None:
+            for worker, function, is_retained in retained:
+                self.policy_boundary.set_retained(worker, function, is_retained)
+            for number, worker, function in load_requests:
+                if self.policy_boundary.request_load(number, worker, function) is None:
                     refused += 1
                 else:
-                    given += 1
+                    sent += 1
         except Exception as error:
             self.record_fault(error)
         self._run_due()
-        return given, refused
-
-    def confirm_replicas(self, copies: Iterable[tuple[str, str, int, float, float]]) -> None:
-        """Asks workers for replicas of an incarnation before, as `Loads.recall`."""
-        self.load_requester.confirm_replicas(copies)
-
-    # -- what operators see
-
-    def report_status(self) -> dict[str, Any]:
-        """Of the process, in plain values."""
-        return {
-            "edge": self.settings.name,
-            "roster": {"version": self.endpoint_list.version, "runners": len(self.endpoint_list.endpoints)},
-            "planner": self.report_planner() if self.report_planner else None,
-            "door": self.report_queues() if self.report_queues else None,
-            "held": len(self.pending_requests),
-            "held_bytes": self.pending_bytes,
-            "models": len(self.functions_by_name),
-            "tick_ms": self.event_loop_lag.tick_ns / 1e6,
-            "worst_lag_ms": self.event_loop_lag.worst_ns / 1e6,
-            "closest_answer_ms": None if self.least_time_left_ns is None else self.least_time_left_ns / 1e6,
-            "counts": {f"{kind}/{name}": n for (kind, name), n in sorted(self.counts.items())},
-            "runners": self.membership.report_workers(),
-        }
+        return sent, refused
+
+    def confirm_replicas(self, replicas: Iterable[tuple[str, str, int, float, float]]) -> None:
+        """Asks workers for replicas of an earlier run, as `LoadRequester.confirm_replicas`."""
+        self.load_requester.confirm_replicas(replicas)
--- a/martenlead/edge/event_loop_lag.py
+++ b/martenlead/edge/event_loop_lag.py
@@ -1,5 +1,8 @@
-"""How late the event loop is at present: the policy's tick, which it leaves as room before deadlines, and how
-long a request may have lain unread when it is read at last."""
+"""How late the event loop is at present.
+
+The policy leaves the lag as room before deadlines (its tick). Listeners ask how long a request may
+have lain unread by the time it is read.
+"""
 
 from __future__ import annotations
 
@@ -8,69 +11,74 @@
 
 import anyio
 
-SAMPLE_INTERVAL = 10_000_000  # ns
-WINDOW = 1_000_000_000  # ns of samples that the tick is taken from
-QUANTILE = 0.99  # of the lags in the window: the second longest, so that a stall alone tells of no next one
-SAMPLES_PER_FALL = 10  # from one report to a lower one: each is a line of a capture
-LONGEST_TICK = 100_000_000  # ns
-NS_PER_SECOND = 1e9
-SAMPLES_KEPT = 64  # a request is looked up soon after it was read
-UNREMARKABLE_WAIT = (
-    60_000_000  # ns unread that are not counted: well within the slack of a deadline passed on
+SAMPLE_INTERVAL_NS = 10_000_000
+WINDOW_NS = 1_000_000_000  # of the samples that the tick is taken from
+QUANTILE = (
+    0.99  # of the lags in the window: the second longest, so that one stall alone does not count
 )
+SAMPLES_PER_FALL = 10  # from one report to a lower one: each is an event of a capture
+LONGEST_TICK_NS = 100_000_000
+NS_PER_SECOND = 1e9
+SAMPLE_LIMIT = 64  # a request is looked up soon after it was read
+# time unread that is not counted: well within the slack of a deadline that is passed on
+UNREMARKABLE_WAIT_NS = 60_000_000
 
 
 class EventLoopLag:
-    """The tick is what the event loop achieves: a high quantile of its lag in the last second. All in ns.
+    """Measures the tick: a high quantile of the event loop's lag in the last second.
 
-    A stall that is over says little about the next one: room for it before each deadline would have short
-    requests rejected. Two in a second count, for as long as both lie in it.
+    A stall that is over says little about the next one: room for it before each deadline would have
+    short requests rejected. Two stalls within a second count, for as long as both lie in it.
     """
 
-    def __init__(self, clock: Callable[[], int], tick: int, report: Callable[[int], None]) -> None:
-        """`tick` is the least; `report` is called with each new one."""
-        self.clock, self.tick_ns, self.worst_ns = clock, tick, 0
-        self._least, self._report = tick, report
-        self._lags: deque[tuple[int, int]] = deque()  # of the window: when each was measured, and it
+    def __init__(
+        self, clock: Callable[[], int], least_tick_ns: int, report: Callable[[int], None]
+    ) -> None:
+        """`report` is called with each new tick, in ns."""
+        self.clock, self.tick_ns, self.worst_ns = clock, least_tick_ns, 0
+        self._least_ns, self._report = least_tick_ns, report
+        self._lags: deque[tuple[int, int]] = deque()  # of the window: when measured, and the lag
         self._since_report = 0
-        self._samples: deque[int] = deque(maxlen=SAMPLES_KEPT)  # when each sample was taken
+        self._samples: deque[int] = deque(maxlen=SAMPLE_LIMIT)  # when each sample was taken
 
-    def earliest_arrival(self, read_at: int) -> int:
-        """The earliest moment at which a request that was read at `read_at` may have arrived.
+    def earliest_arrival(self, read_ns: int) -> int:
+        """The earliest moment at which a request that was read at `read_ns` may have arrived.
 
-        Between two samples the loop has polled its sockets at least once and read what was there, in whatever
-        order it runs timers and sockets: so what is read now arrived after the sample before the last one.
-        Where the loop stalled since, that is long ago; otherwise the difference is left out.
+        Between two samples the loop has polled its sockets at least once and read what was there,
+        in whatever order it runs timers and sockets. So what is read now arrived after the sample
+        before the last one. Where the loop stalled since, that is long ago; otherwise the
+        difference is left out.
         """
         last = len(self._samples) - 1
-        while last >= 0 and self._samples[last] > read_at:
+        while last >= 0 and self._samples[last] > read_ns:
             last -= 1
         if last < 0:
-            return read_at
-        earliest = self._samples[max(0, last - 1)]
-        return earliest if read_at - earliest > UNREMARKABLE_WAIT else read_at
+            return read_ns
+        earliest_ns = self._samples[max(0, last - 1)]
+        return earliest_ns if read_ns - earliest_ns > UNREMARKABLE_WAIT_NS else read_ns
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Takes samples until it is cancelled."""
         while True:
-            before = self.clock()
-            self._samples.append(before)
-            await anyio.sleep(SAMPLE_INTERVAL / NS_PER_SECOND)
-            now = self.clock()
-            self._note(now, now - before - SAMPLE_INTERVAL)
+            before_ns = self.clock()
+            self._samples.append(before_ns)
+            await anyio.sleep(SAMPLE_INTERVAL_NS / NS_PER_SECOND)
+            now_ns = self.clock()
+            self._add_sample(now_ns, now_ns - before_ns - SAMPLE_INTERVAL_NS)
 
-    def _note(self, now: int, lag: int) -> None:
+    def _add_sample(self, now_ns: int, lag_ns: int) -> None:
         """Reports a higher tick at once, and a lower one now and then."""
-        self.worst_ns = max(self.worst_ns, lag)
-        self._lags.append((now, lag))
-        while self._lags[0][0] <= now - WINDOW:
+        self.worst_ns = max(self.worst_ns, lag_ns)
+        self._lags.append((now_ns, lag_ns))
+        while self._lags[0][0] <= now_ns - WINDOW_NS:
             self._lags.popleft()
         self._since_report += 1
-        tick = min(max(self._least, self._quantile()), LONGEST_TICK)
-        if tick > self.tick_ns or (tick < self.tick_ns and self._since_report >= SAMPLES_PER_FALL):
-            self.tick_ns, self._since_report = tick, 0
-            self._report(tick)
+        tick_ns = min(max(self._least_ns, self._quantile_ns()), LONGEST_TICK_NS)
+        may_fall = self._since_report >= SAMPLES_PER_FALL
+        if tick_ns > self.tick_ns or (tick_ns < self.tick_ns and may_fall):
+            self.tick_ns, self._since_report = tick_ns, 0
+            self._report(tick_ns)
 
-    def _quantile(self) -> int:
-        ordered = sorted(lag for _, lag in self._lags)
-        return ordered[int(QUANTILE * (len(ordered) - 1))]
+    def _quantile_ns(self) -> int:
+        ascending = sorted(lag_ns for _, lag_ns in self._lags)
+        return ascending[int(QUANTILE * (len(ascending) - 1))]
--- a/martenlead/edge/function_table.py
+++ b/martenlead/edge/function_table.py
@@ -2,22 +2,20 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from martenlead.edge.decision_loop import DecisionLoop
-from martenlead.edge.records import FunctionEntry
+from martenlead.edge.records import FunctionEntry, PolicyFunction
 from martenlead.policy.types import FunctionFacts
 
-MARK_BYTES = 64  # of a name, which make its number for the policy
+MARK_BYTES = 64  # of a name, which make the function's number for the policy
 
 
 class FunctionTable:
-    """At most `most` functions, but for those that requests are held of."""
+    """At most `limit` functions, besides those that have pending requests."""
 
-    def __init__(self, loop: DecisionLoop, most: int) -> None:
-        self._loop, self._limit = loop, most
+    def __init__(self, decision_loop: DecisionLoop, limit: int) -> None:
+        self._decision_loop, self._limit = decision_loop, limit
         self.by_name: dict[str, FunctionEntry] = {}  # the last used last
-        self.by_policy_function: dict[Any, FunctionEntry] = {}
+        self.by_policy_function: dict[PolicyFunction, FunctionEntry] = {}
 
     @property
     def is_full(self) -> bool:
@@ -25,16 +23,21 @@
         return len(self.by_name) >= self._limit
 
     def find_or_add(self, name: str, lanes: int, memory_mb: float) -> FunctionEntry:
-        """The function of that name. A new one takes the place of the one longest without a request."""
-        known = self.by_name.pop(name, None)
-        if known is None:
-            mark = int.from_bytes(name.encode()[:MARK_BYTES], "big")
-            model = self._loop.policy_boundary.add_function(FunctionFacts(mark, lanes, memory_mb), name)
-            known = FunctionEntry(name, model, lanes, memory_mb)
-            self.by_policy_function[model] = known
-            if self.is_full:
-                old = next((k for k in self.by_name.values() if not k.pending_requests), None)
-                if old is not None:
-                    del self.by_name[old.name], self.by_policy_function[old.policy_function]
-        self.by_name[name] = known
-        return known
+        """The function of that name. A new one displaces the one longest without a request."""
+        entry = self.by_name.pop(name, None)
+        if entry is None:
+            entry = self._add(name, lanes, memory_mb)
+        self.by_name[name] = entry
+        return entry
+
+    def _add(self, name: str, lanes: int, memory_mb: float) -> FunctionEntry:
+        mark = int.from_bytes(name.encode()[:MARK_BYTES], "big")
+        facts = FunctionFacts(mark, lanes, memory_mb)
+        policy_function = self._decision_loop.policy_boundary.add_function(facts, name)
+        entry = FunctionEntry(name, policy_function, lanes, memory_mb)
+        self.by_policy_function[policy_function] = entry
+        if self.is_full:
+            unused = next((e for e in self.by_name.values() if not e.pending_requests), None)
+            if unused is not None:
+                del self.by_name[unused.name], self.by_policy_function[unused.policy_function]
+        return entry
--- a/martenlead/edge/interfaces.py
+++ b/martenlead/edge/interfaces.py
@@ -1,58 +1,88 @@
-"""What the dispatcher asks of a link to workers and of a source of membership; each protocol has its own."""
+"""The protocols between a dispatcher and what speaks with workers and with discovery.
+
+Each wire protocol has its own implementation of both. The type parameter is the dispatcher, so that
+this module needs no import of it.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
-
-from martenlead.edge.records import FunctionEntry, InFlightAttempt, UpstreamWorker
+from typing import Protocol, TypeVar
+
+from martenlead.edge.records import (
+    FunctionEntry,
+    InFlightAttempt,
+    OpaqueContent,
+    UpstreamWorker,
+)
 from martenlead.upstream.endpoints import Endpoint, EndpointList
 from martenlead.upstream.outcome import UpstreamOutcome
 
-if TYPE_CHECKING:
-    from martenlead.edge.dispatcher import Dispatcher
+DispatcherT_contra = TypeVar("DispatcherT_contra", contravariant=True)
 
 
 class ConnectionStats(Protocol):
-    """Connections that a link has open to one worker, and has opened in all."""
+    """How many connections to one worker are open, and how many were opened in all."""
 
     @property
-    def open_connections(self) -> int: ...
+    def open_connections(self) -> int:
+        """Connections that are open now."""
+
     @property
-    def connections_opened(self) -> int: ...
+    def connections_opened(self) -> int:
+        """Connections that were opened since the worker is known."""
 
 
-class UpstreamLink(Protocol):
-    """Carries attempts and load requests to workers. Each has exactly one end: of an attempt by
-    `Dispatcher.ended`, of a load request by the callback given with it. Ends may be told at any time, from
-    within these calls too."""
+class ConnectionFactory(Protocol):
+    """Makes the connections to workers and gives them up: the part that membership needs."""
 
-    def attach(self, dispatcher: Dispatcher) -> None:
-        """Before all else: who is told."""
+    def create_connections(self, endpoint: Endpoint) -> OpaqueContent:
+        """The connections to a worker at this address, a `ConnectionStats`; none is opened yet."""
 
-    async def run(self) -> None:
-        """Until cancelled."""
+    def retire_connections(self, connections: OpaqueContent) -> None:
+        """Sends nothing new over them; what is in flight ends as it would."""
 
-    def create_connections(self, line: Endpoint) -> Any:
-        """To a runner at this address; nothing is opened yet. A `Way`."""
 
-    def retire_connections(self, way: Any) -> None:
-        """Nothing new will be sent there; what is open ends as it would."""
+class LoadRequestSender(Protocol):
+    """Sends load requests. Load requests and confirmations need this part of a link."""
 
-    def send_attempt(self, out: InFlightAttempt) -> None: ...
+    def send_load_request(
+        self,
+        worker: UpstreamWorker,
+        function: FunctionEntry,
+        replicas: int,
+        on_outcome: Callable[[UpstreamOutcome], None],
+    ) -> None:
+        """Asks a worker to have so many replicas loaded; with 0 it only tells how many it has.
 
-    def cancel_attempt(self, out: InFlightAttempt) -> None:
-        """It still has its one end, be it an answer that was on its way."""
+        `on_outcome` is called once, possibly from within this call.
+        """
 
-    def send_load_request(
-        self, box: UpstreamWorker, known: FunctionEntry, copies: int, told: Callable[[UpstreamOutcome], None]
-    ) -> None: ...
+
+class UpstreamLink(ConnectionFactory, LoadRequestSender, Protocol[DispatcherT_contra]):
+    """Carries attempts and load requests to workers.
+
+    Each has exactly one end, reported by `Dispatcher.attempt_ended` or by the callback of the load
+    request. An end may be reported at any time, also from within these calls.
+    """
+
+    def attach(self, dispatcher: DispatcherT_contra) -> None:
+        """Sets the dispatcher that ends are reported to; called before all else."""
+
+    async def run(self) -> None:
+        """Serves until it is cancelled."""
+
+    def send_attempt(self, attempt: InFlightAttempt) -> None:
+        """Sends an attempt to its worker."""
+
+    def cancel_attempt(self, attempt: InFlightAttempt) -> None:
+        """Cancels an attempt. It still has its one end, possibly a response that was on its way."""
 
 
-class MembershipSource(Protocol):
+class MembershipSource(Protocol[DispatcherT_contra]):
     """Where membership snapshots and deltas come from."""
 
     endpoint_list: EndpointList
 
-    async def run(self, dispatcher: Dispatcher) -> None:
-        """Tells `Dispatcher.news` until cancelled."""
+    async def run(self, dispatcher: DispatcherT_contra) -> None:
+        """Calls `Dispatcher.update_endpoints` until it is cancelled."""
--- a/martenlead/edge/load_requester.py
+++ b/martenlead/edge/load_requester.py
@@ -1,13 +1,14 @@
-"""Load requests to workers, and questions about replicas that they had before: sent, and their ends told."""
+"""Load requests to workers, and questions about replicas that workers had in an earlier run."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from functools import partial
 
 from martenlead.edge.decision_log import DecisionLog
 from martenlead.edge.decision_loop import DecisionLoop
 from martenlead.edge.function_table import FunctionTable
-from martenlead.edge.interfaces import UpstreamLink
+from martenlead.edge.interfaces import LoadRequestSender
 from martenlead.edge.membership import Membership
 from martenlead.edge.records import FunctionEntry, UpstreamWorker
 from martenlead.policy.types import LoadRequest, Result
@@ -17,77 +18,87 @@
 
 
 class LoadRequester:
-    """Sends what the policy has decided to load. Each has one end, which the policy is told."""
+    """Sends the load requests that the policy decides on, and tells it how each has ended."""
 
     def __init__(
         self,
-        link: UpstreamLink,
-        loop: DecisionLoop,
+        sender: LoadRequestSender,
+        decision_loop: DecisionLoop,
         membership: Membership,
         functions: FunctionTable,
         log: DecisionLog | None,
     ) -> None:
-        self._link, self._loop, self._membership, self._functions = link, loop, membership, functions
-        self._log = log
+        self._sender, self._decision_loop = sender, decision_loop
+        self._membership, self._functions, self._log = membership, functions, log
 
-    def send(self, order: LoadRequest) -> None:
-        """Carries out a decision of the policy, in whose middle this is called."""
-        box, known = (
-            self._membership.by_policy_worker.get(order.worker),
-            self._functions.by_policy_function.get(order.function),
-        )
-        if box is None or known is None:  # either was forgotten since
-            self._loop.defer(
-                self._loop.decide, self._loop.policy_boundary.record_load_end, order, Result.NOT_SENT, 0
-            )
+    def send(self, load_request: LoadRequest) -> None:
+        """Carries out a decision of the policy; called in the middle of that decision."""
+        worker = self._membership.by_policy_worker.get(load_request.worker)
+        entry = self._functions.by_policy_function.get(load_request.function)
+        loop = self._decision_loop
+        if worker is None or entry is None:  # it was forgotten since
+            record_end = loop.policy_boundary.record_load_end
+            loop.defer(loop.decide, record_end, load_request, Result.NOT_SENT, 0)
             return
-        box.in_flight += 1
-
-        def told(heard: UpstreamOutcome) -> None:
-            self._loop.defer(self._end_load, order, box, heard)
+        worker.in_flight += 1
 
-        self._link.send_load_request(box, known, order.replicas, told)
+        on_outcome = partial(loop.defer, self._end_load, load_request, worker)
+        self._sender.send_load_request(worker, entry, load_request.replicas, on_outcome)
 
-    def _end_load(self, order: LoadRequest, box: UpstreamWorker, heard: UpstreamOutcome) -> None:
-        box.in_flight -= 1
-        if heard.is_draining:
-            self._membership.mark_draining(box)
-        if heard.load_failure:
-            self._loop.counts["load failed", heard.load_failure] += 1
-        self._loop.counts["order", heard.result.value] += 1
-        self._loop.decide(self._loop.policy_boundary.record_load_end, order, heard.result, heard.replicas)
-        self._membership.forget_if_gone(box)
+    def _end_load(
+        self, load_request: LoadRequest, worker: UpstreamWorker, outcome: UpstreamOutcome
+    ) -> None:
+        loop = self._decision_loop
+        worker.in_flight -= 1
+        if outcome.is_draining:
+            self._membership.mark_draining(worker)
+        if outcome.load_failure:
+            loop.counts["load failed", outcome.load_failure] += 1
+        loop.counts["order", outcome.result.value] += 1
+        record_end = loop.policy_boundary.record_load_end
+        loop.decide(record_end, load_request, outcome.result, outcome.replicas)
+        self._membership.forget_if_gone(worker)
         if self._log is not None:
-            self._log.log_load_end(order, box, heard)
+            self._log.log_load_end(load_request, worker, outcome)
+
+    def confirm_replicas(self, replicas: Iterable[tuple[str, str, int, float, float]]) -> None:
+        """Asks workers for replicas that they had in an earlier run.
 
-    def confirm_replicas(self, copies: Iterable[tuple[str, str, int, float, float]]) -> None:
-        """Asks workers for replicas that were held in an incarnation before: worker, function, lanes, MB, ms
-        since they were used. An ask loads nothing and takes none of the load budget."""
-        for name, model, lanes, memory_mb, age_ms in copies:
-            box = self._membership.workers.get(name)
-            if (
-                box is not None
-                and box.endpoint.id in self._membership.endpoint_list.endpoints
-                and box.endpoint.state == "up"
-            ):
-                if self._functions.is_full:
-                    return
-                known = self._functions.find_or_add(model, lanes, memory_mb)
-                self._confirm(box, known, self._loop.clock() - round(age_ms * NS_PER_MS))
+        A replica is its worker, its function, the function's lanes and MB, and the ms since it was
+        used. The question loads nothing and takes none of the load budget.
+        """
+        for worker_id, function, lanes, memory_mb, idle_ms in replicas:
+            worker = self._membership.workers.get(worker_id)
+            if worker is None or not self._membership.is_listed_up(worker):
+                continue
+            if self._functions.is_full:
+                return
+            entry = self._functions.find_or_add(function, lanes, memory_mb)
+            last_used_ns = self._decision_loop.clock() - round(idle_ms * NS_PER_MS)
+            self._confirm(worker, entry, last_used_ns)
 
-    def _confirm(self, box: UpstreamWorker, known: FunctionEntry, touched: int) -> None:
-        def answered(heard: UpstreamOutcome) -> None:
-            box.in_flight -= 1
-            self._loop.counts["ask", heard.result.value] += 1
-            self._loop.decide(
-                self._loop.policy_boundary.confirm_replica,
-                box.policy_worker,
-                known.policy_function,
-                heard.result,
-                heard.replicas,
-                touched,
-            )
-            self._membership.forget_if_gone(box)
+    def _confirm(self, worker: UpstreamWorker, entry: FunctionEntry, last_used_ns: int) -> None:
+        defer = self._decision_loop.defer
+        worker.in_flight += 1
+        on_outcome = partial(defer, self._end_confirmation, worker, entry, last_used_ns)
+        self._sender.send_load_request(worker, entry, 0, on_outcome)
 
-        box.in_flight += 1
-        self._link.send_load_request(box, known, 0, lambda heard: self._loop.defer(answered, heard))
+    def _end_confirmation(
+        self,
+        worker: UpstreamWorker,
+        entry: FunctionEntry,
+        last_used_ns: int,
+        outcome: UpstreamOutcome,
+    ) -> None:
+        loop = self._decision_loop
+        worker.in_flight -= 1
+        loop.counts["ask", outcome.result.value] += 1
+        loop.decide(
+            loop.policy_boundary.confirm_replica,
+            worker.policy_worker,
+            entry.policy_function,
+            outcome.result,
+            outcome.replicas,
+            last_used_ns,
+        )
+        self._membership.forget_if_gone(worker)
--- a/martenlead/edge/membership.py
+++ b/martenlead/edge/membership.py
@@ -1,26 +1,27 @@
-"""Membership as this process knows it: which workers there are, in which state, and who tells the policy.
+"""Membership as this process knows it: which workers there are, and in which state.
 
-A source of membership calls `Membership.news`; a link that hears from a worker itself that it drains calls
-`Membership.drains`. Only what changes reaches the policy.
+A source of membership calls `Membership.update_endpoints`. A link that a worker tells that it
+drains calls `Membership.mark_draining`. Only what changes reaches the policy.
 """
 
 from __future__ import annotations
 
-from typing import Any
-
 import anyio
 import msgspec
 import structlog
 
 from martenlead.edge.decision_loop import DecisionLoop
-from martenlead.edge.interfaces import UpstreamLink
-from martenlead.edge.records import UpstreamWorker
+from martenlead.edge.interfaces import ConnectionFactory
+from martenlead.edge.records import PolicyWorker, UpstreamWorker
 from martenlead.policy.types import WorkerFacts, WorkerState
 from martenlead.upstream.endpoints import Endpoint, EndpointList
 
 STATES = {"up": WorkerState.UP, "draining": WorkerState.DRAINING, "gone": WorkerState.GONE}
-LOGGED_EACH = 64  # workers in one piece of news that get a log line each; of more, one line tells how many
-UNKNOWN_WEIGHT = 1.0  # of a worker that tells neither weight nor memory
+LOGGED_WORKERS = 64  # of one update that get a line each; for more, one line tells how many
+UNKNOWN_WEIGHT = 1.0  # of a worker that states neither weight nor memory
+NS_PER_MS = 1e6
+
+WorkerChange = tuple[PolicyWorker, WorkerFacts]
 
 
 class Membership:
@@ -28,136 +29,147 @@
 
     def __init__(
         self,
-        members: EndpointList,
-        loop: DecisionLoop,
-        link: UpstreamLink,
+        endpoint_list: EndpointList,
+        decision_loop: DecisionLoop,
+        connection_factory: ConnectionFactory,
         name: str,
     ) -> None:
-        """`members` is the source's list; `name` is the dispatcher's, for the log."""
-        self.endpoint_list, self.decision_loop, self.link = members, loop, link
+        """`endpoint_list` is the source's; `name` is the dispatcher's, for the log."""
+        self.endpoint_list, self.decision_loop = endpoint_list, decision_loop
         self.workers: dict[str, UpstreamWorker] = {}
-        self.by_policy_worker: dict[Any, UpstreamWorker] = {}
+        self.by_policy_worker: dict[PolicyWorker, UpstreamWorker] = {}
         self.snapshot_received = anyio.Event()  # set once a whole list has come
         self.log = structlog.get_logger().bind(edge=name)
-
-    def update_endpoints(self, told: list[Endpoint], whole: bool) -> None:
-        """What a source was told, of changes or of the whole list. Of a list that is sent again only what
-        differs reaches the policy: all of a long one would hold up the event loop."""
-        first = not self.workers
-        logged = not first and len(told) <= LOGGED_EACH
-        news: list[tuple[Any, WorkerFacts]] = []
-        gone: list[UpstreamWorker] = []
-        if whole and not first:
-            listed = {line.id for line in told}
-            gone = [box for name, box in self.workers.items() if name not in listed]
-            news = [
-                (box.policy_worker, box.build_facts(WorkerState.GONE, box.started_ns, UNKNOWN_WEIGHT))
-                for box in gone
-            ]
-        for line in told:
-            box = None if self._is_known(line) else self._find_or_add_worker(line)
-            if box is None:
+        self._connection_factory = connection_factory
+
+    def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
+        """Takes in changes, or a whole list.
+
+        Of a list that is sent again only what differs reaches the policy: all of a long one would
+        hold up the event loop.
+        """
+        is_first = not self.workers
+        is_logged_each = not is_first and len(endpoints) <= LOGGED_WORKERS
+        gone = self._missing_workers(endpoints) if is_snapshot and not is_first else []
+        changes: list[WorkerChange] = [
+            (worker.policy_worker, self._gone_facts(worker)) for worker in gone
+        ]
+        for endpoint in endpoints:
+            worker = None if self._is_known(endpoint) else self._find_or_add_worker(endpoint)
+            if worker is None:
                 continue
-            if line.state == "gone":
-                gone.append(box)
-                box.is_gone = True  # at once: the same news may tell of the next process under that id
+            if endpoint.state == "gone":
+                gone.append(worker)
+                worker.is_gone = True  # at once: the next endpoint may be its successor, by that id
             else:
-                box.endpoint = line
-            facts = self._update_facts(box, line)
-            if box.policy_worker is None:
-                box.policy_worker = self.decision_loop.policy_boundary.add_worker(facts, line.id)
-                self.by_policy_worker[box.policy_worker] = box
-            news.append((box.policy_worker, facts))
-            if logged:
-                self.log.info(
-                    "roster", runner=line.id, state=facts.state.value, version=self.endpoint_list.version
-                )
-        self.decision_loop.decide(self.decision_loop.policy_boundary.update_workers, news, whole and first)
-        for box in gone:
-            box.is_gone = True
-            self.link.retire_connections(box.connections)
-            self.forget_if_gone(box)
-        if whole or not logged:
-            kind = "whole roster" if whole else "roster"
-            self.log.info(kind, runners=len(told), news=len(news), version=self.endpoint_list.version)
-        if whole:
+                worker.endpoint = endpoint
+            facts = self._update_facts(worker, endpoint)
+            changes.append((worker.policy_worker, facts))
+            if is_logged_each:
+                self._log_change(endpoint, facts)
+        boundary = self.decision_loop.policy_boundary
+        self.decision_loop.decide(boundary.update_workers, changes, is_snapshot and is_first)
+        for worker in gone:
+            self._remove(worker)
+        if is_snapshot or not is_logged_each:
+            self._log_update(is_snapshot, len(endpoints), len(changes))
+        if is_snapshot:
             self.snapshot_received.set()
 
-    def _is_known(self, line: Endpoint) -> bool:
-        """Whether it tells nothing new; that a process has grown older is nothing new."""
-        box = self.workers.get(line.id)
-        if box is None or box.is_gone:
-            return False
-        return box.endpoint == line or box.endpoint == msgspec.structs.replace(
-            line, age_ms=box.endpoint.age_ms
+    def _missing_workers(self, endpoints: list[Endpoint]) -> list[UpstreamWorker]:
+        """The workers that a whole list does not name."""
+        listed = {endpoint.id for endpoint in endpoints}
+        return [worker for worker_id, worker in self.workers.items() if worker_id not in listed]
+
+    @staticmethod
+    def _gone_facts(worker: UpstreamWorker) -> WorkerFacts:
+        return worker.build_facts(WorkerState.GONE, worker.started_ns, UNKNOWN_WEIGHT)
+
+    def _remove(self, worker: UpstreamWorker) -> None:
+        worker.is_gone = True
+        self._connection_factory.retire_connections(worker.connections)
+        self.forget_if_gone(worker)
+
+    def _log_change(self, endpoint: Endpoint, facts: WorkerFacts) -> None:
+        version = self.endpoint_list.version
+        self.log.info(
+            "worker_updated", worker=endpoint.id, state=facts.state.value, version=version
         )
 
-    def _find_or_add_worker(self, line: Endpoint) -> UpstreamWorker | None:
-        """The worker that a line is about, made where it is new; None where an unknown one is gone."""
-        box = self.workers.get(line.id)
-        if line.state == "gone":
-            return box
-        if box is None or box.is_gone:  # else another process under that id: what is out is not its own
-            box = self.workers[line.id] = UpstreamWorker(line, self.link.create_connections(line))
-        elif (line.host, line.port) != (box.endpoint.host, box.endpoint.port):
-            self.link.retire_connections(box.connections)
-            box.connections = self.link.create_connections(line)
-        return box
-
-    def _update_facts(self, box: UpstreamWorker, line: Endpoint) -> WorkerFacts:
-        if not box.policy_worker or line.incarnation != box.started_incarnation:
-            box.started_ns = self._to_started_ns(line.age_ms)
-            box.started_incarnation = line.incarnation
-        state = STATES[line.state]
-        if (
-            state is WorkerState.UP
-            and box.draining_incarnation
-            and box.draining_incarnation == line.incarnation
-        ):
-            state = WorkerState.DRAINING  # its own word is newer than the source's until it has started anew
-        return box.build_facts(state, box.started_ns, line.weight or line.memory_mb or UNKNOWN_WEIGHT)
+    def _log_update(self, is_snapshot: bool, workers: int, changed: int) -> None:
+        event = "snapshot_applied" if is_snapshot else "delta_applied"
+        self.log.info(event, workers=workers, changed=changed, version=self.endpoint_list.version)
+
+    def _is_known(self, endpoint: Endpoint) -> bool:
+        """Whether an endpoint tells nothing new. That a process has grown older is nothing new."""
+        worker = self.workers.get(endpoint.id)
+        if worker is None or worker.is_gone:
+            return False
+        known = worker.endpoint
+        return known == endpoint or known == msgspec.structs.replace(endpoint, age_ms=known.age_ms)
+
+    def _find_or_add_worker(self, endpoint: Endpoint) -> UpstreamWorker | None:
+        """The worker of an endpoint, made if it is new; None for an unknown one that is gone."""
+        worker = self.workers.get(endpoint.id)
+        if endpoint.state == "gone":
+            return worker
+        factory = self._connection_factory
+        if worker is None or worker.is_gone:  # another process by that id: it has nothing in flight
+            worker = UpstreamWorker(endpoint, factory.create_connections(endpoint))
+            self.workers[endpoint.id] = worker
+        elif (endpoint.host, endpoint.port) != (worker.endpoint.host, worker.endpoint.port):
+            factory.retire_connections(worker.connections)
+            worker.connections = factory.create_connections(endpoint)
+        return worker
+
+    def _update_facts(self, worker: UpstreamWorker, endpoint: Endpoint) -> WorkerFacts:
+        """The facts that an endpoint states; adds a worker that the policy does not know."""
+        if not worker.policy_worker or endpoint.incarnation != worker.started_incarnation:
+            worker.started_ns = self._to_started_ns(endpoint.age_ms)
+            worker.started_incarnation = endpoint.incarnation
+        state = STATES[endpoint.state]
+        drains = worker.draining_incarnation
+        if state is WorkerState.UP and drains and drains == endpoint.incarnation:
+            state = WorkerState.DRAINING  # what it told us is newer, until it has started again
+        facts = worker.build_facts(state, worker.started_ns, _weight(endpoint))
+        if worker.policy_worker is None:
+            boundary = self.decision_loop.policy_boundary
+            worker.policy_worker = boundary.add_worker(facts, endpoint.id)
+            self.by_policy_worker[worker.policy_worker] = worker
+        return facts
 
     def _to_started_ns(self, age_ms: float | None) -> int:
-        """When a worker started, by our clock; 0 for long ago. None started later than now."""
+        """When a worker started, by our clock: 0 for long ago, never later than now."""
         if age_ms is None:
             return 0
-        age = max(0, round(age_ms * 1e6))
-        return max(1, self.decision_loop.clock() - age)
+        age_ns = max(0, round(age_ms * NS_PER_MS))
+        return max(1, self.decision_loop.clock() - age_ns)
 
-    def forget_if_gone(self, box: UpstreamWorker) -> None:
+    def is_listed_up(self, worker: UpstreamWorker) -> bool:
+        """Whether the source's list has this worker, and as up."""
+        endpoint = worker.endpoint
+        return endpoint.id in self.endpoint_list.endpoints and endpoint.state == "up"
+
+    def forget_if_gone(self, worker: UpstreamWorker) -> None:
         """Forgets a worker that is gone, once the last of what was sent there has ended."""
-        if box.is_gone and not box.in_flight:
-            self.by_policy_worker.pop(box.policy_worker, None)
-            if self.workers.get(box.endpoint.id) is box:
-                del self.workers[box.endpoint.id]
-
-    def mark_draining(self, box: UpstreamWorker) -> None:
-        """A worker's own word that it drains counts ahead of what the source has told."""
-        if box.draining_incarnation == box.endpoint.incarnation and box.draining_incarnation:
+        if worker.is_gone and not worker.in_flight:
+            self.by_policy_worker.pop(worker.policy_worker, None)
+            if self.workers.get(worker.endpoint.id) is worker:
+                del self.workers[worker.endpoint.id]
+
+    def mark_draining(self, worker: UpstreamWorker) -> None:
+        """Takes a worker's own word that it drains; it counts ahead of what the source says."""
+        if worker.says_it_drains:
             return
-        box.draining_incarnation = box.endpoint.incarnation
-        facts = box.build_facts(
-            WorkerState.DRAINING,
-            box.started_ns,
-            box.endpoint.weight or box.endpoint.memory_mb or UNKNOWN_WEIGHT,
-        )
-        if box.endpoint.id in self.endpoint_list.endpoints:
-            self.decision_loop.decide(
-                self.decision_loop.policy_boundary.update_workers, [(box.policy_worker, facts)], False
-            )
-            self.log.info("drains by its own word", runner=box.endpoint.id)
-
-    def report_workers(self) -> list[dict[str, Any]]:
-        """What operators see of each worker."""
-        now = self.decision_loop.clock()
-        return [
-            {
-                "id": box.endpoint.id,
-                "state": box.policy_worker.facts.state.value,
-                "age_ms": (now - box.started_ns) / 1e6 if box.started_ns else None,
-                "connections": box.connections.open,
-                "opened": box.connections.opened,
-                "report": box.load_report,
-            }
-            for box in self.workers.values()
-        ]
+        endpoint = worker.endpoint
+        worker.draining_incarnation = endpoint.incarnation
+        facts = worker.build_facts(WorkerState.DRAINING, worker.started_ns, _weight(endpoint))
+        if endpoint.id in self.endpoint_list.endpoints:
+            boundary = self.decision_loop.policy_boundary
+            change: WorkerChange = worker.policy_worker, facts
+            self.decision_loop.decide(boundary.update_workers, [change], False)
+            self.log.info("drain_announced", worker=endpoint.id)
+
+
+def _weight(endpoint: Endpoint) -> float:
+    return endpoint.weight or endpoint.memory_mb or UNKNOWN_WEIGHT
--- a/martenlead/edge/protocol.py
+++ b/martenlead/edge/protocol.py
@@ -1,4 +1,4 @@
-"""How an event names a task (docs/protocol.md): its attributes, read into what the dispatcher takes."""
+"""How an event states a request (docs/protocol.md): its attributes, read into `IncomingRequest`."""
 
 from __future__ import annotations
 
@@ -7,48 +7,69 @@
 from martenlead.system.clocks import wall_ns
 
 LARGEST_INTEGER = 2**31 - 1
+FUNCTION_NAME_LIMIT = 200  # characters
+LANES_LIMIT = 1024
+MS_PER_SECOND = 1000
+NS_PER_MS = 1e6
 
 
-def read_request(event: Event, age: int = 0) -> IncomingRequest:
-    """Of an event that arrived `age` ns ago. Raises `BadEvent`, which names the attribute."""
-    model = event.text("model")
-    if not model:
-        raise InvalidEventError("model", "the attribute is missing")
-    if len(model) > 200:
-        raise InvalidEventError("model", "at most 200 characters were expected")
-    left = _number(event, "timeleftms")
-    expires = event.text("expirytime")
-    if expires is not None:
-        until = parse_time(expires, "expirytime") * 1000 - (wall_ns() - age) / 1e6
-        left = until if left is None else min(left, until)
-    again = event.text("again")
-    if again not in (None, "true", "false"):
+def read_request(event: Event, age_ns: int = 0) -> IncomingRequest:
+    """Reads an event that arrived `age_ns` ago.
+
+    Raises `InvalidEventError`, which names the attribute.
+    """
+    retry = event.text("again")
+    function = _read_function(event)
+    time_left_ms = _read_time_left_ms(event, age_ns)
+    if retry not in (None, "true", "false"):
         raise InvalidEventError("again", "true or false was expected")
     return IncomingRequest(
         request_class=str(event.attributes["type"]),
-        function=model,
+        function=function,
         tenant=event.text("customer"),
-        lanes=int(_number(event, "lanes", least=1, most=1024) or 1),
+        lanes=int(_number(event, "lanes", least=1, largest=LANES_LIMIT) or 1),
         memory_mb=_number(event, "memorymb") or 0.0,
-        cost_seconds=(_number(event, "costms") or 0.0) / 1000,
-        time_left_ns=None if left is None else round(left * 1e6),
-        is_retry=again == "true",
+        cost_seconds=(_number(event, "costms") or 0.0) / MS_PER_SECOND,
+        time_left_ns=None if time_left_ms is None else round(time_left_ms * NS_PER_MS),
+        is_retry=retry == "true",
         id=event.text("id") or "",
         trace_id=" ".join(event.identity),
     )
 
 
-def _number(event: Event, name: str, least: float = 0, most: float = LARGEST_INTEGER) -> float | None:
-    """A number that is not negative. CloudEvents has whole numbers only; a text may hold a fraction."""
+def _read_function(event: Event) -> str:
+    name = event.text("model")
+    if not name:
+        raise InvalidEventError("model", "the attribute is missing")
+    if len(name) > FUNCTION_NAME_LIMIT:
+        raise InvalidEventError("model", f"at most {FUNCTION_NAME_LIMIT} characters were expected")
+    return name
+
+
+def _read_time_left_ms(event: Event, age_ns: int) -> float | None:
+    """The shorter of the time left that is stated and the time until the expiry that is stated."""
+    left_ms = _number(event, "timeleftms")
+    expiry = event.text("expirytime")
+    if expiry is None:
+        return left_ms
+    arrived_ms = (wall_ns() - age_ns) / NS_PER_MS
+    until_expiry_ms = parse_time(expiry, "expirytime") * MS_PER_SECOND - arrived_ms
+    return until_expiry_ms if left_ms is None else min(left_ms, until_expiry_ms)
+
+
+def _number(
+    event: Event, name: str, least: float = 0, largest: float = LARGEST_INTEGER
+) -> float | None:
+    """A number in a range. CloudEvents has whole numbers only; a text may hold a fraction."""
     value = event.attributes.get(name)
     if value is None:
         return None
-    try:
-        if isinstance(value, bool):
-            raise ValueError
-        number = float(value)
-    except ValueError:
-        number = -1.0
-    if not least <= number <= most:  # also what is not a number, which compares with nothing
-        raise InvalidEventError(name, f"a number from {least:g} to {most:g} was expected")
+    number = -1.0
+    if not isinstance(value, bool):
+        try:
+            number = float(value)
+        except ValueError:
+            number = -1.0
+    if not least <= number <= largest:  # false for NaN too
+        raise InvalidEventError(name, f"a number from {least:g} to {largest:g} was expected")
     return number
--- /dev/null
+++ b/martenlead/edge/queue_admission.py
@@ -0,0 +1,231 @@
+"""Requests that wait in the admission controller's queues before the dispatcher accepts them.
+
+The controller decides who enters, waits or is rejected. Here its decisions meet the event loop, the
+dispatcher and the clients: a waiting request is woken, and a rejected one is given its reservation,
+signed where the edges share a secret.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+import anyio
+
+from martenlead.admission import reservation_token
+from martenlead.admission.controller import (
+    EARLY_ARRIVAL_SHARE,
+    RESERVATION_GRACE_NS,
+    AdmissionController,
+    AdmissionLimits,
+    QueuedRequest,
+    QueueState,
+    ServiceResult,
+)
+from martenlead.config.edge import EdgeSettings, QueueSettings
+from martenlead.edge.cancellation import CancellationSource
+from martenlead.edge.dispatcher import Dispatcher
+from martenlead.edge.http_upstream import EventContent
+from martenlead.edge.records import (
+    FinalOutcome,
+    IncomingRequest,
+    PendingRequest,
+    PolicyWorker,
+)
+from martenlead.edge.responses import final_response, rejected_before_acceptance
+from martenlead.events.cloudevent import Event
+from martenlead.events.server import Reply
+from martenlead.policy.types import Request, Result
+from martenlead.system.clocks import wall_ns
+
+NS_PER_MS = 1_000_000
+NS_PER_SECOND = 1e9
+CHECK_SECONDS, IDLE_CHECK_SECONDS = 0.01, 0.05  # while requests wait, and while none does
+
+Reservation = tuple[int, int]  # since and until when a rejected client may come, ns
+
+
+class QueueAdmission:
+    """The admission controller of one listener, and the requests that wait for it."""
+
+    def __init__(
+        self, dispatcher: Dispatcher, settings: EdgeSettings, queues: QueueSettings
+    ) -> None:
+        self.dispatcher = dispatcher
+        weights = {tenant.name: tenant.weight for tenant in settings.tenants}
+        self.controller = AdmissionController(
+            AdmissionLimits(queues.waiting, queues.bytes, weights),
+            dispatcher.clock,
+            Random(settings.seed),
+            self._find_placement,
+        )
+        dispatcher.report_queues = self.controller.status_report
+        self.wall_clock_ns = wall_ns
+        self._secret = queues.secret.encode() if queues.secret else None
+        self._state_changed: dict[QueuedRequest, anyio.Event] = {}
+
+    async def serve(
+        self,
+        incoming: IncomingRequest,
+        event: Event,
+        arrived_ns: int,
+        content: EventContent,
+        client: CancellationSource[PendingRequest] | None,
+    ) -> Reply:
+        """Serves a request: at once, after a wait, or not at all.
+
+        Cancelled when its client has left.
+        """
+        dispatcher, controller = self.dispatcher, self.controller
+        queued = self._submit(controller, incoming, event, arrived_ns, len(content.body))
+        if queued.state is QueueState.QUEUED:
+            await self._wait(queued)
+        if queued.state is QueueState.REJECTED:
+            dispatcher.counts["final", FinalOutcome.REJECTED.value] += 1
+            reply = rejected_before_acceptance(queued.reason, queued.retry_after_ns)
+            return self._add_reservation(reply, event, queued)
+        result = ServiceResult.OTHER
+        try:
+            size_bytes, is_retry = len(content.body), queued.counts_as_retry
+            request = dispatcher.accept(
+                incoming, arrived_ns, content, size_bytes, is_retry, client=client
+            )
+            self._wake(controller.confirm_admission(queued))
+            await dispatcher.wait_for_outcome(request)
+            outcome = request.outcome.value if request.outcome else ""
+            result = classify_service_result(outcome, request.policy_request, request.reason)
+        finally:
+            self._wake(controller.complete(queued, result))
+        if result is not ServiceResult.NO_CAPACITY:
+            return final_response(request)
+        request.retry_after_ns = max(request.retry_after_ns, queued.retry_after_ns)
+        return self._add_reservation(final_response(request), event, queued)
+
+    def _submit(
+        self,
+        gate: AdmissionController,
+        asked: IncomingRequest,
+        event: Event,
+        now: int,
+        size: int,
+    ) -> QueuedRequest:
+        """Submits a request of `size` bytes that came at `now`, ns, to the controller."""
+        dispatcher = self.dispatcher
+        limit = dispatcher.deadlines_ns[asked.request_class]
+        return gate.submit(
+            asked.function,
+            asked.request_class,
+            asked.tenant or "",
+            event.identity[0],
+            hash(event.identity),
+            asked.cost_seconds,
+            size,
+            now + dispatcher.request_classes[asked.request_class].latency_objective_ns,
+            now
+            + (limit if asked.time_left_ns is None else min(asked.time_left_ns, limit))
+            - dispatcher.deadline_margin_ns,
+            asked.is_retry,
+            (asked.lanes, asked.memory_mb),
+            self.verify_reservation(event),
+        )
+
+    async def _wait(self, queued: QueuedRequest) -> None:
+        """Waits until the controller has decided on a request, or until it could not be in time."""
+        changed = self._state_changed[queued] = anyio.Event()
+        left_ns = max(0, queued.start_by_ns - self.dispatcher.clock())
+        try:
+            with anyio.move_on_after(left_ns / NS_PER_SECOND):
+                await changed.wait()
+            self.controller.expire(queued)
+        except anyio.get_cancelled_exc_class():
+            # its client left while it waited, or just as it was admitted: then the next one is due
+            self._wake(self.controller.complete(queued, ServiceResult.OTHER))
+            raise
+        finally:
+            del self._state_changed[queued]
+
+    def verify_reservation(self, event: Event) -> Reservation | None:
+        """The reservation that a request brings from another edge, by this process's clock.
+
+        One that was issued in the future shows that a wall clock was stepped. Within the grace that
+        edges allow it counts as issued now, so that nobody is told to wait for longer than was
+        stated; beyond, it is refused.
+        """
+        text = event.text("appointment") if self._secret is not None else None
+        if text is None or self._secret is None:
+            return None
+        wall = self.wall_clock_ns()
+        verified = reservation_token.verify(self._secret, event.identity, text, wall // NS_PER_MS)
+        if verified is None:
+            self.dispatcher.counts["appointment", "not ours"] += 1
+            return None
+        since, until = (time_ms * NS_PER_MS for time_ms in verified)
+        early = max(0, reservation_issued_ns(since, until) - wall)
+        if early > RESERVATION_GRACE_NS:
+            self.dispatcher.counts["appointment", "clocks differ"] += 1
+            return None
+        clock_offset = self.dispatcher.clock() - wall - early
+        return since + clock_offset, until + clock_offset
+
+    def _add_reservation(self, reply: Reply, event: Event, queued: QueuedRequest) -> Reply:
+        """Adds the reservation of a rejected request to its response, signed, by the wall clock."""
+        if self._secret is not None and queued.reservation is not None:
+            clock_offset = self.wall_clock_ns() - self.dispatcher.clock()
+            since_ms, until_ms = ((t + clock_offset) // NS_PER_MS for t in queued.reservation)
+            text = reservation_token.issue(self._secret, event.identity, since_ms, until_ms)
+            reply.headers.append((b"martenlead-appointment", text.encode()))
+        return reply
+
+    def _wake(self, changed: list[QueuedRequest]) -> None:
+        for queued in changed:
+            self._state_changed[queued].set()
+
+    def _find_placement(self, queued: QueuedRequest) -> PolicyWorker:
+        """The worker that the policy would send a queued request to now, or None."""
+        dispatcher = self.dispatcher
+        entry = dispatcher.find_or_add_function(queued.function, *queued.resources)
+        return dispatcher.policy_boundary.choose_worker(
+            entry.policy_function,
+            dispatcher.request_classes[queued.request_class],
+            queued.counts_as_retry,
+            queued.work_seconds if queued.has_declared_work else 0.0,
+        )
+
+    async def run(self) -> None:
+        """Admits waiting requests as capacity comes with time alone, until it is cancelled.
+
+        The end of a request admits the next ones at once.
+        """
+        while True:
+            is_waiting = self.controller.waiting_requests
+            await anyio.sleep(CHECK_SECONDS if is_waiting else IDLE_CHECK_SECONDS)
+            self._wake(self.controller.admit_waiting())
+
+    def reject_all(self) -> None:
+        """Rejects all that wait, as the dispatcher stops."""
+        self._wake(self.controller.reject_all())
+
+
+def reservation_issued_ns(since: int, until: int) -> int:
+    """When a reservation was issued: it lasts for the early part of the wait, and the grace."""
+    wait = round((until - since - RESERVATION_GRACE_NS) / EARLY_ARRIVAL_SHARE)
+    return until - RESERVATION_GRACE_NS - wait
+
+
+def classify_service_result(
+    outcome: str, policy_request: Request | None, reason: str
+) -> ServiceResult:
+    """What became of an admitted request, for the controller.
+
+    A request over its tenant's share is the policy's to reject, with the policy's own Retry-After
+    and without a reservation.
+    """
+    if outcome == FinalOutcome.SUCCEEDED.value:
+        return ServiceResult.SUCCEEDED
+    is_rejected = outcome == FinalOutcome.REJECTED.value
+    if not is_rejected or policy_request is None or policy_request.is_deferrable:
+        return ServiceResult.OTHER
+    # sent nowhere, or rejected by every worker that it was sent to
+    has_no_capacity = all(a.result is Result.AT_CAPACITY for a in policy_request.attempts)
+    if has_no_capacity and reason in ("", "turned away"):
+        return ServiceResult.NO_CAPACITY
+    return ServiceResult.OTHER
--- a/martenlead/edge/records.py
+++ b/martenlead/edge/records.py
@@ -1,19 +1,38 @@
-"""Records of requests, workers, functions and attempts, shared by the dispatcher, its listeners and links."""
+"""Records of requests, workers, functions and attempts.
+
+The dispatcher, its parts, the listeners and the links to workers share them.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
+from typing import Any, TypeAlias
 
 from martenlead.edge.cancellation import CancellationSource
-from martenlead.policy.types import Attempt, Request, RequestClass, Settings, Tenant, WorkerFacts, WorkerState
+from martenlead.policy.types import (
+    Attempt,
+    Request,
+    RequestClass,
+    Settings,
+    Tenant,
+    WorkerFacts,
+    WorkerState,
+)
 from martenlead.upstream.endpoints import Endpoint
 
+# objects that the policy makes: kept here and handed back to it, as policy/types.py says
+PolicyWorker: TypeAlias = Any
+PolicyFunction: TypeAlias = Any
+# what one listener and one link agree on between themselves, or a link alone
+OpaqueContent: TypeAlias = Any
+
+UNKNOWN_MEMORY_MB = 1.0  # of a worker whose endpoint states no memory
+
 
 class FinalOutcome(Enum):
-    """The final outcomes, and that of requests whose client left before there was one."""
+    """The final outcomes, and that of a request whose client left before it had one."""
 
     SUCCEEDED = "satisfied"
     REJECTED = "turned back"
@@ -23,8 +42,11 @@
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A request as a listener has read it; times are ns, `cost` is seconds, `left` is from when it arrived.
-    `id` is its client's, `mark` names it on tapes."""
+    """A request as a listener has read it.
+
+    `time_left_ns` counts from its arrival. `id` is the client's own, `trace_id` names the request
+    in captures.
+    """
 
     request_class: str
     function: str
@@ -39,11 +61,11 @@
 
 
 class PendingRequest:
-    """A request that is held: what came, and its final answer once there is one.
+    """A request that a dispatcher has accepted, and its final response once there is one.
 
-    `content` is the listener's and the link's: what came, in the form that the link sends on. `answer` is
-    what the link brought back for it. `client` is the connection that it came over, where that can be asked
-    whether its client has left.
+    `content` is what came, in the form that the link to workers sends on; `response` is what the
+    link brought back for it. `client` is the connection that the request came over, where that can
+    be asked whether its client has left.
     """
 
     __slots__ = (
@@ -64,79 +86,103 @@
         self,
         incoming: IncomingRequest,
         arrived_ns: int,
-        content: Any = None,
+        content: OpaqueContent = None,
         size_bytes: int = 0,
         on_outcome: Callable[[PendingRequest], None] | None = None,
-        client: CancellationSource | None = None,
+        client: CancellationSource[PendingRequest] | None = None,
     ) -> None:
         self.incoming, self.arrived_ns = incoming, arrived_ns
         self.client = client
         self.content, self.size_bytes = content, size_bytes
         self.policy_request: Request | None = None
         self.outcome: FinalOutcome | None = None
-        self.response: Any = None
+        self.response: OpaqueContent = None
         self.retry_after_ns = 0
         self.reason = ""
         self.on_outcome = on_outcome
 
-    def end(self, final: FinalOutcome) -> None:
-        """The first of its calls counts. `done` may be told in the middle of a decision: it calls nothing of
-        the dispatcher's but `later`."""
+    def end(self, outcome: FinalOutcome) -> None:
+        """Sets the final outcome; only the first call counts.
+
+        `on_outcome` may be called in the middle of a decision. It must call no method of the
+        dispatcher but `defer`.
+        """
         if self.outcome is not None:
             return
-        self.outcome = final
+        self.outcome = outcome
         if self.on_outcome is not None:
             self.on_outcome(self)
 
 
 class UpstreamWorker:
-    """A worker as this process knows it: the policy's object, its line in the membership, the way there."""
+    """A worker: its endpoint, the policy's object and the connections to it."""
 
-    def __init__(self, line: Endpoint, way: Any) -> None:
-        self.endpoint, self.connections = line, way
-        self.policy_worker: Any = None
+    def __init__(self, endpoint: Endpoint, connections: OpaqueContent) -> None:
+        self.endpoint, self.connections = endpoint, connections
+        self.policy_worker: PolicyWorker = None
         self.started_ns = 0
-        self.started_incarnation = line.incarnation  # the incarnation that `since` is of
-        self.draining_incarnation = ""  # the incarnation that said so itself
+        self.started_incarnation = endpoint.incarnation  # the one that `started_ns` belongs to
+        self.draining_incarnation = ""  # the one that told us itself that it drains
         self.load_report: dict[str, float] = {}
-        self.in_flight = 0  # attempts and load requests whose end has not come
+        self.in_flight = 0  # attempts and load requests that have not ended
         self.is_gone = False
 
     @property
     def is_up(self) -> bool:
-        """Neither drained nor gone, as far as it was told: what has waited to be sent there may leave."""
+        """Whether it neither drains nor is gone, so that what waited to be sent may leave."""
         return not self.is_gone and self.policy_worker.facts.state is WorkerState.UP
 
-    def build_facts(self, state: WorkerState, since: int, weight: float) -> WorkerFacts:
-        line = self.endpoint
-        mark = int.from_bytes(line.id.encode(), "big")
-        return WorkerFacts(mark, line.zone, line.cell, line.memory_mb or 1.0, weight, state, since)
+    @property
+    def says_it_drains(self) -> bool:
+        """Whether the present incarnation has told us itself that it drains."""
+        incarnation = self.draining_incarnation
+        return bool(incarnation) and incarnation == self.endpoint.incarnation
+
+    def build_facts(self, state: WorkerState, started_ns: int, weight: float) -> WorkerFacts:
+        """The facts of this worker, as the policy takes them."""
+        endpoint = self.endpoint
+        mark = int.from_bytes(endpoint.id.encode(), "big")
+        memory_mb = endpoint.memory_mb or UNKNOWN_MEMORY_MB
+        return WorkerFacts(mark, endpoint.zone, endpoint.cell, memory_mb, weight, state, started_ns)
 
 
 class FunctionEntry:
-    """A function: the policy's object and its name."""
+    """A function: its name, what is stated of it, and the policy's object."""
 
     __slots__ = ("lanes", "memory_mb", "name", "pending_requests", "policy_function")
 
-    def __init__(self, name: str, model: Any, lanes: int, memory_mb: float) -> None:
-        self.name, self.policy_function, self.lanes, self.memory_mb = name, model, lanes, memory_mb
-        self.pending_requests = 0  # requests held
+    def __init__(
+        self, name: str, policy_function: PolicyFunction, lanes: int, memory_mb: float
+    ) -> None:
+        self.name, self.policy_function = name, policy_function
+        self.lanes, self.memory_mb = lanes, memory_mb
+        self.pending_requests = 0
 
 
 class InFlightAttempt:
-    """An attempt on its way. `at` is the link's own."""
+    """An attempt that a link carries. `number` counts the attempts of its request, from 0.
+
+    `link_handle` belongs to the link: that by which it cancels the attempt.
+    """
 
     __slots__ = ("link_handle", "number", "policy_attempt", "request", "worker")
 
-    def __init__(self, hand_off: Attempt, held: PendingRequest, box: UpstreamWorker, number: int) -> None:
-        self.policy_attempt, self.request, self.worker, self.number = hand_off, held, box, number
-        self.link_handle: Any = None
+    def __init__(
+        self, policy_attempt: Attempt, request: PendingRequest, worker: UpstreamWorker, number: int
+    ) -> None:
+        self.policy_attempt, self.request = policy_attempt, request
+        self.worker, self.number = worker, number
+        self.link_handle: OpaqueContent = None
 
 
 @dataclass(slots=True)
 class DispatcherSettings:
-    """What a dispatcher is told at its start. Times are ns; `hard` are the offerings' hard limits; `margin`
-    is taken off the time that a client says is left; `models` may be known at once."""
+    """What a dispatcher is given at its start.
+
+    `deadlines_ns` is the longest time that a request of each class may take. `deadline_margin_ns`
+    is taken off the time that a client says is left. At most `function_limit` functions are known
+    at once. `logs_decisions` asks for a log line a decision.
+    """
 
     name: str
     seed: int
@@ -146,4 +192,4 @@
     deadlines_ns: dict[str, int]
     deadline_margin_ns: int
     function_limit: int
-    logs_decisions: bool = False  # a line a decision
+    logs_decisions: bool = False
--- a/martenlead/edge/serve.py
+++ b/martenlead/edge/serve.py
@@ -1,88 +1,109 @@
-"""The edge program from start to end: listeners, signals, shutdown."""
+"""The edge program from start to end: listeners, signals, graceful shutdown."""
 
 from __future__ import annotations
 
 import gc
 import signal
 import sys
-from collections.abc import Callable, Coroutine, Sequence
-from typing import Any
+from collections.abc import AsyncIterator, Callable, Coroutine, Sequence
+from typing import TypeAlias
 
 import anyio
+import anyio.lowlevel
 import structlog
+from anyio.abc import TaskGroup
 
-from martenlead.config.edge import EdgeSettings
-from martenlead.edge import http_upstream as httplink
+from martenlead.config.edge import Address, EdgeSettings
+from martenlead.edge.admin import AdminListener
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.edge.listener import Admin, EventListener
+from martenlead.edge.http_dispatcher import create_dispatcher
+from martenlead.edge.listener import EventListener
 from martenlead.edge.policy_boundary import Recorder
 from martenlead.events.server import listen
 
-Companion = Callable[[Dispatcher], Coroutine[Any, Any, None]]
+Companion: TypeAlias = Callable[[Dispatcher], Coroutine[object, object, None]]
 
-IDLE_CHECK_SECONDS = 0.002  # between two looks at whether all held requests have ended
+IDLE_CHECK_SECONDS = 0.002  # between two looks at whether all pending requests have ended
+MS_PER_SECOND = 1000
+NS_PER_MS = 1e6
+# of the garbage collector: new objects until the youngest are collected, then collections
+COLLECTION_THRESHOLDS = 20_000, 20, 50
 
 
 async def serve(
-    edge: EdgeSettings,
-    started: Callable[[int], None] | None = None,
-    tape: Recorder | None = None,
-    beside: Sequence[Companion] = (),
+    settings: EdgeSettings,
+    on_started: Callable[[int], None] | None = None,
+    recorder: Recorder | None = None,
+    companions: Sequence[Companion] = (),
 ) -> None:
-    """Runs until SIGTERM or SIGINT has been obeyed. `started` is told the port; `beside` runs as long as the
-    dispatcher does. Raises OSError for the listener.
+    """Serves until SIGTERM or SIGINT has been obeyed.
 
-    The first signal: no new tasks, and every held task gets its answer, for `drain_ms` at most. The second:
-    every held task gets its answer now.
+    `on_started` is called with the port; `companions` run as long as the dispatcher does. At the
+    first signal no new request is accepted, and every pending one gets its response, for `drain_ms`
+    at most. At the second signal every pending request gets its response at once. Raises `OSError`
+    for the listener.
     """
-    log = structlog.get_logger().bind(edge=edge.name)
-    dispatcher = httplink.dispatcher(edge, tape=tape)
-    door = EventListener(dispatcher, edge)
-    listener, port = await listen(edge.listen.host, edge.listen.port)
+    log = structlog.get_logger().bind(edge=settings.name)
+    dispatcher = create_dispatcher(settings, recorder=recorder)
+    listener = EventListener(dispatcher, settings)
+    stream_listener, port = await listen(settings.listen.host, settings.listen.port)
     async with anyio.create_task_group() as group:
         group.start_soon(dispatcher.run)
-        for one in beside:
-            group.start_soon(one, dispatcher)
-        if edge.admin:
-            admin_listener, admin_port = await listen(edge.admin.host, edge.admin.port)
-            group.start_soon(Admin(dispatcher, door).server.serve, admin_listener)
-            log.info("admin", port=admin_port)
-        await anyio.sleep(0)
+        for companion in companions:
+            group.start_soon(companion, dispatcher)
+        if settings.admin:
+            await _start_admin(group, settings.admin, dispatcher, listener)
+        await anyio.lowlevel.checkpoint()
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-            async with anyio.create_task_group() as doors:
-                doors.start_soon(door.server.serve, listener)
-                doors.start_soon(door.run)
-                log.info("serves", host=edge.listen.host, port=port, dispatchers=edge.dispatchers)
-                if started:
-                    started(port)
+            async with anyio.create_task_group() as listeners:
+                listeners.start_soon(listener.server.serve, stream_listener)
+                listeners.start_soon(listener.run)
+                host, count = settings.listen.host, settings.dispatchers
+                log.info("edge_started", host=host, port=port, dispatchers=count)
+                if on_started:
+                    on_started(port)
                 await anext(signals)
-                log.info("stops", held=len(dispatcher.pending_requests))
-                door.drain()
-                doors.start_soon(_finish, dispatcher, signals, edge.limits.drain_ms / 1000)
-                await _until_idle(dispatcher, door)
-                doors.cancel_scope.cancel()
-        log.info("stopped", closest_answer_ms=_closest_ms(dispatcher))
+                log.info("drain_started", pending_requests=len(dispatcher.pending_requests))
+                listener.drain()
+                listeners.start_soon(_finish, dispatcher, signals, settings.limits.drain_ms)
+                await _wait_until_idle(dispatcher, listener)
+                listeners.cancel_scope.cancel()
+        log.info("edge_stopped", least_time_left_ms=_least_time_left_ms(dispatcher))
         group.cancel_scope.cancel()
 
 
-def _closest_ms(dispatcher: Dispatcher) -> float | None:
+async def _start_admin(
+    group: TaskGroup, address: Address, dispatcher: Dispatcher, listener: EventListener
+) -> None:
+    """Starts the listener for operators."""
+    stream_listener, port = await listen(address.host, address.port)
+    group.start_soon(AdminListener(dispatcher, listener).server.serve, stream_listener)
+    listener.log.info("admin_started", port=port)
+
+
+def _least_time_left_ms(dispatcher: Dispatcher) -> float | None:
     """The least time that was left at a final response."""
-    return None if dispatcher.least_time_left_ns is None else dispatcher.least_time_left_ns / 1e6
+    least_ns = dispatcher.least_time_left_ns
+    return None if least_ns is None else least_ns / NS_PER_MS
 
 
-async def _until_idle(dispatcher: Dispatcher, door: EventListener) -> None:
-    while dispatcher.pending_requests or door.server.active_listeners:
+async def _wait_until_idle(dispatcher: Dispatcher, listener: EventListener) -> None:
+    # polled: the end of the last request is no event of its own
+    while dispatcher.pending_requests or listener.server.active_listeners:  # noqa: ASYNC110
         await anyio.sleep(IDLE_CHECK_SECONDS)
 
 
-async def _finish(dispatcher: Dispatcher, signals: object, within: float) -> None:
-    """Hastens the end at the second signal, or when the time for a slow one is over."""
-    with anyio.move_on_after(within):
-        await anext(signals)  # type: ignore[call-overload]
+async def _finish(
+    dispatcher: Dispatcher, signals: AsyncIterator[signal.Signals], drain_ms: float
+) -> None:
+    """Ends all pending requests at the second signal, or when the time for the drain is over."""
+    with anyio.move_on_after(drain_ms / MS_PER_SECOND):
+        await anext(signals)
     dispatcher.finish_all()
 
 
-def configure_log(edge: EdgeSettings) -> None:
+def configure_log(settings: EdgeSettings) -> None:
+    """Logs JSON lines to standard error."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -90,20 +111,27 @@
             structlog.processors.format_exc_info,
             structlog.processors.JSONRenderer(),
         ],
-        wrapper_class=structlog.make_filtering_bound_logger(edge.log.level),
+        wrapper_class=structlog.make_filtering_bound_logger(settings.log.level),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
 
 
 def run(
-    edge: EdgeSettings,
-    started: Callable[[int], None] | None = None,
-    tape: Recorder | None = None,
-    beside: Sequence[Companion] = (),
+    settings: EdgeSettings,
+    on_started: Callable[[int], None] | None = None,
+    recorder: Recorder | None = None,
+    companions: Sequence[Companion] = (),
 ) -> None:
-    # a full collection over all that is held stalls the loop: what stands at the start is left out of it, and
-    # the young are looked at less often; cycles are few, since tasks and answers end by their counts
+    """Runs the program until it has stopped. The arguments are those of `serve`.
+
+    A full garbage collection over all pending requests stalls the event loop. So what stands at the
+    start is left out of collections, and the young objects are looked at less often. Cycles are
+    few: requests and responses are freed by their reference counts.
+    """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(20_000, 20, 50)
-    anyio.run(serve, edge, started, tape, beside, backend_options={"use_uvloop": edge.uvloop})
+    gc.set_threshold(*COLLECTION_THRESHOLDS)
+    uvloop = settings.uvloop
+    anyio.run(
+        serve, settings, on_started, recorder, companions, backend_options={"use_uvloop": uvloop}
+    )
--- a/martenlead/edge/timeouts.py
+++ b/martenlead/edge/timeouts.py
@@ -1,8 +1,9 @@
-"""Waits with an end, of one timer in whole milliseconds.
+"""Time limits that cost one timer of whole milliseconds each.
 
-anyio sets a deadline's timer anew until the loop's time has passed it. The faster event loop counts both time
-and timers in whole ms: what is left of a deadline below that is a timer of 0 ms, due at once, again and again
-until the ms is over: hundreds of turns of the loop, and more where its clock stands still meanwhile.
+anyio sets the timer of a deadline again until the loop's time has passed the deadline. The faster
+event loop counts both its time and its timers in whole milliseconds. What is left of a deadline
+below that is a timer of 0 ms, due at once, again and again until the millisecond is over: hundreds
+of turns of the loop, and more where its clock stands still meanwhile.
 """
 
 from __future__ import annotations
@@ -14,12 +15,15 @@
 
 import anyio
 
+MS_PER_SECOND = 1000
+
 
 @contextmanager
 def time_limit(seconds: float) -> Iterator[anyio.CancelScope]:
-    """As `anyio.move_on_after`; may last up to a ms longer."""
+    """Limits a block as `anyio.move_on_after` does; it may last up to a millisecond longer."""
+    delay = math.ceil(seconds * MS_PER_SECOND) / MS_PER_SECOND
     with anyio.CancelScope() as scope:
-        timer = asyncio.get_running_loop().call_later(math.ceil(seconds * 1000) / 1000, scope.cancel)
+        timer = asyncio.get_running_loop().call_later(delay, scope.cancel)
         try:
             yield scope
         finally:
--- a/martenlead/node/client_connection.py
+++ b/martenlead/node/client_connection.py
@@ -535,7 +535,7 @@
             dispatcher.defer(dispatcher.close, held)
 
         # an answer may come before `take` has returned
-        held = dispatcher.accept(wanted, arrived, call, size, done=done, client=client)
+        held = dispatcher.accept(wanted, arrived, call, size, on_outcome=done, client=client)
         if held.outcome is None:
             client.open_requests[number] = held
             self.open_requests[call.request_id] = held
--- a/tests/test_capture_disk_faults.py
+++ b/tests/test_capture_disk_faults.py
@@ -17,6 +17,7 @@
 from martenlead.capture import events as ev
 from martenlead.capture.writer import AlreadyLockedError, CaptureSettings, find_runs
 from martenlead.capture.writer import CaptureWriter as Captures
+from martenlead.edge.status_report import report_status
 from martenlead.system.durable_file import Backoff
 from support.disk_faults import ERRNOS, DiskFaults
 from support.fleet import fleet, until
@@ -156,7 +157,7 @@
         async with fleet() as f:
             f.group.start_soon(made.publish_counters, f.dispatcher)
             await until(lambda: f.dispatcher.counts["capture", "written"])
-            counts = f.dispatcher.report_status()["counts"]
+            counts = report_status(f.dispatcher).counts
         made.close()
     assert [counts[f"capture/{name}"] for name in ("written", "dropped", "unsynced")] == [3, 1, 0]
     assert counts["capture/failures"] >= 1
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -212,9 +212,11 @@
             f.first = [after(BLOCKED * 1000, full)]
             client.sendall(told)
         case "a wait at the gate":
-            assert f.door.gate is not None
-            room, opens = f.door.gate.find_placement, sent[0] + BLOCKED / 2  # within its aim
-            f.door.gate.find_placement = lambda ticket: room(ticket) if time.monotonic() > opens else None
+            assert f.door.admission_controller is not None
+            room, opens = f.door.admission_controller.find_placement, sent[0] + BLOCKED / 2  # within its aim
+            f.door.admission_controller.find_placement = lambda ticket: (
+                room(ticket) if time.monotonic() > opens else None
+            )
             client.sendall(told)
         case "unread behind a full pipeline":
             monkeypatch.setattr("martenlead.events.server.READ_AHEAD", 1)
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -21,22 +21,22 @@
     with capture_logs() as logs:
         async with fleet({"a": [satisfied]}, log={"decisions": True}) as f:
             assert (await f.call("estimate"))[0] == 200
-            await until(lambda: lines(logs, "hears"))
+            await until(lambda: lines(logs, "attempt_ended"))
             (known,) = f.dispatcher.functions_by_name.values()
-            box = f.dispatcher.workers[lines(logs, "hears")[0]["runner"]]
+            box = f.dispatcher.workers[lines(logs, "attempt_ended")[0]["worker"]]
             f.dispatcher._carry_out(LoadRequest(box.policy_worker, known.policy_function, 0))
-            await until(lambda: lines(logs, "order ends"))
-    (sent,) = [line for line in lines(logs, "decides") if line["what"] == "HandOff"]
-    assert sent["edge"] and sent["runner"] in "ab" and sent["task"]
-    (heard,) = lines(logs, "hears")
-    assert (heard["task"], heard["result"]) == (sent["task"], "satisfied")
-    (load,) = [line for line in lines(logs, "decides") if line["what"] == "Order"]
-    assert (load["runner"], load["model"], load["copies"]) == (box.endpoint.id, known.name, 0)
-    (ended,) = lines(logs, "order ends")
-    assert (ended["runner"], ended["model"]) == (box.endpoint.id, known.name)
-
-
-@pytest.mark.parametrize("event", ["decides", "hears", "order ends"])
+            await until(lambda: lines(logs, "load_request_ended"))
+    (sent,) = [line for line in lines(logs, "decision_made") if line["action"] == "Attempt"]
+    assert sent["edge"] and sent["worker"] in "ab" and sent["request"]
+    (heard,) = lines(logs, "attempt_ended")
+    assert (heard["request"], heard["result"]) == (sent["request"], "satisfied")
+    (load,) = [line for line in lines(logs, "decision_made") if line["action"] == "LoadRequest"]
+    assert (load["worker"], load["function"], load["replicas"]) == (box.endpoint.id, known.name, 0)
+    (ended,) = lines(logs, "load_request_ended")
+    assert (ended["worker"], ended["function"]) == (box.endpoint.id, known.name)
+
+
+@pytest.mark.parametrize("event", ["decision_made", "attempt_ended", "load_request_ended"])
 async def test_no_such_line_where_it_is_not_asked_for(event: str) -> None:
     with capture_logs() as logs:
         async with fleet() as f:
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -26,8 +26,9 @@
     StateKind,
     StateStore,
 )
-from martenlead.edge import http_upstream as httplink
+from martenlead.edge.http_dispatcher import create_dispatcher
 from martenlead.edge.knowledge_saver import KNOWLEDGE, KnowledgeSaver
+from martenlead.edge.status_report import report_status
 from martenlead.layers.agent import Agent, AgentSettings, Place
 from martenlead.layers.cache import Cache, NoRoom
 from martenlead.layers.image import digest_of
@@ -534,7 +535,7 @@
             disk.heal()
             await until(lambda: counts["state_save_recovered", "knowledge"] == 2)
             assert (await f.call())[0] == 200
-            assert "state_saved/knowledge" in f.dispatcher.report_status()["counts"]
+            assert "state_saved/knowledge" in report_status(f.dispatcher).counts
         disk.crash()
         store = StateStore(StateFolder(tmp_path / "edge"), told.deployment, lambda: 1)
         state = store.read(KNOWLEDGE)
@@ -568,7 +569,7 @@
                 await until(lambda: keeper.counts["failed"] > 3)
                 disk.heal()
                 await until(lambda: keeper.counts["saved"])
-            assert [line["models"] for line in logs if line["event"] == "remembers"] == [1]
+            assert [line["functions"] for line in logs if line["event"] == "knowledge_restored"] == [1]
 
 
 @pytest.mark.anyio
@@ -597,13 +598,13 @@
 async def test_an_edge_keeps_the_newest_list_once_its_disk_is_well_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.edge.http_upstream.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.edge.http_membership.Backoff", QUICK)
     path = tmp_path / "list"
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         async with fleet() as f:
             disk.fail(errno.ENOSPC, 1)
-            second = httplink.dispatcher(
+            second = create_dispatcher(
                 msgspec.structs.replace(
                     f.edge, roster=msgspec.structs.replace(f.edge.endpoint_list, kept=str(path))
                 )
@@ -623,7 +624,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The roster is away: an edge has that list or none."""
-    monkeypatch.setattr("martenlead.edge.http_upstream.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.edge.http_membership.Backoff", QUICK)
     path = tmp_path / "list"
     endpoints.save_cached_endpoints(
         path, endpoints.CachedEndpoints(3, 0.0, [endpoints.Endpoint(id="a", port=1, memory_mb=1.0)])
@@ -633,14 +634,14 @@
         async with fleet() as f:
             disk.fail(errno.EIO, 1)
             away = msgspec.structs.replace(f.edge.endpoint_list, port=1, kept=str(path))
-            second = httplink.dispatcher(msgspec.structs.replace(f.edge, endpoint_list=away))
+            second = create_dispatcher(msgspec.structs.replace(f.edge, endpoint_list=away))
             f.group.start_soon(second.run)
             await until(lambda: len(disk.calls) > 5)
             assert not second.snapshot_received.is_set()
             disk.heal()
             await until(second.snapshot_received.is_set)
             assert [line.id for line in second.endpoint_list.endpoints.values()] == ["a"]
-            assert len(second.report_status()["runners"]) == 1
+            assert len(report_status(second).workers) == 1
 
 
 @pytest.mark.anyio
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -14,7 +14,7 @@
 import pytest
 from anyio.abc import SocketStream
 
-from martenlead.edge.listener import Admin
+from martenlead.edge.admin import AdminListener
 from martenlead.events.http import Message
 from support.fleet import Fleet, Part, Runner, after, fleet, satisfied
 
@@ -74,7 +74,7 @@
             async with anyio.create_task_group() as group:
                 for _ in range(40):
                     group.start_soon(one)
-                gate = f.door.gate
+                gate = f.door.admission_controller
                 with anyio.fail_after(5):
                     while (
                         len(told)
@@ -96,7 +96,7 @@
 async def test_who_is_turned_back_is_served_when_it_comes_as_told_while_the_load_stays() -> None:
     queues = {"waiting": 20, "bytes": 4000}
     async with fleet({"a": [limited(10)]}, customers=CUSTOMERS, queues=queues) as f:
-        gate = f.door.gate
+        gate = f.door.admission_controller
         assert gate is not None
         met, came = 0, 0
         most = [0, 0]
@@ -138,7 +138,7 @@
     brought = ""
     for door, parts in enumerate(([SLOW, SLOW, SLOW, when_told], [satisfied])):
         async with fleet({"a": parts}, customers=CUSTOMERS, offerings=PATIENT, queues=queues) as f:
-            gate = f.door.gate
+            gate = f.door.admission_controller
             assert gate is not None
             if not door:
                 await many(f, 3)
@@ -155,7 +155,7 @@
                 assert brought
                 continue
             _, since, until, _ = brought.split(".")
-            f.door._wall = lambda s=since, u=until: (int(s) + int(u)) // 2 * 1_000_000
+            f.door.queue_admission.wall_clock_ns = lambda s=since, u=until: (int(s) + int(u)) // 2 * 1_000_000
             bad = brought[:-1] + ("A" if brought[-1] != "A" else "B")
             for text, counted in ((bad, 0), (brought, 1), (brought, 1)):
                 assert (
@@ -186,7 +186,7 @@
 
 async def test_a_client_that_leaves_while_it_waits_gives_its_place_up_at_once() -> None:
     async with fleet({"a": [after(600, satisfied)]}, customers=CUSTOMERS, queues={}) as f:
-        gate = f.door.gate
+        gate = f.door.admission_controller
         assert gate is not None
         async with anyio.create_task_group() as group:
             for _ in range(16):
@@ -209,7 +209,7 @@
         async with anyio.create_task_group() as group:
             for _ in range(40):
                 group.start_soon(call)
-            gate = f.door.gate
+            gate = f.door.admission_controller
             assert gate is not None
             with anyio.fail_after(5):
                 while not gate.waiting_requests or (
@@ -229,9 +229,9 @@
 
 async def test_limits_change_while_it_runs_whole_or_not_at_all() -> None:
     async with fleet({"a": [satisfied]}, customers=CUSTOMERS, queues={}) as f:
-        gate = f.door.gate
+        gate = f.door.admission_controller
         assert gate is not None
-        admin = Admin(f.dispatcher, f.door)
+        admin = AdminListener(f.dispatcher, f.door)
 
         async def put(body: bytes) -> tuple[int, Any]:
             reply = await admin.handle(Message(method=b"PUT", target=b"/limits", body=body), 0)
@@ -253,7 +253,7 @@
         assert (gate.limits.waiting, gate.limits.bytes) == (7, before.bytes)
         assert gate.limits.weights == {"portal": 1.0, "desk": 5.0}
     async with fleet() as f:
-        reply = await Admin(f.dispatcher, f.door).handle(
+        reply = await AdminListener(f.dispatcher, f.door).handle(
             Message(method=b"PUT", target=b"/limits", body=b"{}"), 0
         )
         assert reply.status == 409
@@ -284,7 +284,7 @@
                 text += await process.stderr.receive()
                 for line in text.split(b"\n")[:-1]:
                     about = json.loads(line)
-                    if about["event"] == "admin":
+                    if about["event"] == "admin_started":
                         port = about["port"]
             await process.stdout.receive()
             done = await anyio.run_process([*command, "limits", str(port), str(wanted)], check=False)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -9,8 +9,8 @@
 import anyio
 import pytest
 
-from martenlead.edge import http_upstream as httplink
-from martenlead.edge.listener import Admin
+from martenlead.edge.admin import AdminListener
+from martenlead.edge.http_dispatcher import create_dispatcher
 from martenlead.events.http import Message
 from martenlead.upstream import endpoints
 from support.fleet import after, draining, fleet, raw, satisfied, says, until
@@ -106,7 +106,7 @@
         from martenlead.config.load import decode
 
         settings = {"roster": {"port": 1, "kept": str(path)}, "offerings": [{"name": "x"} | LIMITS]}
-        second = httplink.dispatcher(decode(settings, EdgeSettings, "test"))
+        second = create_dispatcher(decode(settings, EdgeSettings, "test"))
         f.group.start_soon(second.run)
         await until(lambda: len(second.report_status()["runners"]) == 2)
         assert [r["state"] for r in second.report_status()["runners"]] == ["up", "up"]
@@ -380,7 +380,7 @@
 async def test_state_and_metrics_can_be_read() -> None:
     async with fleet() as f:
         await f.call()
-        admin = Admin(f.dispatcher)
+        admin = AdminListener(f.dispatcher)
         bodies = []
         for target in (b"/state", b"/metrics"):
             reply = await admin.handle(Message(method=b"GET", target=target), 0)
@@ -398,8 +398,8 @@
         lines = [line for line in capsys.readouterr().out.splitlines() if "seen" in line]
         assert [" ".join(line.split()[2:]) for line in lines] == (
             [
-                "[info ] decides edge=edge runner=a task=seen what=HandOff",
-                "[info ] hears edge=edge result=satisfied runner=a task=seen why=",
+                "[info ] decision_made action=Attempt edge=edge request=seen worker=a",
+                "[info ] attempt_ended edge=edge reason= request=seen result=satisfied worker=a",
             ]
             if on
             else []
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martenlead.edge.event_loop_lag import SAMPLE_INTERVAL, EventLoopLag
+from martenlead.edge.event_loop_lag import SAMPLE_INTERVAL_NS, EventLoopLag
 
 MS = 1_000_000
 LEAST = 5  # ms
@@ -51,4 +51,4 @@
     assert lag.tick_ns == reports[-1][1] == (longest if above is None else LEAST) * MS
     ends = [at for at, _ in reports[1:]] + [now]
     spans = [end - at for (at, tick), end in zip(reports, ends, strict=True) if tick > LEAST * MS]
-    assert above is None or sum(spans) <= above * MS + SAMPLE_INTERVAL
+    assert above is None or sum(spans) <= above * MS + SAMPLE_INTERVAL_NS
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -256,8 +256,8 @@
         async with fleet() as f:
             keeper = KnowledgeSaver(f.edge, told)
             keeper.earlier_knowledge = known(), 0
-            monkeypatch.setattr("martenlead.durable_state.knowledge.build_earlier_run", fails)
-            monkeypatch.setattr("martenlead.durable_state.knowledge.gather_in_steps", fails)
+            monkeypatch.setattr("martenlead.edge.knowledge_saver.build_earlier_run", fails)
+            monkeypatch.setattr("martenlead.edge.knowledge_saver.gather_in_steps", fails)
             f.group.start_soon(keeper.run, f.dispatcher)
             await until(lambda: keeper.counts["failed"] > 3)
             assert (await f.call())[0] == 200
@@ -265,8 +265,8 @@
             monkeypatch.undo()
             await until(lambda: keeper.counts["saved"] >= 2)
             assert (await f.call())[0] == 200
-    told_of = [line["event"] for line in logs if line["event"].startswith(("a fault", "state_"))]
-    assert told_of == ["a fault of ours", "state_save_failed", "state_save_recovered"]
+    told_of = [line["event"] for line in logs if line["event"].startswith(("fault", "state_"))]
+    assert told_of == ["fault_recorded", "state_save_failed", "state_save_recovered"]
 
 
 async def test_a_second_edge_of_the_name_keeps_nothing_and_a_state_that_makes_no_sense_is_passed_over(
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -9,11 +9,13 @@
 from typing import Any
 
 import anyio
+import msgspec
 import pytest
 from click.testing import CliRunner
 
 from martenlead.cli.main import commands
 from martenlead.cli.status import format_status
+from martenlead.edge.status_report import report_status
 from martenlead.events.server import listen
 from martenlead.planner import frames as fr
 from martenlead.planner.link import PlannerSession
@@ -160,13 +162,15 @@
     async with planner() as (one, port), planned([port]) as (f, side):
         await until(lambda: side.session.is_leased() and not side.plans_locally)
         await answered(f)
-        (edge,) = format_status("7000", f.dispatcher.report_status())
+        (edge,) = format_status("7000", msgspec.to_builtins(report_status(f.dispatcher)))
         assert edge.startswith("7000 edge edge: 0 tasks held, 1 models; planned by planner; link up, epoch 1")
         (own, of_edge) = format_status("7001", one.report_status())
         assert own == "7001 planner planner: 1 edges"
         assert of_edge.startswith("  for edge: epoch 1, events ")
     async with fleet() as f:
-        assert format_status("1", f.dispatcher.report_status())[0].endswith("; plans itself, without a link")
+        assert format_status("1", msgspec.to_builtins(report_status(f.dispatcher)))[0].endswith(
+            "; plans itself, without a link"
+        )
 
 
 def test_status_of_what_does_not_answer_is_a_failure() -> None:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -24,8 +24,8 @@
 from martenlead.durable_state.store import StateKind
 from martenlead.durable_state.store import StateStore as StateStore
 from martenlead.edge import protocol
-from martenlead.edge.http_upstream import HttpMembership
-from martenlead.edge.listener import reservation_issued_ns
+from martenlead.edge.http_membership import HttpMembership
+from martenlead.edge.queue_admission import reservation_issued_ns
 from martenlead.events.cloudevent import Event
 from martenlead.layers.cache import Cache
 from martenlead.layers.image import digest_of
@@ -278,7 +278,7 @@
         text = appointment(machine.true)
         machine.run(after)
         machine.step = step
-        found = f.door._brought(task(appointment=text))
+        found = f.door.queue_admission.verify_reservation(task(appointment=text))
         now = f.dispatcher.clock()
         if found is None:
             why = "not ours" if step == -HOUR else "clocks differ"
