--- a/martenlead/emulator/edge.py
+++ b/martenlead/emulator/edge.py
@@ -25,8 +25,8 @@
     list_reloads,
 )
 from martenlead.edge.dispatcher import Dispatcher
-from martenlead.edge.queue_admission import classify_service_result
 from martenlead.edge.policy_boundary import PolicyBoundary, Recorder, TeeRecorder
+from martenlead.edge.queue_admission import classify_service_result
 from martenlead.emulator.box import Runner
 from martenlead.emulator.kernel import Signal, Steps
 from martenlead.emulator.messages import Exchange, Held, Sent, Told
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -13,7 +13,7 @@
 import anyio
 import pytest
 
-from martenlead.edge.event_loop_lag import UNREMARKABLE_WAIT, EventLoopLag
+from martenlead.edge.event_loop_lag import UNREMARKABLE_WAIT_NS, EventLoopLag
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.node.client_acceptor import EXTRA_DESCRIPTORS
@@ -246,7 +246,7 @@
     assert lag.earliest_arrival(519 * MS) == 100 * MS  # sockets before timers: read before the sample
     assert lag.earliest_arrival(521 * MS) == 110 * MS  # timers before sockets
     assert lag.earliest_arrival(531 * MS) == 531 * MS
-    assert lag.earliest_arrival(520 * MS + UNREMARKABLE_WAIT) == 520 * MS + UNREMARKABLE_WAIT
+    assert lag.earliest_arrival(520 * MS + UNREMARKABLE_WAIT_NS) == 520 * MS + UNREMARKABLE_WAIT_NS
 
 
 async def test_what_follows_a_full_read_may_have_come_with_it(tmp_path: Path, monkeypatch: Any) -> None:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -11,6 +11,7 @@
 
 from martenlead.edge.admin import AdminListener
 from martenlead.edge.http_dispatcher import create_dispatcher
+from martenlead.edge.status_report import report_status
 from martenlead.events.http import Message
 from martenlead.upstream import endpoints
 from support.fleet import after, draining, fleet, raw, satisfied, says, until
@@ -108,8 +109,8 @@
         settings = {"roster": {"port": 1, "kept": str(path)}, "offerings": [{"name": "x"} | LIMITS]}
         second = create_dispatcher(decode(settings, EdgeSettings, "test"))
         f.group.start_soon(second.run)
-        await until(lambda: len(second.report_status()["runners"]) == 2)
-        assert [r["state"] for r in second.report_status()["runners"]] == ["up", "up"]
+        await until(lambda: len(report_status(second).workers) == 2)
+        assert [worker.state for worker in report_status(second).workers] == ["up", "up"]
 
 
 LIMITS = {"soft_limit_ms": 1, "hard_limit_ms": 1, "effect": "idempotent"}
