--- a/martenlead/node/request_handler.py
+++ b/martenlead/node/request_handler.py
@@ -160,7 +160,7 @@
         incoming = _read_incoming(call)
         # the outcome may come before `accept` returns
         request = dispatcher.accept(
-            incoming, arrived_ns, call, size_bytes, done=respond, client=connection
+            incoming, arrived_ns, call, size_bytes, on_outcome=respond, client=connection
         )
         if request.outcome is None:
             connection.open_requests[number] = request
