--- a/martenlead/edge/policy_boundary.py
+++ b/martenlead/edge/policy_boundary.py
@@ -82,7 +82,9 @@
         self._recorder = recorder
         self._perform = perform
         self._policy = policy(settings, seed)
-        self._engine = Engine(self._policy, perform if recorder is None else self._record_and_perform)
+        self._engine = Engine(
+            self._policy, perform if recorder is None else self._record_and_perform
+        )
         now = self._now()
         if recorder is not None:
             recorder.record(events.RunStarted(now, settings, seed, *names))
@@ -182,7 +184,9 @@
     ) -> Worker | None:
         """The worker that would have such a request now; nothing is begun."""
         now = self._now()
-        request = Request(function, request_class, None, now, False, cost, is_deferrable=is_deferrable)
+        request = Request(
+            function, request_class, None, now, False, cost, is_deferrable=is_deferrable
+        )
         if self._recorder is not None:
             self._recorder.record(events.WorkerChoiceRequested(now, request))
         return self._engine.choose_worker(request)
@@ -196,7 +200,9 @@
             self._recorder.record(events.RetentionChanged(now, worker, function, is_retained))
         self._engine.set_retained(worker, function, is_retained)
 
-    def request_load(self, plan_number: int, worker: Worker, function: Function) -> LoadRequest | None:
+    def request_load(
+        self, plan_number: int, worker: Worker, function: Function
+    ) -> LoadRequest | None:
         """The load request that a planner decided on, None where the load budget is spent.
 
         The budget is counted here, whoever decides on load requests.
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -16,7 +16,6 @@
 ROOT = Path(__file__).parent.parent / "martenlead"
 TO_BE_DONE = {
     "days",
-    "edge",
     "emulator",
     "layers",
     "standins",
@@ -35,6 +34,7 @@
 }
 STANDARD_TERMS = {
     "task_group": "anyio's own",
+    "carry_out": "to do what was decided; the naming page gives it",
     "OutOfSync": "the field's term for a replica of state that has missed an update",
 }
 PHRASES = re.compile(
