--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -27,10 +27,10 @@
 
 from martenlead.events import http
 from martenlead.events.client import Pool
-from martenlead.layers.agent import mark_of
 from martenlead.layers.cache import Cache
 from martenlead.layers.image import Layout, digest_of
 from martenlead.layers.samples import Samples, make
+from martenlead.layers.settings import hash_worker_name
 from martenlead.standins.record import read
 
 UVLOOP = {"use_uvloop": True}
@@ -89,7 +89,7 @@
             ports.append(sockets[-1].getsockname()[1])
         for each in sockets:
             each.close()
-        members = [{"mark": mark_of(f"box-{n}"), "port": p} for n, p in enumerate(ports)]
+        members = [{"mark": hash_worker_name(f"box-{n}"), "port": p} for n, p in enumerate(ports)]
         agents: list[Any] = [None] * count
 
         async def begin(n: int) -> None:
@@ -182,7 +182,10 @@
         folder = Path(name)
         layout = folder / "layout"
         begun = perf_counter()
-        make(Layout(layout), Samples(models=["m.0"], mb=mb, releases=2, whole=True, average_kb=256, tuned=0))
+        make(
+            Layout(layout),
+            Samples(functions=["m.0"], mb=mb, releases=2, with_single_chunk=True, average_kb=256, tuned=0),
+        )
         print(f"cores {os.cpu_count()}, model {mb} MB, made in {perf_counter() - begun:.1f} s", flush=True)
         for count in map(int, boxes.split(",")):
             for way in ways.split(","):
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -14,7 +14,7 @@
 
 import click
 
-from martenlead.layers.choice import MS, OWNERS, Chooser, Peer, Want
+from martenlead.layers.choice import MS, OWNERS, Chooser, ChunkDownload, Peer
 from martenlead.layers.image import digest_of
 from support.swarm import Swarm
 
@@ -22,18 +22,18 @@
 
 
 class Alone(Chooser):
-    def next_owner(self, want: Want, passed: set[Peer]) -> Peer | None:
+    def next_owner(self, want: ChunkDownload, passed: set[Peer]) -> Peer | None:
         return None
 
 
 class OnDemand(Chooser):
     """Asks some boxes by chance whether they have it."""
 
-    def next_owner(self, want: Want, passed: set[Peer]) -> Peer | None:
+    def next_owner(self, want: ChunkDownload, passed: set[Peer]) -> Peer | None:
         others = [peer for peer in self.peers.values() if peer not in passed]
         if len(passed) >= OWNERS or not others:
             return None
-        return others[int(self.pick() * len(others))]
+        return others[int(self.draw_random() * len(others))]
 
 
 class Summaries(Chooser):
@@ -41,12 +41,12 @@
 
     told: dict[int, set[str]]
 
-    def next_owner(self, want: Want, passed: set[Peer]) -> Peer | None:
+    def next_owner(self, want: ChunkDownload, passed: set[Peer]) -> Peer | None:
         told = getattr(self, "told", {})
         having = [p for m, p in self.peers.items() if p not in passed and want.digest in told.get(m, ())]
         if len(passed) >= OWNERS or not having:
             return None
-        return having[int(self.pick() * len(having))]
+        return having[int(self.draw_random() * len(having))]
 
 
 WAYS: dict[str, tuple[type[Chooser], bool]] = {
@@ -89,7 +89,7 @@
         "models from the vault": round(swarm.vault_chunks / chunks, 2),
         "turned away": swarm.turned_away,
         "last ms": max(ends, default=0) // MS,
-        "asks between boxes": sum(box.chooser.counts.peer_asks for box in swarm.boxes),
+        "asks between boxes": sum(box.chooser.counts.peer_requests for box in swarm.boxes),
         "KB told": said // 1000,
         "most sent by one, models": round(max(box.sent for box in swarm.boxes) / chunks, 2),
     }
--- a/martenlead/cli/config.py
+++ b/martenlead/cli/config.py
@@ -11,8 +11,8 @@
 from martenlead.config.edge import EdgeSettings, read_edge_settings
 from martenlead.config.load import build_json_schema, load
 from martenlead.days.script import Day
-from martenlead.layers.agent import AgentSettings
 from martenlead.layers.samples import Samples
+from martenlead.layers.settings import AgentSettings
 from martenlead.planner.settings import PlannerSettings
 
 KINDS: dict[str, type[msgspec.Struct]] = {
--- a/martenlead/cli/layers.py
+++ b/martenlead/cli/layers.py
@@ -14,8 +14,9 @@
 from martenlead.config.load import ConfigError, load
 from martenlead.events.server import listen
 from martenlead.layers import image, samples
-from martenlead.layers.agent import Agent, AgentSettings
-from martenlead.layers.cache import Cache, Refused
+from martenlead.layers.agent import Agent
+from martenlead.layers.cache import Cache, CacheRefusedError
+from martenlead.layers.settings import AgentSettings
 
 BYTES_PER_KB = 1024
 
@@ -54,7 +55,7 @@
     )
     try:
         packed = image.pack(image.Layout(folder), ref, list(files), cutting)
-    except (OSError, image.BadImage) as error:
+    except (OSError, image.BadImageError) as error:
         _fail(f"{folder}: {error}")
     new = f"{packed.new_chunks} of {packed.chunks} chunks new, {packed.new_bytes} bytes"
     click.echo(f"{ref} {packed.manifest.digest}: {packed.size} bytes, {new}")
@@ -71,10 +72,10 @@
     settings = load(config, samples.Samples)
     try:
         size_bytes = samples.make(image.Layout(folder), settings)
-    except (OSError, image.BadImage) as error:
+    except (OSError, image.BadImageError) as error:
         _fail(f"{folder}: {error}")
     releases = f"{settings.releases} releases of each"
-    click.echo(f"{len(settings.models)} models, {size_bytes} bytes, {releases}")
+    click.echo(f"{len(settings.functions)} models, {size_bytes} bytes, {releases}")
 
 
 @layers.command()
@@ -84,7 +85,7 @@
     """Read an image through and check every byte. Exit 1 names what is wrong."""
     try:
         chunks, size_bytes = image.verify(image.Layout(folder), ref)
-    except image.BadImage as error:
+    except image.BadImageError as error:
         _fail(str(error))
     click.echo(f"{ref}: good, {chunks} chunks, {size_bytes} bytes")
 
@@ -97,7 +98,7 @@
     """What a worker that has one image would download for another."""
     try:
         difference = image.diff(image.Layout(folder), present, requested)
-    except image.BadImage as error:
+    except image.BadImageError as error:
         _fail(str(error))
     fetched, stored = difference.fetched, difference.stored
     share = fetched / stored if stored else 0.0
@@ -112,7 +113,7 @@
     settings = load(config, AgentSettings)
     try:
         cache = Cache(Path(settings.cache), settings.cache_bytes, settings.hot_bytes)
-    except (Refused, OSError) as error:
+    except (CacheRefusedError, OSError) as error:
         message = f"{config}: $.cache: {error}"
         raise ConfigError(message) from None
     try:
--- a/martenlead/emulator/layered.py
+++ b/martenlead/emulator/layered.py
@@ -15,7 +15,16 @@
 from martenlead.days.script import AgentEvent, Layers, Plan
 from martenlead.emulator.kernel import Kernel, Process, Signal, Steps
 from martenlead.emulator.records import Records
-from martenlead.layers.choice import MS, PARKED, Ask, Chooser, End, Failure, Pause, Want
+from martenlead.layers.choice import (
+    MS,
+    PEER_WAIT_NS,
+    Chooser,
+    ChunkDownload,
+    ChunkOutcome,
+    ChunkRequest,
+    Failure,
+    Pause,
+)
 from martenlead.standins.crowding import Fall
 from martenlead.standins.settings import DepotPart, Fault
 
@@ -94,11 +103,11 @@
         part, now = self.part, self.kernel.now
         if now < self.down_until or self._pushed_over(now):
             yield ANSWER
-            return End.BROKEN
+            return ChunkOutcome.BROKEN
         if self.out >= part.most:
             self.record("turned away", digest=ref, out=self.out)
             yield ANSWER
-            return End.BUSY
+            return ChunkOutcome.BUSY
         self.out += 1
         try:
             yield int(part.delay_ms * self.slow * MS)
@@ -111,11 +120,13 @@
         finally:
             self.out -= 1
         if now < self.down_until:
-            return End.BROKEN
+            return ChunkOutcome.BROKEN
         self.record("blob", digest=ref, size=size, out=self.out + 1)
         if self.spoils("wrong", ref):
-            return End.WRONG
-        return End.BROKEN if self.spoils("short", ref) or self.spoils("cut", ref) else End.GOOD
+            return ChunkOutcome.WRONG
+        return (
+            ChunkOutcome.BROKEN if self.spoils("short", ref) or self.spoils("cut", ref) else ChunkOutcome.GOOD
+        )
 
     def _pushed_over(self, now: int) -> bool:
         if not self.fall.pushed_over(now, (self.out + 1) / self.part.pace):
@@ -158,7 +169,7 @@
         self.most = max(1, int(store.layers.cache_mb * 1e6 / store.images.chunk_bytes))
         self.up, self.life = True, 0
         self.chooser = self._chooser()
-        self.ended: dict[Want, Signal] = {}
+        self.ended: dict[ChunkDownload, Signal] = {}
         self.releases: dict[str, int] = {}  # the latest that it heard of: never back to an older one
 
     def _chooser(self) -> Chooser:
@@ -166,7 +177,9 @@
         chooser = Chooser(
             self.mark, self.store.fleet.made.seed * 1000 + self.mark, uploads, self.kernel.clock
         )
-        chooser.members(range(len(self.store.fleet.runners)) if self.store.layers.share else [self.mark])
+        chooser.update_members(
+            range(len(self.store.fleet.runners)) if self.store.layers.share else [self.mark]
+        )
         return chooser
 
     def does(self, what: str, wipe: bool) -> None:
@@ -198,7 +211,7 @@
         release = max(self.releases.get(model, 0), self.store.depot.release(model))
         self.releases[model] = release
         chunks = dict.fromkeys(self.store.images.chunks(model, release))
-        planned = iter(self.chooser.plan(chunks))
+        planned = iter(self.chooser.plan_downloads(chunks))
         failures: list[Failure] = []
         done = [Signal() for _ in range(min(AT_ONCE, len(chunks)))]
 
@@ -210,7 +223,7 @@
                     self.keep(digest)
                     continue
                 want = self.want(digest, deadline)
-                if not want.done and want.failure is None:
+                if not want.is_done and want.failure is None:
                     yield self.ended[want]
                 if want.failure is not None:
                     failures.append(want.failure)
@@ -225,26 +238,26 @@
             return "agent-away"
         return failures[0].value if failures else ""
 
-    def want(self, digest: str, deadline: int) -> Want:
-        new = digest not in self.chooser.wants
-        want = self.chooser.want(digest, self.store.images.chunk_bytes, deadline)
+    def want(self, digest: str, deadline: int) -> ChunkDownload:
+        new = digest not in self.chooser.downloads
+        want = self.chooser.request_chunk(digest, self.store.images.chunk_bytes, deadline)
         if new:
             self.ended[want] = Signal()
             self.kernel.spawn(self._fetch(want, self.life))
         return want
 
-    def _fetch(self, want: Want, life: int) -> Steps:
+    def _fetch(self, want: ChunkDownload, life: int) -> Steps:
         steps, value = want.steps, None
         assert steps is not None
         while life == self.life:
             try:
                 action = steps.send(value)
             except StopIteration:
-                if want.done:
+                if want.is_done:
                     self.keep(want.digest)
                 break
             if isinstance(action, Pause):
-                yield max(0, action.until - self.kernel.now)
+                yield max(0, action.until_ns - self.kernel.now)
                 value = None
             else:
                 value = yield from self._ask(action)
@@ -252,9 +265,9 @@
         if ended is not None:
             self.kernel.come(ended)
 
-    def _ask(self, ask: Ask) -> Steps:
+    def _ask(self, ask: ChunkRequest) -> Steps:
         """Returns the `End`; nobody waits beyond its `until`."""
-        digest = ask.want.digest
+        digest = ask.download.digest
         answered = Signal()
         told: list[Any] = []
 
@@ -263,43 +276,43 @@
             self.kernel.come(answered)
 
         if ask.peer is None:
-            steps = self.store.depot.get(digest, ask.want.size)
+            steps = self.store.depot.get(digest, ask.download.size_bytes)
         else:
-            steps = self.store.by_mark[ask.peer.mark].serve(digest, ask.until)
+            steps = self.store.by_mark[ask.peer.worker_id].serve(digest, ask.until_ns)
         process: Process = self.kernel.spawn(asked(steps))
-        yield answered, max(0, ask.until - self.kernel.now)
+        yield answered, max(0, ask.until_ns - self.kernel.now)
         if told:
             return told[0]
         self.kernel.cancel(process)
-        return End.LATE
+        return ChunkOutcome.LATE
 
     def serve(self, digest: str, deadline: int) -> Steps:
         """Another box asks: what is not here is fetched for it, as its owner does."""
         yield ANSWER // 2
         if not self.up:
-            return End.BROKEN
+            return ChunkOutcome.BROKEN
         if digest not in self.has:
             life = self.life
             want = self.want(digest, deadline)
             ended = self.ended[want]
             if not ended.come:
-                yield ended, PARKED
+                yield ended, PEER_WAIT_NS
             if life != self.life:
-                return End.BROKEN
-            if not want.done:
-                self.chooser.leave(want)
+                return ChunkOutcome.BROKEN
+            if not want.is_done:
+                self.chooser.remove_waiter(want)
                 if want.failure is None or want.failure is Failure.LATE:
-                    return End.WAIT
-                return End.MISSING if want.failure is Failure.MISSING else End.AWAY
+                    return ChunkOutcome.WAIT
+                return ChunkOutcome.MISSING if want.failure is Failure.MISSING else ChunkOutcome.AWAY
         if not self.chooser.may_send():
             yield ANSWER // 2
-            return End.BUSY
+            return ChunkOutcome.BUSY
         self.chooser.sending += 1
         try:
             yield ANSWER + int(self.store.images.chunk_bytes / self.store.uplink * 1e9)
         finally:
             self.chooser.sending -= 1
-        return End.GOOD
+        return ChunkOutcome.GOOD
 
 
 class Store:
@@ -330,8 +343,8 @@
         size = self.images.count * self.images.chunk_bytes
         for attempt in range(5):
             end = yield from self.depot.get(f"{model}.whole", size)
-            if end is End.GOOD:
+            if end is ChunkOutcome.GOOD:
                 return ""
-            wait = 1.0 if end is End.BUSY else 0.2 * 2**attempt
+            wait = 1.0 if end is ChunkOutcome.BUSY else 0.2 * 2**attempt
             yield int(wait * self.chance.uniform(0.5, 1.5) * 1e9)
         return "vault-away"
--- a/martenlead/layers/__init__.py
+++ b/martenlead/layers/__init__.py
@@ -1,1 +1,1 @@
-"""Models in chunks: images, the cache on a box, and the decisions on where each chunk comes from."""
+"""Function images in chunks: the cache of a worker, and the choice of sources for chunks."""
--- a/martenlead/layers/cache.py
+++ b/martenlead/layers/cache.py
@@ -1,10 +1,10 @@
-"""Chunks on a box's disk: bounded, checked, and whole after a kill at any byte.
+"""Chunks on a worker's disk: bounded, checked, and complete after a crash at any byte.
 
-A chunk is a file `chunks/AB/HEX` named by its digest and put there by a rename: it is there whole or not at
-all, and the folder is its own index. The time of last use is the file's time of change, so that a restart
-knows it without reading a chunk; each is later than all before it, so that their order outlives steps of the
-wall clock. What fails its check goes to `aside/` and counts as missing. The rule of eviction: the chunk that
-was used least lately and is not pinned goes first.
+A chunk is a file `chunks/AB/HEX`, named by its digest and put there by a rename: it is complete or
+absent, and the folder is its own index. The time of last use is the file's modification time, so
+that a restart knows it without reading a chunk. Each time is later than all before it, so that
+their sequence survives steps of the wall clock. A chunk that fails its check moves to `aside/` and
+counts as missing. Eviction removes the least recently used chunk that is not pinned.
 """
 
 from __future__ import annotations
@@ -17,108 +17,134 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from martenlead.layers.image import DIGEST, BadImage, check
+from martenlead.layers.image import DIGEST, BadImageError, check
 from martenlead.system import clocks
 from martenlead.system.durable_file import replace_file
 
 VERSION = "1"
-TOUCH_S = 60.0  # a use is written to disk at most so often
+USE_WRITE_INTERVAL_SECONDS = 60.0  # a use is written to disk at most so often
+SET_ASIDE_LIMIT = 16  # files, for whoever examines them
+HEX_LENGTH = 64
+HEX = slice(7, None)  # of a digest, behind "sha256:"
+SUBFOLDER = slice(7, 9)
 
 
-def _read(path: Path) -> bytes:
-    """Once more where it fails: a call that fails for a moment must not cost a fetch. Raises OSError."""
-    with suppress(OSError):
-        return path.read_bytes()
-    return path.read_bytes()
+class CacheRefusedError(Exception):
+    """The folder is in use or of another version; the text says which."""
 
+    def __init__(self, folder: Path, reason: str) -> None:
+        super().__init__(f"{folder}: {reason}")
 
-class Refused(Exception):
-    """The folder is in use, or of another version; says which."""
 
+class CacheFullError(Exception):
+    """Every chunk is pinned, or the disk is full."""
 
-class NoRoom(Exception):
-    """All that is there is pinned, or the disk is full."""
+    def __init__(self, folder: Path, reason: str | None) -> None:
+        super().__init__(f"{folder}: {reason}")
 
 
-def set_aside_at(path: Path) -> int:
-    """The number at the end of the name of what was set aside; 0 for what was not named here."""
+def _read(path: Path) -> bytes:
+    """Read a file, with one retry: a passing error must not cost a download. Raises OSError."""
+    with suppress(OSError):
+        return path.read_bytes()
+    return path.read_bytes()
+
+
+def set_aside_time(path: Path) -> int:
+    """Return the time at the end of a set-aside file's name; 0 for any other name."""
     number = path.name.rpartition(".")[2]
     return int(number) if number.isascii() and number.isdigit() else 0
 
 
 class Cache:
-    """One process's. Not for several threads at once."""
-
-    def __init__(self, folder: Path, most: int, hot: int = 0) -> None:
-        """`most`: bytes of chunks; `hot`: bytes of those that came last, which are kept in memory too for
-        `lend`. Raises `Refused` and OSError. Reads no chunk."""
-        self.folder, self.most, self.hot = folder, most, hot
-        self._hot: OrderedDict[str, bytes] = OrderedDict()
-        self._hot_size = 0
-        self._parts: set[str] = set()  # folders that are there
+    """The chunks of one process. It is not thread-safe.
+
+    It holds `limit_bytes` of chunks, and the latest `memory_limit_bytes` in memory too for `lend`.
+    """
+
+    def __init__(self, folder: Path, limit_bytes: int, memory_limit_bytes: int = 0) -> None:
+        """Open the folder without reading a chunk. Raises `CacheRefusedError` and OSError."""
+        self.folder, self.limit_bytes = folder, limit_bytes
+        self.memory_limit_bytes = memory_limit_bytes
+        self._in_memory: OrderedDict[str, bytes] = OrderedDict()
+        self._in_memory_bytes = 0
+        self._subfolders: set[str] = set()  # those that exist
         self.chunks, self.aside = folder / "chunks", folder / "aside"
-        for made in (self.chunks, self.aside):
-            made.mkdir(parents=True, exist_ok=True)
+        for subfolder in (self.chunks, self.aside):
+            subfolder.mkdir(parents=True, exist_ok=True)
         self._lock = open(folder / "lock", "w")  # noqa: SIM115
+        self._acquire()
+        self.size_bytes = 0
+        self._sizes: OrderedDict[str, int] = OrderedDict()  # by last use
+        self._use_written: dict[str, float] = {}  # monotonic seconds
+        self._latest_use_ns = 0  # in the folder
+        self._pins: dict[str, int] = {}
+        self._unreadable: set[str] = set()  # on the disk, and missing until they are rewritten
+        self.set_aside_count = self.evicted_count = 0
+        self._scan()
+
+    def _acquire(self) -> None:
+        """Lock the folder and check its version. Raises `CacheRefusedError`."""
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             self._lock.close()
-            raise Refused(f"{folder}: another agent uses it") from None
-        version = folder / "version"
-        told = version.read_text().strip() if version.exists() else ""
-        if told not in ("", VERSION):
+            raise CacheRefusedError(self.folder, "another agent uses it") from None
+        path = self.folder / "version"
+        version = path.read_text().strip() if path.exists() else ""
+        if version not in ("", VERSION):
             self._lock.close()
-            raise Refused(f"{folder}: of version {told}; this program knows version {VERSION}")
-        if not told:
-            replace_file(version, VERSION.encode())
-        self.size = 0
-        self._known: OrderedDict[str, int] = OrderedDict()  # by last use
-        self._touched: dict[str, float] = {}
-        self._latest_use = 0  # ns, the latest time of last use in the folder
-        self._pins: dict[str, int] = {}
-        self._unreadable: set[str] = set()  # on the disk, and of no use until they were written anew
-        self.set_aside = self.evicted = 0
-        self._scan()
+            raise CacheRefusedError(
+                self.folder, f"of version {version}; this program knows version {VERSION}"
+            )
+        if not version:
+            replace_file(path, VERSION.encode())
 
     def _scan(self) -> None:
         found = []
-        for part in os.scandir(self.chunks):
-            self._parts.add(part.name)
-            for entry in os.scandir(part.path):
-                if len(entry.name) == 64:
+        for subfolder in os.scandir(self.chunks):
+            self._subfolders.add(subfolder.name)
+            for entry in os.scandir(subfolder.path):
+                if len(entry.name) == HEX_LENGTH:
                     stat = entry.stat()
                     found.append((stat.st_mtime_ns, "sha256:" + entry.name, stat.st_size))
-                else:  # begun and never renamed; one that cannot be removed now is in nobody's way
+                else:  # never renamed; one that cannot be removed now does no harm
                     with suppress(OSError):
                         os.unlink(entry.path)
-        self._latest_use = max((used for used, _, _ in found), default=0)
-        for _, digest, size in sorted(found):
-            self._known[digest] = size
-            self.size += size
+        self._latest_use_ns = max((used_ns for used_ns, _, _ in found), default=0)
+        for _, digest, size_bytes in sorted(found):
+            self._sizes[digest] = size_bytes
+            self.size_bytes += size_bytes
         self._shrink(0)
 
     def close(self) -> None:
+        """Unlock the folder."""
         self._lock.close()
 
     def path(self, digest: str) -> Path:
+        """Return the file of a chunk. Raises `BadImageError` for what is no digest."""
         if not DIGEST.match(digest):
-            raise BadImage(f"{digest[:80]!r}: a sha256 digest was expected")
-        return self.chunks / digest[7:9] / digest[7:]
+            raise BadImageError(repr(digest[:80]), "a sha256 digest was expected")
+        return self.chunks / digest[SUBFOLDER] / digest[HEX]
 
     def __contains__(self, digest: str) -> bool:
-        return digest in self._known and digest not in self._unreadable
+        """Return whether a readable chunk of this digest is on the disk."""
+        return digest in self._sizes and digest not in self._unreadable
 
     def __len__(self) -> int:
-        return len(self._known)
+        """Return the number of chunks."""
+        return len(self._sizes)
 
     def __iter__(self) -> Iterator[str]:
-        return iter(self._known)
+        """Iterate over the digests, the least recently used first."""
+        return iter(self._sizes)
 
     def get(self, digest: str) -> bytes | None:
-        """A chunk, checked; None where it is not there. One that fails its check is set aside and not
-        there; one that cannot be read now stays on the disk, and counts as missing until it is written
-        anew."""
+        """Read and check a chunk; None where it is missing.
+
+        One that fails its check is set aside and missing. One that cannot be read now stays on the
+        disk, and counts as missing until it is rewritten.
+        """
         if digest not in self:
             return None
         path = self.path(digest)
@@ -131,108 +157,122 @@
         except OSError:
             self._unreadable.add(digest)
             return None
-        except BadImage:
+        except BadImageError:
             self._set_aside(digest, path)
             return None
-        self._use(digest, path)
+        self._record_use(digest, path)
         return data
 
     def _set_aside(self, digest: str, path: Path) -> None:
         self._forget(digest)
-        self.set_aside += 1
+        self.set_aside_count += 1
         try:
-            os.replace(path, self.aside / f"{digest[7:]}.{self._next_aside()}")
+            os.replace(path, self.aside / f"{digest[HEX]}.{self._next_set_aside_time()}")
         except OSError:
             with suppress(OSError):
                 path.unlink(missing_ok=True)
         with suppress(OSError):
-            self._bound_aside()
+            self._limit_set_aside()
 
     def lend(self, digest: str) -> bytes | None:
-        """A chunk for another box, as `get`, or as it came and was checked then: after a release an owner
-        is asked for the same few by all boxes, and reading and checking it each time would be most of the
-        cost."""
-        data = self._hot.get(digest)
-        if data is not None and digest in self._known:
-            self._hot.move_to_end(digest)
+        """Return a chunk for another agent: as `get`, or from memory, as it was checked on arrival.
+
+        After a release all agents ask an owner for the same few chunks; reading and checking them
+        each time would be most of the cost.
+        """
+        data = self._in_memory.get(digest)
+        if data is not None and digest in self._sizes:
+            self._in_memory.move_to_end(digest)
             return data
         data = self.get(digest)
         if data is not None:
-            self._heat(digest, data)
+            self._keep_in_memory(digest, data)
         return data
 
-    def _heat(self, digest: str, data: bytes) -> None:
-        if len(data) > self.hot or digest in self._hot:
+    def _keep_in_memory(self, digest: str, data: bytes) -> None:
+        if len(data) > self.memory_limit_bytes or digest in self._in_memory:
             return
-        self._hot[digest] = data
-        self._hot_size += len(data)
-        while self._hot_size > self.hot:
-            self._hot_size -= len(self._hot.popitem(last=False)[1])
-
-    def _next_aside(self) -> int:
-        """The Unix time, ns, but above that of all that was set aside before."""
-        latest = max((set_aside_at(path) for path in self.aside.iterdir()), default=0)
+        self._in_memory[digest] = data
+        self._in_memory_bytes += len(data)
+        while self._in_memory_bytes > self.memory_limit_bytes:
+            self._in_memory_bytes -= len(self._in_memory.popitem(last=False)[1])
+
+    def _next_set_aside_time(self) -> int:
+        """Return the Unix time in ns, or more: above that of every file set aside before."""
+        latest = max((set_aside_time(path) for path in self.aside.iterdir()), default=0)
         return max(clocks.wall_ns(), latest + 1)
 
-    def _bound_aside(self) -> None:
-        """What was set aside is kept for whoever looks into it, the latest few of it."""
-        for path in sorted(self.aside.iterdir(), key=set_aside_at)[:-16]:
+    def _limit_set_aside(self) -> None:
+        """Remove all but the latest files that were set aside."""
+        for path in sorted(self.aside.iterdir(), key=set_aside_time)[:-SET_ASIDE_LIMIT]:
             path.unlink(missing_ok=True)
 
-    def _note_use(self, path: Path) -> None:
-        """Writes the time of last use to a file. Where that fails, the chunk counts as older at the next
-        start than it is, no more."""
-        self._latest_use = max(clocks.wall_ns(), self._latest_use + 1)
+    def _write_use(self, path: Path) -> None:
+        """Write the time of last use to a file.
+
+        Where that fails, the chunk only counts as older at the next start than it is.
+        """
+        self._latest_use_ns = max(clocks.wall_ns(), self._latest_use_ns + 1)
         with suppress(OSError):
-            os.utime(path, ns=(self._latest_use, self._latest_use))
+            os.utime(path, ns=(self._latest_use_ns, self._latest_use_ns))
 
-    def _use(self, digest: str, path: Path) -> None:
-        self._known.move_to_end(digest)
+    def _record_use(self, digest: str, path: Path) -> None:
+        self._sizes.move_to_end(digest)
         now = time.monotonic()
-        if now - self._touched.get(digest, -TOUCH_S) >= TOUCH_S:
-            self._touched[digest] = now
-            self._note_use(path)
+        written = self._use_written.get(digest, -USE_WRITE_INTERVAL_SECONDS)
+        if now - written >= USE_WRITE_INTERVAL_SECONDS:
+            self._use_written[digest] = now
+            self._write_use(path)
 
     def put(self, digest: str, data: bytes) -> None:
-        """Keeps a chunk. Raises `BadImage` for other bytes, `NoRoom`; then nothing has changed but what was
-        evicted."""
+        """Check and store a chunk. Raises `BadImageError` for other bytes, and `CacheFullError`.
+
+        After an error nothing has changed but what was evicted.
+        """
         check(data, digest)
         if digest in self:
             return
         self._shrink(len(data))
+        self._write_chunk(digest, data)
+        self.size_bytes += len(data) - self._sizes.get(digest, 0)
+        self._sizes[digest] = len(data)
+        self._unreadable.discard(digest)
+        self._keep_in_memory(digest, data)
+
+    def _write_chunk(self, digest: str, data: bytes) -> None:
         path = self.path(digest)
         temporary = path.with_name(f"{path.name}.new")
+        subfolder = digest[SUBFOLDER]
         try:
-            if digest[7:9] not in self._parts:
+            if subfolder not in self._subfolders:
                 path.parent.mkdir(exist_ok=True)
-                self._parts.add(digest[7:9])
+                self._subfolders.add(subfolder)
             with open(temporary, "wb") as file:
                 file.write(data)
-            self._note_use(temporary)
+            self._write_use(temporary)
             os.replace(temporary, path)
         except OSError as error:
-            self._parts.discard(digest[7:9])  # if somebody took the folder away, it is made anew
+            self._subfolders.discard(subfolder)  # made again, should somebody have removed it
             with suppress(OSError):
                 temporary.unlink(missing_ok=True)
-            raise NoRoom(f"{self.folder}: {error.strerror}") from None
-        self.size += len(data) - self._known.get(digest, 0)
-        self._known[digest] = len(data)
-        self._unreadable.discard(digest)
-        self._heat(digest, data)
+            raise CacheFullError(self.folder, f"{error.strerror}") from None
 
-    def _shrink(self, room: int) -> None:
-        if self.size + room <= self.most:
+    def _shrink(self, required_bytes: int) -> None:
+        """Evict until so many bytes are free. Raises `CacheFullError`."""
+        if self.size_bytes + required_bytes <= self.limit_bytes:
             return
-        for digest in list(self._known):
+        for digest in list(self._sizes):
             if digest not in self._pins and self._remove(digest):
                 self._forget(digest)
-                self.evicted += 1
-                if self.size + room <= self.most:
+                self.evicted_count += 1
+                if self.size_bytes + required_bytes <= self.limit_bytes:
                     return
-        raise NoRoom(f"{self.folder}: {self.size} bytes are in use of {self.most}")
+        raise CacheFullError(
+            self.folder, f"{self.size_bytes} bytes are in use of {self.limit_bytes}"
+        )
 
     def _remove(self, digest: str) -> bool:
-        """Whether its file is gone: what cannot be removed now still takes its room."""
+        """Return whether the file is gone; one that cannot be removed still uses its space."""
         try:
             self.path(digest).unlink(missing_ok=True)
         except OSError:
@@ -241,19 +281,19 @@
 
     def _forget(self, digest: str) -> None:
         self._unreadable.discard(digest)
-        self.size -= self._known.pop(digest)
-        self._touched.pop(digest, None)
+        self.size_bytes -= self._sizes.pop(digest)
+        self._use_written.pop(digest, None)
 
     @contextmanager
     def pinned(self, digests: Iterable[str]) -> Iterator[None]:
-        """None of these goes while a load needs them, also those that are still to come."""
-        held = list(digests)
-        for digest in held:
+        """Protect these chunks from eviction, also those that arrive later."""
+        pinned = list(digests)
+        for digest in pinned:
             self._pins[digest] = self._pins.get(digest, 0) + 1
         try:
             yield
         finally:
-            for digest in held:
+            for digest in pinned:
                 self._pins[digest] -= 1
                 if not self._pins[digest]:
                     del self._pins[digest]
--- a/martenlead/layers/choice.py
+++ b/martenlead/layers/choice.py
@@ -1,353 +1,354 @@
-"""Every decision on where a chunk comes from: free of I/O, one `Chooser` a box, no word between boxes.
+"""Decides which source each chunk comes from: free of I/O, one `Chooser` for each agent.
 
-All boxes draw the same order of boxes for each chunk (rendezvous hashing). The first of that order owns the
-chunk: it alone goes to the vault, and the others ask it; what it has not yet it fetches as it is asked. So a
-release that every box wants is read from the vault about once, and each box's uplink carries about as much as
-the box takes in. An owner that is slow, gone or lying is passed over for the next of the order, and in the
-end for the vault.
+Agents exchange no messages about it: all of them rank the workers alike for each chunk (rendezvous
+hashing). The first of that ranking owns the chunk. It alone downloads it from the artifact store,
+and the others ask it for the chunk; an owner downloads what it is asked for and has not yet. A
+release that every worker needs is thus read from the store about once, and each worker sends about
+as much as it receives. An owner that is slow, gone or sends wrong bytes is passed over for the next
+of the ranking, and in the end for the store.
 
-A chunk's fetch is a generator: it yields `Ask` and is resumed with an `End`, or `Pause` and is resumed with
-None. Times are whole ns.
+A download is a generator: it yields `ChunkRequest` and is resumed with a `ChunkOutcome`, or it
+yields `Pause` and is resumed with None. Times are integer nanoseconds.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Generator, Iterable
-from dataclasses import dataclass, field
-from enum import Enum
+from collections.abc import Callable, Iterable
 from random import Random
-from typing import Any
 
 import xxhash
 
-MS = 1_000_000
-SECOND = 1000 * MS
-OWNERS = 2  # boxes of the order that are asked before the vault is
-AWAY_ASKS, AWAY_S = 3, 8 * SECOND  # of one chunk in vain, and for so long: the vault is away
-WRONG_AT_VAULT = 2  # wrong bytes from the vault itself: no source can be right
-FIRST_WINDOW, LEAST_WINDOW = 12.0, 0.5  # fetches out at the vault, of all boxes together
-FALLBACK = 5 * SECOND  # for so long a chunk is left to its owners, as long as they answer
-PARKED = 600 * MS  # the longest that another box is kept waiting for a chunk that is still to come
-OVERDUE = 4  # times the usual lag of a peer, after which the next one is asked
-FIRST_LAG = 250 * MS
-LONGEST_LAG = 4 * SECOND
-TRUST_LOST, TRUST_BACK = 0.4, 0.05  # by a stall or a broken answer; by a good chunk
-WRONG_S = 30 * SECOND  # a peer that gave a wrong byte is asked nothing for so long
+from martenlead.layers.chunk_records import (
+    FIRST_LATENCY_NS,
+    MS,
+    SECOND,
+    ArtifactStoreState,
+    AttemptSteps,
+    ChunkDownload,
+    ChunkOutcome,
+    ChunkRequest,
+    Counts,
+    DownloadProgress,
+    DownloadSteps,
+    Failure,
+    Pause,
+    Peer,
+    RequestSteps,
+)
+
+OWNERS = 2  # workers of the ranking that are asked before the store is
+STORE_AWAY_FAILURES = 3  # failed requests for one chunk, over this time, mean:
+STORE_AWAY_NS = 8 * SECOND  # the store is unreachable
+STORE_WRONG_LIMIT = 2  # wrong bytes from the store itself: no source can be right
+FIRST_WINDOW, LEAST_WINDOW = 12.0, 0.5  # requests in flight at the store, of all agents together
+WINDOW_DECREASE = 0.7  # factor after the store was busy
+OWNER_TIME_NS = 5 * SECOND  # a chunk is left to owners that respond for this time
+PEER_WAIT_NS = 600 * MS  # the longest that another agent waits here for a download
+PEER_TIMEOUT_LATENCIES = 4  # multiples of a peer's usual latency, after which the next is asked
+LONGEST_LATENCY_NS = 4 * SECOND
+TRUST_LOST, TRUST_BACK = 0.4, 0.05  # factor after a stall or broken response; gain by a good chunk
+WRONG_EXCLUSION_NS = 30 * SECOND  # a peer that sent wrong bytes is not asked for this time
 LEAST_TRUST = 0.3
-PEER_ASKS = 8  # out at one peer
+DISTRUSTED_REQUEST_SHARE = 0.05  # a distrusted peer is still asked this often and can recover
+PEER_REQUEST_LIMIT = 8  # in flight at one peer
+SMOOTHING_DIVISOR = 8  # a new latency counts for an eighth
+FIRST_BACKOFF_NS, LONGEST_BACKOFF_NS = 100 * MS, SECOND
 
 
-class End(Enum):
-    """How an ask ended. `BUSY` and `AWAY` are the source's word, the others are what was seen."""
-
-    GOOD = "good"
-    WRONG = "wrong bytes"  # the check failed: never served, never kept
-    BUSY = "busy"  # come again later
-    WAIT = "is fetching it"  # a peer's word, and so is the next
-    AWAY = "could not get it"  # the vault failed it
-    MISSING = "missing"
-    BROKEN = "broken"  # cut, refused or garbled
-    LATE = "late"
-    UNKEPT = "had, and no room to keep it"
-
-
-class Failure(Enum):
-    """Why a load can not be had, as it is told to whoever waits, and on to the dispatchers."""
-
-    VAULT_AWAY = "vault-away"
-    CORRUPT = "corrupt"  # every source has wrong bytes
-    MISSING = "missing"  # no source has it
-    LATE = "late"  # its time is over
-    NO_ROOM = "no-room"  # all that is kept is in use, or the disk is full
-
-
-@dataclass(slots=True)
-class ArtifactStoreState:
-    """What the vault's last answer to this box says of it, whichever chunk or name was asked for."""
-
-    failed_at: int = -1  # -1: it answered, or was not asked yet
-
-    def record_answer(self) -> None:
-        """Also one that turns the ask away: the vault is there."""
-        self.failed_at = -1
-
-    def record_failure(self, now: int) -> None:
-        """An ask that the deadline cut off is none: it might have been answered."""
-        self.failed_at = now
-
-    def failure_at_deadline(self, begun: int) -> Failure:
-        """Why what began then is not had at its deadline: since the vault has failed it to the end, or since
-        its time was too short."""
-        return Failure.VAULT_AWAY if self.failed_at >= begun else Failure.LATE
-
-
-@dataclass(slots=True, eq=False)
-class Peer:
-    """Another box, as this one has met it."""
-
-    mark: int
-    out: int = 0
-    trust: float = 1.0
-    wrong_until: int = 0
-    lag: float = float(FIRST_LAG)
-    heard: int = -1  # when it answered last, whatever it said
-    listed: bool = True
-
-
-@dataclass(slots=True, eq=False)
-class Ask:
-    """Wants a chunk from a peer, or from the vault where `peer` is None; not waited for beyond `until`."""
-
-    want: Want
-    peer: Peer | None
-    until: int
-
-
-@dataclass(slots=True, eq=False)
-class Pause:
-    until: int
-
-
-@dataclass(slots=True, eq=False)
-class Want:
-    """A chunk that loads, or other boxes, wait for: fetched once for all of them."""
-
-    digest: str
-    size: int
-    deadline: int
-    waiting: int = 1
-    failure: Failure | None = None
-    done: bool = False
-    steps: Steps | None = None
-    order: list[int] = field(default_factory=list)  # of boxes, as of `drawn`
-    drawn: int = -1
-
-
-Steps = Generator[Ask | Pause, Any, None]
-
-
-@dataclass(slots=True)
-class Counts:
-    vault_asks: int = 0
-    vault_busy: int = 0
-    peer_asks: int = 0
-    wrong: int = 0
-    passed_over: int = 0
-    uploads_refused: int = 0
-    by_end: dict[End, int] = field(default_factory=dict)
+class Chooser:
+    """The decisions of one agent.
 
+    `worker_id` is this worker's id at all agents; at most `uploads` chunks are sent out at once.
+    """
 
-class Chooser:
-    def __init__(self, mark: int, seed: int, uploads: int, clock: Callable[[], int]) -> None:
-        """`mark` is this box's number at all boxes; `uploads` chunks are sent out at once at most."""
-        chance = Random(seed)
-        self.pick, self.shuffle = chance.random, chance.shuffle
-        self.mark, self.uploads, self.clock = mark, uploads, clock
+    def __init__(self, worker_id: int, seed: int, uploads: int, clock: Callable[[], int]) -> None:
+        random = Random(seed)
+        self.draw_random, self.shuffle = random.random, random.shuffle
+        self.worker_id, self.uploads, self.clock = worker_id, uploads, clock
         self.peers: dict[int, Peer] = {}
-        self.wants: dict[str, Want] = {}
-        self.window = FIRST_WINDOW  # of this box, once it knows how many there are
-        self.next_vault = 0
-        self.vault_lag = 100.0 * MS
-        self.vault_out = 0
-        self.boxes = 1
-        self.rosters = 0  # lists of boxes that were told so far
+        self.downloads: dict[str, ChunkDownload] = {}
+        self.window = FIRST_WINDOW  # of this agent, once it knows how many there are
+        self.next_store_request_ns = 0
+        self.store_latency_ns = 100.0 * MS
+        self.store_in_flight = 0
+        self.worker_count = 1
+        self.membership_version = 0
         self.sending = 0
-        self.quiet_until = 0  # the vault asked to be left alone
-        self.vault = ArtifactStoreState()
+        self.store_backoff_until_ns = 0
+        self.store_state = ArtifactStoreState()
         self.counts = Counts()
 
-    # -- what is known
+    # -- membership and ranking
+
+    def update_members(self, worker_ids: Iterable[int]) -> None:
+        """Replace the list of workers; one that is no longer listed is not asked."""
+        listed = set(worker_ids) - {self.worker_id}
+        for worker_id, peer in self.peers.items():
+            peer.is_listed = worker_id in listed
+        for worker_id in sorted(listed - self.peers.keys()):
+            self.peers[worker_id] = Peer(worker_id)
+        self.worker_count = 1 + len(listed)
+        self.membership_version += 1
+        self.window = min(self.window, max(1.0, FIRST_WINDOW) / self.worker_count)
 
-    def members(self, marks: Iterable[int]) -> None:
-        """The roster's boxes; one that is no longer named is asked nothing."""
-        named = set(marks) - {self.mark}
-        for mark, peer in self.peers.items():
-            peer.listed = mark in named
-        for mark in sorted(named - self.peers.keys()):
-            self.peers[mark] = Peer(mark)
-        self.boxes = 1 + len(named)
-        self.rosters += 1
-        self.window = min(self.window, max(1.0, FIRST_WINDOW) / self.boxes)
+    def rank_workers(self, digest: str) -> list[int]:
+        """Return all workers in the ranking that every agent computes alike for a chunk."""
 
-    def order(self, digest: str) -> list[int]:
-        """All boxes in the order that all of them draw for a chunk."""
+        def hash_for_chunk(worker_id: int) -> int:
+            return xxhash.xxh3_64_intdigest(f"{digest} {worker_id}".encode())
 
-        def draw(mark: int) -> int:
-            return xxhash.xxh3_64_intdigest(f"{digest} {mark}".encode())
+        worker_ids = [worker_id for worker_id, peer in self.peers.items() if peer.is_listed]
+        worker_ids.append(self.worker_id)
+        return sorted(worker_ids, key=hash_for_chunk, reverse=True)
 
-        marks = [m for m, peer in self.peers.items() if peer.listed] + [self.mark]
-        return sorted(marks, key=draw, reverse=True)
+    def plan_downloads(self, digests: Iterable[str]) -> list[str]:
+        """Return the sequence in which a load downloads its chunks.
 
-    def plan(self, digests: Iterable[str]) -> list[str]:
-        """In what order a load wants its chunks: first those that other boxes will ask this one for, then the
-        rest in an order of its own, so that no owner is asked by all boxes at one moment."""
+        Those that other agents will ask this one for come first. The others are shuffled, so that
+        the agents do not all ask one owner at the same moment.
+        """
         own: list[str] = []
-        rest: list[str] = []
+        others: list[str] = []
         for digest in digests:
-            (own if self.order(digest)[0] == self.mark else rest).append(digest)
-        self.shuffle(rest)
-        return own + rest
-
-    def usable(self, peer: Peer) -> bool:
-        # a peer that stalls is asked seldom, and so can win its trust back
-        return self.clock() >= peer.wrong_until and (peer.trust >= LEAST_TRUST or self.pick() < 0.05)
-
-    # -- wants
-
-    def want(self, digest: str, size: int, deadline: int) -> Want:
-        """One want a chunk, however many loads and boxes wait for it. A new one has its `steps` to be run."""
-        want = self.wants.get(digest)
-        if want is not None:
-            want.waiting += 1
-            want.deadline = max(want.deadline, deadline)
-            return want
-        want = self.wants[digest] = Want(digest, size, deadline)
-        want.steps = self.fetch(want)
-        return want
-
-    def leave(self, want: Want) -> None:
-        """One that waited does no longer; a chunk that nobody waits for gives its place up at its next
-        step."""
-        want.waiting -= 1
+            is_owner = self.rank_workers(digest)[0] == self.worker_id
+            (own if is_owner else others).append(digest)
+        self.shuffle(others)
+        return own + others
+
+    def is_usable(self, peer: Peer) -> bool:
+        """Return whether a peer may be asked now; a distrusted one is asked seldom."""
+        return self.clock() >= peer.excluded_until_ns and (
+            peer.trust >= LEAST_TRUST or self.draw_random() < DISTRUSTED_REQUEST_SHARE
+        )
+
+    # -- downloads
+
+    def request_chunk(self, digest: str, size_bytes: int, deadline_ns: int) -> ChunkDownload:
+        """Return the one download of a chunk; the caller runs the `steps` of a new one."""
+        download = self.downloads.get(digest)
+        if download is not None:
+            download.waiting += 1
+            download.deadline_ns = max(download.deadline_ns, deadline_ns)
+            return download
+        download = self.downloads[digest] = ChunkDownload(digest, size_bytes, deadline_ns)
+        download.steps = self.download_chunk(download)
+        return download
+
+    def remove_waiter(self, download: ChunkDownload) -> None:
+        """Count one waiter less; a download without waiters ends at its next step."""
+        download.waiting -= 1
 
     def may_send(self) -> bool:
-        """Whether another box may have a chunk from here now; own loads never wait for it."""
+        """Return whether another agent may receive a chunk now; own loads do not depend on it."""
         if self.sending < self.uploads:
             return True
         self.counts.uploads_refused += 1
         return False
 
-    # -- a chunk from end to end
-
-    def fetch(self, want: Want) -> Steps:
-        failed = wrong = 0
-        since, begun = 0, self.clock()
-        away = False
-        passed: set[Peer] = set()
-        while not self.over(want):
-            peer = self.next_owner(want, passed)
+    def download_chunk(self, download: ChunkDownload) -> DownloadSteps:
+        """Download a chunk from its owners, or else from the store, until it is there or failed."""
+        progress = DownloadProgress(self.clock())
+        while not self.has_ended(download):
+            peer = self.next_owner(download, progress.excluded_peers)
             if peer is not None:
-                if peer.out >= PEER_ASKS:
-                    yield Pause(self.later(peer.lag / 4))
-                    continue
-                asked = self.clock()
-                end = yield from self.ask_peer(want, peer)
-                if end is End.GOOD:
-                    break
-                if end is End.UNKEPT:
-                    want.failure = Failure.NO_ROOM
-                    break
-                alive = end in (End.BUSY, End.WAIT) or (end is End.LATE and peer.heard >= asked)
-                if alive and self.clock() - begun < FALLBACK:
-                    yield Pause(self.later(peer.lag / 4))  # it is the owner all the same
-                    continue
-                away = away or end is End.AWAY
-                passed.add(peer)
-                continue
-            if not self.may_ask_vault():
-                yield Pause(max(self.quiet_until, self.next_vault, self.later(self.vault_lag / 4)))
-                continue
-            end = yield from self.ask_vault(want)
-            if end is End.GOOD:
-                break
-            if end is End.WRONG:
-                wrong += 1
-            elif end not in (End.BUSY, End.UNKEPT):
-                since = since or self.clock()
-                failed += 1
-            if wrong >= WRONG_AT_VAULT:
-                want.failure = Failure.CORRUPT
-            elif end is End.UNKEPT:
-                want.failure = Failure.NO_ROOM
-            elif end is End.MISSING:
-                want.failure = Failure.MISSING
-            elif (failed and away) or (failed >= AWAY_ASKS and self.clock() - since > AWAY_S):
-                want.failure = Failure.VAULT_AWAY
+                is_complete = yield from self._try_peer(download, peer, progress)
             else:
-                yield Pause(self.later(min(SECOND, 100 * MS * 2**failed)))
-                passed.clear()  # meanwhile the others may have got it
-        want.done = want.failure is None
-        self.wants.pop(want.digest, None)
-
-    def may_ask_vault(self) -> bool:
-        """Own asks out there are the box's part of what all may have; of many boxes a part of one, now and
-        then."""
-        now = self.clock()
-        return now >= max(self.quiet_until, self.next_vault) and self.vault_out < max(1, int(self.window))
-
-    def over(self, want: Want) -> bool:
-        if want.failure is None and (self.clock() >= want.deadline or want.waiting <= 0):
-            want.failure = Failure.LATE
-        return want.failure is not None
-
-    def next_owner(self, want: Want, passed: set[Peer]) -> Peer | None:
-        """Who is to be asked before the vault; None: the vault, as the owner or for want of one."""
-        if want.drawn != self.rosters:
-            want.order, want.drawn = self.order(want.digest), self.rosters
-        for mark in want.order:
-            if mark == self.mark or len(passed) >= OWNERS:
+                is_complete = yield from self._try_store(download, progress)
+            if is_complete:
+                break
+        download.is_done = download.failure is None
+        self.downloads.pop(download.digest, None)
+
+    def _try_peer(
+        self, download: ChunkDownload, peer: Peer, progress: DownloadProgress
+    ) -> AttemptSteps:
+        """Ask a peer; return whether the chunk is there."""
+        if peer.in_flight >= PEER_REQUEST_LIMIT:
+            yield Pause(self.jittered_deadline(peer.latency_ns / 4))
+            return False
+        requested_ns = self.clock()
+        outcome = yield from self.request_from_peer(download, peer)
+        if outcome is ChunkOutcome.GOOD:
+            return True
+        if outcome is ChunkOutcome.NOT_CACHED:
+            download.failure = Failure.NO_ROOM
+            return False
+        is_responding = outcome in (ChunkOutcome.BUSY, ChunkOutcome.WAIT) or (
+            outcome is ChunkOutcome.LATE and peer.last_response_ns >= requested_ns
+        )
+        if is_responding and self.clock() - progress.started_ns < OWNER_TIME_NS:
+            yield Pause(self.jittered_deadline(peer.latency_ns / 4))  # it stays the owner
+            return False
+        if outcome is ChunkOutcome.AWAY:
+            progress.is_store_away_for_peer = True
+        progress.excluded_peers.add(peer)
+        return False
+
+    def _try_store(self, download: ChunkDownload, progress: DownloadProgress) -> AttemptSteps:
+        """Ask the store, once that is allowed; return whether the chunk is there."""
+        if not self.may_request_from_store():
+            yield Pause(
+                max(
+                    self.store_backoff_until_ns,
+                    self.next_store_request_ns,
+                    self.jittered_deadline(self.store_latency_ns / 4),
+                )
+            )
+            return False
+        outcome = yield from self.request_from_store(download)
+        if outcome is ChunkOutcome.GOOD:
+            return True
+        if outcome is ChunkOutcome.WRONG:
+            progress.wrong_count += 1
+        elif outcome not in (ChunkOutcome.BUSY, ChunkOutcome.NOT_CACHED):
+            progress.first_failure_ns = progress.first_failure_ns or self.clock()
+            progress.failure_count += 1
+        download.failure = self._final_failure(outcome, progress)
+        if download.failure is None:
+            backoff_ns = min(LONGEST_BACKOFF_NS, FIRST_BACKOFF_NS * 2**progress.failure_count)
+            yield Pause(self.jittered_deadline(backoff_ns))
+            progress.excluded_peers.clear()  # meanwhile the peers may have downloaded it
+        return False
+
+    def _final_failure(self, outcome: ChunkOutcome, progress: DownloadProgress) -> Failure | None:
+        """Return why a download fails after this outcome at the store; None: it is retried."""
+        if progress.wrong_count >= STORE_WRONG_LIMIT:
+            return Failure.CORRUPT
+        if outcome is ChunkOutcome.NOT_CACHED:
+            return Failure.NO_ROOM
+        if outcome is ChunkOutcome.MISSING:
+            return Failure.MISSING
+        if progress.failure_count and progress.is_store_away_for_peer:
+            return Failure.STORE_AWAY
+        if progress.failure_count < STORE_AWAY_FAILURES:
+            return None
+        is_away = self.clock() - progress.first_failure_ns > STORE_AWAY_NS
+        return Failure.STORE_AWAY if is_away else None
+
+    def may_request_from_store(self) -> bool:
+        """Return whether this agent's part of the window has space.
+
+        With many agents the part is less than one request, which is then sent now and then.
+        """
+        not_before_ns = max(self.store_backoff_until_ns, self.next_store_request_ns)
+        return self.clock() >= not_before_ns and self.store_in_flight < max(1, int(self.window))
+
+    def has_ended(self, download: ChunkDownload) -> bool:
+        """Return whether a download has failed; one that is late or unwanted fails here."""
+        if download.failure is None and (
+            self.clock() >= download.deadline_ns or download.waiting <= 0
+        ):
+            download.failure = Failure.LATE
+        return download.failure is not None
+
+    def next_owner(self, download: ChunkDownload, passed: set[Peer]) -> Peer | None:
+        """Return the peer to ask before the store, or None: the store is next."""
+        if download.membership_version != self.membership_version:
+            download.candidates = self.rank_workers(download.digest)
+            download.membership_version = self.membership_version
+        for worker_id in download.candidates:
+            if worker_id == self.worker_id or len(passed) >= OWNERS:
                 return None
-            peer = self.peers[mark]
+            peer = self.peers[worker_id]
             if peer in passed:
                 continue
-            if self.usable(peer):
+            if self.is_usable(peer):
                 return peer
             self.counts.passed_over += 1
         return None
 
-    def ask_peer(self, want: Want, peer: Peer) -> Generator[Ask | Pause, Any, End]:
-        begun = self.clock()
-        peer.out += 1
-        self.counts.peer_asks += 1
-        end: End = yield Ask(want, peer, min(want.deadline, begun + int(OVERDUE * max(peer.lag, FIRST_LAG))))
-        peer.out -= 1
-        self.count(end)
-        if end in (End.GOOD, End.UNKEPT):
-            peer.lag += (self.clock() - begun - peer.lag) / 8
+    # -- requests
+
+    def request_from_peer(self, download: ChunkDownload, peer: Peer) -> RequestSteps:
+        """Send a request to a peer and learn from its outcome."""
+        started_ns = self.clock()
+        peer.in_flight += 1
+        self.counts.peer_requests += 1
+        timeout_ns = int(PEER_TIMEOUT_LATENCIES * max(peer.latency_ns, FIRST_LATENCY_NS))
+        until_ns = min(download.deadline_ns, started_ns + timeout_ns)
+        outcome: ChunkOutcome = yield ChunkRequest(download, peer, until_ns)
+        peer.in_flight -= 1
+        self.count_outcome(outcome)
+        self._update_peer(peer, outcome, started_ns)
+        return outcome
+
+    def _update_peer(self, peer: Peer, outcome: ChunkOutcome, started_ns: int) -> None:
+        if outcome in (ChunkOutcome.GOOD, ChunkOutcome.NOT_CACHED):
+            peer.latency_ns += (self.clock() - started_ns - peer.latency_ns) / SMOOTHING_DIVISOR
             peer.trust = min(1.0, peer.trust + TRUST_BACK)
-        elif end is End.WRONG:
-            peer.wrong_until = self.clock() + WRONG_S
+        elif outcome is ChunkOutcome.WRONG:
+            peer.excluded_until_ns = self.clock() + WRONG_EXCLUSION_NS
             peer.trust *= TRUST_LOST
             self.counts.wrong += 1
-        elif end is End.LATE:
-            # asked again as soon as that, a peer that is only slow would be slower still
-            peer.lag = min(2 * peer.lag, LONGEST_LAG)
-            if peer.heard < begun:
+        elif outcome is ChunkOutcome.LATE:
+            # retried as soon as before, a peer that is only slow would become slower still
+            peer.latency_ns = min(2 * peer.latency_ns, LONGEST_LATENCY_NS)
+            if peer.last_response_ns < started_ns:
                 peer.trust *= TRUST_LOST
-        elif end is End.BROKEN:
+        elif outcome is ChunkOutcome.BROKEN:
             peer.trust *= TRUST_LOST
-        if end not in (End.LATE, End.BROKEN):
-            peer.heard = self.clock()
-        return end
-
-    def ask_vault(self, want: Want) -> Generator[Ask | Pause, Any, End]:
-        """All boxes together put one more out after a round of good answers, three tenths fewer after a
-        refusal: each its part, so that the sum finds what the vault can serve."""
-        begun = self.clock()
-        self.vault_out += 1
-        self.counts.vault_asks += 1
+        if outcome not in (ChunkOutcome.LATE, ChunkOutcome.BROKEN):
+            peer.last_response_ns = self.clock()
+
+    def request_from_store(self, download: ChunkDownload) -> RequestSteps:
+        """Send a request to the store and adapt the window to its outcome.
+
+        All agents together add one request after a round of good responses and remove three tenths
+        after a rejection. Each does its part, so that the sum finds what the store can serve.
+        """
+        started_ns = self.clock()
+        self.store_in_flight += 1
+        self.counts.store_requests += 1
         if self.window < 1:
-            self.next_vault = self.later((1 / self.window - 1) * self.vault_lag)
-        end: End = yield Ask(want, None, want.deadline)
-        self.vault_out -= 1
-        self.count(end)
-        if end is End.BROKEN:
-            self.vault.record_failure(self.clock())
-        elif end is not End.LATE:
-            self.vault.record_answer()
-        if end in (End.GOOD, End.UNKEPT):
-            self.vault_lag += (self.clock() - begun - self.vault_lag) / 8
-            self.window += 1 / (self.boxes * max(1.0, self.window))
-        elif end is End.BUSY:
-            self.counts.vault_busy += 1
-            if self.clock() >= self.quiet_until:  # refusals of one moment count once
-                self.window = max(LEAST_WINDOW / self.boxes, self.window * 0.7)
-                self.quiet_until = self.later(2 * self.vault_lag)
-        return end
-
-    def later(self, wait: float) -> int:
-        """Not all at the same time: between half and one and a half of it."""
-        return self.clock() + int(wait * (0.5 + self.pick()))
-
-    def count(self, end: End) -> None:
-        self.counts.by_end[end] = self.counts.by_end.get(end, 0) + 1
+            wait_ns = (1 / self.window - 1) * self.store_latency_ns
+            self.next_store_request_ns = self.jittered_deadline(wait_ns)
+        outcome: ChunkOutcome = yield ChunkRequest(download, None, download.deadline_ns)
+        self.store_in_flight -= 1
+        self.count_outcome(outcome)
+        if outcome is ChunkOutcome.BROKEN:
+            self.store_state.record_failure(self.clock())
+        elif outcome is not ChunkOutcome.LATE:
+            self.store_state.record_response()
+        self._update_window(outcome, started_ns)
+        return outcome
+
+    def _update_window(self, outcome: ChunkOutcome, started_ns: int) -> None:
+        if outcome in (ChunkOutcome.GOOD, ChunkOutcome.NOT_CACHED):
+            latency_ns = self.clock() - started_ns
+            self.store_latency_ns += (latency_ns - self.store_latency_ns) / SMOOTHING_DIVISOR
+            self.window += 1 / (self.worker_count * max(1.0, self.window))
+        elif outcome is ChunkOutcome.BUSY:
+            self.counts.store_busy += 1
+            if self.clock() >= self.store_backoff_until_ns:  # rejections of one moment count once
+                least = LEAST_WINDOW / self.worker_count
+                self.window = max(least, self.window * WINDOW_DECREASE)
+                self.store_backoff_until_ns = self.jittered_deadline(2 * self.store_latency_ns)
+
+    def jittered_deadline(self, wait_ns: float) -> int:
+        """Return a time between half and one and a half of the wait from now."""
+        return self.clock() + int(wait_ns * (0.5 + self.draw_random()))
+
+    def count_outcome(self, outcome: ChunkOutcome) -> None:
+        """Count how a request ended."""
+        self.counts.by_end[outcome] = self.counts.by_end.get(outcome, 0) + 1
+
+
+__all__ = [
+    "MS",
+    "OWNERS",
+    "PEER_WAIT_NS",
+    "SECOND",
+    "STORE_AWAY_FAILURES",
+    "STORE_AWAY_NS",
+    "STORE_WRONG_LIMIT",
+    "ArtifactStoreState",
+    "Chooser",
+    "ChunkDownload",
+    "ChunkOutcome",
+    "ChunkRequest",
+    "Counts",
+    "DownloadSteps",
+    "Failure",
+    "Pause",
+    "Peer",
+]
--- a/martenlead/layers/image.py
+++ b/martenlead/layers/image.py
@@ -1,9 +1,10 @@
-"""Images of models: layers cut into content-addressed chunks, kept in an OCI image layout (image-spec 1.1).
+"""Images of functions: layers cut into content-addressed chunks.
 
-A manifest is an OCI image manifest; each of its layers is a small blob that lists the layer's chunks; each
-chunk is a blob, compressed or not, named by the SHA-256 of what is stored. Layers and chunks that two models
-or two releases have in common are the same blobs. A layer's list also names the SHA-256 of the whole file, so
-that what was put together is checked once more.
+They are stored in an OCI image layout (image-spec 1.1). A manifest is an OCI image manifest. Each
+of its layers is a small blob that lists the layer's chunks. Each chunk is a blob, compressed or
+not, named by the SHA-256 of what is stored. Layers and chunks that two functions or two releases
+have in common are the same blobs. A layer's list also contains the SHA-256 of the complete file,
+so that the assembled file is checked once more.
 """
 
 from __future__ import annotations
@@ -24,6 +25,7 @@
 from martenlead.system.clocks import wall_ns
 
 DIGEST = re.compile(r"sha256:[0-9a-f]{64}\Z")
+HEX = slice(7, None)  # of a digest, behind "sha256:"
 TIME = re.compile(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?Z\Z")
 MANIFEST = "application/vnd.oci.image.manifest.v1+json"
 CONFIG = "application/vnd.martenlead.model.config.v1+json"
@@ -31,15 +33,22 @@
 REF = "org.opencontainers.image.ref.name"
 TITLE = "org.opencontainers.image.title"
 CREATED = "org.opencontainers.image.created"
-LARGEST_CHUNK = 64 * 1024 * 1024
-LARGEST_LIST = 64 * 1024 * 1024
+LARGEST_CHUNK = 64 * 1024 * 1024  # bytes
+LARGEST_LIST = 64 * 1024 * 1024  # bytes
+LEAST_CHUNK_BYTES = 64
+CHUNK_SIZE_SPREAD = 4  # the largest and the smallest chunk, as multiples of the average
 
 
-class BadImage(Exception):
-    """A blob, list or manifest is not what its name says; tells which and what was expected."""
+class BadImageError(Exception):
+    """A blob, list or manifest (`subject`) is not what its name says; the text says why."""
+
+    def __init__(self, subject: object, reason: object) -> None:
+        super().__init__(f"{subject}: {reason}")
 
 
 class Descriptor(msgspec.Struct, rename="camel", omit_defaults=True):
+    """An OCI content descriptor."""
+
     media_type: str
     digest: str
     size: int
@@ -47,6 +56,8 @@
 
 
 class Manifest(msgspec.Struct, rename="camel"):
+    """An OCI image manifest."""
+
     config: Descriptor
     layers: list[Descriptor]
     schema_version: int = 2
@@ -55,20 +66,20 @@
 
     @property
     def created(self) -> str:
-        """When it was made, RFC 3339 in UTC with microseconds; "" where it does not say."""
-        told = self.annotations.get(CREATED, "")
-        return told if TIME.match(told) else ""
+        """The creation time, RFC 3339 in UTC; "" where the manifest has no valid one."""
+        created = self.annotations.get(CREATED, "")
+        return created if TIME.match(created) else ""
 
 
 class Index(msgspec.Struct, rename="camel"):
-    """`index.json` of a layout: its manifests by the names that they were given."""
+    """`index.json` of a layout: its manifests by their names."""
 
     manifests: list[Descriptor]
     schema_version: int = 2
 
 
 class Chunk(msgspec.Struct, array_like=True, frozen=True):
-    """`digest` and `stored` are of the blob, `size` of what it unpacks to."""
+    """`digest` and `stored` (bytes) describe the blob, `size` (bytes) is that of its content."""
 
     digest: str
     stored: int
@@ -76,8 +87,10 @@
 
 
 class Layer(msgspec.Struct, rename="camel"):
-    """One file of a model. `digest` is of the whole file, `packed` whether its chunks are Zstandard
-    frames."""
+    """One file of a function.
+
+    `digest` is that of the complete file, `packed` whether its chunks are Zstandard frames.
+    """
 
     name: str
     digest: str
@@ -87,23 +100,24 @@
 
 
 class Cutting(msgspec.Struct, frozen=True):
-    """How files are cut: at equal sizes, or where their content says (FastCDC), around an average size."""
+    """How files are cut: at equal sizes, or by content (FastCDC) around an average (bytes)."""
 
     kind: Literal["content", "fixed"] = "content"
     average: int = 256 * 1024
-    level: int = 0  # of Zstandard; 0 stores chunks as they are
+    level: int = 0  # of Zstandard; 0 stores chunks uncompressed
 
 
 def digest_of(data: bytes | memoryview) -> str:
+    """Return the digest that names a blob."""
     return "sha256:" + hashlib.sha256(data).hexdigest()
 
 
-def check(data: bytes, digest: str, size: int | None = None) -> None:
-    """Raises `BadImage` unless these bytes are the blob of that name."""
-    if size is not None and len(data) != size:
-        raise BadImage(f"{digest}: {len(data)} bytes where {size} were expected")
+def check(data: bytes, digest: str, size_bytes: int | None = None) -> None:
+    """Raise `BadImageError` unless these bytes are the blob of that name."""
+    if size_bytes is not None and len(data) != size_bytes:
+        raise BadImageError(digest, f"{len(data)} bytes where {size_bytes} were expected")
     if digest_of(data) != digest:
-        raise BadImage(f"{digest}: the bytes have another digest")
+        raise BadImageError(digest, "the bytes have another digest")
 
 
 class Layout:
@@ -118,51 +132,53 @@
             marker.write_text('{"imageLayoutVersion": "1.0.0"}')
 
     def path(self, digest: str) -> Path:
-        """Raises `BadImage` for what is no digest: a name must not lead out of the folder."""
+        """Return a blob's file. Raises `BadImageError`: a name must not lead out of the folder."""
         if not DIGEST.match(digest):
-            raise BadImage(f"{digest[:80]!r}: a sha256 digest was expected")
-        return self.blobs / digest[7:]
+            raise BadImageError(repr(digest[:80]), "a sha256 digest was expected")
+        return self.blobs / digest[HEX]
 
     def put(self, data: bytes) -> Descriptor:
+        """Store a blob."""
         digest = digest_of(data)
         path = self.path(digest)
         if not path.exists():
             _write(path, data)
         return Descriptor("application/octet-stream", digest, len(data))
 
-    def get(self, digest: str, size: int | None = None) -> bytes:
-        """Raises `BadImage` where the blob is missing or is another."""
+    def get(self, digest: str, size_bytes: int | None = None) -> bytes:
+        """Read a blob. Raises `BadImageError` where it is missing or has other bytes."""
         try:
             data = self.path(digest).read_bytes()
         except OSError:
-            raise BadImage(f"{digest}: no such blob in {self.folder}") from None
-        check(data, digest, size)
+            raise BadImageError(digest, f"no such blob in {self.folder}") from None
+        check(data, digest, size_bytes)
         return data
 
     def index(self) -> Index:
+        """Read the index. Raises `BadImageError`."""
         path = self.folder / "index.json"
         if not path.exists():
             return Index([])
         try:
             return msgspec.json.decode(path.read_bytes(), type=Index)
         except msgspec.DecodeError as error:
-            raise BadImage(f"{path}: {error}") from None
+            raise BadImageError(path, f"{error}") from None
 
     def name(self, ref: str, manifest: Descriptor) -> None:
-        """Gives a manifest a name; the one that had it before loses it and keeps its blobs."""
-        index = self.index()
-        kept = [m for m in index.manifests if m.annotations.get(REF) != ref]
+        """Name a manifest; the one that had the name before loses it and keeps its blobs."""
+        others = [m for m in self.index().manifests if m.annotations.get(REF) != ref]
         named = msgspec.structs.replace(manifest, media_type=MANIFEST, annotations={REF: ref})
-        _write(self.folder / "index.json", msgspec.json.encode(Index([*kept, named])))
+        _write(self.folder / "index.json", msgspec.json.encode(Index([*others, named])))
 
     def manifest(self, ref: str) -> tuple[Descriptor, Manifest]:
-        """Raises `BadImage`."""
+        """Find a manifest by its name or digest. Raises `BadImageError`."""
         for found in self.index().manifests:
             if found.annotations.get(REF) == ref or found.digest == ref:
                 return found, read_manifest(self.get(found.digest, found.size), found.digest)
-        raise BadImage(f"{ref}: no manifest of that name in {self.folder}")
+        raise BadImageError(ref, f"no manifest of that name in {self.folder}")
 
     def layers(self, manifest: Manifest) -> list[Layer]:
+        """Read the layers of a manifest. Raises `BadImageError`."""
         return [read_layer(self.get(d.digest, d.size), d.digest) for d in manifest.layers]
 
 
@@ -173,37 +189,42 @@
 
 
 def read_manifest(data: bytes, digest: str) -> Manifest:
-    """Raises `BadImage`: another digest, no manifest, layers of an unknown kind."""
+    """Decode a manifest. Raises `BadImageError`: wrong digest, no manifest, or unknown layers."""
     check(data, digest)
     try:
         manifest = msgspec.json.decode(data, type=Manifest)
     except msgspec.DecodeError as error:
-        raise BadImage(f"{digest}: no manifest: {error}") from None
+        raise BadImageError(digest, f"no manifest: {error}") from None
     for layer in manifest.layers:
-        if layer.media_type != LAYER or not DIGEST.match(layer.digest) or not 0 < layer.size <= LARGEST_LIST:
-            raise BadImage(f"{digest}: a layer of kind {layer.media_type}, {layer.size} bytes")
+        is_valid = (
+            layer.media_type == LAYER
+            and DIGEST.match(layer.digest)
+            and 0 < layer.size <= LARGEST_LIST
+        )
+        if not is_valid:
+            raise BadImageError(digest, f"a layer of kind {layer.media_type}, {layer.size} bytes")
     return manifest
 
 
 def read_layer(data: bytes, digest: str) -> Layer:
-    """Raises `BadImage`; sizes are checked before anything is made of them."""
+    """Decode a layer's list and check its sizes before they are used. Raises `BadImageError`."""
     check(data, digest)
     try:
         layer = msgspec.json.decode(data, type=Layer)
     except msgspec.DecodeError as error:
-        raise BadImage(f"{digest}: no layer: {error}") from None
+        raise BadImageError(digest, f"no layer: {error}") from None
     for chunk in layer.chunks:
-        good = (
+        is_valid = (
             DIGEST.match(chunk.digest)
             and 0 < chunk.size <= LARGEST_CHUNK
             and 0 < chunk.stored <= LARGEST_CHUNK
         )
-        if not good:
-            raise BadImage(f"{digest}: a chunk of {chunk.stored} bytes for {chunk.size}")
+        if not is_valid:
+            raise BadImageError(digest, f"a chunk of {chunk.stored} bytes for {chunk.size}")
     if sum(chunk.size for chunk in layer.chunks) != layer.size:
-        raise BadImage(f"{digest}: its chunks do not add up to {layer.size} bytes")
+        raise BadImageError(digest, f"its chunks do not add up to {layer.size} bytes")
     if "/" in layer.name or layer.name in ("", ".", ".."):
-        raise BadImage(f"{digest}: {layer.name!r} is no file name")
+        raise BadImageError(digest, f"{layer.name!r} is no file name")
     return layer
 
 
@@ -211,19 +232,20 @@
 
 
 def cut(data: memoryview, cutting: Cutting) -> Iterator[memoryview]:
-    """The pieces of a file, in order."""
+    """Yield the pieces of a file in sequence."""
     if cutting.kind == "fixed":
-        for at in range(0, len(data), cutting.average):
-            yield data[at : at + cutting.average]
+        for start in range(0, len(data), cutting.average):
+            yield data[start : start + cutting.average]
         return
-    least, most = max(64, cutting.average // 4), cutting.average * 4
-    for piece in fastcdc(data, least, cutting.average, most, fat=False):
+    least_bytes = max(LEAST_CHUNK_BYTES, cutting.average // CHUNK_SIZE_SPREAD)
+    largest_bytes = cutting.average * CHUNK_SIZE_SPREAD
+    for piece in fastcdc(data, least_bytes, cutting.average, largest_bytes, fat=False):
         yield data[piece.offset : piece.offset + piece.length]
 
 
 @dataclass
 class Packed:
-    """What packing did: bytes and chunks in all, and those that were not there before."""
+    """The result of packing: bytes and chunks in total, and those that are new in the layout."""
 
     manifest: Descriptor
     size: int = 0
@@ -232,78 +254,96 @@
     new_bytes: int = 0
 
 
-def pack(layout: Layout, ref: str, files: list[Path], cutting: Cutting, created: str = "") -> Packed:
-    """Makes an image of some files and names it, as of now or of `created` (RFC 3339, UTC). What the name
-    stands for already is left as it is. Raises OSError, and `BadImage` for files of one name."""
+def pack(
+    layout: Layout, ref: str, files: list[Path], cutting: Cutting, created: str = ""
+) -> Packed:
+    """Make an image of some files and name it, as of now or of `created` (RFC 3339, UTC).
+
+    An image that the name already stands for is left as it is. Raises OSError, and
+    `BadImageError` for files of one name.
+    """
     if len({path.name for path in files}) < len(files):
-        raise BadImage("two files of one name")
-    compressor = zstandard.ZstdCompressor(level=cutting.level) if cutting.level else None
-    told = Packed(Descriptor(MANIFEST, "", 0))
-    descriptors = []
-    for path in sorted(files, key=lambda p: p.name):
-        data = memoryview(path.read_bytes())
-        chunks = []
-        for piece in cut(data, cutting):
-            stored = compressor.compress(piece) if compressor else bytes(piece)
-            digest = digest_of(stored)
-            if not layout.path(digest).exists():
-                told.new_chunks += 1
-                told.new_bytes += len(stored)
-            layout.put(stored)
-            chunks.append(Chunk(digest, len(stored), len(piece)))
-        layer = Layer(path.name, digest_of(data), len(data), bool(cutting.level), chunks)
-        listed = layout.put(msgspec.json.encode(layer))
-        descriptors.append(Descriptor(LAYER, listed.digest, listed.size, {TITLE: path.name}))
-        told.size += len(data)
-        told.chunks += len(chunks)
+        raise BadImageError(ref, "two files of one name")
+    result = Packed(Descriptor(MANIFEST, "", 0))
+    paths = sorted(files, key=lambda path: path.name)
+    layers = [_pack_file(layout, path, cutting, result) for path in paths]
     config = layout.put(msgspec.json.encode({"files": [path.name for path in files]}))
     if any(found.annotations.get(REF) == ref for found in layout.index().manifests):
-        told.manifest, before = layout.manifest(ref)
-        if before.layers == descriptors:
-            return told
-    made = created or datetime.fromtimestamp(wall_ns() / 1e9, UTC).isoformat(timespec="microseconds").replace(
-        "+00:00", "Z"
-    )
+        result.manifest, before = layout.manifest(ref)
+        if before.layers == layers:
+            return result
     manifest = Manifest(
-        Descriptor(CONFIG, config.digest, config.size), descriptors, annotations={CREATED: made}
+        Descriptor(CONFIG, config.digest, config.size),
+        layers,
+        annotations={CREATED: created or _format_now()},
     )
-    told.manifest = layout.put(msgspec.json.encode(manifest))
-    layout.name(ref, told.manifest)
-    return told
+    result.manifest = layout.put(msgspec.json.encode(manifest))
+    layout.name(ref, result.manifest)
+    return result
 
 
-def unpack(chunk: Chunk, stored: bytes, packed: bool) -> bytes:
-    """What a chunk holds, checked. Raises `BadImage`."""
+def _pack_file(layout: Layout, path: Path, cutting: Cutting, result: Packed) -> Descriptor:
+    """Store the chunks of a file and the list of them, and count them in the result."""
+    compressor = zstandard.ZstdCompressor(level=cutting.level) if cutting.level else None
+    data = memoryview(path.read_bytes())
+    chunks = []
+    for piece in cut(data, cutting):
+        stored = compressor.compress(piece) if compressor else bytes(piece)
+        digest = digest_of(stored)
+        if not layout.path(digest).exists():
+            result.new_chunks += 1
+            result.new_bytes += len(stored)
+        layout.put(stored)
+        chunks.append(Chunk(digest, len(stored), len(piece)))
+    layer = Layer(path.name, digest_of(data), len(data), bool(cutting.level), chunks)
+    blob = layout.put(msgspec.json.encode(layer))
+    result.size += len(data)
+    result.chunks += len(chunks)
+    return Descriptor(LAYER, blob.digest, blob.size, {TITLE: path.name})
+
+
+def _format_now() -> str:
+    now = datetime.fromtimestamp(wall_ns() / 1e9, UTC)
+    return now.isoformat(timespec="microseconds").replace("+00:00", "Z")
+
+
+def unpack(chunk: Chunk, stored: bytes, is_packed: bool) -> bytes:
+    """Return the content of a chunk, checked. Raises `BadImageError`."""
     check(stored, chunk.digest, chunk.stored)
-    if not packed:
+    if not is_packed:
         return stored
     try:
         data = zstandard.ZstdDecompressor().decompress(stored, max_output_size=chunk.size)
     except zstandard.ZstdError as error:
-        raise BadImage(f"{chunk.digest}: {error}") from None
+        raise BadImageError(chunk.digest, f"{error}") from None
     if len(data) != chunk.size:
-        raise BadImage(f"{chunk.digest}: unpacks to {len(data)} bytes where {chunk.size} were expected")
+        raise BadImageError(
+            chunk.digest, f"unpacks to {len(data)} bytes where {chunk.size} were expected"
+        )
     return data
 
 
 def verify(layout: Layout, ref: str) -> tuple[int, int]:
-    """Reads an image through, every chunk and every whole file. Its chunks and bytes. Raises `BadImage`."""
+    """Read an image through, every chunk and every file; return its chunks and bytes.
+
+    Raises `BadImageError`.
+    """
     _, manifest = layout.manifest(ref)
-    count = size = 0
+    chunk_count = size_bytes = 0
     for layer in layout.layers(manifest):
-        whole = hashlib.sha256()
+        file_hash = hashlib.sha256()
         for chunk in layer.chunks:
-            whole.update(unpack(chunk, layout.get(chunk.digest, chunk.stored), layer.packed))
-            count += 1
-        if f"sha256:{whole.hexdigest()}" != layer.digest:
-            raise BadImage(f"{ref}: {layer.name} put together has another digest")
-        size += layer.size
-    return count, size
+            file_hash.update(unpack(chunk, layout.get(chunk.digest, chunk.stored), layer.packed))
+            chunk_count += 1
+        if f"sha256:{file_hash.hexdigest()}" != layer.digest:
+            raise BadImageError(ref, f"{layer.name}: the assembled file has another digest")
+        size_bytes += layer.size
+    return chunk_count, size_bytes
 
 
 @dataclass
 class Difference:
-    """What a box that has one image would fetch for another."""
+    """What a worker that has one image would download for another; `stored`, `fetched` in bytes."""
 
     chunks: int
     shared_chunks: int
@@ -311,13 +351,14 @@
     fetched: int
 
 
-def diff(layout: Layout, has: str, wants: str) -> Difference:
-    """Raises `BadImage`."""
+def diff(layout: Layout, present: str, requested: str) -> Difference:
+    """Compare two images. Raises `BadImageError`."""
 
-    def chunks(ref: str) -> dict[str, int]:
+    def stored_bytes_by_digest(ref: str) -> dict[str, int]:
         _, manifest = layout.manifest(ref)
         return {c.digest: c.stored for layer in layout.layers(manifest) for c in layer.chunks}
 
-    here, there = chunks(has), chunks(wants)
-    new = {digest: size for digest, size in there.items() if digest not in here}
-    return Difference(len(there), len(there) - len(new), sum(there.values()), sum(new.values()))
+    present_chunks = stored_bytes_by_digest(present)
+    chunks = stored_bytes_by_digest(requested)
+    new = {digest: size for digest, size in chunks.items() if digest not in present_chunks}
+    return Difference(len(chunks), len(chunks) - len(new), sum(chunks.values()), sum(new.values()))
--- a/martenlead/layers/naming.py
+++ b/martenlead/layers/naming.py
@@ -1,14 +1,14 @@
-"""Every decision on which release a name stands for: free of I/O.
+"""Decides which release a name stands for: free of I/O.
 
-Names are the one thing here that is not named by its digest: the vault's word is all there is, and it may
-be an old one, from a copy of the vault that lags behind. A box remembers the newest release of each name
-that it was told of, by the time of making in the manifest (`org.opencontainers.image.created`), and never
-goes back behind it by the vault's word alone: who wants an older release again makes it anew
-(docs/operate/layers.md).
+Names are the only data here that no digest verifies: the artifact store's answer is all there is,
+and it may be outdated, from a replica of the store that lags behind. An agent remembers the newest
+release of each name that it has seen, by the creation time in the manifest
+(`org.opencontainers.image.created`). It never returns to an older one because of the store's answer
+alone: whoever needs an older release again builds it anew (docs/operate/layers.md).
 
-Where the vault can not be had a box goes on with the release that it knows, if its settings allow it: a
-runner that serves yesterday's model is worth more than one that serves none, and the release is read as
-soon as the vault is back. Times are whole ns.
+Where the store is unreachable an agent goes on with the release that it knows, if its settings
+allow it: a worker that serves yesterday's function is better than one that serves none, and the
+release is resolved again as soon as the store is back. Times are integer nanoseconds.
 """
 
 from __future__ import annotations
@@ -19,121 +19,141 @@
 from typing import Any
 
 from martenlead.layers.choice import (
-    AWAY_ASKS,
-    AWAY_S,
     MS,
     SECOND,
-    WRONG_AT_VAULT,
+    STORE_AWAY_FAILURES,
+    STORE_AWAY_NS,
+    STORE_WRONG_LIMIT,
     ArtifactStoreState,
     Failure,
     Pause,
 )
 
-FIRST_WAIT, LONGEST_WAIT = 100 * MS, SECOND
-PATIENCE = 0.25  # of the time left that is spent on a vault that is away, before the known release is taken
-RENAMED = 3  # times that a name is asked anew as its chunks went missing
+FIRST_BACKOFF_NS, LONGEST_BACKOFF_NS = 100 * MS, SECOND
+PATIENCE = (
+    0.25  # share of the time left that an unreachable store may take before the known release
+)
+RESOLVE_AGAIN_LIMIT = 3  # times that a name is resolved again because its chunks are missing
 
 
-class Heard(Enum):
-    """How an ask for a name ended."""
+class NameOutcome(Enum):
+    """How a request for a name ended."""
 
-    TOLD = "told"
-    BUSY = "turned away"
+    RESOLVED = "resolved"
+    BUSY = "rejected"
     BROKEN = "broken"
-    LATE = "not answered before the deadline"
+    LATE = "no response before the deadline"
     MISSING = "no such name"
     WRONG = "not the manifest that its digest says"
 
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """What a name stands for: the manifest's digest, and when it was made (RFC 3339, UTC; "" for untold)."""
+    """What a name stands for.
+
+    `digest` is that of the manifest, `created` its creation time (RFC 3339, UTC; "" where unknown).
+    """
 
     digest: str
     created: str = ""
 
 
 @dataclass(slots=True, eq=False)
-class AskName:
-    """Wants to hear what the vault says of a name, not waited for beyond `until`; resumed with what was
-    heard and, if told, the release."""
+class NameRequest:
+    """A request to the store that times out at `until_ns`.
+
+    The generator is resumed with the outcome and, if resolved, the release.
+    """
 
     ref: str
-    until: int
+    until_ns: int
 
 
 @dataclass(slots=True, eq=False)
 class Resolved:
-    """`stale`: the vault could not be asked, or told of an older one."""
+    """The release of a name.
+
+    `is_stale`: the store could not be asked, or answered with an older release.
+    """
 
     release: Release
-    stale: bool = False
+    is_stale: bool = False
 
 
-Steps = Generator[AskName | Pause, Any, Resolved | Failure]
+NameReply = tuple[NameOutcome, Release | None]
+# what is sent to the generator: a `NameReply` after a request, None after a pause
+ResolveSteps = Generator[NameRequest | Pause, Any, Resolved | Failure]
 
 
 class Names:
+    """The names that one agent knows.
+
+    `jittered_deadline` returns a time about so far away; `store_state` is shared with the agent's
+    `Chooser`; `last_known`: whether the known release may be used while the store is unreachable.
+    """
+
     def __init__(
         self,
         clock: Callable[[], int],
-        later: Callable[[float], int],
-        vault: ArtifactStoreState | None = None,
+        jittered_deadline: Callable[[float], int],
+        store_state: ArtifactStoreState | None = None,
         *,
         last_known: bool = True,
     ) -> None:
-        """`later` gives a time that is about so far away; `vault` is shared with the box's `Chooser`;
-        `last_known`: whether the release that is known may be taken when the vault is away."""
-        self.clock, self.later, self.last_known = clock, later, last_known
-        self.vault = vault or ArtifactStoreState()
+        self.clock, self.jittered_deadline = clock, jittered_deadline
+        self.last_known = last_known
+        self.store_state = store_state or ArtifactStoreState()
         self.known: dict[str, Release] = {}
-        self.old_told = 0
-
-    def resolve(self, ref: str, deadline: int) -> Steps:
-        begun = self.clock()
-        failed = wrong = 0
-        wait = FIRST_WAIT
-        while self.clock() < deadline:
-            heard, release = yield AskName(ref, deadline)
-            self.record(heard)
-            if heard is Heard.TOLD:
-                return self.told(ref, release)
-            if heard is Heard.MISSING:
+        self.old_release_count = 0
+
+    def resolve(self, ref: str, deadline_ns: int) -> ResolveSteps:
+        """Ask the store for a name, with retries, until it is resolved or has failed."""
+        started_ns = self.clock()
+        failure_count = wrong_count = 0
+        backoff_ns = FIRST_BACKOFF_NS
+        while self.clock() < deadline_ns:
+            outcome, release = yield NameRequest(ref, deadline_ns)
+            self.record_outcome(outcome)
+            if outcome is NameOutcome.RESOLVED:
+                return self.accept_release(ref, release)
+            if outcome is NameOutcome.MISSING:
                 return Failure.MISSING
             known = self.known.get(ref) if self.last_known else None
-            if heard is Heard.WRONG:
-                wrong += 1
-                if wrong >= WRONG_AT_VAULT:
-                    return Resolved(known, True) if known else Failure.CORRUPT
-            elif heard is Heard.BROKEN:
-                failed += 1
-            now = self.clock()
-            if known and now - begun > PATIENCE * (deadline - begun):
-                return Resolved(known, True)
-            if failed >= AWAY_ASKS and now - begun > AWAY_S:
-                return Failure.VAULT_AWAY
-            yield Pause(min(deadline, self.later(wait)))
-            wait = min(2 * wait, LONGEST_WAIT)
-        return self.vault.failure_at_deadline(begun)
-
-    def record(self, heard: Heard) -> None:
-        """Takes in what an ask says of the vault itself."""
-        if heard is Heard.BROKEN:
-            self.vault.record_failure(self.clock())
-        elif heard is not Heard.LATE:
-            self.vault.record_answer()
-
-    def told(self, ref: str, release: Release) -> Resolved:
-        """Takes the vault's word in; of two releases the one that was made later counts."""
+            if outcome is NameOutcome.WRONG:
+                wrong_count += 1
+                if wrong_count >= STORE_WRONG_LIMIT:
+                    return Resolved(known, is_stale=True) if known else Failure.CORRUPT
+            elif outcome is NameOutcome.BROKEN:
+                failure_count += 1
+            elapsed_ns = self.clock() - started_ns
+            if known and elapsed_ns > PATIENCE * (deadline_ns - started_ns):
+                return Resolved(known, is_stale=True)
+            if failure_count >= STORE_AWAY_FAILURES and elapsed_ns > STORE_AWAY_NS:
+                return Failure.STORE_AWAY
+            yield Pause(min(deadline_ns, self.jittered_deadline(backoff_ns)))
+            backoff_ns = min(2 * backoff_ns, LONGEST_BACKOFF_NS)
+        return self.store_state.failure_at_deadline(started_ns)
+
+    def record_outcome(self, outcome: NameOutcome) -> None:
+        """Record what a request shows about the store itself."""
+        if outcome is NameOutcome.BROKEN:
+            self.store_state.record_failure(self.clock())
+        elif outcome is not NameOutcome.LATE:
+            self.store_state.record_response()
+
+    def accept_release(self, ref: str, release: Release) -> Resolved:
+        """Record the store's answer; of two releases the one that was created later is used."""
         known = self.known.get(ref)
         if known and known.created and release.created and release.created < known.created:
-            self.old_told += 1
-            return Resolved(known, True)
+            self.old_release_count += 1
+            return Resolved(known, is_stale=True)
         self.known[ref] = release
         return Resolved(release)
 
-    def doubts(self, failure: Failure, times: int) -> bool:
-        """Whether a load that failed asks again what its name stands for, and begins anew with what it
-        stands for by now: the vault may have dropped the chunks of a manifest that was replaced. `times` it
-        did so before."""
-        return failure in (Failure.MISSING, Failure.CORRUPT) and times < RENAMED
+    def should_resolve_again(self, failure: Failure, retries: int) -> bool:
+        """Return whether a failed load resolves its name again and starts anew.
+
+        The store may have dropped the chunks of a manifest that was replaced. `retries` counts
+        how often this load has done so.
+        """
+        return failure in (Failure.MISSING, Failure.CORRUPT) and retries < RESOLVE_AGAIN_LIMIT
--- a/martenlead/layers/samples.py
+++ b/martenlead/layers/samples.py
@@ -1,7 +1,8 @@
-"""Models to measure and to rehearse with: families of a base and its tuned variants, and their releases.
+"""Sample functions for measurements and rehearsals.
 
-Half of the bytes are noise and half take few values, as the two halves of 16-bit weights do. A variant has
-some places of its base overwritten; a release overwrites some more and moves what follows by an insertion.
+They come in families, of a base and its variants, and in releases. Half of the bytes are random and
+half take few values, as the two halves of 16-bit weights do. A variant overwrites some places of
+its base; a release overwrites some more and moves the bytes behind an insertion.
 """
 
 from __future__ import annotations
@@ -14,15 +15,22 @@
 
 from martenlead.layers.image import Cutting, Layout, pack
 
-PLACES = 5
-MOVED = b"a few more words in the vocabulary"
+PLACES = 5  # that a variant or a release overwrites
+INSERTION = b"a few more words in the vocabulary"
+BYTES_PER_MB = 1e6
+BYTES_PER_KB = 1024
+SINGLE_CHUNK_BYTES = 1 << 26
+FREQUENT_VALUES = range(40, 60)
 
 
 class Samples(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """`tuned` and `changed` are parts of a model's bytes. A model's releases are named NAME, NAME.r1, NAME.r2
-    and so on; with `whole` each is also there in one piece, as NAME.whole and so on."""
+    """Which samples to make. `tuned` and `changed` are shares of a function's bytes.
 
-    models: list[str]
+    The releases of a function are named NAME, NAME.r1, NAME.r2 and so on. With `with_single_chunk`
+    each is also packed as one chunk, as NAME.whole and so on.
+    """
+
+    functions: list[str] = msgspec.field(name="models")
     mb: float = 2
     families: int = 1
     tuned: float = 0.03
@@ -30,50 +38,57 @@
     releases: int = 1
     average_kb: int = 256
     level: int = 0
-    whole: bool = False
+    with_single_chunk: bool = msgspec.field(default=False, name="whole")
     seed: int = 1
 
 
-def base(chance: Random, size: int) -> bytes:
-    made = bytearray(size)
-    half = (size + 1) // 2
-    made[0::2], made[1::2] = chance.randbytes(half), bytes(chance.choices(range(40, 60), k=size - half))
-    return bytes(made)
+def make_base(random: Random, size_bytes: int) -> bytes:
+    """Return the bytes of a family's base."""
+    data = bytearray(size_bytes)
+    half = (size_bytes + 1) // 2
+    data[0::2] = random.randbytes(half)
+    data[1::2] = bytes(random.choices(FREQUENT_VALUES, k=size_bytes - half))
+    return bytes(data)
 
 
-def changed(chance: Random, data: bytes, share: float) -> bytes:
-    """Overwrites so many of the bytes, in a few places."""
-    made = bytearray(data)
-    each = int(share * len(data) / PLACES)
-    for _ in range(PLACES if each else 0):
-        at = chance.randrange(len(data) - each)
-        made[at : at + each] = chance.randbytes(each)
-    return bytes(made)
+def overwrite_places(random: Random, data: bytes, share: float) -> bytes:
+    """Return the data with this share of the bytes overwritten, in a few places."""
+    result = bytearray(data)
+    place_bytes = int(share * len(data) / PLACES)
+    for _ in range(PLACES if place_bytes else 0):
+        start = random.randrange(len(data) - place_bytes)
+        result[start : start + place_bytes] = random.randbytes(place_bytes)
+    return bytes(result)
 
 
-def release(chance: Random, data: bytes, share: float) -> bytes:
-    made = changed(chance, data, share)
-    at = len(made) // 3
-    return made[:at] + MOVED + made[at:]
+def make_release(random: Random, data: bytes, share: float) -> bytes:
+    """Return the next release: some places overwritten, and an insertion."""
+    result = overwrite_places(random, data, share)
+    start = len(result) // 3
+    return result[:start] + INSERTION + result[start:]
 
 
 def make(layout: Layout, samples: Samples) -> int:
-    """Makes and packs them; the bytes of one release of all models. Raises OSError."""
-    chance = Random(samples.seed)
-    size = int(samples.mb * 1e6)
-    bases = [base(chance, size) for _ in range(samples.families)]
-    cutting = Cutting("content", samples.average_kb * 1024, samples.level)
+    """Make and pack the samples; return the bytes of one release of them all. Raises OSError."""
+    random = Random(samples.seed)
+    size_bytes = int(samples.mb * BYTES_PER_MB)
+    bases = [make_base(random, size_bytes) for _ in range(samples.families)]
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "weights"
-        for n, name in enumerate(samples.models):
-            data = changed(chance, bases[n % samples.families], samples.tuned)
+        for index, name in enumerate(samples.functions):
+            data = overwrite_places(random, bases[index % samples.families], samples.tuned)
             for number in range(samples.releases):
                 if number:
-                    data = release(chance, data, samples.changed)
+                    data = make_release(random, data, samples.changed)
                 file.write_bytes(data)
-                ref = f"{name}.r{number}" if number else name
-                made = f"2026-01-01T00:00:{number:02}.000000Z"
-                pack(layout, ref, [file], cutting, made)
-                if samples.whole:
-                    pack(layout, f"{ref}.whole", [file], Cutting("fixed", 1 << 26), made)
-    return size * len(samples.models)
+                _pack_release(layout, samples, name, number, file)
+    return size_bytes * len(samples.functions)
+
+
+def _pack_release(layout: Layout, samples: Samples, name: str, number: int, file: Path) -> None:
+    cutting = Cutting("content", samples.average_kb * BYTES_PER_KB, samples.level)
+    ref = f"{name}.r{number}" if number else name
+    created = f"2026-01-01T00:00:{number:02}.000000Z"
+    pack(layout, ref, [file], cutting, created)
+    if samples.with_single_chunk:
+        pack(layout, f"{ref}.whole", [file], Cutting("fixed", SINGLE_CHUNK_BYTES), created)
--- a/support/swarm.py
+++ b/support/swarm.py
@@ -7,7 +7,16 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from martenlead.layers.choice import MS, PARKED, Ask, Chooser, End, Failure, Pause, Want
+from martenlead.layers.choice import (
+    MS,
+    PEER_WAIT_NS,
+    Chooser,
+    ChunkDownload,
+    ChunkOutcome,
+    ChunkRequest,
+    Failure,
+    Pause,
+)
 
 CHUNK = 1000
 
@@ -35,7 +44,7 @@
         self.vault_wrong: set[str] = set()
         self.boxes = [Box(self, n, seed * 1000 + n, uploads) for n in range(boxes)]
         for box in self.boxes:
-            box.chooser.members(range(boxes))
+            box.chooser.update_members(range(boxes))
 
     def at(self, when: int, what: Callable[[], None]) -> None:
         self._count += 1
@@ -46,13 +55,13 @@
             self.now, _, what = heappop(self._queue)
             what()
 
-    def vault(self, digest: str, answer: Callable[[End], None]) -> None:
+    def vault(self, digest: str, answer: Callable[[ChunkOutcome], None]) -> None:
         if self.vault_down[0] <= self.now < self.vault_down[1]:
-            self.at(self.now + 5 * MS, lambda: answer(End.BROKEN))
+            self.at(self.now + 5 * MS, lambda: answer(ChunkOutcome.BROKEN))
             return
         if self.vault_out >= self.most:
             self.turned_away += 1
-            self.at(self.now + MS, lambda: answer(End.BUSY))
+            self.at(self.now + MS, lambda: answer(ChunkOutcome.BUSY))
             return
         self.vault_out += 1
         self.worst = max(self.worst, self.vault_out)
@@ -61,7 +70,7 @@
         def done() -> None:
             self.vault_out -= 1
             self.vault_chunks += 1
-            answer(End.WRONG if digest in self.vault_wrong else End.GOOD)
+            answer(ChunkOutcome.WRONG if digest in self.vault_wrong else ChunkOutcome.GOOD)
 
         self.at(self.now + took, done)
 
@@ -71,7 +80,7 @@
         self.swarm, self.mark = swarm, mark
         self.chooser = swarm.make(mark, seed, uploads, lambda: swarm.now)
         self.has: set[str] = set()
-        self.waiting: dict[str, list[Callable[[Want], None]]] = {}
+        self.waiting: dict[str, list[Callable[[ChunkDownload], None]]] = {}
         self.dead = self.lies = self.stalls = False
         self.sent = self.wrong_served = 0
         self.finished: int | None = None
@@ -79,10 +88,10 @@
 
     def load(self, digests: list[str], within_ms: float = 30_000, at_once: int = 16) -> None:
         left = {d for d in digests if d not in self.has}
-        planned = iter(self.chooser.plan(sorted(left)))
+        planned = iter(self.chooser.plan_downloads(sorted(left)))
         deadline = self.swarm.now + int(within_ms * MS)
 
-        def done(want: Want) -> None:
+        def done(want: ChunkDownload) -> None:
             left.discard(want.digest)
             if want.failure:
                 self.failures.append(want.failure)
@@ -100,49 +109,49 @@
         if not left:
             self.finished = self.swarm.now
 
-    def get(self, digest: str, deadline: int, done: Callable[[Want], None]) -> Want:
-        new = digest not in self.chooser.wants
-        want = self.chooser.want(digest, CHUNK, deadline)
+    def get(self, digest: str, deadline: int, done: Callable[[ChunkDownload], None]) -> ChunkDownload:
+        new = digest not in self.chooser.downloads
+        want = self.chooser.request_chunk(digest, CHUNK, deadline)
         self.waiting.setdefault(digest, []).append(done)
         if new:
             self.swarm.at(self.swarm.now, lambda: self.step(want, None))
         return want
 
-    def step(self, want: Want, value: Any) -> None:
+    def step(self, want: ChunkDownload, value: Any) -> None:
         assert want.steps is not None
         try:
             action = want.steps.send(value)
         except StopIteration:
-            if want.done:
+            if want.is_done:
                 self.has.add(want.digest)
             for done in self.waiting.pop(want.digest, []):
                 done(want)
             return
         if isinstance(action, Pause):
-            self.swarm.at(action.until, lambda: self.step(want, None))
+            self.swarm.at(action.until_ns, lambda: self.step(want, None))
             return
         self.ask(want, action)
 
-    def ask(self, want: Want, ask: Ask) -> None:
+    def ask(self, want: ChunkDownload, ask: ChunkRequest) -> None:
         answered = False
 
-        def answer(end: End) -> None:
+        def answer(end: ChunkOutcome) -> None:
             nonlocal answered
             if not answered:
                 answered = True
                 self.step(want, end)
 
-        self.swarm.at(ask.until, lambda: answer(End.LATE))
+        self.swarm.at(ask.until_ns, lambda: answer(ChunkOutcome.LATE))
         if ask.peer is None:
             self.swarm.vault(want.digest, answer)
         else:
-            self.swarm.boxes[ask.peer.mark].serve(want.digest, ask.until, answer)
+            self.swarm.boxes[ask.peer.worker_id].serve(want.digest, ask.until_ns, answer)
 
-    def serve(self, digest: str, deadline: int, answer: Callable[[End], None]) -> None:
+    def serve(self, digest: str, deadline: int, answer: Callable[[ChunkOutcome], None]) -> None:
         """Another box asks: what is not here is fetched for it, as its owner does."""
         swarm = self.swarm
         if self.dead:
-            swarm.at(swarm.now + MS, lambda: answer(End.BROKEN))
+            swarm.at(swarm.now + MS, lambda: answer(ChunkOutcome.BROKEN))
             return
         if self.stalls:
             return
@@ -150,7 +159,7 @@
             self.send(answer)
             return
         if not swarm.fetches_for_others:
-            swarm.at(swarm.now + MS, lambda: answer(End.MISSING))
+            swarm.at(swarm.now + MS, lambda: answer(ChunkOutcome.MISSING))
             return
 
         waits = True
@@ -159,26 +168,26 @@
             nonlocal waits
             if waits:
                 waits = False
-                self.chooser.leave(want)
-                answer(End.WAIT)
+                self.chooser.remove_waiter(want)
+                answer(ChunkOutcome.WAIT)
 
-        def fetched(want: Want) -> None:
+        def fetched(want: ChunkDownload) -> None:
             nonlocal waits
             if not waits:
                 return
             waits = False
             if want.failure:
-                words = {Failure.MISSING: End.MISSING, Failure.LATE: End.WAIT}
-                answer(words.get(want.failure, End.AWAY))
+                words = {Failure.MISSING: ChunkOutcome.MISSING, Failure.LATE: ChunkOutcome.WAIT}
+                answer(words.get(want.failure, ChunkOutcome.AWAY))
             else:
                 self.send(answer)
 
         want = self.get(digest, deadline, fetched)  # no upload is taken up until the chunk is there
-        swarm.at(swarm.now + PARKED, wait)
+        swarm.at(swarm.now + PEER_WAIT_NS, wait)
 
-    def send(self, answer: Callable[[End], None]) -> None:
+    def send(self, answer: Callable[[ChunkOutcome], None]) -> None:
         if not self.chooser.may_send():
-            self.swarm.at(self.swarm.now + MS, lambda: answer(End.BUSY))
+            self.swarm.at(self.swarm.now + MS, lambda: answer(ChunkOutcome.BUSY))
             return
         self.chooser.sending += 1
 
@@ -186,6 +195,6 @@
             self.chooser.sending -= 1
             self.sent += 1
             self.wrong_served += self.lies
-            answer(End.WRONG if self.lies else End.GOOD)
+            answer(ChunkOutcome.WRONG if self.lies else ChunkOutcome.GOOD)
 
         self.swarm.at(self.swarm.now + 4 * MS, sent)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -19,17 +19,10 @@
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.events.server import Reply, listen
-from martenlead.layers.agent import (
-    Agent,
-    AgentSettings,
-    LoadFailed,
-    Member,
-    Place,
-    RosterLink,
-    mark_of,
-)
+from martenlead.layers.agent import Agent, LoadFailedError
 from martenlead.layers.cache import Cache
 from martenlead.layers.image import Cutting, Layout, pack
+from martenlead.layers.settings import AgentSettings, EndpointListLink, Member, StoreAddress, hash_worker_name
 from martenlead.standins.depot import Depot
 from martenlead.standins.life import server
 from martenlead.standins.roster import Roster
@@ -73,7 +66,7 @@
             try:
                 await agent.load(ref, within_ms)
                 told[n] = "loaded"
-            except LoadFailed as error:
+            except LoadFailedError as error:
                 told[n] = error.failure
 
         async with anyio.create_task_group() as group:
@@ -99,13 +92,15 @@
         listener, vault_port = await listen("127.0.0.1", 0)
         group.start_soon(server(made.depot.handle).serve, listener)
         listeners = [await listen("127.0.0.1", 0) for _ in range(count)]
-        members = [Member(mark=mark_of(f"box-{n}"), port=port) for n, (_, port) in enumerate(listeners)]
+        members = [
+            Member(worker_id=hash_worker_name(f"box-{n}"), port=port) for n, (_, port) in enumerate(listeners)
+        ]
         made.ports = [port for _, port in listeners]
         for n, (own, _) in enumerate(listeners):
             told = AgentSettings(
                 name=f"box-{n}",
                 cache=str(folder / f"cache{n}"),
-                vault=Place(port=vault_port),
+                artifact_store=StoreAddress(port=vault_port),
                 **{"members": members if known else [], **settings},
             )
             cache = Cache(Path(told.cache), told.cache_bytes)
@@ -132,7 +127,7 @@
         b.release("m:2", base[:100_000] + some_bytes(2, 20_000) + base[120_000:])
         assert await b.load_all("m:2") == ["loaded"] * 8
         assert b.depot.bytes - before <= 0.3 * size
-        assert sum(agent.peer_bytes for agent in b.agents) >= 6 * size
+        assert sum(agent.downloader.peer_bytes for agent in b.agents) >= 6 * size
 
 
 async def test_uploads_stay_bound_and_end_with_their_takers(tmp_path: Path) -> None:
@@ -140,7 +135,11 @@
         b.release("m:1", some_bytes(1, 200_000))
         assert await b.load_all("m:1") == ["loaded"] * 6
         assert all(agent.chooser.sending == agent.parked == 0 for agent in b.agents)
-        assert sum(agent.sent_bytes for agent in b.agents) >= sum(agent.peer_bytes for agent in b.agents) > 0
+        assert (
+            sum(agent.sent_bytes for agent in b.agents)
+            >= sum(agent.downloader.peer_bytes for agent in b.agents)
+            > 0
+        )
 
 
 async def test_a_chunk_that_is_wrong_everywhere_is_named_and_never_kept(tmp_path: Path) -> None:
@@ -175,7 +174,7 @@
         assert any(agent.chooser.counts.wrong for agent in b.agents)
         for agent in b.agents[2:]:
             assert all(agent.cache.get(digest) is not None for digest in list(agent.cache))
-            assert agent.cache.set_aside == 0
+            assert agent.cache.set_aside_count == 0
 
 
 async def test_a_corrupt_chunk_on_the_own_disk_is_fetched_anew(tmp_path: Path) -> None:
@@ -186,7 +185,7 @@
         digest = next(iter(agent.cache))
         agent.cache.path(digest).write_bytes(b"rot")
         assert await b.load_all("m:1") == ["loaded"] * 2
-        assert (agent.cache.set_aside, agent.cache.get(digest) is not None) == (1, True)
+        assert (agent.cache.set_aside_count, agent.cache.get(digest) is not None) == (1, True)
 
 
 async def test_the_vault_stops_in_the_middle(tmp_path: Path) -> None:
@@ -276,7 +275,7 @@
 async def test_the_program_loads_for_its_runner_and_ends_when_told(tmp_path: Path) -> None:
     async with boxes(tmp_path, 1) as b:
         b.release("m:1", some_bytes(1, 20_000))
-        vault = {"port": b.agents[0].vault.port}
+        vault = {"port": b.agents[0].artifact_store.port}
         config = tmp_path / "agent.json"
         config.write_bytes(msgspec.json.encode({"name": "x", "cache": str(tmp_path / "own"), "vault": vault}))
         command = [sys.executable, "-m", "martenlead", "layers", "agent", str(config)]
@@ -344,7 +343,7 @@
             loaded = await b.agents[0].load("m:1", 8000)
         new, _ = b.layout.manifest("m:1")
         assert loaded.digest == new.digest != old.digest
-        assert (loaded.size, loaded.stale) == (150_000, False)
+        assert (loaded.size_bytes, loaded.is_stale) == (150_000, False)
 
 
 async def test_an_old_manifest_and_a_vault_that_is_away_do_not_take_a_box_back(tmp_path: Path) -> None:
@@ -352,12 +351,12 @@
         agent = b.agents[0]
         b.release("m", some_bytes(1, 50_000))
         b.release("m.r1", some_bytes(2, 60_000))
-        assert (await agent.load("m", 5000)).size == 50_000
+        assert (await agent.load("m", 5000)).size_bytes == 50_000
         b.depot.releases["m"] = 1
-        assert (await agent.load("m", 5000)).size == 60_000
+        assert (await agent.load("m", 5000)).size_bytes == 60_000
         b.depot.old = True
         told = await agent.load("m", 5000)
-        assert (told.size, told.stale) == (60_000, True)
+        assert (told.size_bytes, told.is_stale) == (60_000, True)
         b.depot.down_until = 1 << 62
         await b.stop(0)
         again = Agent(agent.settings, agent.cache)  # another life of it
@@ -366,7 +365,7 @@
             group.start_soon(again.run, listener)
             told = await again.load("m", 1000)
             group.cancel_scope.cancel()
-        assert (told.size, told.stale) == (60_000, True)
+        assert (told.size_bytes, told.is_stale) == (60_000, True)
 
 
 async def test_the_roster_says_which_boxes_there_are_and_dead_ones_cost_time_only(tmp_path: Path) -> None:
@@ -377,26 +376,26 @@
     async with anyio.create_task_group() as group:
         listener, port = await listen("127.0.0.1", 0)
         group.start_soon(server(roster.handle).serve, listener)
-        async with boxes(tmp_path, 3, False, roster=RosterLink(port=port)) as b:
+        async with boxes(tmp_path, 3, False, endpoint_list=EndpointListLink(port=port)) as b:
             for line, own in zip(up, b.ports, strict=True):
                 line["layers"] = own
             roster.list.lines = {line["id"]: line for line in [*up, *dead, *none]}
             roster.list.version += 1
             roster.changed.set()
             with anyio.fail_after(5):
-                while any(agent.chooser.boxes < 5 for agent in b.agents):
+                while any(agent.chooser.worker_count < 5 for agent in b.agents):
                     await anyio.sleep(0.01)
             size = b.release("m:1", some_bytes(1, 150_000))
             assert await b.load_all("m:1") == ["loaded"] * 3
             assert b.depot.bytes <= 2.5 * size
-            assert sum(agent.peer_bytes for agent in b.agents) > size / 2
+            assert sum(agent.downloader.peer_bytes for agent in b.agents) > size / 2
             gone = {**dead[0], "state": "gone"}
             roster.list.lines.pop(dead[0]["id"])
             roster.list.version += 1
             roster.list.changes[roster.list.version] = gone
             roster.changed.set()
             with anyio.fail_after(5):
-                while any(agent.chooser.boxes > 4 for agent in b.agents):
+                while any(agent.chooser.worker_count > 4 for agent in b.agents):
                     await anyio.sleep(0.01)
         group.cancel_scope.cancel()
 
@@ -411,7 +410,7 @@
 
         b.agents[0].serve = other  # type: ignore[method-assign]
         assert await b.load_all("m:1") == ["loaded"] * 3
-        assert all(agent.cache.set_aside == 0 for agent in b.agents)
+        assert all(agent.cache.set_aside_count == 0 for agent in b.agents)
 
 
 async def test_a_load_whose_runner_left_gives_its_place_up(tmp_path: Path) -> None:
@@ -421,7 +420,7 @@
         with anyio.move_on_after(0.2):
             await pool.exchange(http.request(b"POST", b"/load", b"x", [], b'{"ref": "m:1"}'))
         with anyio.fail_after(10):
-            while agent.chooser.wants or agent.loading or b.depot.out:
+            while agent.chooser.downloads or agent.loading or b.depot.out:
                 await anyio.sleep(0.01)
         assert b.depot.bytes < 200_000
 
@@ -457,7 +456,7 @@
         await agent.load("m:1", 5000, "two")
         assert (tmp_path / "files" / "two" / "weights").read_bytes() == data
         (tmp_path / "files" / "three").write_text("in the way")
-        with pytest.raises(LoadFailed, match=r"no-room: .*three"):
+        with pytest.raises(LoadFailedError, match=r"no-room: .*three"):
             await agent.load("m:1", 5000, "three")
         assert not list(tmp_path.rglob(".*.new"))
         body = b'{"ref": "m:1", "into": "../out"}'
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -29,10 +29,11 @@
 from martenlead.edge.http_dispatcher import create_dispatcher
 from martenlead.edge.knowledge_saver import KNOWLEDGE, KnowledgeSaver
 from martenlead.edge.status_report import report_status
-from martenlead.layers.agent import Agent, AgentSettings, Place
-from martenlead.layers.cache import Cache, NoRoom
+from martenlead.layers.agent import Agent
+from martenlead.layers.cache import Cache, CacheFullError
 from martenlead.layers.image import digest_of
 from martenlead.layers.naming import Release
+from martenlead.layers.settings import AgentSettings, StoreAddress
 from martenlead.planner.frames import RetainedReplica
 from martenlead.planner.replica_store import SavedReplicas
 from martenlead.planner.server import Planner
@@ -689,8 +690,8 @@
 async def test_an_agent_keeps_names_and_never_writes_over_what_it_could_not_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.layers.agent.Backoff", QUICK)
-    settings = AgentSettings(name="box", cache=str(tmp_path), vault=Place(port=1))
+    monkeypatch.setattr("martenlead.layers.name_resolver.Backoff", QUICK)
+    settings = AgentSettings(name="box", cache=str(tmp_path), artifact_store=StoreAddress(port=1))
     cache = Cache(tmp_path, 1000)
     path = tmp_path / "names.json"
     path.write_bytes(msgspec.json.encode({"away": Release("1"), "here": Release("2")}))
@@ -700,14 +701,14 @@
         agent = Agent(settings, cache)
         agent.names.known["here"] = Release("3")
         async with anyio.create_task_group() as group:
-            group.start_soon(agent.names_saver.run)
-            agent.names_saver.changed()
-            await until(lambda: agent.saves["state_save_failed"] > 2)
+            group.start_soon(agent.resolver.saver.run)
+            agent.resolver.saver.changed()
+            await until(lambda: agent.resolver.saves["state_save_failed"] > 2)
             disk.heal()
-            await until(lambda: agent.saves["state_saved"])
+            await until(lambda: agent.resolver.saves["state_saved"])
             group.cancel_scope.cancel()
         disk.crash()
-        assert agent.state()["saves"]["state_save_recovered"] == 1
+        assert agent.status().saves["state_save_recovered"] == 1
         known = msgspec.json.decode(path.read_bytes(), type=dict[str, Release])
         assert known == {"away": Release("1"), "here": Release("3")}
     events = [line["event"] for line in logs]
@@ -733,13 +734,13 @@
             for data in (new, b"x" * 300, b"y" * 300):  # the last ones evict
                 try:
                     cache.put(digest_of(data), data)
-                except NoRoom:
+                except CacheFullError:
                     continue
                 assert cache.get(digest_of(data)) in (data, None)
             disk.heal()
             cache.put(digest_of(old), old)
             assert cache.get(digest_of(old)) == old
-            assert cache.size <= 700
+            assert cache.size_bytes <= 700
             on_disk = sum(p.stat().st_size for p in (root / "chunks").rglob("*") if p.is_file())
             assert on_disk <= 700 + 300  # a temporary file at most
         cache.close()
@@ -776,7 +777,7 @@
         assert cache.get(digest_of(data)) is None
         assert digest_of(data) not in cache
         disk.heal()
-        assert (cache.set_aside, list((tmp_path / "aside").iterdir())) == (0, [])
+        assert (cache.set_aside_count, list((tmp_path / "aside").iterdir())) == (0, [])
         cache.put(digest_of(data), data)
-        assert (cache.get(digest_of(data)), cache.size) == (data, 300)
+        assert (cache.get(digest_of(data)), cache.size_bytes) == (data, 300)
     cache.close()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -15,9 +15,9 @@
 
 from martenlead.cli.main import commands
 from martenlead.layers import image
-from martenlead.layers.cache import Cache, NoRoom, Refused
+from martenlead.layers.cache import Cache, CacheFullError, CacheRefusedError
 from martenlead.layers.choice import Failure
-from martenlead.layers.image import BadImage, Cutting, Layout, digest_of, pack, verify
+from martenlead.layers.image import BadImageError, Cutting, Layout, digest_of, pack, verify
 from support.swarm import Swarm
 
 MODEL = [digest_of(b"%d" % n) for n in range(60)]
@@ -62,21 +62,21 @@
     good = path.read_bytes()
     for bad, why in ((good[:-1], "8191 bytes where 8192"), (good[:-1] + b"x", "another digest")):
         path.write_bytes(bad)
-        with pytest.raises(BadImage, match=why):
+        with pytest.raises(BadImageError, match=why):
             verify(layout, "m:1")
     path.unlink()
-    with pytest.raises(BadImage, match="no such blob"):
+    with pytest.raises(BadImageError, match="no such blob"):
         verify(layout, "m:1")
-    with pytest.raises(BadImage, match="no manifest of that name"):
+    with pytest.raises(BadImageError, match="no manifest of that name"):
         layout.manifest("m:2")
-    with pytest.raises(BadImage, match="a sha256 digest was expected"):
+    with pytest.raises(BadImageError, match="a sha256 digest was expected"):
         layout.path("sha256:../../etc/passwd")
 
 
 @given(st.binary(max_size=300))
 def test_no_bytes_are_taken_for_a_manifest_or_a_layer(data: bytes) -> None:
     for reads in (image.read_manifest, image.read_layer):
-        with pytest.raises(BadImage):
+        with pytest.raises(BadImageError):
             reads(data, digest_of(data))
 
 
@@ -93,10 +93,10 @@
     with cache.pinned([names[1]]):
         cache.put(names[3], chunks[names[3]])
     assert [names.index(n) for n in cache] == [1, 0, 3]
-    with cache.pinned(cache), pytest.raises(NoRoom):
+    with cache.pinned(cache), pytest.raises(CacheFullError):
         cache.put(names[4], chunks[names[4]])
-    assert cache.size == 3000
-    with pytest.raises(BadImage):
+    assert cache.size_bytes == 3000
+    with pytest.raises(BadImageError):
         cache.put(names[4], b"other")
     cache.close()
 
@@ -108,7 +108,12 @@
     cache.put(name, data)
     cache.path(name).write_bytes(data[:-1] + b"!")
     assert cache.get(name) is None
-    assert (name in cache, cache.size, cache.set_aside, len(list(cache.aside.iterdir()))) == (False, 0, 1, 1)
+    assert (name in cache, cache.size_bytes, cache.set_aside_count, len(list(cache.aside.iterdir()))) == (
+        False,
+        0,
+        1,
+        1,
+    )
     cache.put(name, data)
     assert cache.get(name) == data
     cache.close()
@@ -125,7 +130,7 @@
         cache.put(names[-1], data)
         os.utime(cache.path(names[-1]), (n + 1, 10 - n))
     (cache.path(names[0]).parent / "half.new").write_bytes(b"x")
-    with pytest.raises(Refused, match="another agent"):
+    with pytest.raises(CacheRefusedError, match="another agent"):
         Cache(tmp_path, 10_000)
     cache.close()
     monkeypatch.setattr(Path, "read_bytes", None)
@@ -134,7 +139,7 @@
     assert not list(tmp_path.rglob("*.new"))
     again.close()
     (tmp_path / "version").write_text("7")
-    with pytest.raises(Refused, match="of version 7"):
+    with pytest.raises(CacheRefusedError, match="of version 7"):
         Cache(tmp_path, 250)
 
 
@@ -148,10 +153,10 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "replace", full)
-    with pytest.raises(NoRoom, match="No space left"):
+    with pytest.raises(CacheFullError, match="No space left"):
         cache.put(digest_of(data), data)
     monkeypatch.undo()
-    assert (list(cache), cache.size, list(tmp_path.rglob("*.new"))) == ([], 0, [])
+    assert (list(cache), cache.size_bytes, list(tmp_path.rglob("*.new"))) == ([], 0, [])
     cache.put(digest_of(data), data)
     cache.close()
 
@@ -184,7 +189,7 @@
     torn += len(list(folder.rglob("*.new")))
     cache = Cache(folder, 40_000)
     assert all(cache.get(name) is not None for name in list(cache)), round
-    assert cache.set_aside == 0 and cache.size <= 40_000, round
+    assert cache.set_aside_count == 0 and cache.size_bytes <= 40_000, round
     assert not list(folder.rglob("*.new")), round
     kept += len(cache)
     cache.close()
@@ -200,7 +205,7 @@
 
 
 def test_what_came_last_is_lent_from_memory_and_within_its_bound(tmp_path: Path) -> None:
-    cache = Cache(tmp_path, 10_000, hot=2500)
+    cache = Cache(tmp_path, 10_000, memory_limit_bytes=2500)
     names = []
     for n in range(4):
         data = some_bytes(n, 1000)
@@ -300,7 +305,7 @@
     swarm.vault_down = (0, 1 << 62)
     swarm.run(13_000)
     failures = {failure for box in swarm.boxes for failure in box.failures}
-    assert failures == {Failure.VAULT_AWAY}
+    assert failures == {Failure.STORE_AWAY}
     assert all(box.failures for box in swarm.boxes)
 
 
@@ -328,10 +333,10 @@
     wants = [box.get(digest, 10**12, lambda _: None) for digest in MODEL]
     swarm.run(200)
     for want in wants:
-        box.chooser.leave(want)
+        box.chooser.remove_waiter(want)
     swarm.run()
     assert swarm.vault_chunks < 15
-    assert not box.chooser.wants
+    assert not box.chooser.downloads
 
 
 def test_two_loads_of_one_model_make_one_fetch() -> None:
@@ -357,8 +362,8 @@
     swarm.run()
     for box in good:
         assert box.has == set(MODEL[:20])
-        assert box.chooser.sending == box.chooser.vault_out == 0
-        assert all(peer.out == 0 for peer in box.chooser.peers.values())
+        assert box.chooser.sending == box.chooser.store_in_flight == 0
+        assert all(peer.in_flight == 0 for peer in box.chooser.peers.values())
 
 
 def test_the_command_line(tmp_path: Path) -> None:
--- a/tests/test_naming.py
+++ b/tests/test_naming.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from martenlead.layers.choice import MS, SECOND, Failure
-from martenlead.layers.naming import AskName, Heard, Names, Release, Resolved
+from martenlead.layers.naming import NameOutcome, NameRequest, Names, Release, Resolved
 
 OLD, NEW = Release("sha256:old", "2026-01-01T00:00:01Z"), Release("sha256:new", "2026-01-01T00:00:02Z")
 
@@ -27,20 +27,20 @@
         try:
             while True:
                 action = steps.send(value)
-                if isinstance(action, AskName):
+                if isinstance(action, NameRequest):
                     self.asked += 1
                     self.now += 10 * MS
                     word = left.pop(0) if len(left) > 1 else left[0]
-                    value = (Heard.TOLD, word) if isinstance(word, Release) else (word, None)
+                    value = (NameOutcome.RESOLVED, word) if isinstance(word, Release) else (word, None)
                 else:
-                    self.now = max(self.now, action.until)
+                    self.now = max(self.now, action.until_ns)
                     value = None
         except StopIteration as stop:
             end: Resolved | Failure = stop.value
         took = (self.now - begun) // MS
         if isinstance(end, Failure):
             return f"{end.value} after {took} ms"
-        return f"{end.release.digest}{', stale' if end.stale else ''} after {took} ms"
+        return f"{end.release.digest}{', stale' if end.is_stale else ''} after {took} ms"
 
 
 def test_an_old_word_never_takes_a_box_back() -> None:
@@ -48,35 +48,35 @@
     assert vault.resolve(OLD) == "sha256:old after 10 ms"
     assert vault.resolve(NEW) == "sha256:new after 10 ms"
     assert vault.resolve(OLD) == "sha256:new, stale after 10 ms"
-    assert vault.names.old_told == 1
+    assert vault.names.old_release_count == 1
     untold = Release("sha256:untold")
     assert vault.resolve(untold) == "sha256:untold after 10 ms"  # whose age is not known is taken at its word
 
 
 def test_a_vault_that_is_away_is_waited_for_and_then_done_without() -> None:
     vault = Vault()
-    assert vault.resolve(Heard.BROKEN, Heard.BUSY, NEW) == "sha256:new after 330 ms"
-    assert vault.resolve(Heard.BROKEN, within=4 * SECOND) == "sha256:new, stale after 1550 ms"
-    assert vault.resolve(Heard.BUSY, within=4 * SECOND) == "sha256:new, stale after 1550 ms"
-    assert vault.resolve(Heard.MISSING) == "missing after 10 ms"
-    assert Vault().resolve(Heard.BROKEN) == "vault-away after 8620 ms"
-    assert Vault().resolve(Heard.BROKEN, within=2 * SECOND) == "vault-away after 2000 ms"
-    assert Vault().resolve(Heard.BUSY, within=2 * SECOND) == "late after 2000 ms"
+    assert vault.resolve(NameOutcome.BROKEN, NameOutcome.BUSY, NEW) == "sha256:new after 330 ms"
+    assert vault.resolve(NameOutcome.BROKEN, within=4 * SECOND) == "sha256:new, stale after 1550 ms"
+    assert vault.resolve(NameOutcome.BUSY, within=4 * SECOND) == "sha256:new, stale after 1550 ms"
+    assert vault.resolve(NameOutcome.MISSING) == "missing after 10 ms"
+    assert Vault().resolve(NameOutcome.BROKEN) == "vault-away after 8620 ms"
+    assert Vault().resolve(NameOutcome.BROKEN, within=2 * SECOND) == "vault-away after 2000 ms"
+    assert Vault().resolve(NameOutcome.BUSY, within=2 * SECOND) == "late after 2000 ms"
     strict = Vault(last_known=False)
     strict.resolve(NEW)
-    assert strict.resolve(Heard.BROKEN) == "vault-away after 8620 ms"
+    assert strict.resolve(NameOutcome.BROKEN) == "vault-away after 8620 ms"
 
 
 def test_what_is_no_manifest_is_asked_for_once_more() -> None:
     vault = Vault()
-    assert vault.resolve(Heard.WRONG, NEW) == "sha256:new after 120 ms"
-    assert vault.resolve(Heard.WRONG) == "sha256:new, stale after 120 ms"
-    assert Vault().resolve(Heard.WRONG) == "corrupt after 120 ms"
+    assert vault.resolve(NameOutcome.WRONG, NEW) == "sha256:new after 120 ms"
+    assert vault.resolve(NameOutcome.WRONG) == "sha256:new, stale after 120 ms"
+    assert Vault().resolve(NameOutcome.WRONG) == "corrupt after 120 ms"
 
 
 def test_a_load_doubts_its_name_only_when_chunks_are_gone_and_a_few_times() -> None:
     names = Vault().names
-    doubted = [(f.value, names.doubts(f, 0), names.doubts(f, 3)) for f in Failure]
+    doubted = [(f.value, names.should_resolve_again(f, 0), names.should_resolve_again(f, 3)) for f in Failure]
     assert doubted == [
         ("vault-away", False, False),
         ("corrupt", True, False),
@@ -87,7 +87,7 @@
 
 
 WORDS = st.one_of(
-    st.sampled_from([Heard.BROKEN, Heard.BUSY, Heard.WRONG, Heard.MISSING]),
+    st.sampled_from([NameOutcome.BROKEN, NameOutcome.BUSY, NameOutcome.WRONG, NameOutcome.MISSING]),
     st.builds(lambda n: Release(f"sha256:{n}", f"2026-01-01T00:00:{n:02}Z"), st.integers(0, 59)),
 )
 
