--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -721,8 +721,9 @@
 
 @each_errno
 def test_a_disk_that_fails_at_any_call_of_the_cache_raises_no_other_error(tmp_path: Path, code: int) -> None:
-    """`NoRoom`, or a chunk that is missing; with a disk that is well again all of it works, and what was
-    there before is there."""
+    """`CacheFullError`, or a chunk that is missing.
+
+    With a disk that is well again all of it works, and what was there before is there."""
     old, new = b"o" * 300, b"n" * 300
     for k in range(1, 12):
         root = tmp_path / str(k)
