--- a/martenlead/edge/dispatcher.py
+++ b/martenlead/edge/dispatcher.py
@@ -276,10 +276,8 @@
         if outcome is not None:
             self.counts["final", outcome.value] += 1
             if outcome is not FinalOutcome.CLIENT_LEFT:
-                left_ns, least_ns = (
-                    policy_request.deadline_ns - self.clock(),
-                    self.least_time_left_ns,
-                )
+                left_ns = policy_request.deadline_ns - self.clock()
+                least_ns = self.least_time_left_ns
                 self.least_time_left_ns = left_ns if least_ns is None else min(least_ns, left_ns)
         final = outcome.value if outcome is not None else ""
         self._decide(self.policy_boundary.close_request, policy_request, final)
@@ -289,10 +287,8 @@
         match action:
             case Attempt(request=policy_request, worker=policy_worker):
                 worker = self.by_policy_worker[policy_worker]
-                request, number = (
-                    self.pending_requests[policy_request],
-                    len(policy_request.attempts) - 1,
-                )
+                request = self.pending_requests[policy_request]
+                number = len(policy_request.attempts) - 1
                 attempt = InFlightAttempt(action, request, worker, number)
                 self._in_flight[action] = attempt
                 worker.in_flight += 1
