--- a/tests/apart.py
+++ b/tests/apart.py
@@ -15,8 +15,9 @@
 from typing import Any
 
 import anyio
-from anyio.abc import Process, SocketAttribute
+from anyio.abc import Process
 
+from support.peers import PeerListener, unused_port
 from tests.nodes import BROKEN, Journal, Play, done, message
 
 DESCRIPTORS = 96
@@ -71,18 +72,12 @@
         return told is not None and bool(told["result"]["up"])
 
 
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
-
-
 @asynccontextmanager
 async def apart(tmp_path: Path, runners: str = "a", **more: Any) -> AsyncIterator[Apart]:
     """A node that has been started. It is ended as the test ends."""
     p = Apart()
     p.path = tmp_path / "config.json"
-    p.port, p.journal.port = free_port(), free_port()
+    p.port, p.journal.port = unused_port(), unused_port()
     async with anyio.create_task_group() as p.group:
         for name in runners:
             await p.runner(name, done)
@@ -97,6 +92,6 @@
 
 async def serve_at(journal: Journal) -> None:
     """The journal service comes back, at the address that it had."""
-    listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=journal.port)
-    assert listener.extra(SocketAttribute.local_port) == journal.port
+    listener = PeerListener(journal.port)
+    assert listener.port == journal.port
     await listener.serve(journal.connected)
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -16,6 +16,7 @@
 
 from martenlead.node.serve import Node
 from support.fleet import GONE, until
+from support.peers import PeerListener, unused_port
 
 Part = Callable[["Runner", SocketStream, dict[str, Any]], Awaitable[None]]
 BROKEN = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
@@ -111,14 +112,14 @@
 
     def __init__(self, name: str, parts: list[Part], log: list[str]) -> None:
         self.name, self.parts, self.log = name, parts, log
-        self.listener: Any = None
+        self.listener: PeerListener | None = None
         self.port = 0
         self.connections = self.open = 0
         self.streams: list[SocketStream] = []
 
     async def serve(self) -> None:
-        self.listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=self.port)
-        self.port = self.listener.extra(SocketAttribute.local_port)
+        self.listener = PeerListener(self.port)
+        self.port = self.listener.port
         with suppress(*GONE):
             await self.listener.serve(self.connected)
 
@@ -155,13 +156,12 @@
         self.events: list[bytes] = []
         self.asked: list[int] = []
         self.streams: list[SocketStream] = []
-        self.writing: defaultdict[SocketStream, anyio.Lock] = defaultdict(anyio.Lock)
         self.port = 0
         self.beats = True
 
     async def serve(self) -> None:
-        listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
-        self.port = listener.extra(SocketAttribute.local_port)
+        listener = PeerListener()
+        self.port = listener.port
         await listener.serve(self.connected)
 
     async def connected(self, stream: SocketStream) -> None:
@@ -169,23 +169,19 @@
             with suppress(*BROKEN):
                 number = int.from_bytes(await stream.receive(8), "big")
                 self.asked.append(number)
-                async with self.writing[stream]:
-                    self.streams.append(stream)  # what is told from here on follows
-                    await stream.send(b"".join(self.events[number - 1 :]))  # the first stands in `known`
+                self.streams.append(stream)  # what is told from here on follows
+                await stream.send(b"".join(self.events[number - 1 :]))  # the first stands in `known`
                 while True:
                     await anyio.sleep(0.2)
                     if self.beats:
-                        beat = frame(len(self.events) + 1, 0)  # events may queue behind it
-                        async with self.writing[stream]:
-                            await stream.send(beat)
+                        await stream.send(frame(len(self.events) + 1, 0))  # events may queue behind it
 
     async def tell(self, *records: bytes, kind: int = 2, cut: int | None = None) -> None:
         event = frame(len(self.events) + 2, kind, *records)
         self.events.append(event)
         for stream in self.streams:
             with suppress(*BROKEN):
-                async with self.writing[stream]:  # a stream takes one writer at a time
-                    await stream.send(event[:cut])
+                await stream.send(event[:cut])
 
 
 def frame(number: int, kind: int, *records: bytes) -> bytes:
@@ -351,9 +347,7 @@
         for name, its in (parts or {"a": [done]}).items():
             await p.runner(name, *its)
         p.group.start_soon(p.journal.serve)
-        listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
-        p.port = listener.extra(SocketAttribute.local_port)
-        await listener.aclose()
+        p.port = unused_port()
         await until(lambda: p.journal.port)
         p.write(p.journal.port, **more)
         p.node = Node(p.path)
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -8,9 +8,10 @@
 
 import anyio
 import pytest
-from anyio.abc import SocketAttribute, SocketStream
+from anyio.abc import SocketStream
 
 from support.fleet import until
+from support.peers import PeerListener
 from tests.nodes import BROKEN, done, frame, play, raw, word
 
 pytestmark = pytest.mark.anyio
@@ -87,12 +88,12 @@
 
     async with play(tmp_path) as p:
         await until(lambda: p.journal.streams)
-        listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
+        listener = PeerListener()
         p.group.start_soon(listener.serve, connected)
         await p.runner("b", done)
         event = frame(2, 2, p.record("b"))
         p.journal.events.append(event)
-        p.node.discovery.address = ("127.0.0.1", listener.extra(SocketAttribute.local_port))
+        p.node.discovery.address = ("127.0.0.1", listener.port)
         cut = p.journal.streams.pop()
         await cut.send(event[:20])
         await cut.aclose()
