--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -5,7 +5,7 @@
 import os
 import signal
 import sys
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 from pathlib import Path
 from time import monotonic_ns
@@ -34,9 +34,11 @@
 from martenlead.standins.life import server
 from martenlead.standins.roster import Roster
 from martenlead.standins.settings import DepotPart, RosterPart
+from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests.test_layers import some_bytes
 
 pytestmark = pytest.mark.anyio
+virtual_time = pytest.mark.parametrize("anyio_backend", [VIRTUAL_TIME], ids=["virtual time"])
 
 
 class Boxes:
@@ -91,7 +93,12 @@
 
 @asynccontextmanager
 async def boxes(
-    folder: Path, count: int, known: bool = True, vault: dict[str, Any] | None = None, **settings: Any
+    folder: Path,
+    count: int,
+    known: bool = True,
+    vault: dict[str, Any] | None = None,
+    clock: Callable[[], int] = monotonic_ns,
+    **settings: Any,
 ) -> AsyncIterator[Boxes]:
     """`known`: whether the boxes are told of each other."""
     made = Boxes(folder, **(vault or {}))
@@ -109,7 +116,7 @@
                 **{"members": members if known else [], **settings},
             )
             cache = Cache(Path(told.cache), told.cache_bytes)
-            agent = Agent(told, cache)
+            agent = Agent(told, cache, clock)
             made.agents.append(agent)
             scope = anyio.CancelScope()
             made.scopes.append(scope)
@@ -225,6 +232,7 @@
     ],
 )
 @pytest.mark.parametrize("first", ["the load", "what it waits for"])
+@virtual_time
 async def test_a_load_is_told_at_its_deadline_whether_the_vault_failed(
     first: str, manifests: int, blobs: int, told: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -296,14 +304,19 @@
             assert await process.wait() == 0
 
 
-async def test_32_boxes_start_at_once_after_a_release_and_the_vault_stands(tmp_path: Path) -> None:
-    # alone, the same boxes push the same vault over
+@virtual_time
+async def test_32_boxes_start_at_once_after_a_release_and_the_vault_stands(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Alone, the same boxes push the same vault over. In virtual time: a machine that gives this process no
+    time makes each fetch last longer, and the vault falls of that alone."""
+    clock = follow_loop_time(monkeypatch)
     vault = {"mb_s": 2, "pace": 4, "most": 100, "fall_multiple": 2, "fall_ms": 50, "down_ms": 200}
     ends = []
     for known in (True, False):
         folder = tmp_path / str(known)
         folder.mkdir()
-        async with boxes(folder, 32, known, vault, at_once=4) as b:
+        async with boxes(folder, 32, known, vault, clock, at_once=4) as b:
             size = b.release("m:1", some_bytes(1, 200_000))
             assert await b.load_all("m:1", 60_000) == ["loaded"] * 32
             ends.append((b.depot.stops > 0, b.depot.bytes <= 1.2 * size))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,6 +24,7 @@
 from martenlead.node.client_connection import ClientConnection
 from martenlead.policy.types import Result
 from support.fleet import until
+from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests.nodes import (
     SETTINGS,
     Caller,
@@ -38,6 +39,7 @@
     record,
     says,
     silent,
+    with_deadlines,
     word,
 )
 
@@ -45,6 +47,8 @@
 ORDERS = SETTINGS | {"family-info": SETTINGS["family-info"] | {"placement-calls": True}}
 full = says("WAIT", "")
 METHODS = ("safe", "keyed", "unsafe")
+virtual_time = pytest.mark.parametrize("anyio_backend", [VIRTUAL_TIME], ids=["virtual time"])
+LONG = 60.0  # s that a request has which no test waits for the end of
 
 
 def late(p: Play) -> anyio.Event:
@@ -607,12 +611,16 @@
         await until(lambda: p.ended)
 
 
-async def test_the_roster_moves_while_the_stop_goes_on(tmp_path: Path) -> None:
+async def test_the_roster_moves_while_the_stop_goes_on(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The request keeps the stop going until the roster has moved, however long that takes here."""
     gone = anyio.Event()
+    monkeypatch.setattr("martenlead.node.serve.KILL_DEADLINE_LIMIT_SECONDS", LONG)
 
-    async with play(tmp_path, {"a": [once(gone, done)]}) as p:
+    async with play(tmp_path, {"a": [once(gone, done)]}, settings=with_deadlines(LONG)) as p:
         client = await p.client()
-        await client.ask(wait=1900)
+        await client.ask(wait=round(LONG * 1000))
         await until(p.did)
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: p.node.is_stopping)
@@ -624,12 +632,17 @@
         p.write(moved.port)
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: moved.asked)
+        assert not p.ended
         gone.set()
         assert word(await client.answer()) == "satisfied"
         await until(lambda: p.ended)
 
 
-async def test_what_cannot_end_before_the_kill_is_answered_before_it(tmp_path: Path) -> None:
+@virtual_time
+async def test_what_cannot_end_before_the_kill_is_answered_before_it(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    follow_loop_time(monkeypatch)
     classes = [c | {"give-up": 30.0} for c in SETTINGS["classes"]]
     async with play(tmp_path, {"a": [silent]}, settings=SETTINGS | {"classes": classes}) as p:
         client = await p.client()
@@ -642,9 +655,11 @@
         assert 3.4 < anyio.current_time() - start < 3.7
 
 
+@virtual_time
 async def test_the_address_is_taken_over_from_an_old_life_that_still_has_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    follow_loop_time(monkeypatch)
     tries: list[Any] = []
     real = socket.create_server
 
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -23,13 +23,16 @@
 from martenlead.policy import types as io
 from support.fleet import Runner as EdgeRunner
 from support.fleet import fleet, satisfied, until
+from support.virtual_time import PROCESS_TIME, follow_loop_time
 from tests.nodes import (
     SETTINGS,
     Asker,
     Part,
     Play,
     Runner,
+    answer,
     done,
+    frame,
     in_turn,
     linger,
     play,
@@ -206,11 +209,15 @@
         await answers(runner, stream, told)
 
 
+@pytest.mark.parametrize("anyio_backend", [PROCESS_TIME], ids=["process time"])
 @pytest.mark.parametrize("method", METHODS)
 @pytest.mark.parametrize("left", LITTLE)
 async def test_requests_with_little_time_that_workers_drop_have_one_answer_each_as_have_all_others(
-    left: int, method: str, tmp_path: Path
+    left: int, method: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """In time that stands still where the machine gives this process no core: half a second of that would
+    make an answer late."""
+    follow_loop_time(monkeypatch)
     async with play(tmp_path, {"a": [drops_late_ones], "b": [drops_late_ones]}) as p:
         hurried, usual = Asker(await p.client()), Asker(await p.client(), first=1000)
         for asker in (hurried, usual):
@@ -329,3 +336,19 @@
             for _ in range(3):
                 group.start_soon(p.journal.tell, p.record("a"))
         assert await (await p.client()).call("safe") == "satisfied"
+
+
+async def test_streams_of_the_scripted_peers_take_several_writers_at_once(tmp_path: Path) -> None:
+    """As a test and the journal's own heartbeat: each waits for the one before it, and all arrive whole."""
+    async with play(tmp_path, {"a": [raw(b""), done]}) as p:
+        await until(lambda: p.journal.streams)
+        client = await p.client()
+        await client.ask("safe")
+        await until(p.did)
+        beat, unknown = frame(len(p.journal.events) + 1, 0), answer("FIT", "0")
+        async with anyio.create_task_group() as group:
+            for _ in range(5):
+                group.start_soon(p.journal.streams[0].send, beat)
+                group.start_soon(p.runners["a"].streams[0].send, unknown)
+        assert await (await p.client()).call("safe", id="b" * 16) == "satisfied"
+        assert (len(p.journal.asked), faults(p)) == (1, 0)
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -693,7 +693,10 @@
 
 
 async def test_a_fault_in_one_link_of_a_planner_costs_that_link(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with planner() as (one, port), planned([port], name="first") as (f, first):
+    """The fault is printed with its traceback, which may hold the event loop for longer than a lease lasts in
+    other tests: here one outlasts the test, so that only the loss of its link can end it."""
+    lease = {"lease_ms": 60_000}
+    async with planner() as (one, port), planned([port], name="first", **lease) as (f, first):
         await until(first.session.is_leased, within=5)
         with monkeypatch.context() as patch:
             patch.setattr(one, "get_session", fault)
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -8,6 +8,7 @@
 
 import math
 from bisect import bisect_left, bisect_right
+from collections.abc import Callable
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -22,6 +23,7 @@
 from martenlead.system import clocks
 from martenlead.upstream import endpoints
 from support.fleet import Fleet, fleet, satisfied, until
+from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests import nodes
 from tests.nodes import Play, done, play
 from tests.test_worker_age import tell_between_beats
@@ -45,11 +47,11 @@
 class Stepping:
     """A wall clock that stands somewhere else at each read: first at `first`, then by draws."""
 
-    def __init__(self, seed: int, first: float) -> None:
+    def __init__(self, seed: int, first: float, true: Callable[[], int] = clocks._read_wall) -> None:
         self.chance = Random(seed)
         self.next = first
         self.reads = 0
-        self.true = clocks._read_wall
+        self.true = true
 
     def __call__(self) -> int:
         self.reads += 1
@@ -137,12 +139,15 @@
         await anyio.sleep(PAUSE * (0.5 + chance.random()))
 
 
+@pytest.mark.parametrize("anyio_backend", [VIRTUAL_TIME], ids=["virtual time"])
 @pytest.mark.parametrize("seed", range(len(STEPS)))
 async def test_a_node_keeps_the_rules_whatever_the_wall_clock_says(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    """The journal service stamps by the true clock."""
-    wall = Stepping(seed, STEPS[seed])
+    """The journal service stamps by the true clock. In virtual time, which the true clock runs with."""
+    clock = follow_loop_time(monkeypatch)
+    ahead = clocks.wall_ns() - clock()
+    wall = Stepping(seed, STEPS[seed], lambda: clock() + ahead)
     monkeypatch.setattr(clocks, "_read_wall", wall)
     rules = {"cold-from": COLD_FROM, "cold": SLOW_START, "fall-multiple": FALL_MULTIPLE}
     family = {"placement-calls": True, "load-period": BUDGET_WINDOW, "loads-anyway": BUDGET_FREE}
