--- a/support/pair.py
+++ b/support/pair.py
@@ -13,8 +13,9 @@
 from martenlead.edge.dispatcher import Dispatcher
 from martenlead.edge.policy_boundary import PolicyBoundary
 from martenlead.planner import frames as fr
-from martenlead.planner.link import NS_PER_MS, LinkProtocolError, PlannerSession
+from martenlead.planner.link import NS_PER_MS, LinkProtocolError
 from martenlead.planner.planner_client import PlannerClient
+from martenlead.planner.planner_session import PlannerSession
 from martenlead.policy.types import (
     Attempt,
     AttemptResult,
@@ -179,7 +180,7 @@
         life = f"life-{self.planners}"
         count = iter(range(self.planners * 1_000_000, 1 << 40))
         return PlannerSession(
-            f"planner-{self.planners}", life, self.planner_clock, lambda: next(count), speaks=speaks
+            f"planner-{self.planners}", life, self.planner_clock, lambda: next(count), highest_version=speaks
         )
 
     def connect(self) -> None:
@@ -255,15 +256,17 @@
                 if getattr(runner, name) != getattr(other, name):
                     found.append(f"r{number}.{name}: {getattr(runner, name)}, {getattr(other, name)}")
         for model, number in self.side.recorder.function_numbers.items():
-            other = mirror.restored.functions.get(number)
-            if other is None:
+            function = mirror.restored.functions.get(number)
+            if function is None:
                 if model.replicas:
                     found.append(f"m{number} unknown")
                 continue
-            if model.requests != other.requests:
-                found.append(f"m{number}.tasks: {model.requests}, {other.requests}")
+            if model.requests != function.requests:
+                found.append(f"m{number}.tasks: {model.requests}, {function.requests}")
             for runner, copy in model.replicas.items():
-                there = other.replicas.get(mirror.restored.workers[self.side.recorder.worker_numbers[runner]])
+                there = function.replicas.get(
+                    mirror.restored.workers[self.side.recorder.worker_numbers[runner]]
+                )
                 where = f"m{number} at r{self.side.recorder.worker_numbers[runner]}"
                 if there is None:
                     found.append(f"{where} unknown")
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -17,19 +17,22 @@
 from martenlead.admission import reservation_token as token
 from martenlead.admission.controller import EARLY_ARRIVAL_SHARE, RESERVATION_GRACE_NS
 from martenlead.capture import events as ev
-from martenlead.capture.writer import CaptureSettings, CaptureWriter, find_runs
+from martenlead.capture.reader import find_runs
+from martenlead.capture.writer import CaptureSettings, CaptureWriter
 from martenlead.cli.state import state
 from martenlead.durable_state import knowledge
 from martenlead.durable_state.disk import StateFolder
 from martenlead.durable_state.store import StateKind
 from martenlead.durable_state.store import StateStore as StateStore
 from martenlead.edge import protocol
-from martenlead.edge.http_upstream import HttpMembership
-from martenlead.edge.listener import reservation_issued_ns
+from martenlead.edge.http_membership import HttpMembership
+from martenlead.edge.queue_admission import reservation_issued_ns
 from martenlead.events.cloudevent import Event
 from martenlead.layers.cache import Cache
 from martenlead.layers.image import digest_of
-from martenlead.planner.server import Planner, PlannerSettings
+from martenlead.planner.frames import RetainedReplica
+from martenlead.planner.server import Planner
+from martenlead.planner.settings import PlannerSettings
 from martenlead.system import clocks
 from martenlead.system.durable_file import replace_file
 from martenlead.upstream import endpoints
@@ -167,9 +170,12 @@
     settings = PlannerSettings(state_path=str(path))
     mirror = SimpleNamespace(restored=SimpleNamespace(settings=SimpleNamespace(keep_alive_ns=10 * SECOND)))
     first = Planner(settings)
-    first.saved_replicas.replicas_by_edge["edge"] = [("a", "m", 1, 10.0, 500.0), ("b", "m", 1, 10.0, 9500.0)]
+    first.store.saved.replicas_by_edge["edge"] = [
+        RetainedReplica("a", "m", 1, 10.0, 500.0),
+        RetainedReplica("b", "m", 1, 10.0, 9500.0),
+    ]
     first.refresh_saved_replicas()
-    replace_file(path, endpoints.encode(first.saved_replicas))
+    replace_file(path, endpoints.encode(first.store.saved))
     machine.run(2 * SECOND)
     machine.step = step
     for planner in (first, Planner(settings)):
@@ -278,7 +284,7 @@
         text = appointment(machine.true)
         machine.run(after)
         machine.step = step
-        found = f.door._brought(task(appointment=text))
+        found = f.door.queue_admission.verify_reservation(task(appointment=text))
         now = f.dispatcher.clock()
         if found is None:
             why = "not ours" if step == -HOUR else "clocks differ"
