--- /dev/null
+++ b/tests/disk_fault_rig.py
@@ -0,0 +1,30 @@
+"""What the tests of state on a failing disk share: a kind of state, retry intervals and the error codes."""
+
+from __future__ import annotations
+
+import errno
+from functools import partial
+from pathlib import Path
+
+import pytest
+
+from martenlead.durable_state.store import StateKind
+from martenlead.system.durable_file import Backoff
+from support.disk_faults import ERRNOS
+
+THING = StateKind("thing")
+QUICK = partial(Backoff, first_seconds=0.001, longest_seconds=0.004)
+
+
+class NoRetry(Backoff):
+    """Waits for longer than any test."""
+
+    def next_seconds(self) -> float:
+        return 3600.0
+
+
+each_errno = pytest.mark.parametrize("code", ERRNOS, ids=[errno.errorcode[e] for e in ERRNOS])
+
+
+def temporary_files(root: Path) -> list[Path]:
+    return [path for path in root.rglob("*") if path.name.endswith((".new", ".part"))]
--- /dev/null
+++ b/tests/test_agent_disk_faults.py
@@ -0,0 +1,116 @@
+"""An agent on a failing disk: its names are saved later, and its chunk cache raises no other error."""
+
+from __future__ import annotations
+
+import errno
+import os
+from pathlib import Path
+from random import Random
+from typing import Any
+
+import anyio
+import msgspec
+import pytest
+from structlog.testing import capture_logs
+
+from martenlead.layers.agent import Agent, AgentSettings, Place
+from martenlead.layers.cache import Cache, NoRoom
+from martenlead.layers.image import digest_of
+from martenlead.layers.naming import Release
+from support.disk_faults import DiskFaults
+from support.fleet import until
+from tests.disk_fault_rig import QUICK, each_errno
+
+
+@pytest.mark.anyio
+async def test_an_agent_keeps_names_and_never_writes_over_what_it_could_not_read(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr("martenlead.layers.agent.Backoff", QUICK)
+    settings = AgentSettings(name="box", cache=str(tmp_path), vault=Place(port=1))
+    cache = Cache(tmp_path, 1000)
+    path = tmp_path / "names.json"
+    path.write_bytes(msgspec.json.encode({"away": Release("1"), "here": Release("2")}))
+    disk = DiskFaults(tmp_path, Random(1))
+    with capture_logs() as logs, disk():
+        disk.fail(errno.EIO, 1)
+        agent = Agent(settings, cache)
+        agent.names.known["here"] = Release("3")
+        async with anyio.create_task_group() as group:
+            group.start_soon(agent.names_saver.run)
+            agent.names_saver.changed()
+            await until(lambda: agent.saves["state_save_failed"] > 2)
+            disk.heal()
+            await until(lambda: agent.saves["state_saved"])
+            group.cancel_scope.cancel()
+        disk.crash()
+        assert agent.state()["saves"]["state_save_recovered"] == 1
+        known = msgspec.json.decode(path.read_bytes(), type=dict[str, Release])
+        assert known == {"away": Release("1"), "here": Release("3")}
+    events = [line["event"] for line in logs]
+    assert events == ["names_unread", "state_save_failed", "state_save_recovered"]
+    cache.close()
+
+
+@each_errno
+def test_a_disk_that_fails_at_any_call_of_the_cache_raises_no_other_error(tmp_path: Path, code: int) -> None:
+    """`NoRoom`, or a chunk that is missing; with a disk that is well again all of it works, and what was
+    there before is there."""
+    old, new = b"o" * 300, b"n" * 300
+    for k in range(1, 12):
+        root = tmp_path / str(k)
+        cache = Cache(root, 700)
+        cache.put(digest_of(old), old)
+        disk = DiskFaults(root, Random(k))
+        with disk():
+            disk.fail(code, k, 2)
+            for data in (new, b"x" * 300, b"y" * 300):  # the last ones evict
+                try:
+                    cache.put(digest_of(data), data)
+                except NoRoom:
+                    continue
+                assert cache.get(digest_of(data)) in (data, None)
+            disk.heal()
+            cache.put(digest_of(old), old)
+            assert cache.get(digest_of(old)) == old
+            assert cache.size <= 700
+            on_disk = sum(p.stat().st_size for p in (root / "chunks").rglob("*") if p.is_file())
+            assert on_disk <= 700 + 300  # a temporary file at most
+        cache.close()
+        again = Cache(root, 700)
+        assert again.get(digest_of(old)) == old
+        again.close()
+
+
+def test_a_chunk_whose_use_cannot_be_written_down_is_given(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def read_only(*_: Any, **_named: Any) -> None:
+        raise OSError(errno.EROFS, "Read-only file system")
+
+    data, further = b"d" * 300, b"e" * 300
+    cache = Cache(tmp_path, 1000)
+    cache.put(digest_of(data), data)
+    monkeypatch.setattr(os, "utime", read_only)
+    assert cache.get(digest_of(data)) == data
+    cache.put(digest_of(further), further)
+    assert cache.get(digest_of(further)) == further
+    cache.close()
+
+
+def test_a_chunk_that_cannot_be_read_now_is_not_set_aside(tmp_path: Path) -> None:
+    data = b"d" * 300
+    cache = Cache(tmp_path, 1000)
+    cache.put(digest_of(data), data)
+    disk = DiskFaults(tmp_path, Random(1))
+    with disk():
+        disk.fail(errno.EIO, 1, 1)
+        assert cache.get(digest_of(data)) == data  # once more
+        disk.fail(errno.EIO, 1)
+        assert cache.get(digest_of(data)) is None
+        assert digest_of(data) not in cache
+        disk.heal()
+        assert (cache.set_aside, list((tmp_path / "aside").iterdir())) == (0, [])
+        cache.put(digest_of(data), data)
+        assert (cache.get(digest_of(data)), cache.size) == (data, 300)
+    cache.close()
