--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -54,7 +54,7 @@
             raise OSError(28, "No space left on device")
 
     def write_synced(self, name: str, data: bytes) -> None:
-        """In the order of `durable_file.write_synced`, which tests/test_disk_faults.py holds to it."""
+        """In the order of `durable_file.write_synced`, which tests/test_state_save_crashes.py holds to it."""
         self.write(name, data)
         self.sync(name)
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,6 +1,6 @@
 """What was stored or sent by the commit before the policy became a package is read as it was meant.
 
-Captures of that time are replayed in test_capture.py.
+Captures of that time are replayed in test_capture_replay.py.
 """
 
 from __future__ import annotations
