--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -17,7 +17,6 @@
 TO_BE_DONE = {
     "days",
     "emulator",
-    "layers",
     "standins",
     "traces",
 }
