--- a/martenlead/cli/trace.py
+++ b/martenlead/cli/trace.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from martenlead.days.script import Day
     from martenlead.emulator.tally import Latencies
-    from martenlead.traces.problems import Problems
+    from martenlead.traces.problems import TraceProblems
     from martenlead.traces.schemas import Invocation
 
 KINDS = ["minutes", "invocations", "tasks"]
@@ -57,7 +57,7 @@
 
     schema: str
     invocations: Iterator[Invocation]
-    problems: Problems
+    problems: TraceProblems
 
 
 @click.group()
@@ -89,17 +89,17 @@
 
 
 def _open(file: Path, options: ReadOptions) -> TraceReading:
-    """Begins to read a trace. Raises `BadTrace`."""
+    """Begins to read a trace. Raises `TraceError`."""
     from martenlead.traces import schemas, store
-    from martenlead.traces.problems import Problems
+    from martenlead.traces.problems import TraceProblems
 
-    problems = Problems(options["bad"])
+    problems = TraceProblems(options["bad"])
     if file.suffix == ".parquet":
-        return TraceReading("converted", store.read(file), problems)
-    schema = options["schema"] or schemas.guess(file)
-    own = schemas.Options(
-        durations=options["durations"],
-        memory=options["memory"],
+        return TraceReading("converted", store.read_trace(file), problems)
+    schema = options["schema"] or schemas.guess_schema(file)
+    own = schemas.ReaderOptions(
+        durations_path=options["durations"],
+        memory_path=options["memory"],
         day=options["day"],
         seed=options["seed"],
     )
@@ -121,10 +121,10 @@
         """Counts one invocation."""
         self.functions[invocation.function] += 1
         self.owners.add(invocation.owner)
-        self.by_minute[invocation.at // NS_PER_MINUTE] += 1
-        self.durations.add(invocation.took)
-        self.first_ns = min(self.first_ns, invocation.at)
-        self.last_ns = max(self.last_ns, invocation.at)
+        self.by_minute[invocation.start_ns // NS_PER_MINUTE] += 1
+        self.durations.add(invocation.duration_ns)
+        self.first_ns = min(self.first_ns, invocation.start_ns)
+        self.last_ns = max(self.last_ns, invocation.start_ns)
 
     def to_json_object(self) -> dict[str, object]:
         """By the keys that `inspect` prints."""
@@ -157,17 +157,17 @@
 def inspect(file: Path, **options: Unpack[ReadOptions]) -> None:
     """What is in a trace: its span, its functions, how skewed they are, and what is wrong."""
     from martenlead.emulator.tally import Latencies
-    from martenlead.traces.problems import BadTrace
+    from martenlead.traces.problems import TraceError
 
     summary = TraceSummary(Latencies())
     try:
         reading = _open(file, options)
         for invocation in reading.invocations:
             summary.add(invocation)
-        reading.problems.check()
-    except BadTrace as error:
+        reading.problems.check_unusable_share()
+    except TraceError as error:
         raise ConfigError(str(error)) from None
-    problems = reading.problems.told()
+    problems = reading.problems.to_json_object()
     print_json({"schema": reading.schema, **summary.to_json_object(), "problems": problems})
 
 
@@ -178,20 +178,20 @@
 def convert(file: Path, target: Path, **options: Unpack[ReadOptions]) -> None:
     """Sort a trace by time into a Parquet file, for the emulator and the stand-in clients."""
     from martenlead.traces import store
-    from martenlead.traces.problems import BadTrace
+    from martenlead.traces.problems import TraceError
 
     try:
         reading = _open(file, options)
-        written = store.write(target, _read_checked(reading))
-    except (BadTrace, OSError) as error:
+        written = store.write_trace(target, _read_checked(reading))
+    except (TraceError, OSError) as error:
         raise ConfigError(str(error)) from None
-    print_json({"schema": reading.schema, **written, "problems": reading.problems.told()})
+    print_json({"schema": reading.schema, **written, "problems": reading.problems.to_json_object()})
 
 
 def _read_checked(reading: TraceReading) -> Iterator[Invocation]:
-    """All invocations; raises `BadTrace` at their end, before the file is put in its place."""
+    """All invocations; raises `TraceError` at their end, before the file is put in its place."""
     yield from reading.invocations
-    reading.problems.check()
+    reading.problems.check_unusable_share()
 
 
 @trace.command()
@@ -235,18 +235,18 @@
     """Play a converted trace against a script's fleet. Exit 0 only if every rule was kept."""
     from martenlead.cli.day import run_on_sockets
     from martenlead.cli.emulate import run_emulated
-    from martenlead.traces.problems import BadTrace
-    from martenlead.traces.store import read
+    from martenlead.traces.problems import TraceError
+    from martenlead.traces.store import read_trace
 
     day = _make_day(file, script, mapping, changes)
     day = msgspec.structs.replace(day, seconds=seconds or day.seconds)
     try:
-        next(read(file), None)  # reports a file that is no trace here, not in a child process
+        next(read_trace(file), None)  # reports a file that is no trace here, not in a child process
         if clock == "virtual":
             run_emulated(day, str(script), seed, policy, audit, report_file)
         else:
             run_on_sockets(day, str(script), seed, report_file)
-    except BadTrace as error:
+    except TraceError as error:
         raise ConfigError(str(error)) from None
 
 
@@ -271,10 +271,10 @@
 @click.option("--seed", default=1)
 def sample(folder: Path, seed: int) -> None:
     """Write small traces of the project's own, in each schema."""
-    from martenlead.traces.samples import make
+    from martenlead.traces.samples import write_samples
 
     try:
-        for path in make(folder, seed):
+        for path in write_samples(folder, seed):
             click.echo(str(path))
     except OSError as error:
         message = f"{folder}: {error.strerror or error}"
--- a/martenlead/standins/traced.py
+++ b/martenlead/standins/traced.py
@@ -33,20 +33,20 @@
         self.count = itertools.count(1)
 
     def calls(self) -> Iterator[tuple[float, Callable[[], Call]]]:
-        """When each task comes, ms from the day's begin, and how to make it then. Raises `BadTrace`."""
-        from martenlead.traces.store import read  # only here: it takes a while to import
+        """When each task comes, ms from the day's begin, and how to make it then. Raises `TraceError`."""
+        from martenlead.traces.store import read_trace  # only here: it takes a while to import
 
         mapping = self.mapping
         begin = int(mapping.from_s * SECOND)
         end = None if mapping.until_s is None else int(mapping.until_s * SECOND)
         assert self.settings.trace is not None
-        for one in read(Path(self.settings.trace), begin, end):
+        for one in read_trace(Path(self.settings.trace), begin, end):
             if mapping.sample < 1 and part(one.function, "sample") >= mapping.sample:
                 continue
-            at = (one.at - begin) / 1e6 / mapping.speed
+            at = (one.start_ns - begin) / 1e6 / mapping.speed
             if at > self.settings.seconds * 1000:
                 return
-            took_ms = min(mapping.most_ms, max(mapping.least_ms, one.took / 1e6 * mapping.durations))
+            took_ms = min(mapping.most_ms, max(mapping.least_ms, one.duration_ns / 1e6 * mapping.durations))
             yield at, lambda o=one, t=took_ms: self.call(o.function, o.owner, t)  # type: ignore[misc]
 
     def call(self, function: str, owner: str, took_ms: float) -> Call:
--- a/martenlead/traces/__init__.py
+++ b/martenlead/traces/__init__.py
@@ -1,1 +1,1 @@
-"""Public cluster traces in CSV: read as streams, checked line by line, kept sorted by time in Parquet."""
+"""Public cluster traces: CSV readers that check each line, and Parquet files sorted by time."""
--- a/martenlead/traces/problems.py
+++ b/martenlead/traces/problems.py
@@ -1,14 +1,16 @@
-"""What was wrong with a trace, counted by kind, with the first lines of each: nothing of it ends a
-reading, unless too much is."""
+"""Problems found while a trace is read, counted by kind, with the first lines of each.
+
+A problem does not end the reading, unless the share of unusable rows grows over a limit.
+"""
 
 from __future__ import annotations
 
 from collections import Counter, defaultdict
-from typing import Any
 
-SHOWN = 5  # lines of a kind
-FEW = 200  # rows before the share that is bad can be too much
-LEFT_OUT = (
+EXAMPLES_PER_KIND = 5
+MIN_ROWS_TO_CHECK = 200
+"""With fewer rows the share of unusable ones is checked only at the end."""
+UNUSABLE_KINDS = (
     "columns",
     "not a number",
     "negative",
@@ -19,43 +21,51 @@
     "file cut short",
     "ends before it starts",
 )
-USED = ("out of order", "no duration known", "no memory known", "not ended")
+"""Rows with such a problem are dropped; rows with a problem of any other kind are used."""
+
 
+class TraceError(Exception):
+    """The trace cannot be read. The text gives the file, the line, and what was expected."""
 
-class BadTrace(Exception):
-    """The trace can not be read: says the file, the line, and what was expected."""
 
+class TraceProblems:
+    """Counts the rows of a trace and the problems in them."""
 
-class Problems:
-    def __init__(self, most: float) -> None:
-        """`most`: the share of rows that may be left out."""
-        self.most = most
-        self.rows = self.bad = 0
+    def __init__(self, max_unusable_share: float) -> None:
+        self.max_unusable_share = max_unusable_share
+        self.rows = 0
+        self.unusable_rows = 0
         self.counts: Counter[str] = Counter()
-        self.lines: dict[str, list[str]] = defaultdict(list)
+        self.examples: dict[str, list[str]] = defaultdict(list)
 
-    def note(self, kind: str, path: str, line: int, what: str = "") -> None:
-        """Raises `BadTrace` once too many rows are bad."""
+    def record(self, kind: str, path: str, line: int, message: str = "") -> None:
+        """Counts a problem. Raises `TraceError` once too many rows are unusable."""
         self.counts[kind] += 1
-        if len(self.lines[kind]) < SHOWN:
-            self.lines[kind].append(f"{path}:{line}: {what or kind}")
-        if kind in LEFT_OUT:
-            self.bad += 1
-            if self.rows >= FEW:
-                self.check()
-
-    def check(self) -> None:
-        """Raises `BadTrace` where more than the share may be was left out."""
-        if self.bad > self.most * max(self.rows, 1):
-            first = next((lines[0] for kind, lines in self.lines.items() if kind in LEFT_OUT), "")
-            share = f"{self.bad} of {self.rows} rows cannot be used, more than {self.most:.1%}"
-            raise BadTrace(f"{share}; the first: {first}")
-
-    def told(self) -> dict[str, Any]:
+        if len(self.examples[kind]) < EXAMPLES_PER_KIND:
+            self.examples[kind].append(f"{path}:{line}: {message or kind}")
+        if kind in UNUSABLE_KINDS:
+            self.unusable_rows += 1
+            if self.rows >= MIN_ROWS_TO_CHECK:
+                self.check_unusable_share()
+
+    def check_unusable_share(self) -> None:
+        """Raises `TraceError` if the share of unusable rows is over the limit."""
+        if self.unusable_rows <= self.max_unusable_share * max(self.rows, 1):
+            return
+        unusable = (lines[0] for kind, lines in self.examples.items() if kind in UNUSABLE_KINDS)
+        message = (
+            f"{self.unusable_rows} of {self.rows} rows cannot be used, "
+            f"more than {self.max_unusable_share:.1%}; the first: {next(unusable, '')}"
+        )
+        raise TraceError(message)
+
+    def to_json_object(self) -> dict[str, object]:
+        """By the keys that the command line prints."""
         return {
             "rows": self.rows,
-            "left out": self.bad,
+            "left out": self.unusable_rows,
             "kinds": {
-                kind: {"count": n, "first": self.lines[kind]} for kind, n in sorted(self.counts.items())
+                kind: {"count": count, "first": self.examples[kind]}
+                for kind, count in sorted(self.counts.items())
             },
         }
--- a/martenlead/traces/samples.py
+++ b/martenlead/traces/samples.py
@@ -1,8 +1,8 @@
-"""Traces that the project makes itself, in each schema: small, from a seed, with the shapes that public ones
-have.
+"""Small traces that the project generates itself, in each schema, from a seed.
 
-Few functions have most of the calls, most are called once or not at all; timers fire all at once, at
-midnight the most; durations are spread over four powers of ten.
+They have the shapes of public ones: few functions have most of the calls, most are called once or
+not at all; timers fire all at once, at midnight the most; durations are spread over four powers of
+ten.
 """
 
 from __future__ import annotations
@@ -10,132 +10,204 @@
 import csv
 import gzip
 import hashlib
+import io
+from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import TypeAlias
 
-from martenlead.traces.schemas import DURATIONS, MEMORIES, TASK
+from martenlead.traces.schemas import (
+    APPLICATION_COLUMNS,
+    BATCH_JOB_COLUMNS,
+    DURATION_PERCENTILES,
+    FUNCTION_COLUMNS,
+    INVOCATION_COLUMNS,
+    MEMORY_PERCENTILES,
+    MINUTE_COUNT_COLUMNS,
+    MINUTES_PER_DAY,
+)
 
-TRIGGERS = ("http", "timer", "queue", "event")
-
-
-def name(kind: str, number: int) -> str:
-    return hashlib.sha256(f"{kind} {number}".encode()).hexdigest()[:16]
+CsvValue: TypeAlias = str | int | float
 
-
-def write(path: Path, rows: list[list[Any]], compressed: bool) -> Path:
-    """Raises OSError."""
+TRIGGERS = ("http", "timer", "queue", "event")
+TIMER_PERIODS_MINUTES = (5, 15, 60, 1440)
+POPULARITY_EXPONENT = 1.1
+"""Of the Zipf distribution of calls among functions."""
+FUNCTIONS_PER_APP = 3
+APPS_PER_OWNER = 4
+HASH_CHARACTERS = 16
+WORKDAY_MINUTES = range(8 * 60 + 1, 18 * 60)
+NIGHT_LOAD = 0.4
+"""Load outside working hours, as a share of the load within them."""
+LOAD_ADDED_BY_DAY = 0.6
+UNMEASURED_PERIOD = 20
+UNMEASURED_REMAINDER = 7
+"""Of each 20 functions one is missing in the file of durations, as in public traces."""
+DURATION_FACTORS = (0.2, 0.3, 0.7, 1, 1.6, 5, 9)
+"""The percentiles of durations, relative to the median."""
+MEMORY_FACTORS = (0.7, 0.8, 0.9, 1, 1.1, 1.3, 1.4, 1.5)
+MIN_POISSON_MEAN = 1e-9
+TERMINATED_SHARE = 0.95
+
+
+@dataclass
+class MinuteTables:
+    """The rows of the three files of schema `minutes`, each with its header."""
+
+    counts: list[list[CsvValue]]
+    durations: list[list[CsvValue]]
+    memory: list[list[CsvValue]]
+
+
+def hash_name(kind: str, number: int) -> str:
+    """The name of a numbered application, function or owner, which looks anonymised."""
+    return hashlib.sha256(f"{kind} {number}".encode()).hexdigest()[:HASH_CHARACTERS]
+
+
+def write_csv(path: Path, rows: Sequence[Sequence[CsvValue]], compressed: bool) -> Path:
+    """Writes rows, as gzip if asked, and returns the path of the file. Raises OSError."""
     path = path.with_name(path.name + (".gz" if compressed else ""))
-    text = "".join(_line(row) for row in rows).encode()
-    # without the time of writing: the same bytes for the same seed
-    path.write_bytes(gzip.compress(text, mtime=0) if compressed else text)
+    buffer = io.StringIO()
+    csv.writer(buffer, lineterminator="\n").writerows(rows)
+    data = buffer.getvalue().encode()
+    # without a modification time, so that the same seed gives the same bytes
+    path.write_bytes(gzip.compress(data, mtime=0) if compressed else data)
     return path
 
 
-def _line(row: list[Any]) -> str:
-    out: list[str] = []
-
-    class To:
-        def write(self, text: str) -> None:
-            out.append(text)
-
-    csv.writer(To(), lineterminator="\n").writerow(row)
-    return "".join(out)
-
-
-def minutes(functions: int, seed: int, busiest: float = 6.0) -> dict[str, list[list[Any]]]:
-    """The three files of one day. `busiest`: calls a minute of the function that is called the most."""
-    chance = Random(f"minutes {seed}")
-    counts: list[list[Any]] = [["HashOwner", "HashApp", "HashFunction", "Trigger", *range(1, 1441)]]
-    durations: list[list[Any]] = [
-        ["HashOwner", "HashApp", "HashFunction", "Average", "Count", "Minimum", "Maximum"]
-        + [f"percentile_Average_{p}" for p in DURATIONS]
-    ]
-    memories: list[list[Any]] = [
-        ["HashOwner", "HashApp", "SampleCount", "AverageAllocatedMb"]
-        + [f"AverageAllocatedMb_pct{p}" for p in MEMORIES]
-    ]
-    for n in range(functions):
-        app = n // 3
-        key = [name("owner", app // 4), name("app", app)]
-        trigger = TRIGGERS[n % 4] if n < functions // 4 else chance.choice(TRIGGERS)
-        row = [0] * 1440
-        mean = busiest / (n + 1) ** 1.1
-        if trigger == "timer":
-            every = chance.choice((5, 15, 60, 1440))
-            for minute in range(0, 1440, every):
-                row[minute] = 1
-        elif n >= functions // 2:
-            row[chance.randrange(1440)] = 1  # called once
-        else:
-            for minute in range(1440):
-                busy = 0.4 + 0.6 * (8 * 60 < minute < 18 * 60)
-                row[minute] = _poisson(chance, mean * busy)
-        counts.append([*key, name("function", n), trigger, *row])
-        if n % 20 != 7:  # some are not in the other files, as in the public ones
-            middle = 10 ** chance.uniform(1, 4)
-            points = [round(middle * f, 1) for f in (0.2, 0.3, 0.7, 1, 1.6, 5, 9)]
-            about = [middle, sum(row), points[0], points[-1]]
-            durations.append([*key, name("function", n), *(round(a, 1) for a in about), *points])
-        if n % 3 == 0:
-            middle = chance.uniform(60, 400)
-            points = [round(middle * f) for f in (0.7, 0.8, 0.9, 1, 1.1, 1.3, 1.4, 1.5)]
-            memories.append([*key, 100, round(middle), *points])
-    return {"counts": counts, "durations": durations, "memory": memories}
-
-
-def _poisson(chance: Random, mean: float) -> int:
-    if mean < 1e-9:
+def make_minute_tables(
+    functions: int, seed: int, max_calls_per_minute: float = 6.0
+) -> MinuteTables:
+    """The three files of one day.
+
+    `max_calls_per_minute` is the mean of the function that is called most often.
+    """
+    random = Random(f"minutes {seed}")
+    duration_percentiles = [f"percentile_Average_{p}" for p in DURATION_PERCENTILES]
+    memory_percentiles = [f"AverageAllocatedMb_pct{p}" for p in MEMORY_PERCENTILES]
+    tables = MinuteTables(
+        counts=[[*MINUTE_COUNT_COLUMNS]],
+        durations=[
+            [*FUNCTION_COLUMNS, "Average", "Count", "Minimum", "Maximum", *duration_percentiles]
+        ],
+        memory=[[*APPLICATION_COLUMNS, "SampleCount", "AverageAllocatedMb", *memory_percentiles]],
+    )
+    for number in range(functions):
+        app = number // FUNCTIONS_PER_APP
+        app_key = [hash_name("owner", app // APPS_PER_OWNER), hash_name("app", app)]
+        function_key = [*app_key, hash_name("function", number)]
+        trigger = TRIGGERS[number % len(TRIGGERS)]
+        if number >= functions // 4:
+            trigger = random.choice(TRIGGERS)
+        mean = max_calls_per_minute / (number + 1) ** POPULARITY_EXPONENT
+        counts = _make_counts(trigger, mean, number >= functions // 2, random)
+        tables.counts.append([*function_key, trigger, *counts])
+        if number % UNMEASURED_PERIOD != UNMEASURED_REMAINDER:
+            tables.durations.append([*function_key, *_make_durations(sum(counts), random)])
+        if number % FUNCTIONS_PER_APP == 0:
+            tables.memory.append([*app_key, *_make_memory(random)])
+    return tables
+
+
+def _make_counts(trigger: str, mean: float, is_called_once: bool, random: Random) -> list[int]:
+    """Calls of a function in each minute of a day."""
+    counts = [0] * MINUTES_PER_DAY
+    if trigger == "timer":
+        for minute in range(0, MINUTES_PER_DAY, random.choice(TIMER_PERIODS_MINUTES)):
+            counts[minute] = 1
+    elif is_called_once:
+        counts[random.randrange(MINUTES_PER_DAY)] = 1
+    else:
+        for minute in range(MINUTES_PER_DAY):
+            load = NIGHT_LOAD + LOAD_ADDED_BY_DAY * (minute in WORKDAY_MINUTES)
+            counts[minute] = _draw_poisson(random, mean * load)
+    return counts
+
+
+def _make_durations(count: int, random: Random) -> list[CsvValue]:
+    """Average, count, minimum, maximum and percentiles, in ms."""
+    median_ms = 10 ** random.uniform(1, 4)
+    points = [round(median_ms * factor, 1) for factor in DURATION_FACTORS]
+    return [round(median_ms, 1), count, points[0], points[-1], *points]
+
+
+def _make_memory(random: Random) -> list[CsvValue]:
+    """Number of samples, average and percentiles, in MB."""
+    median_mb = random.uniform(60, 400)
+    return [100, round(median_mb), *(round(median_mb * factor) for factor in MEMORY_FACTORS)]
+
+
+def _draw_poisson(random: Random, mean: float) -> int:
+    """Counts the arrivals in a time of `mean` at a rate of 1."""
+    if mean < MIN_POISSON_MEAN:
         return 0
-    left, count = chance.expovariate(1.0), 0
-    while left < mean:
+    elapsed = random.expovariate(1.0)
+    count = 0
+    while elapsed < mean:
         count += 1
-        left += chance.expovariate(1.0)
+        elapsed += random.expovariate(1.0)
     return count
 
 
-def invocations(functions: int, count: int, seconds: float, seed: int) -> list[list[Any]]:
-    """By their ends, as the public one has them."""
-    chance = Random(f"invocations {seed}")
-    weights = [1 / (n + 1) ** 1.1 for n in range(functions)]
-    middles = [10 ** chance.uniform(-2, 0.5) for _ in range(functions)]
-    rows: list[list[Any]] = []
-    for n in chance.choices(range(functions), weights, k=count):
-        took = middles[n] * chance.lognormvariate(0, 0.5)
-        end = chance.uniform(0, seconds) + took
-        rows.append([name("app", n // 3), name("function", n), round(end, 4), round(took, 4)])
-    rows.sort(key=lambda row: row[2])
-    return [["app", "func", "end_timestamp", "duration"], *rows]
-
-
-def tasks(jobs: int, seconds: int, seed: int) -> list[list[Any]]:
-    """Without a header."""
-    chance = Random(f"tasks {seed}")
-    rows: list[list[Any]] = []
-    for n in range(jobs):
-        start = chance.randrange(seconds)
-        for task in range(chance.choice((1, 1, 2, 3))):
-            took = max(1, int(chance.lognormvariate(2, 1)))
-            status = "Terminated" if chance.random() < 0.95 else chance.choice(("Failed", "Running"))
-            kind = chance.choice("123456789")
-            named = f"{'MR'[task % 2]}{task + 1}" + (f"_{task}" if task else "")
-            end = start + took if status != "Running" else 0
-            row = [named, chance.choice((1, 1, 1, 4, 12)), f"j_{n + 1}", kind, status, start, end]
-            rows.append([*row, chance.choice((50, 100, 200)), round(chance.uniform(0.1, 1.5), 2)])
-            start += took
-    rows.sort(key=lambda row: row[5])
-    assert all(len(row) == len(TASK) for row in rows)
-    return rows
-
-
-def make(folder: Path, seed: int = 1) -> list[Path]:
-    """The bundled samples. Raises OSError."""
+def make_invocation_rows(
+    functions: int, count: int, seconds: float, seed: int
+) -> list[list[CsvValue]]:
+    """A file of schema `invocations`, sorted by the end of the invocations as the public one is."""
+    random = Random(f"invocations {seed}")
+    weights = [1 / (number + 1) ** POPULARITY_EXPONENT for number in range(functions)]
+    medians = [10 ** random.uniform(-2, 0.5) for _ in range(functions)]
+    invocations: list[tuple[float, list[CsvValue]]] = []
+    for number in random.choices(range(functions), weights, k=count):
+        duration = medians[number] * random.lognormvariate(0, 0.5)
+        end = round(random.uniform(0, seconds) + duration, 4)
+        app = hash_name("app", number // FUNCTIONS_PER_APP)
+        row: list[CsvValue] = [app, hash_name("function", number), end, round(duration, 4)]
+        invocations.append((end, row))
+    invocations.sort(key=lambda invocation: invocation[0])
+    return [[*INVOCATION_COLUMNS], *(row for _, row in invocations)]
+
+
+def make_batch_job_rows(jobs: int, seconds: int, seed: int) -> list[list[CsvValue]]:
+    """A file of schema `tasks`, sorted by start, without a header."""
+    random = Random(f"tasks {seed}")
+    rows: list[tuple[int, list[CsvValue]]] = []
+    for job in range(1, jobs + 1):
+        start = random.randrange(seconds)
+        for index in range(random.choice((1, 1, 2, 3))):
+            duration = max(1, int(random.lognormvariate(2, 1)))
+            rows.append((start, _make_batch_job_row(job, index, start, duration, random)))
+            start += duration
+    rows.sort(key=lambda row: row[0])
+    return [row for _, row in rows]
+
+
+def _make_batch_job_row(
+    job: int, index: int, start: int, duration: int, random: Random
+) -> list[CsvValue]:
+    """A row by the columns of the schema. All but the first of a job depend on the one before."""
+    is_terminated = random.random() < TERMINATED_SHARE
+    status = "Terminated" if is_terminated else random.choice(("Failed", "Running"))
+    kind = random.choice("123456789")
+    name = f"{'MR'[index % 2]}{index + 1}" + (f"_{index}" if index else "")
+    end = start + duration if status != "Running" else 0
+    instances = random.choice((1, 1, 1, 4, 12))
+    cpu = random.choice((50, 100, 200))
+    memory = round(random.uniform(0.1, 1.5), 2)
+    row: list[CsvValue] = [name, instances, f"j_{job}", kind, status, start, end, cpu, memory]
+    assert len(row) == len(BATCH_JOB_COLUMNS)
+    return row
+
+
+def write_samples(folder: Path, seed: int = 1) -> list[Path]:
+    """Writes the bundled samples and returns their paths. Raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
-    day = minutes(120, seed)
+    day = make_minute_tables(120, seed)
+    invocations = make_invocation_rows(60, 3000, 600, seed)
     return [
-        write(folder / "minutes.csv", day["counts"], True),
-        write(folder / "minutes-durations.csv", day["durations"], False),
-        write(folder / "minutes-memory.csv", day["memory"], False),
-        write(folder / "invocations.csv", invocations(60, 3000, 600, seed), True),
-        write(folder / "tasks.csv", tasks(300, 3600, seed), False),
+        write_csv(folder / "minutes.csv", day.counts, compressed=True),
+        write_csv(folder / "minutes-durations.csv", day.durations, compressed=False),
+        write_csv(folder / "minutes-memory.csv", day.memory, compressed=False),
+        write_csv(folder / "invocations.csv", invocations, compressed=True),
+        write_csv(folder / "tasks.csv", make_batch_job_rows(300, 3600, seed), compressed=False),
     ]
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -69,13 +69,13 @@
 
 
 def test_a_bundled_trace_in_one_process_or_eight(folder: Path) -> None:
-    from martenlead.traces.problems import Problems
-    from martenlead.traces.schemas import SCHEMAS, Options
-    from martenlead.traces.store import write
+    from martenlead.traces.problems import TraceProblems
+    from martenlead.traces.schemas import SCHEMAS, ReaderOptions
+    from martenlead.traces.store import write_trace
 
     bundled = Path(__file__).parent.parent / "samples" / "invocations.csv.gz"
     trace = folder / "trace.parquet"
-    write(trace, SCHEMAS["invocations"](bundled, Options(), Problems(0.0)))
+    write_trace(trace, SCHEMAS["invocations"](bundled, ReaderOptions(), TraceProblems(0.0)))
     plan = {**PLAN, "axes": {"clients.trace": [str(trace)], "edges": [1, 2]}}
     (folder / "plan.json").write_text(json.dumps(plan))
     mapping = "clients+: { mapping: { speed: 100, models: 9, durations: 0.05 } }"
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -19,7 +19,7 @@
 from martenlead.edge.knowledge_saver import KNOWLEDGE
 from martenlead.planner.replica_store import SavedReplicas
 from martenlead.traces.schemas import Invocation
-from martenlead.traces.store import read, write
+from martenlead.traces.store import read_trace, write_trace
 from martenlead.upstream.endpoints import CachedEndpoints, EndpointUpdate
 
 STORED = Path(__file__).parent / "stored" / "before-field-names"
@@ -91,6 +91,6 @@
 
 
 def test_a_trace_in_parquet_is_read_and_written_again_with_the_same_rows(tmp_path: Path) -> None:
-    assert list(read(STORED / "trace.parquet")) == INVOCATIONS
-    write(tmp_path / "trace.parquet", INVOCATIONS)
-    assert list(read(tmp_path / "trace.parquet")) == INVOCATIONS
+    assert list(read_trace(STORED / "trace.parquet")) == INVOCATIONS
+    write_trace(tmp_path / "trace.parquet", INVOCATIONS)
+    assert list(read_trace(tmp_path / "trace.parquet")) == INVOCATIONS
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -19,16 +19,16 @@
 from martenlead.standins.settings import Clients, Mapping
 from martenlead.standins.traced import Traced
 from martenlead.traces import samples, schemas, store
-from martenlead.traces.problems import BadTrace, Problems
-from martenlead.traces.schemas import SCHEMAS, Invocation, Options, guess
+from martenlead.traces.problems import TraceError, TraceProblems
+from martenlead.traces.schemas import SCHEMAS, Invocation, ReaderOptions, guess_schema
 
 HEAD = "app,func,end_timestamp,duration\n"
 BUNDLED = Path(__file__).parent.parent / "samples"
 
 
-def read(path: Path, schema: str, bad: float = 1.0, **options: Any) -> tuple[list[Invocation], Problems]:
-    problems = Problems(bad)
-    return list(SCHEMAS[schema](path, Options(**options), problems)), problems
+def read(path: Path, schema: str, bad: float = 1.0, **options: Any) -> tuple[list[Invocation], TraceProblems]:
+    problems = TraceProblems(bad)
+    return list(SCHEMAS[schema](path, ReaderOptions(**options), problems)), problems
 
 
 def file(tmp_path: Path, text: str | bytes, name: str = "t.csv") -> Path:
@@ -62,9 +62,9 @@
     found, problems = read(path, "invocations")
     assert [one.function for one in found] == ["f", "g"]
     assert problems.counts == {kind: 1}
-    (line,) = problems.lines[kind]
+    (line,) = problems.examples[kind]
     assert line.startswith(f"{path}:3: ") and said in line
-    assert (problems.rows, problems.bad) == (3, 1)
+    assert (problems.rows, problems.unusable_rows) == (3, 1)
 
 
 def test_a_last_line_without_its_end_is_used_if_it_is_whole(tmp_path: Path) -> None:
@@ -77,17 +77,17 @@
 def test_columns_in_another_order_with_more_of_them_and_one_that_is_missing(tmp_path: Path) -> None:
     text = "\ufeffduration,region,func,app,end_timestamp\r\n1.5,eu,f,a,10\r\n\r\n2,eu,g,a,20\r\n"
     found, problems = read(file(tmp_path, text), "invocations")
-    assert [(o.function, o.at, o.took) for o in found] == [
+    assert [(o.function, o.start_ns, o.duration_ns) for o in found] == [
         ("f", 8_500_000_000, 1_500_000_000),
         ("g", 18_000_000_000, 2_000_000_000),
     ]
     assert not problems.counts
-    with pytest.raises(BadTrace, match=r"t.csv:1: the column duration is missing"):
+    with pytest.raises(TraceError, match=r"t.csv:1: the column duration is missing"):
         read(file(tmp_path, "app,func,end_timestamp\na,f,1\n"), "invocations")
-    with pytest.raises(BadTrace, match="no row"):
+    with pytest.raises(TraceError, match="no row"):
         read(file(tmp_path, ""), "invocations")
-    with pytest.raises(BadTrace, match="no known schema"):
-        guess(file(tmp_path, "a,b\n1,2\n"))
+    with pytest.raises(TraceError, match="no known schema"):
+        guess_schema(file(tmp_path, "a,b\n1,2\n"))
 
 
 def test_a_gzip_file_cut_short_gives_what_lies_before_the_cut(tmp_path: Path) -> None:
@@ -96,13 +96,13 @@
     found, problems = read(file(tmp_path, whole[: len(whole) // 2], "t.csv.gz"), "invocations")
     assert 10_000 < len(found) < 35_000
     assert problems.counts == {"file cut short": 1}
-    assert "t.csv.gz:" in problems.lines["file cut short"][0]
+    assert "t.csv.gz:" in problems.examples["file cut short"][0]
 
 
 def test_too_much_that_is_bad_stops_the_reading_and_says_the_first(tmp_path: Path) -> None:
     rows = "".join(f"a,f,{n},{'x' if n % 10 == 3 else 1}\n" for n in range(3000))
     path = file(tmp_path, HEAD + rows)
-    with pytest.raises(BadTrace, match=r"cannot be used, more than 5.0%; the first: .*t.csv:5: duration"):
+    with pytest.raises(TraceError, match=r"cannot be used, more than 5.0%; the first: .*t.csv:5: duration"):
         read(path, "invocations", 0.05)
     found, _ = read(path, "invocations", 0.15)
     assert len(found) == 2700
@@ -113,20 +113,20 @@
     ends.insert(400, 400)
     path = file(tmp_path, HEAD + "".join(f"a,f{n},{end},0\n" for n, end in enumerate(ends)))
     found, problems = read(path, "invocations")
-    assert "ends 3590 s before one above" in problems.lines["out of order"][0]
+    assert "ends 3590 s before one above" in problems.examples["out of order"][0]
     out = tmp_path / "t.parquet"
-    assert store.write(out, found) == {"rows": 721, "functions": 721, "owners": 1}
-    at = [one.at for one in store.read(out)]
+    assert store.write_trace(out, found) == {"rows": 721, "functions": 721, "owners": 1}
+    at = [one.start_ns for one in store.read_trace(out)]
     assert at == sorted(at)
-    names = [one.function for one in store.read(out)]
+    names = [one.function for one in store.read_trace(out)]
     assert names.index("f400") == 41
-    cut = [one.at // 10**9 for one in store.read(out, 600 * 10**9, 1200 * 10**9)]
+    cut = [one.start_ns // 10**9 for one in store.read_trace(out, 600 * 10**9, 1200 * 10**9)]
     assert (cut[0], cut[-1], len(cut)) == (600, 1190, 60)
 
 
 def test_a_trace_longer_than_memory_is_laid_aside(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """No more rows are held than may be, whatever their order; here the whole of it comes backwards."""
-    monkeypatch.setattr(store, "HELD", 100)
+    monkeypatch.setattr(store, "MAX_BUFFERED_ROWS", 100)
     most = 0
     given = 0
 
@@ -145,38 +145,38 @@
 
     monkeypatch.setattr(store.np, "array", counted)
     out = tmp_path / "t.parquet"
-    store.write(out, backwards())
+    store.write_trace(out, backwards())
     assert most <= 100
-    assert [one.at // 10**10 for one in store.read(out)] == list(range(1, 5001))
+    assert [one.start_ns // 10**10 for one in store.read_trace(out)] == list(range(1, 5001))
     assert list(tmp_path.iterdir()) == [out]  # nothing is left of what was laid aside
 
 
 def test_a_conversion_that_fails_leaves_nothing_and_not_the_old_file_broken(tmp_path: Path) -> None:
     out = tmp_path / "t.parquet"
-    store.write(out, [Invocation(1, "f", 1, 1.0, "o")])
+    store.write_trace(out, [Invocation(1, "f", 1, 1.0, "o")])
     before = out.read_bytes()
 
     def breaks() -> Any:
         yield Invocation(1, "g", 1, 1.0, "o")
-        raise BadTrace("too much")
+        raise TraceError("too much")
 
-    with pytest.raises(BadTrace):
-        store.write(out, breaks())
+    with pytest.raises(TraceError):
+        store.write_trace(out, breaks())
     assert out.read_bytes() == before
     assert list(tmp_path.iterdir()) == [out]
-    with pytest.raises(BadTrace, match=r"no\.parquet"):
-        list(store.read(tmp_path / "no.parquet"))
-    with pytest.raises(BadTrace, match=r"x\.parquet"):
-        list(store.read(file(tmp_path, "no trace", "x.parquet")))
+    with pytest.raises(TraceError, match=r"no\.parquet"):
+        list(store.read_trace(tmp_path / "no.parquet"))
+    with pytest.raises(TraceError, match=r"x\.parquet"):
+        list(store.read_trace(file(tmp_path, "no trace", "x.parquet")))
 
 
 def test_a_hundred_thousand_functions_of_which_most_are_called_once(tmp_path: Path) -> None:
     rows = "".join(f"a{n % 900},f{n},{n % 3000}.5,0.1\n" for n in range(100_000))
     path = file(tmp_path, HEAD + rows + "".join(f"a,f1,{n % 3000},0.1\n" for n in range(20_000)))
     out = tmp_path / "t.parquet"
-    told = store.write(out, SCHEMAS["invocations"](path, Options(), Problems(0.0)))
+    told = store.write_trace(out, SCHEMAS["invocations"](path, ReaderOptions(), TraceProblems(0.0)))
     assert told == {"rows": 120_000, "functions": 100_000, "owners": 901}
-    counts = Counter(one.function for one in store.read(out))
+    counts = Counter(one.function for one in store.read_trace(out))
     assert len(counts) == 100_000
     assert counts["f1"] == 20_001
     traced = Traced(clients(str(out), sample=0.1, speed=100), Mapping(sample=0.1, speed=100), lambda: 0)
@@ -185,30 +185,30 @@
 
 
 def test_timers_fire_together_at_midnight(tmp_path: Path) -> None:
-    day = samples.minutes(400, 1)
-    path = samples.write(tmp_path / "m.csv", day["counts"], True)
+    day = samples.make_minute_tables(400, 1)
+    path = samples.write_csv(tmp_path / "m.csv", day.counts, True)
     found, _ = read(path, "minutes", 0.0)
-    first = Counter(one.at // 10**9 for one in found)
+    first = Counter(one.start_ns // 10**9 for one in found)
     assert first[0] > 20 * (sum(first[s] for s in range(1, 60)) / 59 + 0.1)
 
 
 def test_durations_and_memory_come_from_the_files_beside(tmp_path: Path) -> None:
-    day = samples.minutes(60, 1)
-    counts = samples.write(tmp_path / "m.csv", day["counts"], False)
-    durations = samples.write(tmp_path / "d.csv", day["durations"], False)
-    memory = samples.write(tmp_path / "x.csv", day["memory"], False)
-    found, problems = read(counts, "minutes", 0.0, durations=durations, memory=memory)
+    day = samples.make_minute_tables(60, 1)
+    counts = samples.write_csv(tmp_path / "m.csv", day.counts, False)
+    durations = samples.write_csv(tmp_path / "d.csv", day.durations, False)
+    memory = samples.write_csv(tmp_path / "x.csv", day.memory, False)
+    found, problems = read(counts, "minutes", 0.0, durations_path=durations, memory_path=memory)
     assert set(problems.counts) == {"no duration known"}
-    of = {row[2]: row for row in day["durations"][1:]}
+    of = {row[2]: row for row in day.durations[1:]}
     for one in found[:3000]:
         if one.function in of:
             points = of[one.function][7:]
-            assert points[0] * 1e6 - 1 <= one.took <= points[-1] * 1e6 + 1
+            assert points[0] * 1e6 - 1 <= one.duration_ns <= points[-1] * 1e6 + 1
         else:
-            assert one.took == 500_000_000
+            assert one.duration_ns == 500_000_000
     broken = file(tmp_path, durations.read_text().replace("percentile_Average_75", "other"), "e.csv")
-    with pytest.raises(BadTrace, match="percentile_Average_75"):
-        read(counts, "minutes", 0.0, durations=broken)
+    with pytest.raises(TraceError, match="percentile_Average_75"):
+        read(counts, "minutes", 0.0, durations_path=broken)
 
 
 def test_tasks_have_no_header_and_some_have_not_ended(tmp_path: Path) -> None:
@@ -217,7 +217,7 @@
         "M1,1,j_2,3,Terminated,90,80,50,0.1\nM1,1,j_3,3,Terminated,90,95,50,0.1\n"
     )
     found, problems = read(file(tmp_path, text), "tasks")
-    assert [(o.function, o.owner, o.took // 10**9, round(o.memory_mb)) for o in found] == [
+    assert [(o.function, o.owner, o.duration_ns // 10**9, round(o.memory_mb)) for o in found] == [
         ("1/M1", "j_1", 30, 480),
         ("1/M1", "j_1", 30, 480),
         ("3/M1", "j_3", 5, 96),
@@ -240,7 +240,7 @@
         path = file(Path(folder), (heads[schema].encode() if headed else b"") + noise)
         try:
             read(path, schema)
-        except BadTrace as error:
+        except TraceError as error:
             assert str(path) in str(error)
 
 
@@ -252,7 +252,7 @@
 
 def bundled(tmp_path: Path, name: str, schema: str) -> Path:
     out = tmp_path / f"{schema}.parquet"
-    store.write(out, SCHEMAS[schema](BUNDLED / name, Options(), Problems(0.0)))
+    store.write_trace(out, SCHEMAS[schema](BUNDLED / name, ReaderOptions(), TraceProblems(0.0)))
     return out
 
 
@@ -267,7 +267,7 @@
 def test_a_bundled_sample_played_twice_gives_the_same(
     tmp_path: Path, name: str, schema: str, speed: float
 ) -> None:
-    assert guess(BUNDLED / name) == schema
+    assert guess_schema(BUNDLED / name) == schema
     trace = bundled(tmp_path, name, schema)
     again = bundled(tmp_path, name, schema)
     assert trace.read_bytes() == again.read_bytes()
@@ -315,4 +315,4 @@
     told = json.loads(done.output)
     assert (told["schema"], told["invocations"], told["problems"]["left out"]) == ("invocations", 3000, 0)
     assert (told["functions"], told["owners"]) == (60, 20)
-    assert schemas.SECOND == 10**9
+    assert schemas.NS_PER_SECOND == 10**9
