--- a/martenlead/traces/schemas.py
+++ b/martenlead/traces/schemas.py
@@ -90,12 +90,15 @@
     default_memory_mb: float = 170
 
 
-class FieldReader(NamedTuple):
-    """Parses the fields of one row, and records what is wrong with them."""
+class FieldReader:
+    """Parses the fields of a file's rows, and records what is wrong with those of row `line`."""
 
-    problems: TraceProblems
-    path: Path
-    line: int
+    __slots__ = ("line", "path", "problems")
+
+    def __init__(self, path: Path, problems: TraceProblems) -> None:
+        self.path = path
+        self.problems = problems
+        self.line = 0
 
     def record(self, kind: str, message: str) -> None:
         """Counts a problem of this row. Raises `TraceError` once too many rows are unusable."""
@@ -128,9 +131,10 @@
 ) -> Iterator[Invocation]:
     """Reads a file of schema `invocations`, in the sequence of its rows."""
     latest_end = -math.inf
+    reader = FieldReader(path, problems)
     for line, fields in CsvTable(path, problems, INVOCATION_COLUMNS, has_header=True):
         app, function, end_text, duration_text = fields
-        reader = FieldReader(problems, path, line)
+        reader.line = line
         if not function:
             reader.record("empty name", "func: a name was expected")
             continue
@@ -190,8 +194,9 @@
 ) -> Iterator[Invocation]:
     """Reads a file of schema `tasks`: each instance of a row is an invocation."""
     latest_start = -math.inf
+    reader = FieldReader(path, problems)
     for line, fields in CsvTable(path, problems, BATCH_JOB_COLUMNS, has_header=False):
-        reader = FieldReader(problems, path, line)
+        reader.line = line
         row = _parse_batch_job_row(fields, reader)
         if row is None:
             continue
@@ -249,8 +254,9 @@
         columns = [f"{self.column_prefix}{percentile}" for percentile in self.percentiles]
         key_length = len(self.key_columns)
         table = CsvTable(path, problems, [*self.key_columns, *columns], has_header=True)
+        reader = FieldReader(path, problems)
         for line, fields in table:
-            reader = FieldReader(problems, path, line)
+            reader.line = line
             parsed = [
                 reader.parse_number(text, self.maximum, column)
                 for text, column in zip(fields[key_length:], columns, strict=True)
@@ -299,8 +305,9 @@
     memories = MEMORY_MB.read(options.memory_path, problems)
     day_ns = options.day * MINUTES_PER_DAY * NS_PER_MINUTE
     table = CsvTable(path, problems, MINUTE_COUNT_COLUMNS, has_header=True)
+    reader = FieldReader(path, problems)
     for line, (owner, app, function, trigger, *counts) in table:
-        reader = FieldReader(problems, path, line)
+        reader.line = line
         if not function:
             reader.record("empty name", "HashFunction: a name was expected")
             continue
--- a/martenlead/traces/store.py
+++ b/martenlead/traces/store.py
@@ -11,7 +11,7 @@
 import tempfile
 from collections.abc import Iterable, Iterator
 from pathlib import Path
-from typing import NamedTuple, TypeAlias
+from typing import TypeAlias
 
 import numpy as np
 import numpy.typing as npt
@@ -39,16 +39,8 @@
 )
 
 RowArray: TypeAlias = npt.NDArray[np.void]
-
-
-class BufferedRow(NamedTuple):
-    """An invocation in the form of `TEMPORARY_ROW`, its names replaced by their numbers."""
-
-    start_ns: int
-    function_number: int
-    owner_number: int
-    duration_ns: int
-    memory_mb: float
+BufferedRow: TypeAlias = tuple[int, int, int, int, float]
+"""The fields of `TEMPORARY_ROW`, as numpy takes them; names are replaced by their numbers."""
 
 
 class NameTable:
@@ -79,14 +71,14 @@
 
     def add(self, invocation: Invocation) -> None:
         """Buffers an invocation; writes the buffers to their files when they are full."""
-        row = BufferedRow(
+        row = (
             invocation.start_ns,
             self.functions.get_number(invocation.function),
             self.owners.get_number(invocation.owner),
             invocation.duration_ns,
             invocation.memory_mb,
         )
-        self._buffers.setdefault(row.start_ns // BUCKET_NS, []).append(row)
+        self._buffers.setdefault(invocation.start_ns // BUCKET_NS, []).append(row)
         self._buffered_rows += 1
         if self._buffered_rows >= MAX_BUFFERED_ROWS:
             self.flush()
