--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -18,7 +18,6 @@
     "days",
     "emulator",
     "standins",
-    "traces",
 }
 PROTOCOL_MODULES: dict[str, str] = {}
 """Modules that keep words of a protocol or of stored data, with the reason."""
