--- a/martenlead/node/client_connection.py
+++ b/martenlead/node/client_connection.py
@@ -251,7 +251,7 @@
         close_after_ns = 0
         if is_over_limit:
             close_after_ns = self.listener.dispatcher.clock() + FIRST_REQUEST_GRACE_NS
-        self.graceful_close = GracefulClose(self, close_after_ns)
+        self.graceful_close = GracefulClose(self, close_after_ns, self.listener.dispatcher.clock)
         if self.write_blocked_since_ns:
             self._pause_reading()
         if is_over_limit:
--- a/martenlead/node/graceful_close.py
+++ b/martenlead/node/graceful_close.py
@@ -7,24 +7,42 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Mapping
+from typing import Protocol
 
 from martenlead.edge.cancellation import UnreadInput
 
-if TYPE_CHECKING:
-    from martenlead.node.client_connection import ClientConnection
-
 NS_PER_MS = 1_000_000
 LAST_READS_NS = 500 * NS_PER_MS  # for what lies unread once all requests have their responses
 
 
+class ClosingConnection(Protocol):
+    """What has to be known of a connection before it is closed."""
+
+    is_closed: bool
+    is_reading: bool
+    is_unreadable: bool
+
+    @property
+    def open_requests(self) -> Mapping[int, object]:
+        """Requests without a response, by number."""
+
+    def peek_input(self) -> UnreadInput:
+        """What lies unread on it."""
+
+    def start_lingering_close(self) -> None:
+        """Ends the writing side, and closes once the client has had time to read."""
+
+
 class GracefulClose:
-    """Waits until a connection may be closed, but not before `close_after_ns`."""
+    """Waits until a connection may be closed, but not before `close_after_ns` of `clock`."""
 
-    __slots__ = ("_all_answered_ns", "_close_after_ns", "_connection")
+    __slots__ = ("_all_answered_ns", "_clock", "_close_after_ns", "_connection")
 
-    def __init__(self, connection: ClientConnection, close_after_ns: int) -> None:
-        self._connection, self._close_after_ns = connection, close_after_ns
+    def __init__(
+        self, connection: ClosingConnection, close_after_ns: int, clock: Callable[[], int]
+    ) -> None:
+        self._connection, self._close_after_ns, self._clock = connection, close_after_ns, clock
         self._all_answered_ns = 0  # when all requests had their responses for the first time
 
     def close_if_finished(self) -> None:
@@ -32,7 +50,7 @@
         connection = self._connection
         if connection.is_closed or connection.open_requests or connection.is_reading:
             return
-        now_ns = connection.listener.dispatcher.clock()
+        now_ns = self._clock()
         self._all_answered_ns = self._all_answered_ns or now_ns
         has_unread = not connection.is_unreadable and connection.peek_input() is UnreadInput.BYTES
         if has_unread and now_ns - self._all_answered_ns <= LAST_READS_NS:
--- a/martenlead/node/outstanding_call.py
+++ b/martenlead/node/outstanding_call.py
@@ -3,17 +3,24 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Any, Protocol
 
 from martenlead.edge.records import PendingRequest, UpstreamWorker
 from martenlead.upstream.outcome import UpstreamOutcome
 
-if TYPE_CHECKING:
-    from martenlead.node.upstream_connection import UpstreamConnection
-
 NEVER_NS = 1 << 62
 
 
+class CallConnection(Protocol):
+    """What a call needs of the connection that it is on."""
+
+    outstanding_calls: dict[str, OutstandingCall]
+    transport: Any  # of either event loop; None until it is established
+
+    def cancel(self, call: OutstandingCall) -> bool:
+        """Gives a call up; returns whether it may have run."""
+
+
 class OutstandingCall:
     """A call that waits on a connection, to be written or for its response.
 
@@ -50,7 +57,7 @@
         self.worker, self.request, self.begin_by_ns = worker, request, begin_by_ns
         self.encode_line: Callable[[int], bytes] | None = encode_line
         self.on_outcome = on_outcome
-        self.connection: UpstreamConnection | None = None
+        self.connection: CallConnection | None = None
         self.written_ns = 0
 
     def is_outstanding(self) -> bool:
--- a/martenlead/node/upstream_connection.py
+++ b/martenlead/node/upstream_connection.py
@@ -12,7 +12,7 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
 from martenlead.node.client_protocol import BODY_BYTES_LIMIT
 from martenlead.node.config import ConnectionSettings
@@ -31,9 +31,6 @@
 from martenlead.system.sender import Sender
 from martenlead.upstream.outcome import UpstreamOutcome
 
-if TYPE_CHECKING:
-    from martenlead.node.connection_pool import ConnectionPool
-
 CANCELLED_CALLS_LIMIT = 32  # of one connection, whose responses may still come
 WRITE_RETRY_SECONDS = 0.001  # for lines that wait for their clients to be read, or for the machine
 
@@ -51,10 +48,20 @@
         """Counts a connection that brought what cannot be read."""
 
 
+class OwningPool(Protocol):
+    """What the worker client reads of the pool that a connection is in."""
+
+    host: str
+    port: int
+    connections: set[UpstreamConnection]
+    connections_opened: int
+    is_retired: bool
+
+
 class UpstreamConnection(asyncio.Protocol):
     """One connection, from the request to establish it on."""
 
-    def __init__(self, owner: ConnectionOwner, pool: ConnectionPool) -> None:
+    def __init__(self, owner: ConnectionOwner, pool: OwningPool) -> None:
         self.owner, self.pool = owner, pool
         self.transport: Any = None  # of either event loop; None until it is established
         self.sender: Sender
--- a/martenlead/node/worker_client.py
+++ b/martenlead/node/worker_client.py
@@ -25,7 +25,7 @@
 from martenlead.node.config import ConnectionSettings
 from martenlead.node.connection_pool import ConnectionPool
 from martenlead.node.outstanding_call import OutstandingCall, reason_not_to_send
-from martenlead.node.upstream_connection import UpstreamConnection
+from martenlead.node.upstream_connection import OwningPool, UpstreamConnection
 from martenlead.node.worker_protocol import encode_attempt, encode_load_request
 from martenlead.policy.types import Result
 from martenlead.system.sockets import is_own_shortage
@@ -56,7 +56,7 @@
         self.settings, self.connection_limit = settings, connection_limit
         self.latency_objectives_ns, self.clock = latency_objectives_ns, clock
         self.dispatcher: Dispatcher
-        self.pools: set[ConnectionPool] = set()
+        self.pools: set[OwningPool] = set()
         self.connections: set[UpstreamConnection] = set()  # of all pools, most of which have none
         self._task_group: TaskGroup
         self._deferred: dict[
