--- /dev/null
+++ b/tests/test_long_outages.py
@@ -0,0 +1,204 @@
+"""Trouble after a long quiet time, and a long outage of discovery while workers restart, drain and go."""
+
+from __future__ import annotations
+
+import os
+import signal
+from collections.abc import Callable
+from contextlib import suppress
+from pathlib import Path
+
+import anyio
+import pytest
+from anyio.abc import SocketAttribute, SocketStream
+
+from martenlead.policy import types as io
+from support.fleet import until
+from tests.nodes import BROKEN, Asker, Journal, Runner, done, in_turn, linger, play, record
+from tests.virtual_fleet import PATIENCE, SECOND, Dispatcher, Fleet, lines
+
+pytestmark = pytest.mark.anyio
+
+LATEST = 0.5  # s after its time: an answer that comes later counts as lost
+DRAINING, GONE = 1, 2
+
+
+async def reset(stream: SocketStream) -> None:
+    linger(stream)
+    await anyio.aclose_forcefully(stream)
+
+
+# -- trouble after a long quiet time
+
+QUIET = 3600 * SECOND
+WORKERS, REPLACED = 10, 6
+
+
+def lose_half(fleet: Fleet) -> None:
+    fleet.lose(range(WORKERS // 2))
+
+
+def lose_all(fleet: Fleet) -> None:
+    fleet.lose(range(WORKERS))
+
+
+def drain_half(fleet: Fleet) -> None:
+    for dispatcher in fleet.dispatchers:
+        dispatcher.tell(lines(range(WORKERS // 2), io.WorkerState.DRAINING))
+
+
+def replace_six_in_ten(fleet: Fleet) -> None:
+    """As many as the bench replaces within some seconds; here at once."""
+    fleet.lose(range(REPLACED))
+    fleet.up |= set(range(100, 100 + REPLACED))
+    for dispatcher in fleet.dispatchers:
+        dispatcher.tell(lines(range(REPLACED), io.WorkerState.GONE))
+        dispatcher.tell(lines(range(100, 100 + REPLACED), since=fleet.now))
+
+
+TROUBLES: dict[str, tuple[Callable[[Fleet], None], bool]] = {  # and whether all can be served
+    "half of the workers lost": (lose_half, False),
+    "all workers lost": (lose_all, False),
+    "half of the workers drain": (drain_half, True),
+    "six in ten workers replaced": (replace_six_in_ten, True),
+}
+
+
+@pytest.mark.parametrize("known", [False, True], ids=["functions unknown", "functions known"])
+@pytest.mark.parametrize("trouble", TROUBLES)
+def test_trouble_that_begins_after_an_hour_of_quiet_leaves_no_request_unanswered(
+    trouble: str, known: bool
+) -> None:
+    """In virtual time. Nothing goes to a worker that was told as draining or gone, and once the workers are
+    well again all is served."""
+    happens, served = TROUBLES[trouble]
+    virtual = Fleet(range(WORKERS))
+    for seed in range(3):
+        dispatcher = Dispatcher(virtual, seed + 1)
+        dispatcher.tell(lines(range(WORKERS)), whole=True)
+        dispatcher.begin()
+    if known:
+        call_all(virtual, 20)
+    virtual.run_for(QUIET)
+    happens(virtual)
+    before = [len(d.attempts) for d in virtual.dispatchers]
+    finals = [d.finals.copy() for d in virtual.dispatchers]
+    call_all(virtual, 40)
+    virtual.run_for(2 * PATIENCE)
+    for dispatcher, sent, ended in zip(virtual.dispatchers, before, finals, strict=True):
+        assert (dispatcher.finals - ended).total() == 40
+        if served:
+            assert (dispatcher.finals - ended)["satisfied"] >= 36
+            gone = range(WORKERS // 2 if happens is drain_half else REPLACED)
+            assert not {attempt.mark for attempt in dispatcher.attempts[sent:]} & set(gone)
+    virtual.up |= set(range(WORKERS))
+    virtual.run_for(60 * SECOND)
+    for dispatcher in virtual.dispatchers:
+        dispatcher.finals.clear()
+    call_all(virtual, 20)
+    virtual.run_for(2 * PATIENCE)
+    for dispatcher in virtual.dispatchers:
+        assert dispatcher.finals.total() == 20
+        assert dispatcher.finals["satisfied"] >= 18
+
+
+def call_all(virtual: Fleet, count: int) -> None:
+    """So many calls at each dispatcher, over some functions, one every 50 ms."""
+    for number in range(count):
+        for dispatcher in virtual.dispatchers:
+            dispatcher.call(number % 5)
+        virtual.run_for(SECOND // 20)
+
+
+# -- discovery is out, and workers restart, drain and go meanwhile
+
+
+class FailingJournal(Journal):
+    """A journal service that can be out: it refuses connections, and has closed those that it had."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.running = anyio.CancelScope()
+
+    async def serve(self) -> None:
+        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=self.port)
+        self.port = listener.extra(SocketAttribute.local_port)
+        async with listener:
+            with anyio.CancelScope() as self.running:
+                await listener.serve(self.connected)
+
+    async def goes_out(self) -> None:
+        self.running.cancel()
+        for stream in self.streams:
+            with suppress(*BROKEN):
+                await stream.aclose()
+        self.streams = []
+
+
+OUTAGE = 2.5  # s
+LEFT = 500  # ms of each request
+
+
+async def end_process(runner: Runner) -> None:
+    """Its listener is closed, and its connections are reset."""
+    await runner.listener.aclose()
+    for stream in runner.streams:
+        with suppress(*BROKEN, AttributeError):
+            await reset(stream)
+    runner.streams = []
+
+
+@pytest.mark.parametrize("method", ["safe", "unsafe"])
+@pytest.mark.parametrize("stops", [False, True], ids=["stays", "stops as it returns"])
+async def test_an_outage_of_discovery_with_restarts_and_drains_costs_no_request_its_answer(
+    stops: bool, method: str, tmp_path: Path
+) -> None:
+    journal = FailingJournal()
+    async with play(tmp_path, {name: [in_turn(done)] for name in "abc"}, journal) as p:
+        await until(lambda: journal.streams)
+        asker = Asker(await p.client())
+        p.group.start_soon(asker.read)
+
+        over = anyio.Event()
+
+        async def ask() -> None:
+            while not asker.ended and not p.node.is_stopping and not over.is_set():
+                with suppress(*BROKEN):
+                    await asker.ask(method, wait=LEFT, key=f"{asker.caller.number % 7:016x}")
+                await anyio.sleep(0.02)
+
+        async with anyio.create_task_group() as group:
+            group.start_soon(ask)
+            await anyio.sleep(0.1)
+            await journal.goes_out()
+            await anyio.sleep(OUTAGE / 2)
+            a, b = p.runners["a"], p.runners["b"]
+            await end_process(b)
+            await end_process(a)
+            await p.runner("a", in_turn(done), port=a.port)
+            await p.runner("d", in_turn(done))
+            await anyio.sleep(OUTAGE / 2)
+            await journal.tell(
+                p.record("a", started=1),
+                record(ord("b"), b.port, GONE),
+                p.record("c", DRAINING),
+                p.record("d", started=1),
+            )
+            p.group.start_soon(journal.serve)
+            boxes = p.node.dispatcher.workers
+            await until(lambda: not boxes["s-00000063"].is_up, within=4)
+            known = len(p.log)
+            if stops:
+                os.kill(os.getpid(), signal.SIGTERM)
+                await until(lambda: p.ended, within=5)
+            else:
+                await anyio.sleep(0.5)
+            over.set()
+        await until(lambda: len(asker.answers) >= len(asker.asked), within=3)
+        assert asker.has_one_answer_each()
+        assert max(asker.latencies()) < LEFT / 1000 + LATEST
+        assert not any(line[:4] in ("b DO", "c DO") for line in p.log[known:])
+        if not stops:
+            assert any(line[:4] in ("a DO", "d DO") for line in p.log[known:])
+        satisfied_share = [word for _, word, _ in asker.answers].count("satisfied") / len(asker.answers)
+        assert satisfied_share > 0.8
