--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -26,13 +26,17 @@
     StateKind,
     StateStore,
 )
-from martenlead.edge import http_upstream as httplink
+from martenlead.edge.http_dispatcher import create_dispatcher
 from martenlead.edge.knowledge_saver import KNOWLEDGE, KnowledgeSaver
+from martenlead.edge.status_report import report_status
 from martenlead.layers.agent import Agent, AgentSettings, Place
 from martenlead.layers.cache import Cache, NoRoom
 from martenlead.layers.image import digest_of
 from martenlead.layers.naming import Release
-from martenlead.planner.server import Planner, PlannerSettings, SavedReplicas
+from martenlead.planner.frames import RetainedReplica
+from martenlead.planner.replica_store import SavedReplicas
+from martenlead.planner.server import Planner
+from martenlead.planner.settings import PlannerSettings
 from martenlead.system.clocks import Moment
 from martenlead.system.durable_file import Backoff, read_if_there, remove_leftovers, replace_file
 from martenlead.system.state_saver import SaveHealth, StateSaver
@@ -82,11 +86,11 @@
     def __init__(self, root: Path) -> None:
         settings = PlannerSettings(state_path=str(root / "planner"))
         self.planner = Planner(settings, moment=lambda: Moment(0, "boot", 0))
-        self.found = int(self.planner.saved_replicas.saved_unix_seconds) or None
+        self.found = int(self.planner.store.saved.saved_unix_seconds) or None
 
     def save(self, number: int) -> None:
-        self.planner._write_state_file(
-            msgspec.json.encode(SavedReplicas(number, {"edge": [("r", "m", 1, 1.0, 0.0)]}))
+        self.planner.store.write_file(
+            msgspec.json.encode(SavedReplicas(number, {"edge": [RetainedReplica("r", "m", 1, 1.0, 0.0)]}))
         )
 
 
@@ -534,7 +538,7 @@
             disk.heal()
             await until(lambda: counts["state_save_recovered", "knowledge"] == 2)
             assert (await f.call())[0] == 200
-            assert "state_saved/knowledge" in f.dispatcher.report_status()["counts"]
+            assert "state_saved/knowledge" in report_status(f.dispatcher).counts
         disk.crash()
         store = StateStore(StateFolder(tmp_path / "edge"), told.deployment, lambda: 1)
         state = store.read(KNOWLEDGE)
@@ -568,7 +572,7 @@
                 await until(lambda: keeper.counts["failed"] > 3)
                 disk.heal()
                 await until(lambda: keeper.counts["saved"])
-            assert [line["models"] for line in logs if line["event"] == "remembers"] == [1]
+            assert [line["functions"] for line in logs if line["event"] == "knowledge_restored"] == [1]
 
 
 @pytest.mark.anyio
@@ -597,13 +601,13 @@
 async def test_an_edge_keeps_the_newest_list_once_its_disk_is_well_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.edge.http_upstream.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.edge.http_membership.Backoff", QUICK)
     path = tmp_path / "list"
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         async with fleet() as f:
             disk.fail(errno.ENOSPC, 1)
-            second = httplink.dispatcher(
+            second = create_dispatcher(
                 msgspec.structs.replace(
                     f.edge, endpoint_list=msgspec.structs.replace(f.edge.endpoint_list, kept=str(path))
                 )
@@ -623,7 +627,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The roster is away: an edge has that list or none."""
-    monkeypatch.setattr("martenlead.edge.http_upstream.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.edge.http_membership.Backoff", QUICK)
     path = tmp_path / "list"
     endpoints.save_cached_endpoints(
         path, endpoints.CachedEndpoints(3, 0.0, [endpoints.Endpoint(id="a", port=1, memory_mb=1.0)])
@@ -633,44 +637,50 @@
         async with fleet() as f:
             disk.fail(errno.EIO, 1)
             away = msgspec.structs.replace(f.edge.endpoint_list, port=1, kept=str(path))
-            second = httplink.dispatcher(msgspec.structs.replace(f.edge, endpoint_list=away))
+            second = create_dispatcher(msgspec.structs.replace(f.edge, endpoint_list=away))
             f.group.start_soon(second.run)
             await until(lambda: len(disk.calls) > 5)
             assert not second.snapshot_received.is_set()
             disk.heal()
             await until(second.snapshot_received.is_set)
             assert [line.id for line in second.endpoint_list.endpoints.values()] == ["a"]
-            assert len(second.report_status()["runners"]) == 1
+            assert len(report_status(second).workers) == 1
 
 
 @pytest.mark.anyio
 async def test_a_planner_keeps_the_newest_and_never_writes_over_what_it_could_not_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.planner.server.Backoff", QUICK)
+    monkeypatch.setattr("martenlead.planner.replica_store.Backoff", QUICK)
     path = tmp_path / "kept"
-    older = SavedReplicas(0.0, {"away": [("r", "m", 1, 1.0, 5.0)], "here": [("r", "old", 1, 1.0, 5.0)]})
+    older = SavedReplicas(
+        0.0,
+        {
+            "away": [RetainedReplica("r", "m", 1, 1.0, 5.0)],
+            "here": [RetainedReplica("r", "old", 1, 1.0, 5.0)],
+        },
+    )
     path.write_bytes(msgspec.json.encode(older))
     disk = DiskFaults(tmp_path, Random(1))
     with capture_logs() as logs, disk():
         disk.fail(errno.EIO, 1)
         planner = Planner(PlannerSettings(state_path=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
-        assert planner.saved_replicas.replicas_by_edge == {}
-        planner.saved_replicas.replicas_by_edge["here"] = [("r", "new", 1, 1.0, 0.0)]
+        assert planner.store.saved.replicas_by_edge == {}
+        planner.store.saved.replicas_by_edge["here"] = [RetainedReplica("r", "new", 1, 1.0, 0.0)]
         async with anyio.create_task_group() as group:
-            group.start_soon(planner.saver.run)
-            planner.saver.changed()
-            await until(lambda: planner.save_counts["state_save_failed"] > 2)
+            group.start_soon(planner.store.saver.run)
+            planner.store.saver.changed()
+            await until(lambda: planner.store.save_counts["state_save_failed"] > 2)
             disk.heal()
-            await until(lambda: planner.save_counts["state_saved"])
+            await until(lambda: planner.store.save_counts["state_saved"])
             group.cancel_scope.cancel()
         disk.crash()
         again = Planner(PlannerSettings(state_path=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
-        assert again.saved_replicas.replicas_by_edge == {
+        assert again.store.saved.replicas_by_edge == {
             "away": [("r", "m", 1, 1.0, 1005.0)],
-            "here": [("r", "new", 1, 1.0, 0.0)],
+            "here": [RetainedReplica("r", "new", 1, 1.0, 0.0)],
         }
-        assert planner.report_status()["saves"]["state_save_recovered"] == 1
+        assert planner.report_status().saves["state_save_recovered"] == 1
     events = [line["event"] for line in logs]
     assert events == ["state_unread", "state_save_failed", "state_save_recovered"]
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -17,7 +17,7 @@
 from martenlead.durable_state.knowledge import SavedKnowledge
 from martenlead.durable_state.store import StateStore, unpack_state
 from martenlead.edge.knowledge_saver import KNOWLEDGE
-from martenlead.planner.server import SavedReplicas
+from martenlead.planner.replica_store import SavedReplicas
 from martenlead.traces.schemas import Invocation
 from martenlead.traces.store import read, write
 from martenlead.upstream.endpoints import CachedEndpoints, EndpointUpdate
