--- a/tests/test_agent_disk_faults.py
+++ b/tests/test_agent_disk_faults.py
@@ -13,10 +13,11 @@
 import pytest
 from structlog.testing import capture_logs
 
-from martenlead.layers.agent import Agent, AgentSettings, Place
-from martenlead.layers.cache import Cache, NoRoom
+from martenlead.layers.agent import Agent
+from martenlead.layers.cache import Cache, CacheFullError
 from martenlead.layers.image import digest_of
 from martenlead.layers.naming import Release
+from martenlead.layers.settings import AgentSettings, StoreAddress
 from support.disk_faults import DiskFaults
 from support.fleet import until
 from tests.disk_fault_rig import QUICK, each_errno
@@ -26,8 +27,8 @@
 async def test_an_agent_keeps_names_and_never_writes_over_what_it_could_not_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("martenlead.layers.agent.Backoff", QUICK)
-    settings = AgentSettings(name="box", cache=str(tmp_path), vault=Place(port=1))
+    monkeypatch.setattr("martenlead.layers.name_resolver.Backoff", QUICK)
+    settings = AgentSettings(name="box", cache=str(tmp_path), artifact_store=StoreAddress(port=1))
     cache = Cache(tmp_path, 1000)
     path = tmp_path / "names.json"
     path.write_bytes(msgspec.json.encode({"away": Release("1"), "here": Release("2")}))
@@ -37,14 +38,14 @@
         agent = Agent(settings, cache)
         agent.names.known["here"] = Release("3")
         async with anyio.create_task_group() as group:
-            group.start_soon(agent.names_saver.run)
-            agent.names_saver.changed()
-            await until(lambda: agent.saves["state_save_failed"] > 2)
+            group.start_soon(agent.resolver.saver.run)
+            agent.resolver.saver.changed()
+            await until(lambda: agent.resolver.saves["state_save_failed"] > 2)
             disk.heal()
-            await until(lambda: agent.saves["state_saved"])
+            await until(lambda: agent.resolver.saves["state_saved"])
             group.cancel_scope.cancel()
         disk.crash()
-        assert agent.state()["saves"]["state_save_recovered"] == 1
+        assert agent.status().saves["state_save_recovered"] == 1
         known = msgspec.json.decode(path.read_bytes(), type=dict[str, Release])
         assert known == {"away": Release("1"), "here": Release("3")}
     events = [line["event"] for line in logs]
@@ -54,7 +55,9 @@
 
 @each_errno
 def test_a_disk_that_fails_at_any_call_of_the_cache_raises_no_other_error(tmp_path: Path, code: int) -> None:
-    """`NoRoom`, or a chunk that is missing; with a disk that is well again all of it works, and what was
+    """`CacheFullError`, or a chunk that is missing.
+
+    With a disk that is well again all of it works, and what was
     there before is there."""
     old, new = b"o" * 300, b"n" * 300
     for k in range(1, 12):
@@ -67,13 +70,13 @@
             for data in (new, b"x" * 300, b"y" * 300):  # the last ones evict
                 try:
                     cache.put(digest_of(data), data)
-                except NoRoom:
+                except CacheFullError:
                     continue
                 assert cache.get(digest_of(data)) in (data, None)
             disk.heal()
             cache.put(digest_of(old), old)
             assert cache.get(digest_of(old)) == old
-            assert cache.size <= 700
+            assert cache.size_bytes <= 700
             on_disk = sum(p.stat().st_size for p in (root / "chunks").rglob("*") if p.is_file())
             assert on_disk <= 700 + 300  # a temporary file at most
         cache.close()
@@ -110,7 +113,7 @@
         assert cache.get(digest_of(data)) is None
         assert digest_of(data) not in cache
         disk.heal()
-        assert (cache.set_aside, list((tmp_path / "aside").iterdir())) == (0, [])
+        assert (cache.set_aside_count, list((tmp_path / "aside").iterdir())) == (0, [])
         cache.put(digest_of(data), data)
-        assert (cache.get(digest_of(data)), cache.size) == (data, 300)
+        assert (cache.get(digest_of(data)), cache.size_bytes) == (data, 300)
     cache.close()
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -17,9 +17,7 @@
 TO_BE_DONE = {
     "days",
     "emulator",
-    "layers",
     "standins",
-    "traces",
 }
 PROTOCOL_MODULES: dict[str, str] = {}
 """Modules that keep words of a protocol or of stored data, with the reason."""
