--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -334,7 +334,7 @@
         "edges.link_",
         is_counter=True,
     ),
-    StatusReport("Status of an agent", "martenlead/layers/agent.py", "Agent.state"),
+    StatusReport("Status of an agent", "martenlead/layers/agent_messages.py", "AgentStatus"),
 ]
 """What operators see, besides log events and metrics. A function that reports a status is named here, or
 `test_every_status_report_is_compared` fails."""
