--- a/martenlead/cli/edge.py
+++ b/martenlead/cli/edge.py
@@ -53,8 +53,12 @@
         return None
     log = structlog.get_logger().bind(edge=settings.name)
     capture = decode(msgspec.to_builtins(settings.capture), CaptureSettings, str(config))
+
+    def warn(event: str, reason: str) -> None:
+        log.warning(event, reason=reason)
+
     try:
-        return CaptureWriter(capture, settings.name, lambda what, why: log.warning(what, why=why))
+        return CaptureWriter(capture, settings.name, warn)
     except AlreadyLockedError as error:
         message = f"{config}: $.capture.folder: {error}"
         raise ConfigError(message) from None
--- a/martenlead/edge/serve.py
+++ b/martenlead/edge/serve.py
@@ -63,7 +63,7 @@
                 if on_started:
                     on_started(port)
                 await anext(signals)
-                log.info("drain_started", pending_requests=len(dispatcher.pending_requests))
+                log.info("shutdown_started", pending_requests=len(dispatcher.pending_requests))
                 listener.drain()
                 listeners.start_soon(_finish, dispatcher, signals, settings.limits.drain_ms)
                 await _wait_until_idle(dispatcher, listener)
--- a/martenlead/layers/name_resolver.py
+++ b/martenlead/layers/name_resolver.py
@@ -68,7 +68,7 @@
         except OSError as error:
             self.names.known = {}
             self._is_file_unread = True
-            self.log.warning("names_unread", why=str(error))
+            self.log.warning("names_unread", reason=str(error))
 
     def _decode_file(self) -> dict[str, Release]:
         """Return the saved names, none where the content is invalid. Raises OSError."""
--- a/martenlead/planner/server.py
+++ b/martenlead/planner/server.py
@@ -123,7 +123,7 @@
             if self.settings.admin is not None:
                 admin, port = await listen(self.settings.admin.host, self.settings.admin.port)
                 group.start_soon(self._make_admin_server().serve, admin)
-                self.log.info("admin_opened", port=port)
+                self.log.info("admin_started", port=port)
             await listener.serve(self._serve_connection, group)
 
     async def _serve_connection(self, stream: SocketStream) -> None:
--- a/martenlead/policy/attempts.py
+++ b/martenlead/policy/attempts.py
@@ -2,7 +2,7 @@
 
 Rule 1, one final response in time: whatever becomes of its attempts, `Attempts.handle` ends before
 the deadline with a success, a rejection or a failure. Rule 2, no effect twice, is asked of
-repeats.py before each attempt. The retries are docs/design.md's "Further hand-offs".
+repeats.py before each attempt. The retries are docs/design.md's "Retries".
 """
 
 from __future__ import annotations
--- a/martenlead/policy/concurrency.py
+++ b/martenlead/policy/concurrency.py
@@ -2,7 +2,7 @@
 
 One more a round of responses in time, a fifth fewer when over a fifth come late. What the
 dispatchers may have in flight together is divided between them without a floor; docs/design.md,
-"Width".
+"Concurrency limit".
 """
 
 from __future__ import annotations
--- a/martenlead/policy/load_budget.py
+++ b/martenlead/policy/load_budget.py
@@ -1,7 +1,7 @@
 """Rule 5, the load budget: how many load requests may go in a window, for the requests taken in it.
 
 Counted with a tick to spare on both sides, as a load request may arrive, and against the requests
-before that; a new connection may take its time. docs/design.md, the rows on the ration.
+before that; a new connection may take its time. docs/design.md, the rows on the load budget.
 """
 
 from __future__ import annotations
--- a/martenlead/policy/retry_budget.py
+++ b/martenlead/policy/retry_budget.py
@@ -1,6 +1,6 @@
 """The retry budget: a worker earns retries by its successes, which bounds their number.
 
-docs/design.md, "Further hand-offs".
+docs/design.md, "Retries".
 """
 
 from __future__ import annotations
--- a/martenlead/policy/tenant_shares.py
+++ b/martenlead/policy/tenant_shares.py
@@ -1,6 +1,6 @@
 """Tenants' shares: which requests count as beyond the rate limit of who sent them.
 
-docs/design.md, "Shares and repeats". Rates are requests a second of this dispatcher.
+docs/design.md, "Rate limits and retries of clients". Rates are requests a second here.
 """
 
 from __future__ import annotations
--- a/martenlead/system/state_saver.py
+++ b/martenlead/system/state_saver.py
@@ -72,14 +72,14 @@
         self._failures_in_a_row = 0
         self._backoff.reset()
 
-    def failure(self, why: str) -> float:
+    def failure(self, reason: str) -> float:
         """Seconds until the next attempt."""
         self.failed += 1
         self._failures_in_a_row += 1
         self._count("state_save_failed", self.state)
         if self._failing_since is None:
             self._failing_since = self._clock()
-            self._log.warning("state_save_failed", state=self.state, why=why)
+            self._log.warning("state_save_failed", state=self.state, reason=reason)
         return self._backoff.next_seconds()
 
 
--- a/tests/test_state_save_retries.py
+++ b/tests/test_state_save_retries.py
@@ -61,7 +61,7 @@
         ("state_save_failed", "thing"),
         ("state_save_recovered", "thing"),
     ]
-    assert (logs[0]["why"], logs[1]["failures"], logs[1]["seconds"]) == ("error 0", 5, 10.0)
+    assert (logs[0]["reason"], logs[1]["failures"], logs[1]["seconds"]) == ("error 0", 5, 10.0)
     assert counts == {
         ("state_saved", "thing"): 3,
         ("state_save_failed", "thing"): 5,
