--- a/martenlead/edge/__init__.py
+++ b/martenlead/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The program at the edge: a listener, a dispatcher around one policy, and a graceful stop."""
+"""The edge program: an HTTP listener, a dispatcher around one policy, and graceful shutdown."""
--- a/martenlead/edge/admin.py
+++ b/martenlead/edge/admin.py
@@ -22,7 +22,7 @@
 
 
 class LimitsUpdate(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What `PUT /limits` takes; what is absent stays as it is."""
+    """The body of `PUT /limits`; limits that are absent remain unchanged."""
 
     waiting: Annotated[int, Meta(ge=1)] | None = None
     bytes: Annotated[int, Meta(ge=1)] | None = None
@@ -30,10 +30,10 @@
 
 
 class AdminListener:
-    """GET /state for people, GET /metrics in Prometheus' text format, PUT /limits for queues."""
+    """Serves GET /state (JSON), GET /metrics (Prometheus text format) and PUT /limits (queues)."""
 
     def __init__(self, dispatcher: Dispatcher, listener: EventListener | None = None) -> None:
-        # not at the top: edges without this listener start faster without the metrics library
+        # imported here, so that edges without this listener start without the metrics library
         from martenlead.edge.metrics import Metrics  # noqa: PLC0415
 
         self.dispatcher, self.listener = dispatcher, listener
@@ -58,7 +58,7 @@
         return problem(NOT_FOUND, "No such path", "/state, /metrics and PUT /limits are here")
 
     def _update_limits(self, body: bytes) -> Reply:
-        """Changes all the limits that are stated, or none; what waits stays in its place."""
+        """Applies all stated limits, or none if one is invalid; queued requests stay queued."""
         controller = self.listener.admission_controller if self.listener is not None else None
         if controller is None:
             return problem(CONFLICT, "Not changed", "this edge has no `queues`")
@@ -76,9 +76,9 @@
 
 
 def _merge_limits(controller: AdmissionController, update: LimitsUpdate) -> AdmissionLimits:
-    present = controller.limits
+    current = controller.limits
     return AdmissionLimits(
-        update.waiting or present.waiting,
-        update.bytes or present.bytes,
-        {**present.weights, **update.weights},
+        update.waiting or current.waiting,
+        update.bytes or current.bytes,
+        {**current.weights, **update.weights},
     )
--- a/martenlead/edge/cancellation.py
+++ b/martenlead/edge/cancellation.py
@@ -1,4 +1,4 @@
-"""What a dispatcher asks of a client's connection: whether the client has left."""
+"""The interface by which a dispatcher detects that a client has disconnected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class UnreadInput(Enum):
-    """What the kernel has received on a connection and the event loop has not read yet."""
+    """The input that the kernel has received on a connection and the event loop has not read."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
@@ -17,25 +17,25 @@
 
 
 class CancellationSource(Protocol[RequestT_contra]):
-    """A client's connection, by which its requests may be cancelled.
+    """A client's connection, through which its requests may be cancelled.
 
-    A busy event loop reads the connection late, and a client that has closed it or cancelled its
-    request must get no further attempt. So each attempt asks the connection before it is sent. The
-    type parameter is the dispatcher's record of a request.
+    A busy event loop reads the connection late, and no further attempt may be sent for a client
+    that has closed it or cancelled its request. So the connection is checked before each attempt is
+    sent. The type parameter is the dispatcher's record of a request.
     """
 
     def peek_input(self) -> UnreadInput:
-        """Asks the kernel what waits to be read, without reading it."""
+        """Returns what kind of input waits in the kernel, without reading it."""
 
     def read_unread_input(self) -> bool:
-        """Reads and processes what waits now, up to a bound.
+        """Reads and processes the waiting input, up to a bound.
 
-        Returns whether nothing waits any more, also because the connection has ended. Must not be
-        called in the middle of a decision or of a read.
+        Returns whether no input is left, which is also true once the connection has ended. Must not
+        be called during a decision of the policy or during another read.
         """
 
     def handle_disconnect(self, request: RequestT_contra) -> None:
-        """Ends this request and all others of the connection, which has ended.
+        """Ends this request and all others of the connection, which is closed.
 
         May be called at any time.
         """
--- a/martenlead/edge/decision_log.py
+++ b/martenlead/edge/decision_log.py
@@ -1,4 +1,4 @@
-"""The log of decisions: a line for each and for what became of it, if the settings ask for it."""
+"""The optional decision log: one line per decision, attempt result and load request result."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DecisionLog:
-    """Names workers, functions and requests by the dispatcher's tables, which it only reads."""
+    """Writes the log; takes names from the dispatcher's tables, which it only reads."""
 
     def __init__(
         self,
--- a/martenlead/edge/decision_loop.py
+++ b/martenlead/edge/decision_loop.py
@@ -1,8 +1,8 @@
-"""When the policy decides: what is due, what has to wait until a decision has ended, and faults.
+"""Serializes the calls of the policy, runs its timers and records faults.
 
-The policy may not be called back in the middle of a decision, since its generator is running then.
-`DecisionLoop` knows whether it is. It keeps what comes meanwhile, and does it with all that is due
-once the decision has ended.
+The policy must not be called again during a decision, because its generator is running then.
+`DecisionLoop` tracks whether a decision is in progress. It defers work that arrives meanwhile, and
+runs it together with the due timers once the decision has ended.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from martenlead.edge.policy_boundary import PolicyBoundary
 from martenlead.edge.timeouts import time_limit
 
-NEVER_NS = 1 << 62  # later than any clock
+NEVER_NS = 1 << 62  # later than any time of the clock
 LONGEST_SLEEP_SECONDS = 3600
 NS_PER_SECOND = 1e9
 
@@ -26,7 +26,7 @@
 
 
 class DecisionLoop:
-    """Makes one call of the policy boundary at a time, and wakes for what is due in between."""
+    """Makes one call of the policy boundary at a time, and wakes up for timers between calls."""
 
     def __init__(
         self,
@@ -36,19 +36,19 @@
         name: str,
         end_overdue_attempts: Callable[[], None],
     ) -> None:
-        """`clock` gives ns; `counts` takes faults; `name` is the dispatcher's, for the log."""
+        """`clock` returns ns; `counts` counts faults; `name` is the dispatcher's, for the log."""
         self.policy_boundary, self.clock, self.counts = policy_boundary, clock, counts
         self.end_overdue_attempts = end_overdue_attempts
         self.log = structlog.get_logger().bind(edge=name)
         self.fault_count = 0
         self.fault_recorded = anyio.Event()  # set at the first fault
         self._deferred: deque[tuple[Callable[..., object], tuple[object, ...]]] = deque()
-        self._is_busy = False  # the policy is deciding, or what waits for that is being done
-        self._due_sooner = anyio.Event()  # something is due before `run` would wake
+        self._is_busy = False  # the policy decides, or deferred work runs
+        self._due_sooner = anyio.Event()  # set when a timer is due before `run` wakes up
         self._wakes_ns = 0
 
     async def run(self) -> None:
-        """Does what is due as its time comes, until it is cancelled."""
+        """Runs timers as they become due, until it is cancelled."""
         while True:
             due_ns = self.policy_boundary.next_due_ns()
             self._wakes_ns = NEVER_NS if due_ns is None else due_ns
@@ -62,18 +62,18 @@
             await anyio.lowlevel.checkpoint()
 
     def defer(self, work: Callable[..., object], *args: object) -> None:
-        """Does the work once the policy has decided, or at once if it is not deciding."""
+        """Runs `work` once the current decision has ended, or at once if there is none."""
         self._deferred.append((work, args))
         if not self._is_busy:
             self.run_due()
 
     def run_due(self) -> None:
-        """Does what had to wait for the end of a decision, and what is due.
+        """Runs deferred work and due timers, unless a decision is in progress.
 
-        It is called after each call of the policy boundary, and does the work before it returns: a
-        busy event loop runs its timers late, behind all else that is ready. For the same reason the
-        ends of overdue attempts are reported before a wait of the policy ends. Otherwise the policy
-        takes an attempt that was never sent for one that may have run.
+        It is called after each call of the policy boundary and runs the work synchronously, because
+        a busy event loop runs its timers late, after everything else that is ready. For the same
+        reason the ends of overdue attempts are reported before a wait of the policy ends. Otherwise
+        the policy would treat an attempt that was never sent as one that may have run.
         """
         if self._is_busy:
             return
@@ -92,7 +92,7 @@
                     self.policy_boundary.advance()
         except Exception as error:
             self.record_fault(error)
-            if self._deferred:  # work that fails does not keep the rest from being done
+            if self._deferred:  # `run` continues with the remaining work
                 self._due_sooner.set()
         finally:
             self._is_busy = False
@@ -102,9 +102,9 @@
             self._due_sooner.set()
 
     def decide(self, call: Callable[..., ResultT], *args: object) -> ResultT | None:
-        """Makes one call of the policy boundary; its decisions are carried out meanwhile.
+        """Makes one call of the policy boundary, which carries out its decisions meanwhile.
 
-        Returns what the call returns, or None after a fault.
+        Returns the result of the call, or None if it raised an exception.
         """
         nested, self._is_busy = self._is_busy, True
         try:
@@ -118,7 +118,7 @@
                 self.run_due()
 
     def record_fault(self, error: Exception) -> None:
-        """Logs and counts an exception of the policy or of ours; it costs no other request."""
+        """Logs and counts an unexpected exception, so that it does not affect other requests."""
         self.log.error("fault_recorded", exc_info=error)
         self.counts["fault", type(error).__name__] += 1
         self.fault_count += 1
--- a/martenlead/edge/dispatcher.py
+++ b/martenlead/edge/dispatcher.py
@@ -1,13 +1,13 @@
-"""Tells the policy what happens and carries out what it decides, deciding nothing itself.
+"""Notifies the policy of events and carries out its decisions, without deciding anything itself.
 
-The way of a request: `accept` makes it known to the policy, whose generator asks for attempts
-through `_carry_out`. The link carries each attempt to its worker and reports its end by
-`attempt_ended`, which goes back to the policy as an `AttemptResult`. The final outcome is set on
-`PendingRequest`, whose `on_outcome` tells the listener; the listener calls `close` as the response
-leaves.
+How a request is processed: `accept` submits it to the policy, whose generator makes attempts
+through `_perform`. The link sends each attempt to its worker and reports its end by
+`attempt_ended`, which passes it to the policy as an `AttemptResult`. The final outcome is set on
+the `PendingRequest`, whose `on_outcome` notifies the listener; the listener calls `close` when it
+sends the response.
 
-Membership, functions, load requests and the decision loop are parts that the dispatcher holds. What
-is spoken with clients, workers and discovery is known to the listeners, links and sources alone.
+Membership, functions, load requests and the decision loop are components of the dispatcher. The
+protocols of clients, workers and discovery are known only to listeners, links and sources.
 """
 
 from __future__ import annotations
@@ -58,18 +58,18 @@
 from martenlead.upstream.endpoints import Endpoint
 from martenlead.upstream.outcome import UpstreamOutcome
 
-FAULT_CHECK_SECONDS = 0.005  # after a fault, between two looks for requests past their deadline
+FAULT_CHECK_SECONDS = 0.005  # interval of checks for overdue requests after a fault
 FAULT_REASON = "a fault of the dispatcher"
 STOP_REASON = "the dispatcher stops"
 
-# what another part reports of itself, in plain values of its own
+# returns the status of another component, as plain values in a format of its own
 StatusReporter = Callable[[], dict[str, Any]]
 
 
 class Dispatcher:
-    """One policy engine and what is around it.
+    """Connects one policy engine with listeners, workers and discovery.
 
-    `run` holds its task group; all other methods are called while it runs.
+    `run` owns the task group; other methods are called while it runs, except where stated.
     """
 
     def __init__(
@@ -88,9 +88,9 @@
         self.counts: Counter[tuple[str, str]] = Counter()
         self.pending_requests: dict[Request, PendingRequest] = {}
         self.pending_bytes = 0
-        self.least_time_left_ns: int | None = None  # at a final response
+        self.least_time_left_ns: int | None = None  # until the deadline, over all final responses
         self._in_flight: dict[Attempt, InFlightAttempt] = {}
-        # set by the parts that report to operators
+        # set by components whose status is reported to operators
         self.report_planner: StatusReporter | None = None
         self.report_queues: StatusReporter | None = None
         self._make_decision_parts(recorder)
@@ -98,7 +98,7 @@
         link.attach(self)
 
     def _make_decision_parts(self, recorder: Recorder | None) -> None:
-        """The policy boundary and what calls it."""
+        """Creates the policy boundary, the decision loop and the measurement of its lag."""
         settings = self.settings
         policy_settings = settings.policy_settings
         policy_settings.function_limit = settings.function_limit
@@ -106,7 +106,7 @@
             policy_settings,
             settings.seed,
             self.clock,
-            self._carry_out,
+            self._perform,
             recorder,
             (list(self.request_classes), self.tenants),
         )
@@ -118,12 +118,12 @@
             self.link.end_overdue_attempts,
         )
         self.decision_loop = loop
-        # bound here, so that a call passes no further layer
+        # bound here to avoid another call layer
         self.defer, self._decide, self._run_due = loop.defer, loop.decide, loop.run_due
         self.event_loop_lag = EventLoopLag(self.clock, policy_settings.tick_ns, self._set_tick)
 
     def _make_tables(self) -> None:
-        """Membership, functions and load requests, and their tables under names of this object."""
+        """Creates membership, functions and load requests, and makes their tables attributes."""
         name, loop = self.settings.name, self.decision_loop
         self.endpoint_list = self.source.endpoint_list
         self.membership = Membership(self.endpoint_list, loop, self.link, name)
@@ -144,7 +144,7 @@
         )
 
     def use_policy_boundary(self, policy_boundary: PolicyBoundary) -> None:
-        """Replaces the policy boundary, by one that measures for instance; before `run`."""
+        """Replaces the policy boundary, for instance by one that measures; called before `run`."""
         self.policy_boundary = self.decision_loop.policy_boundary = policy_boundary
 
     async def run(self) -> None:
@@ -158,14 +158,14 @@
             group.start_soon(self.source.run, self)
 
     def record_fault(self, error: Exception) -> None:
-        """Logs and counts an exception of the policy or of ours.
+        """Logs and counts an unexpected exception of the policy or the dispatcher.
 
-        The request that it left without a wait is ended by `_end_overdue_after_fault`.
+        A request that it left without a pending wait is ended by `_end_overdue_after_fault`.
         """
         self.decision_loop.record_fault(error)
 
     async def _end_overdue_after_fault(self) -> None:
-        """After a fault: ends each request at its deadline, whatever became of its generator."""
+        """After a fault, ends each request at its deadline, whatever the state of its generator."""
         await self.decision_loop.fault_recorded.wait()
         while True:
             await anyio.sleep(FAULT_CHECK_SECONDS)
@@ -195,11 +195,11 @@
     # -- membership
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
-        """Takes in changes of the membership, or a whole list, from the source."""
+        """Applies a membership delta or snapshot from the source."""
         self.membership.update_endpoints(endpoints, is_snapshot)
 
     def mark_draining(self, worker: UpstreamWorker) -> None:
-        """Takes a worker's own word that it drains."""
+        """Marks a worker as draining, as it has announced itself."""
         self.membership.mark_draining(worker)
 
     # -- requests
@@ -214,10 +214,11 @@
         on_outcome: Callable[[PendingRequest], None] | None = None,
         client: CancellationSource[PendingRequest] | None = None,
     ) -> PendingRequest:
-        """Makes a request known to the policy.
+        """Submits a request to the policy.
 
-        The listener has checked its names and the limits. It calls `close` once the final response,
-        of which `on_outcome` is told, is on its way. `is_retry` overrides what `incoming` states.
+        The listener has checked its names and the limits before. `on_outcome` is called at the
+        final outcome, and the listener calls `close` when it sends the response. `is_retry`
+        overrides the value in `incoming`.
         """
         request = PendingRequest(incoming, arrived_ns, content, size_bytes, on_outcome, client)
         entry = self.find_or_add_function(incoming.function, incoming.lanes, incoming.memory_mb)
@@ -243,7 +244,7 @@
     def _add_pending(
         self, request: PendingRequest, entry: FunctionEntry, policy_request: Request
     ) -> None:
-        """Called as the policy boundary has made its request, before the policy decides on it."""
+        """Registers a request with the policy's object for it, before the policy decides on it."""
         request.policy_request = policy_request
         self.pending_requests[policy_request] = request
         self.pending_bytes += request.size_bytes
@@ -251,13 +252,13 @@
 
     @staticmethod
     def _reject_if_unsent(request: PendingRequest) -> None:
-        """After a fault as the request was accepted: one without an attempt need not wait."""
+        """Rejects a request without attempts at once after a fault during its acceptance."""
         if request.policy_request is None or not request.policy_request.attempts:
             request.reason = FAULT_REASON
             request.end(FinalOutcome.REJECTED)
 
     async def wait_for_outcome(self, request: PendingRequest) -> None:
-        """Waits for the final outcome. If it is cancelled, the client has left."""
+        """Waits for the final outcome. Cancellation means that the client has left."""
         try:
             if request.outcome is None:
                 event = anyio.Event()
@@ -268,13 +269,13 @@
             self.close(request)
 
     def finish_all(self) -> None:
-        """Gives every pending request its final outcome now."""
+        """Sets the final outcome of every pending request now."""
         for request in list(self.pending_requests.values()):
             if request.policy_request is not None and request.outcome is None:
                 self._end_without_response(request, request.policy_request, STOP_REASON)
 
     def close(self, request: PendingRequest) -> None:
-        """Closes a request whose response is on its way, or for which nobody waits.
+        """Closes a request whose response is being sent or whose client has left.
 
         Attempts that are still in flight are cancelled.
         """
@@ -294,8 +295,8 @@
         final = outcome.value if outcome is not None else ""
         self._decide(self.policy_boundary.close_request, policy_request, final)
 
-    def _carry_out(self, action: Action) -> None:
-        """Carries out one decision. It must not call the policy, which is in the middle of it."""
+    def _perform(self, action: Action) -> None:
+        """Carries out one decision. Must not call the policy, which is still deciding."""
         match action:
             case Attempt(request=policy_request, worker=policy_worker):
                 worker = self.by_policy_worker[policy_worker]
@@ -318,14 +319,14 @@
             case LoadRequest():
                 self.load_requester.send(action)
             case ListWorkers() | Wait():
-                pass  # the source sends the list unasked; the engine keeps the waits
+                pass  # the source sends the list without a request; the engine runs the timers
         if self._decision_log is not None:
             self._decision_log.log_decision(action)
 
     # -- ends of attempts
 
     def attempt_ended(self, attempt: InFlightAttempt, outcome: UpstreamOutcome) -> None:
-        """Takes the one end of an attempt from the link."""
+        """Receives the end of an attempt from the link; a second report is ignored."""
         self.defer(self._end_attempt, attempt, outcome, self.clock())
 
     def _end_attempt(
@@ -357,18 +358,18 @@
         if self._decision_log is not None:
             self._decision_log.log_attempt_end(attempt, upstream)
 
-    # -- what a planner decided
+    # -- decisions of a planner
 
     def apply_plan(
         self,
         load_requests: Iterable[tuple[int, PolicyWorker, PolicyFunction]],
         retained: Iterable[tuple[PolicyWorker, PolicyFunction, bool]],
     ) -> tuple[int, int]:
-        """Carries out what a planner decided.
+        """Carries out the decisions of a planner.
 
-        `load_requests` are the planner's number, the worker and the function of each; `retained`
-        says of replicas whether they are retained. Returns how many load requests were sent, and
-        how many the load budget did not allow.
+        Each of `load_requests` has the planner's number, the worker and the function. Each of
+        `retained` has a replica's worker and function, and whether the replica is retained. Returns
+        how many load requests were sent, and how many the load budget did not allow.
         """
         sent = refused = 0
         try:
@@ -385,5 +386,5 @@
         return sent, refused
 
     def confirm_replicas(self, replicas: Iterable[tuple[str, str, int, float, float]]) -> None:
-        """Asks workers for replicas of an earlier run, as `LoadRequester.confirm_replicas`."""
+        """Confirms replicas of an earlier run; see `LoadRequester.confirm_replicas`."""
         self.load_requester.confirm_replicas(replicas)
--- a/martenlead/edge/event_loop_lag.py
+++ b/martenlead/edge/event_loop_lag.py
@@ -1,7 +1,7 @@
-"""How late the event loop is at present.
+"""Measures the current lag of the event loop.
 
-The policy leaves the lag as room before deadlines (its tick). Listeners ask how long a request may
-have lain unread by the time it is read.
+The policy uses the lag as its tick, the margin that it leaves before deadlines. Listeners use the
+samples to find how long a request may have waited in the kernel before it was read.
 """
 
 from __future__ import annotations
@@ -12,23 +12,25 @@
 import anyio
 
 SAMPLE_INTERVAL_NS = 10_000_000
-WINDOW_NS = 1_000_000_000  # of the samples that the tick is taken from
-QUANTILE = (
-    0.99  # of the lags in the window: the second longest, so that one stall alone does not count
-)
-SAMPLES_PER_FALL = 10  # from one report to a lower one: each is an event of a capture
+WINDOW_NS = 1_000_000_000  # maximum age of the samples that determine the tick
+# The tick is this quantile of the lags in the window, which is the second longest: a single stall
+# does not count.
+QUANTILE = 0.99
+# Each report is an event of the capture, so the tick is lowered only after this many samples.
+SAMPLES_BEFORE_DECREASE = 10
 LONGEST_TICK_NS = 100_000_000
 NS_PER_SECOND = 1e9
-SAMPLE_LIMIT = 64  # a request is looked up soon after it was read
-# time unread that is not counted: well within the slack of a deadline that is passed on
+SAMPLE_LIMIT = 64  # kept for `earliest_arrival`, which is called soon after a read
+# Shorter waits in the kernel are ignored: well within the tolerance of a forwarded deadline.
 UNREMARKABLE_WAIT_NS = 60_000_000
 
 
 class EventLoopLag:
     """Measures the tick: a high quantile of the event loop's lag in the last second.
 
-    A stall that is over says little about the next one: room for it before each deadline would have
-    short requests rejected. Two stalls within a second count, for as long as both lie in it.
+    A single past stall says little about the next one, and a margin of its length before each
+    deadline would cause short requests to be rejected. Two stalls within a second count as long as
+    both are in the window.
     """
 
     def __init__(
@@ -37,17 +39,17 @@
         """`report` is called with each new tick, in ns."""
         self.clock, self.tick_ns, self.worst_ns = clock, least_tick_ns, 0
         self._least_ns, self._report = least_tick_ns, report
-        self._lags: deque[tuple[int, int]] = deque()  # of the window: when measured, and the lag
+        self._lags: deque[tuple[int, int]] = deque()  # (time, lag) of each sample in the window
         self._since_report = 0
-        self._samples: deque[int] = deque(maxlen=SAMPLE_LIMIT)  # when each sample was taken
+        self._samples: deque[int] = deque(maxlen=SAMPLE_LIMIT)  # times of the last samples
 
     def earliest_arrival(self, read_ns: int) -> int:
-        """The earliest moment at which a request that was read at `read_ns` may have arrived.
+        """Returns the earliest time at which a request that was read at `read_ns` may have arrived.
 
-        Between two samples the loop has polled its sockets at least once and read what was there,
-        in whatever order it runs timers and sockets. So what is read now arrived after the sample
-        before the last one. Where the loop stalled since, that is long ago; otherwise the
-        difference is left out.
+        Between two samples the event loop polls its sockets at least once and reads their input,
+        in whatever order it runs timers and sockets. So input that is read now arrived after the
+        last sample but one. If the loop has stalled since, that is long ago; otherwise the
+        difference is ignored.
         """
         last = len(self._samples) - 1
         while last >= 0 and self._samples[last] > read_ns:
@@ -67,15 +69,15 @@
             self._add_sample(now_ns, now_ns - before_ns - SAMPLE_INTERVAL_NS)
 
     def _add_sample(self, now_ns: int, lag_ns: int) -> None:
-        """Reports a higher tick at once, and a lower one now and then."""
+        """Adds a sample. Reports a higher tick at once, a lower one only after some samples."""
         self.worst_ns = max(self.worst_ns, lag_ns)
         self._lags.append((now_ns, lag_ns))
         while self._lags[0][0] <= now_ns - WINDOW_NS:
             self._lags.popleft()
         self._since_report += 1
         tick_ns = min(max(self._least_ns, self._quantile_ns()), LONGEST_TICK_NS)
-        may_fall = self._since_report >= SAMPLES_PER_FALL
-        if tick_ns > self.tick_ns or (tick_ns < self.tick_ns and may_fall):
+        may_decrease = self._since_report >= SAMPLES_BEFORE_DECREASE
+        if tick_ns > self.tick_ns or (tick_ns < self.tick_ns and may_decrease):
             self.tick_ns, self._since_report = tick_ns, 0
             self._report(tick_ns)
 
--- a/martenlead/edge/function_table.py
+++ b/martenlead/edge/function_table.py
@@ -1,4 +1,4 @@
-"""The functions that this process knows, by name and by the policy's object: a bounded table."""
+"""A bounded table of the known functions, by name and by the policy's object."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 from martenlead.edge.records import FunctionEntry, PolicyFunction
 from martenlead.policy.types import FunctionFacts
 
-MARK_BYTES = 64  # of a name, which make the function's number for the policy
+MARK_BYTES = 64  # length of the name's prefix that the policy gets as a number
 
 
 class FunctionTable:
-    """At most `limit` functions, besides those that have pending requests."""
+    """Holds at most `limit` functions, or more if all of them have pending requests."""
 
     def __init__(self, decision_loop: DecisionLoop, limit: int) -> None:
         self._decision_loop, self._limit = decision_loop, limit
-        self.by_name: dict[str, FunctionEntry] = {}  # the last used last
+        self.by_name: dict[str, FunctionEntry] = {}  # least recently used first
         self.by_policy_function: dict[PolicyFunction, FunctionEntry] = {}
 
     @property
     def is_full(self) -> bool:
-        """Whether a new function would displace another."""
+        """Whether a new function would evict another."""
         return len(self.by_name) >= self._limit
 
     def find_or_add(self, name: str, lanes: int, memory_mb: float) -> FunctionEntry:
-        """The function of that name. A new one displaces the one longest without a request."""
+        """Returns the function `name`. A new one evicts the least recently used idle function."""
         entry = self.by_name.pop(name, None)
         if entry is None:
             entry = self._add(name, lanes, memory_mb)
--- a/martenlead/edge/http_dispatcher.py
+++ b/martenlead/edge/http_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher of an edge that speaks HTTP, made from the edge's settings."""
+"""Creates the dispatcher of an HTTP edge from the edge's settings."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     clock: Callable[[], int] = monotonic_ns,
     recorder: Recorder | None = None,
 ) -> Dispatcher:
-    """Makes the dispatcher; without a seed in the settings each start draws its own."""
+    """Creates the dispatcher. Without a seed in the settings, each start draws a random one."""
     policy_settings, request_classes, tenants = build_policy_settings(settings)
     seed = settings.seed
     if seed is None:
--- a/martenlead/edge/http_membership.py
+++ b/martenlead/edge/http_membership.py
@@ -1,4 +1,4 @@
-"""The stream of the endpoint list over HTTP, and its cache on disk for the next start."""
+"""Follows the endpoint list over HTTP, and caches it on disk for the next start."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
             if path is not None:
                 self._saver = self._make_saver(path, dispatcher)
                 if not self._start_with_cached(path, dispatcher):
-                    group.start_soon(self._read_again, path, dispatcher)
+                    group.start_soon(self._retry_cached, path, dispatcher)
                 group.start_soon(self._saver.run)
             await watch_endpoints(
                 watch_settings,
@@ -59,15 +59,15 @@
             self._saver.changed()
 
     def _on_lost(self, dispatcher: Dispatcher, reason: str) -> None:
-        """The stream broke; the last list stays in force until it is back."""
+        """Counts and logs a lost stream. The last list remains in use until the stream is back."""
         dispatcher.counts["roster", "lost"] += 1
         workers = len(self.endpoint_list.endpoints)
         self.log.warning("endpoint_watch_lost", reason=reason, workers=workers)
 
     def _start_with_cached(self, path: Path, dispatcher: Dispatcher) -> bool:
-        """Takes up the cached list. Returns whether there is nothing left to try.
+        """Loads the cached list. Returns False if reading it failed and should be retried.
 
-        That is so once the list is taken up, and where there is none.
+        Returns True also if there is no cached list.
         """
         try:
             cached = endpoints.load_cached_endpoints(path)
@@ -75,11 +75,11 @@
             self.log.warning("endpoint_cache_unread", reason=str(error))
             return False
         if cached is not None:
-            self._take_up(cached, dispatcher)
+            self._apply_cached(cached, dispatcher)
         return True
 
-    async def _read_again(self, path: Path, dispatcher: Dispatcher) -> None:
-        """Tries again to read the cached list, which is of use until discovery has answered."""
+    async def _retry_cached(self, path: Path, dispatcher: Dispatcher) -> None:
+        """Retries reading the cached list, which is useful until discovery has answered."""
         backoff = Backoff(Random(self.settings.name))
         while True:
             await anyio.sleep(backoff.next_seconds())
@@ -89,19 +89,19 @@
             if dispatcher.snapshot_received.is_set():
                 return
             if cached is not None:
-                self._take_up(cached, dispatcher)
+                self._apply_cached(cached, dispatcher)
 
-    def _take_up(self, cached: CachedEndpoints, dispatcher: Dispatcher) -> None:
-        self.endpoint_list.version = 0  # so that discovery sends the whole list
+    def _apply_cached(self, cached: CachedEndpoints, dispatcher: Dispatcher) -> None:
+        self.endpoint_list.version = 0  # makes discovery send a snapshot
         self.endpoint_list.endpoints = {endpoint.id: endpoint for endpoint in cached.endpoints}
         dispatcher.update_endpoints(list(self.endpoint_list.endpoints.values()), True)
         self.log.info("endpoint_cache_loaded", workers=len(cached.endpoints))
 
     def _make_saver(self, path: Path, dispatcher: Dispatcher) -> StateSaver[CachedEndpoints]:
-        """Saves the list whenever it has changed.
+        """Creates the saver, which saves the list whenever it has changed.
 
-        It writes in a thread, since a disk may take its time, and only the newest list, however
-        many came meanwhile.
+        It writes in a thread, because a disk may be slow, and only the newest list, however many
+        changes arrived meanwhile.
         """
         remove_leftovers(path)
         health = SaveHealth(
@@ -117,7 +117,7 @@
         )
 
     def _snapshot(self, dispatcher: Dispatcher) -> CachedEndpoints:
-        """The list, with the ages of the workers as of now."""
+        """Returns the list with the current ages of the workers."""
         now_ns = dispatcher.clock()
         dated = []
         for endpoint in self.endpoint_list.endpoints.values():
--- a/martenlead/edge/http_upstream.py
+++ b/martenlead/edge/http_upstream.py
@@ -1,7 +1,6 @@
-"""HTTP as a link to workers (docs/protocol.md).
+"""The upstream link to workers over HTTP (docs/protocol.md).
 
-An attempt or a load request is one exchange on a pooled connection, in a task of the link's own
-group.
+Each attempt or load request is one exchange on a pooled connection, in a task of its own.
 """
 
 from __future__ import annotations
@@ -32,13 +31,11 @@
 
 @dataclass(slots=True)
 class EventContent:
-    """An event in binary mode, as workers get it."""
+    """An event in binary mode, as it is sent to workers."""
 
     headers: http.Headers
     body: bytes
-    header_lines: bytes | None = (
-        None  # the headers as every attempt sends them, made with the first
-    )
+    header_lines: bytes | None = None  # encoded at the first attempt, the same for all of them
 
 
 class WorkerConnections:
@@ -57,12 +54,12 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open now."""
+        """Number of connections that are open now."""
         return self.pool.open_connections
 
     @property
     def connections_opened(self) -> int:
-        """Connections that were opened in all."""
+        """Number of connections that were opened in total."""
         return self.pool.connections_opened
 
 
@@ -75,31 +72,31 @@
         self.dispatcher: Dispatcher
         self.group: TaskGroup
         self._cancelled: set[InFlightAttempt] = set()
-        self._unsent: set[InFlightAttempt] = set()  # no byte has left
+        self._unsent: set[InFlightAttempt] = set()  # attempts of which no byte has been sent
 
     def attach(self, dispatcher: Dispatcher) -> None:
         """Sets the dispatcher that ends are reported to."""
         self.dispatcher = dispatcher
 
     async def run(self) -> None:
-        """Holds the tasks of all exchanges, and sends health checks if the settings ask for it."""
+        """Runs the tasks of all exchanges, and sends health checks if they are configured."""
         async with anyio.create_task_group() as self.group:
             if self.settings.probes:
                 await self._probe_all(ms_to_ns(self.settings.probes.every_ms))
             await anyio.sleep_forever()
 
     def create_connections(self, endpoint: Endpoint) -> WorkerConnections:
-        """The connections to a worker; none is opened yet."""
+        """Creates the connection pool of a worker, without opening a connection."""
         return WorkerConnections(endpoint, self.settings)
 
     def retire_connections(self, connections: WorkerConnections) -> None:
-        """Closes idle connections now, and others as their exchange ends."""
+        """Closes idle connections now, and the others when their exchange ends."""
         self.group.start_soon(connections.pool.close)
 
     # -- attempts
 
     def send_attempt(self, attempt: InFlightAttempt) -> None:
-        """Begins the exchange of an attempt in a task of its own."""
+        """Starts the exchange of an attempt in a task of its own."""
         attempt.link_handle = anyio.CancelScope()
         self._unsent.add(attempt)
         self.group.start_soon(self._exchange, attempt)
@@ -110,7 +107,7 @@
         attempt.link_handle.cancel()
 
     def end_overdue_attempts(self) -> None:
-        """Ends what is due and unsent; the end of another attempt proves nothing more in time."""
+        """Ends overdue unsent attempts; an earlier end of a sent one would prove nothing more."""
         now_ns = self.dispatcher.clock()
         for attempt in list(self._unsent):
             if now_ns >= attempt.policy_attempt.sent_ns + attempt.policy_attempt.timeout_ns:
@@ -120,11 +117,11 @@
                 self.dispatcher.attempt_ended(attempt, outcome)
 
     def has_sent(self, attempt: InFlightAttempt) -> bool:
-        """Whether a byte of an attempt in flight may have left."""
+        """Whether a byte of an attempt in flight may have been sent."""
         return attempt not in self._unsent
 
     async def _exchange(self, attempt: InFlightAttempt) -> None:
-        """Carries an attempt to its end, of which there is exactly one whatever the socket does."""
+        """Performs an attempt and reports its end, also if the socket fails or it is cancelled."""
         policy_attempt, clock = attempt.policy_attempt, self.dispatcher.clock
         connections: WorkerConnections = attempt.worker.connections
         left_ns = policy_attempt.sent_ns + policy_attempt.timeout_ns - clock()
@@ -142,16 +139,16 @@
                 exchange = await connections.pool.exchange(
                     lambda: self._encode(attempt, connections), progress
                 )
-        except Exception as error:  # the end below counts what may have been sent
+        except Exception as error:  # the outcome below accounts for what may have been sent
             self.dispatcher.record_fault(error)
-        finally:  # also where this task is cancelled: the policy is owed one end
+        finally:  # also on cancellation: the policy expects the end of each attempt
             outcome = self._classify(attempt, exchange, has_written=progress.has_written)
             self._cancelled.discard(attempt)
             self._unsent.discard(attempt)
             self.dispatcher.attempt_ended(attempt, outcome)
 
     def _may_send(self, attempt: InFlightAttempt) -> bool:
-        """Whether an attempt may leave now; from then on it counts as sent."""
+        """Whether an attempt may be sent now; if so, it counts as sent from then on."""
         may_begin = self.dispatcher.clock() <= attempt.policy_attempt.begin_by_ns
         if attempt not in self._unsent or not may_begin or not self._has_client(attempt):
             return False
@@ -165,7 +162,7 @@
     def _classify(
         self, attempt: InFlightAttempt, exchange: Exchange | None, *, has_written: bool
     ) -> UpstreamOutcome:
-        """The end of an attempt, from its exchange or from the lack of one."""
+        """Returns the outcome of an attempt, from its exchange or from the lack of one."""
         if exchange is None:
             policy_attempt = attempt.policy_attempt
             timeout_at_ns = policy_attempt.sent_ns + policy_attempt.timeout_ns
@@ -180,7 +177,7 @@
 
     @staticmethod
     def _has_client(attempt: InFlightAttempt) -> bool:
-        """Whether a client waits for the request. If the client has left, the request ends here."""
+        """Whether the client still waits for the request. If it has left, ends the request."""
         request = attempt.request
         client = request.client
         has_left = (
@@ -193,7 +190,7 @@
         return request.outcome is None
 
     def _encode(self, attempt: InFlightAttempt, connections: WorkerConnections) -> bytes:
-        """Encodes an attempt as it leaves, so that the time left counts a wait for a connection."""
+        """Encodes an attempt as it is sent, so that the time left excludes a connection wait."""
         content: EventContent = attempt.request.content
         policy_attempt = attempt.policy_attempt
         timeout_at_ns = policy_attempt.sent_ns + policy_attempt.timeout_ns
@@ -224,7 +221,7 @@
         replicas: int,
         on_outcome: Callable[[UpstreamOutcome], None],
     ) -> None:
-        """Begins the exchange of a load request in a task of its own."""
+        """Starts the exchange of a load request in a task of its own."""
         self.group.start_soon(self._exchange_load, worker, function, replicas, on_outcome)
 
     async def _exchange_load(
@@ -255,12 +252,12 @@
                     failure = exchange_classifier.parse_load_failure(exchange.message)
                     outcome.load_failure = failure
                     outcome.is_draining = _says_draining(exchange.message)
-        except Exception as error:  # the policy is owed an end all the same
+        except Exception as error:  # the policy expects the end of each load request
             self.dispatcher.record_fault(error)
         on_outcome(outcome)
 
     async def _probe_all(self, interval_ns: int) -> None:
-        """Sends a health check to every worker that is up, once an interval."""
+        """Sends a health check to every worker that is up, once per interval."""
         membership = self.dispatcher.membership
         while True:
             for worker in list(membership.workers.values()):
@@ -278,7 +275,7 @@
                     worker.load_report.update(_load_report(exchange.message))
                     if _says_draining(exchange.message):
                         self.dispatcher.mark_draining(worker)
-        except Exception as error:  # it costs this health check, not the program
+        except Exception as error:  # only this health check fails
             self.dispatcher.record_fault(error)
 
 
--- a/martenlead/edge/interfaces.py
+++ b/martenlead/edge/interfaces.py
@@ -1,7 +1,7 @@
-"""The protocols between a dispatcher and what speaks with workers and with discovery.
+"""The interfaces between a dispatcher, its links to workers and its membership sources.
 
-Each wire protocol has its own implementation of both. The type parameter is the dispatcher, so that
-this module needs no import of it.
+Each wire protocol has its own implementations. The type parameter is the dispatcher, so that this
+module need not import it.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 
 
 class ConnectionStats(Protocol):
-    """How many connections to one worker are open, and how many were opened in all."""
+    """Connection counts of one worker."""
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open now."""
+        """Number of connections that are open now."""
 
     @property
     def connections_opened(self) -> int:
-        """Connections that were opened since the worker is known."""
+        """Number of connections opened since the worker became known."""
 
 
 class ConnectionFactory(Protocol):
-    """Makes the connections to workers and gives them up: the part that membership needs."""
+    """Creates and retires connections to workers: the part of a link that membership uses."""
 
     def create_connections(self, endpoint: Endpoint) -> OpaqueContent:
-        """The connections to a worker at this address, a `ConnectionStats`; none is opened yet."""
+        """Creates the connections to a worker, a `ConnectionStats`, without opening one."""
 
     def retire_connections(self, connections: OpaqueContent) -> None:
-        """Sends nothing new over them; what is in flight ends as it would."""
+        """Stops new use of connections; exchanges in flight complete normally."""
 
 
 class LoadRequestSender(Protocol):
-    """Sends load requests. Load requests and confirmations need this part of a link."""
+    """Sends load requests: the part of a link that load requests and confirmations use."""
 
     def send_load_request(
         self,
@@ -53,21 +53,21 @@
         replicas: int,
         on_outcome: Callable[[UpstreamOutcome], None],
     ) -> None:
-        """Asks a worker to have so many replicas loaded; with 0 it only tells how many it has.
+        """Asks a worker to have `replicas` loaded; with 0 it only reports how many it has.
 
         `on_outcome` is called once, possibly from within this call.
         """
 
 
 class UpstreamLink(ConnectionFactory, LoadRequestSender, Protocol[DispatcherT_contra]):
-    """Carries attempts and load requests to workers.
+    """Sends attempts and load requests to workers.
 
     Each has exactly one end, reported by `Dispatcher.attempt_ended` or by the callback of the load
-    request. An end may be reported at any time, also from within these calls.
+    request. An end may be reported at any time, even from within these calls.
     """
 
     def attach(self, dispatcher: DispatcherT_contra) -> None:
-        """Sets the dispatcher that ends are reported to; called before all else."""
+        """Sets the dispatcher that ends are reported to; called before any other method."""
 
     async def run(self) -> None:
         """Serves until it is cancelled."""
@@ -76,17 +76,17 @@
         """Sends an attempt to its worker."""
 
     def cancel_attempt(self, attempt: InFlightAttempt) -> None:
-        """Cancels an attempt. It still has its one end, possibly a response that was on its way."""
+        """Cancels an attempt. Its end is still reported, possibly with a response in transit."""
 
     def end_overdue_attempts(self) -> None:
-        """Reports the ends of attempts whose time is over, as far as timers are late to do it."""
+        """Reports the ends of attempts past their timeout that late timers have not ended yet."""
 
     def has_sent(self, attempt: InFlightAttempt) -> bool:
-        """Whether a byte of an attempt in flight may have left."""
+        """Whether a byte of an attempt in flight may have been sent."""
 
 
 class MembershipSource(Protocol[DispatcherT_contra]):
-    """Where membership snapshots and deltas come from."""
+    """A source of membership snapshots and deltas."""
 
     endpoint_list: EndpointList
 
--- a/martenlead/edge/knowledge_saver.py
+++ b/martenlead/edge/knowledge_saver.py
@@ -1,9 +1,9 @@
-"""Saves what the dispatcher knows in a folder, and restores it at the next start.
+"""Saves the dispatcher's knowledge in a folder, and restores it at the next start.
 
-Saving is never on a request's path. The knowledge is read in the event loop, seldom enough to take
-less than a hundredth of it, and written in a thread. A folder that cannot be used, or a disk that
-is full, costs one log line, and one more when it works again. In between the edge serves on, and
-the newest state is tried again with exponential backoff.
+Saving is not part of any request's path. The knowledge is read in the event loop, rarely enough to
+take less than 1 % of its time, and written in a thread. If the folder cannot be used or the disk is
+full, one log line reports the failure and another one the recovery. Meanwhile the edge continues to
+serve, and saving the newest state is retried with exponential backoff.
 """
 
 from __future__ import annotations
@@ -46,12 +46,11 @@
 from martenlead.system.state_saver import SaveHealth
 
 KNOWLEDGE = StateKind("knowledge")
-CONFIRM_SPREAD_SECONDS = 0.25  # mean, after a start, so that dispatchers do not ask in step
-PAUSE_PER_GATHERING = 100  # times what one gathering takes, until the next
-READ_OPENINGS = 5  # openings in a row whose state may fail to be read before the edge goes without
-RESTORE_WITHIN_SECONDS = (
-    60.0  # of the start; what was learnt since is worth more than what was saved
-)
+CONFIRM_SPREAD_SECONDS = 0.25  # mean of the total, so that dispatchers do not ask in step
+PAUSE_PER_GATHERING = 100  # pause after a gathering, as a multiple of its duration
+READ_ATTEMPTS = 5  # openings that may fail to read the state before the edge starts without it
+# Later than this after the start, newly learnt knowledge is worth more than the saved one.
+RESTORE_WITHIN_SECONDS = 60.0
 MS_PER_SECOND = 1000
 NS_PER_MS = 1e6
 
@@ -69,8 +68,8 @@
         self.name = edge_settings.name
         self.log = structlog.get_logger().bind(edge=self.name)
         self.store: StateStore | None = None
-        self.last_gathered: tuple[int, SavedKnowledge] | None = None  # and when, ns
-        self.earlier_knowledge: tuple[SavedKnowledge, int] | None = None  # and its age, ns
+        self.last_gathered: tuple[int, SavedKnowledge] | None = None  # (time in ns, knowledge)
+        self.earlier_knowledge: tuple[SavedKnowledge, int] | None = None  # (knowledge, age in ns)
         self._openings = 0
         self._started_seconds = time.monotonic()
         self._counter: Callable[[str, str], None] | None = None
@@ -85,7 +84,7 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Saves that succeeded, and that failed."""
+        """Numbers of saves that succeeded and that failed."""
         return {"saved": self.health.saved, "failed": self.health.failed}
 
     def _count(self, event: str, state: str) -> None:
@@ -93,7 +92,7 @@
             self._counter(event, state)
 
     def _open(self) -> None:
-        """Opens the folder, and reads what an earlier run saved there.
+        """Opens the folder, and reads the state that an earlier run saved there.
 
         Raises `OSError` and `FolderInUseError`.
         """
@@ -102,7 +101,7 @@
         store = StateStore(folder, settings.deployment, self.wall_clock_ns, settings.bytes)
         self._openings += 1
         state = store.read(KNOWLEDGE)
-        if state is None and store.read_errors and self._openings < READ_OPENINGS:
+        if state is None and store.read_errors and self._openings < READ_ATTEMPTS:
             store.close()
             raise OSError(errno.EIO, "; ".join(store.problems))
         if state is not None:
@@ -123,9 +122,9 @@
             store.problems.append(f"knowledge: {error}")
 
     async def run(self, dispatcher: Dispatcher) -> None:
-        """Saves until it is cancelled, and once more as it ends."""
+        """Saves periodically until it is cancelled, and once more at the end."""
         self._counter = lambda event, state: dispatcher.counts.update([(event, state)])
-        if self._first_wait_seconds is not None:  # it failed before a dispatcher could count it
+        if self._first_wait_seconds is not None:  # failed in `__init__`, where there was no counter
             self._count("state_save_failed", self.health.state)
         await dispatcher.snapshot_received.wait()
         try:
@@ -137,7 +136,7 @@
             self._save_at_end(dispatcher)
 
     def _save_at_end(self, dispatcher: Dispatcher) -> None:
-        with suppress(Exception):  # it was reported when it first happened
+        with suppress(Exception):  # a failure was already reported by `_attempt`
             for _ in self._gather_in_steps(dispatcher):
                 pass
         if self.store is not None or self._is_past_restoring():
@@ -147,10 +146,10 @@
             self.store.close()
 
     async def _attempt(self, dispatcher: Dispatcher) -> float:
-        """Does once all that is to do; returns the seconds until the next time.
+        """Opens the folder and restores, if still due, and saves; returns the seconds to pause.
 
-        Saving must cost no request anything: an error of the disk and a fault of ours alike are
-        reported once and tried again.
+        Saving must not affect requests: disk errors and unexpected exceptions alike are reported
+        once and retried.
         """
         try:
             if self.store is None:
@@ -182,11 +181,11 @@
         return spent_seconds
 
     def _is_past_restoring(self) -> bool:
-        """Whether what this run has learnt is worth more than what an earlier one saved."""
+        """Whether it is too late to restore the knowledge of an earlier run."""
         return time.monotonic() - self._started_seconds > RESTORE_WITHIN_SECONDS
 
     async def _restore(self, dispatcher: Dispatcher) -> None:
-        """Restores the earlier knowledge, only once: no part of it may count twice."""
+        """Restores the earlier knowledge, at most once: no part of it may count twice."""
         assert self.earlier_knowledge is not None
         knowledge, age_ns = self.earlier_knowledge
         self.earlier_knowledge = None
@@ -214,12 +213,12 @@
             dispatcher.confirm_replicas([reload])
 
     def _gather_in_steps(self, dispatcher: Dispatcher) -> Iterator[bool]:
-        """Reads some functions in each step, so that others may run between two."""
+        """Reads a few functions in each step, so that other tasks can run between steps."""
         workers = {
             worker.policy_worker: (
                 worker_id,
                 worker.endpoint.incarnation,
-                worker.says_it_drains,
+                worker.has_announced_draining,
             )
             for worker_id, worker in dispatcher.workers.items()
         }
@@ -240,7 +239,7 @@
         self.last_gathered = dispatcher.clock(), knowledge
 
     def _save(self) -> None:
-        """Encodes and writes what was gathered last; called in a thread.
+        """Encodes and writes the last gathered knowledge; called in a thread.
 
         Raises `OSError`, `FolderInUseError` and `StateTooLargeError`.
         """
@@ -251,7 +250,7 @@
 
 
 def _listed_workers(dispatcher: Dispatcher) -> dict[str, tuple[PolicyWorker, str]]:
-    """The policy's object and the incarnation of each worker on the list."""
+    """Returns the policy's object and the incarnation of each listed worker, by id."""
     listed = dispatcher.endpoint_list.endpoints
     return {
         worker_id: (worker.policy_worker, worker.endpoint.incarnation)
@@ -261,7 +260,7 @@
 
 
 def _find_functions(dispatcher: Dispatcher, knowledge: SavedKnowledge) -> dict[str, PolicyFunction]:
-    """The policy's objects of the functions that there is room for."""
+    """Returns the policy's objects, by name, of the saved functions that fit into the limit."""
     room = max(0, dispatcher.settings.function_limit - len(dispatcher.functions_by_name))
     return {
         saved.name: dispatcher.find_or_add_function(
--- a/martenlead/edge/listener.py
+++ b/martenlead/edge/listener.py
@@ -1,6 +1,6 @@
-"""The listener for clients: one request in, one final response out.
+"""The HTTP listener for clients: each request gets exactly one final response.
 
-It reads the event, checks the limits, has the request served and writes the response.
+It reads the event, checks the limits, submits the request and returns the response.
 """
 
 from __future__ import annotations
@@ -31,25 +31,25 @@
 
 
 class HttpCancellationSource:
-    """A `CancellationSource` of HTTP/1.1.
+    """A `CancellationSource` for HTTP/1.1.
 
-    A request is cancelled by the end of its connection alone: bytes that are not read yet are the
-    requests behind it, and need not be read before an attempt.
+    Only the end of the connection cancels a request: unread bytes are pipelined requests, and need
+    not be read before an attempt.
     """
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
 
     def peek_input(self) -> UnreadInput:
-        """Asks the kernel whether the client has left."""
+        """Checks in the kernel whether the client has left."""
         return UnreadInput.END if self.peer.has_left() else UnreadInput.NOTHING
 
     def read_unread_input(self) -> bool:
-        """Reads nothing: nothing that cancels a request can wait there."""
+        """Reads nothing, because no unread input can cancel a request."""
         return True
 
     def handle_disconnect(self, request: PendingRequest) -> None:
-        """Ends this request, and in a later turn all others of the connection."""
+        """Ends this request now, and all others of the connection in a later loop iteration."""
         request.end(FinalOutcome.CLIENT_LEFT)
         self.peer.end()
 
@@ -74,11 +74,11 @@
 
     @property
     def admission_controller(self) -> AdmissionController | None:
-        """What requests wait in before they are accepted, if the settings ask for queues."""
+        """The controller of the admission queues, or None if no queues are configured."""
         return self.queue_admission.controller if self.queue_admission is not None else None
 
     async def handle(self, message: Message, arrived_ns: int) -> Reply:
-        """Serves one request. Cancelled when its client has left."""
+        """Serves one request. Cancelled if its client leaves."""
         if message.target.split(b"?")[0] != b"/":
             return no_such_path()
         if message.method != b"POST":
@@ -115,9 +115,9 @@
         return incoming
 
     def _reason_to_reject(self, function: str, size_bytes: int) -> str:
-        """Why a request may not be accepted now, or nothing.
+        """Returns why a request cannot be accepted now, or an empty string.
 
-        Nothing was begun for it, whatever its class: its client may come again.
+        Nothing was started for such a request, so its client may retry, whatever its class.
         """
         limits, dispatcher = self.settings.limits, self.dispatcher
         functions = dispatcher.functions_by_name
@@ -137,7 +137,7 @@
             await self.queue_admission.run()
 
     def drain(self) -> None:
-        """Accepts no further connection, and rejects what waits in the queues."""
+        """Stops accepting connections, and rejects the queued requests."""
         self.server.drain()
         if self.queue_admission is not None:
             self.queue_admission.reject_all()
@@ -158,7 +158,7 @@
 
 
 def _to_content(message: Message, event: Event) -> EventContent:
-    """The event in binary mode; what came so is sent on as it came."""
+    """Returns the event in binary mode; one received in that mode is not encoded again."""
     if message.header(b"ce-id") is None:
         return EventContent(*encode_event(event))
     headers = [
--- a/martenlead/edge/load_requester.py
+++ b/martenlead/edge/load_requester.py
@@ -1,4 +1,4 @@
-"""Load requests to workers, and questions about replicas that workers had in an earlier run."""
+"""Sends load requests to workers, and confirms replicas that they had in an earlier run."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LoadRequester:
-    """Sends the load requests that the policy decides on, and tells it how each has ended."""
+    """Sends the load requests that the policy decides on, and notifies it of their ends."""
 
     def __init__(
         self,
@@ -32,11 +32,11 @@
         self._membership, self._functions, self._log = membership, functions, log
 
     def send(self, load_request: LoadRequest) -> None:
-        """Carries out a decision of the policy; called in the middle of that decision."""
+        """Sends a load request that the policy decides on; called during that decision."""
         worker = self._membership.by_policy_worker.get(load_request.worker)
         entry = self._functions.by_policy_function.get(load_request.function)
         loop = self._decision_loop
-        if worker is None or entry is None:  # it was forgotten since
+        if worker is None or entry is None:  # one of them has been removed since
             record_end = loop.policy_boundary.record_load_end
             loop.defer(loop.decide, record_end, load_request, Result.NOT_SENT, 0)
             return
@@ -62,10 +62,10 @@
             self._log.log_load_end(load_request, worker, outcome)
 
     def confirm_replicas(self, replicas: Iterable[tuple[str, str, int, float, float]]) -> None:
-        """Asks workers for replicas that they had in an earlier run.
+        """Asks workers whether they still have replicas of an earlier run.
 
-        A replica is its worker, its function, the function's lanes and MB, and the ms since it was
-        used. The question loads nothing and takes none of the load budget.
+        Each replica is given by its worker, its function, the function's lanes and MB, and the ms
+        since its last use. The query loads nothing and does not count against the load budget.
         """
         for worker_id, function, lanes, memory_mb, idle_ms in replicas:
             worker = self._membership.workers.get(worker_id)
--- a/martenlead/edge/membership.py
+++ b/martenlead/edge/membership.py
@@ -1,7 +1,7 @@
-"""Membership as this process knows it: which workers there are, and in which state.
+"""The workers that this process knows, and their states.
 
-A source of membership calls `Membership.update_endpoints`. A link that a worker tells that it
-drains calls `Membership.mark_draining`. Only what changes reaches the policy.
+A membership source calls `Membership.update_endpoints`. A link calls `Membership.mark_draining`
+when a worker announces that it is draining. Only changes are passed to the policy.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from martenlead.upstream.endpoints import Endpoint, EndpointList
 
 STATES = {"up": WorkerState.UP, "draining": WorkerState.DRAINING, "gone": WorkerState.GONE}
-LOGGED_WORKERS = 64  # of one update that get a line each; for more, one line tells how many
-UNKNOWN_WEIGHT = 1.0  # of a worker that states neither weight nor memory
+LOGGED_WORKERS = 64  # an update of more workers gets one log line instead of one per worker
+UNKNOWN_WEIGHT = 1.0  # default for an endpoint with neither weight nor memory
 NS_PER_MS = 1e6
 
 WorkerChange = tuple[PolicyWorker, WorkerFacts]
@@ -38,15 +38,15 @@
         self.endpoint_list, self.decision_loop = endpoint_list, decision_loop
         self.workers: dict[str, UpstreamWorker] = {}
         self.by_policy_worker: dict[PolicyWorker, UpstreamWorker] = {}
-        self.snapshot_received = anyio.Event()  # set once a whole list has come
+        self.snapshot_received = anyio.Event()  # set at the first snapshot
         self.log = structlog.get_logger().bind(edge=name)
         self._connection_factory = connection_factory
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
-        """Takes in changes, or a whole list.
+        """Applies a delta or a snapshot.
 
-        Of a list that is sent again only what differs reaches the policy: all of a long one would
-        hold up the event loop.
+        Of a repeated snapshot only the differences are passed to the policy: passing all of a long
+        one would block the event loop.
         """
         is_first = not self.workers
         is_logged_each = not is_first and len(endpoints) <= LOGGED_WORKERS
@@ -60,7 +60,7 @@
                 continue
             if endpoint.state == "gone":
                 gone.append(worker)
-                worker.is_gone = True  # at once: the next endpoint may be its successor, by that id
+                worker.is_gone = True  # now, as a successor with the same id may follow
             else:
                 worker.endpoint = endpoint
             facts = self._update_facts(worker, endpoint)
@@ -77,7 +77,7 @@
             self.snapshot_received.set()
 
     def _missing_workers(self, endpoints: list[Endpoint]) -> list[UpstreamWorker]:
-        """The workers that a whole list does not name."""
+        """Returns the workers that a snapshot does not list."""
         listed = {endpoint.id for endpoint in endpoints}
         return [worker for worker_id, worker in self.workers.items() if worker_id not in listed]
 
@@ -101,7 +101,7 @@
         self.log.info(event, workers=workers, changed=changed, version=self.endpoint_list.version)
 
     def _is_known(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint tells nothing new. That a process has grown older is nothing new."""
+        """Whether an endpoint is unchanged, apart from the age of its process."""
         worker = self.workers.get(endpoint.id)
         if worker is None or worker.is_gone:
             return False
@@ -109,12 +109,12 @@
         return known == endpoint or known == msgspec.structs.replace(endpoint, age_ms=known.age_ms)
 
     def _find_or_add_worker(self, endpoint: Endpoint) -> UpstreamWorker | None:
-        """The worker of an endpoint, made if it is new; None for an unknown one that is gone."""
+        """Returns the worker of an endpoint, created if it is new; None if unknown and gone."""
         worker = self.workers.get(endpoint.id)
         if endpoint.state == "gone":
             return worker
         factory = self._connection_factory
-        if worker is None or worker.is_gone:  # another process by that id: it has nothing in flight
+        if worker is None or worker.is_gone:  # new process with that id: nothing in flight
             worker = UpstreamWorker(endpoint, factory.create_connections(endpoint))
             self.workers[endpoint.id] = worker
         elif (endpoint.host, endpoint.port) != (worker.endpoint.host, worker.endpoint.port):
@@ -123,14 +123,14 @@
         return worker
 
     def _update_facts(self, worker: UpstreamWorker, endpoint: Endpoint) -> WorkerFacts:
-        """The facts that an endpoint states; adds a worker that the policy does not know."""
+        """Returns the facts of an endpoint; adds its worker to the policy if it is new there."""
         if not worker.policy_worker or endpoint.incarnation != worker.started_incarnation:
             worker.started_ns = self._to_started_ns(endpoint.age_ms)
             worker.started_incarnation = endpoint.incarnation
         state = STATES[endpoint.state]
-        drains = worker.draining_incarnation
-        if state is WorkerState.UP and drains and drains == endpoint.incarnation:
-            state = WorkerState.DRAINING  # what it told us is newer, until it has started again
+        draining = worker.draining_incarnation
+        if state is WorkerState.UP and draining and draining == endpoint.incarnation:
+            state = WorkerState.DRAINING  # its own announcement is newer, until it restarts
         facts = worker.build_facts(state, worker.started_ns, _weight(endpoint))
         if worker.policy_worker is None:
             boundary = self.decision_loop.policy_boundary
@@ -139,27 +139,27 @@
         return facts
 
     def _to_started_ns(self, age_ms: float | None) -> int:
-        """When a worker started, by our clock: 0 for long ago, never later than now."""
+        """Returns the start time by the local clock: 0 for long ago, and never later than now."""
         if age_ms is None:
             return 0
         age_ns = max(0, round(age_ms * NS_PER_MS))
         return max(1, self.decision_loop.clock() - age_ns)
 
     def is_listed_up(self, worker: UpstreamWorker) -> bool:
-        """Whether the source's list has this worker, and as up."""
+        """Whether the source lists this worker as up."""
         endpoint = worker.endpoint
         return endpoint.id in self.endpoint_list.endpoints and endpoint.state == "up"
 
     def forget_if_gone(self, worker: UpstreamWorker) -> None:
-        """Forgets a worker that is gone, once the last of what was sent there has ended."""
+        """Removes a worker that is gone, once nothing is in flight to it any more."""
         if worker.is_gone and not worker.in_flight:
             self.by_policy_worker.pop(worker.policy_worker, None)
             if self.workers.get(worker.endpoint.id) is worker:
                 del self.workers[worker.endpoint.id]
 
     def mark_draining(self, worker: UpstreamWorker) -> None:
-        """Takes a worker's own word that it drains; it counts ahead of what the source says."""
-        if worker.says_it_drains:
+        """Marks a worker as draining by its own announcement, which overrides the source."""
+        if worker.has_announced_draining:
             return
         endpoint = worker.endpoint
         worker.draining_incarnation = endpoint.incarnation
--- a/martenlead/edge/metrics.py
+++ b/martenlead/edge/metrics.py
@@ -13,7 +13,7 @@
 
 
 class Metrics(Collector):
-    """Reads the metrics from a dispatcher each time that they are asked for."""
+    """Collects the metrics of a dispatcher at each request for them."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
@@ -22,11 +22,11 @@
         self._registry.register(self)
 
     def render(self) -> bytes:
-        """All metrics as text."""
+        """Returns all metrics as text."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Yields the metrics, as the library asks for them."""
+        """Yields the metrics; called by the Prometheus library."""
         counted = CounterMetricFamily(
             "martenlead", "What ended, by kind and name", labels=["kind", "name"]
         )
@@ -38,7 +38,7 @@
 
 
 def _gauges(report: StatusReport) -> dict[str, float | None]:
-    """Values by the names under which operators know them."""
+    """Returns the gauges by their exported names, without the prefix."""
     return {
         "held": report.pending_requests,
         "held_bytes": report.pending_bytes,
--- a/martenlead/edge/policy_boundary.py
+++ b/martenlead/edge/policy_boundary.py
@@ -1,8 +1,8 @@
-"""The only place that calls the policy: all notifications and decisions pass here.
+"""The only caller of the policy: all notifications and decisions pass through it.
 
-The boundary reads the clock once for each notification and hands both to the recorder, if there is
-one, before the policy is called. So a recorder has all that a replay needs: the settings, the seed
-and the notifications with their times.
+The boundary reads the clock once for each notification, and passes the notification with its time
+to the recorder, if there is one, before it calls the policy. So a recorder gets all that a replay
+needs: the settings, the seed and the notifications with their times.
 """
 
 from __future__ import annotations
@@ -30,21 +30,21 @@
     WorkerFacts,
 )
 
-T = TypeVar("T")
+ResultT = TypeVar("ResultT")
 
 
 class Recorder(Protocol):
-    """Stores what a policy is notified of, before the policy is, and what it decides."""
+    """Stores each notification, before the policy gets it, and each decision."""
 
     def record(self, event: BoundaryEvent) -> None:
         """Stores one notification."""
 
     def record_action(self, action: Action) -> None:
-        """Stores one decision, made in the course of the last notification."""
+        """Stores one decision, made during the last notification."""
 
 
 class TeeRecorder:
-    """Hands everything to two recorders, one after the other."""
+    """Passes everything to two recorders, one after the other."""
 
     def __init__(self, first: Recorder, second: Recorder) -> None:
         self._first, self._second = first, second
@@ -73,10 +73,10 @@
         names: tuple[list[str], dict[str, Tenant]] = ([], {}),
         policy: type[Policy] = Policy,
     ) -> None:
-        """Makes the policy; comparisons of policies pass another class.
+        """Creates the policy; comparisons of policies pass another class as `policy`.
 
-        `perform` gets every decision. `names` are those of the request classes, in the order of
-        the settings, and the tenants by theirs; only the recorder reads them.
+        `perform` is called with every decision. `names` are the names of the request classes, in
+        the order of the settings, and the tenants by name; only the recorder uses them.
         """
         self._settings = settings
         self._clock = clock
@@ -96,26 +96,26 @@
         self._perform(action)
 
     def _now(self) -> int:
-        """The time, which the policy gets too; while the clock steps back it stands still."""
+        """Returns the time, and sets it in the policy; never decreases if the clock steps back."""
         now = max(self._clock(), self._policy.state.now_ns)
         self._policy.state.now_ns = now
         return now
 
     def start(self) -> None:
-        """Begins what the policy runs as long as the dispatcher does."""
+        """Starts the generators of the policy that run as long as the dispatcher."""
         now = self._now()
         if self._recorder is not None:
             self._recorder.record(events.EngineStarted(now))
         self._engine.start()
 
     def set_tick(self, tick_ns: int) -> None:
-        """Notes the tick that the event loop achieves at present."""
+        """Sets the tick that the event loop currently achieves."""
         if self._recorder is not None:
             self._recorder.record(events.TickChanged(self._now(), tick_ns))
         self._settings.tick_ns = tick_ns
 
     def add_worker(self, facts: WorkerFacts, name: str) -> Worker:
-        """Makes the policy's object for a worker that is named for the first time."""
+        """Creates the policy's object for a new worker."""
         now = self._now()
         worker = self._policy.new_worker(facts)
         if self._recorder is not None:
@@ -123,7 +123,7 @@
         return worker
 
     def add_function(self, facts: FunctionFacts, name: str) -> Function:
-        """Makes the policy's object for a function that is named for the first time."""
+        """Creates the policy's object for a new function."""
         now = self._now()
         function = self._policy.new_function(facts)
         if self._recorder is not None:
@@ -131,7 +131,7 @@
         return function
 
     def update_workers(self, updates: list[tuple[Worker, WorkerFacts]], is_complete: bool) -> None:
-        """Notifies of what discovery says; a complete list has all workers that there are."""
+        """Notifies of updates from discovery; complete ones are a list of all workers."""
         now = self._now()
         if self._recorder is not None:
             self._recorder.record(events.WorkersUpdated(now, updates, is_complete))
@@ -150,7 +150,7 @@
     ) -> None:
         """Notifies of a new request.
 
-        `on_created` gets the policy's object for it before the policy decides anything.
+        `on_created` is called with the policy's object for it, before the policy decides on it.
         """
         now = self._now()
         request = Request(function, request_class, tenant, deadline_ns, is_retry, cost)
@@ -183,7 +183,7 @@
     def choose_worker(
         self, function: Function, request_class: RequestClass, is_deferrable: bool, cost: float
     ) -> Worker | None:
-        """The worker that would have such a request now; nothing is begun."""
+        """Returns the worker that such a request would be sent to now; starts nothing."""
         now = self._now()
         request = Request(
             function, request_class, None, now, False, cost, is_deferrable=is_deferrable
@@ -192,7 +192,7 @@
             self._recorder.record(events.WorkerChoiceRequested(now, request))
         return self._engine.choose_worker(request)
 
-    # -- what a planner decided for this dispatcher
+    # -- decisions of a planner for this dispatcher
 
     def set_retained(self, worker: Worker, function: Function, is_retained: bool) -> None:
         """Notifies of a planner's decision whether a replica is retained."""
@@ -204,9 +204,9 @@
     def request_load(
         self, plan_number: int, worker: Worker, function: Function
     ) -> LoadRequest | None:
-        """The load request that a planner decided on, None where the load budget is spent.
+        """Makes a load request that a planner decided on; returns None if the budget is spent.
 
-        The budget is counted here, whoever decides on load requests.
+        The load budget is enforced here, whoever decides on load requests.
         """
         now = self._now()
         if self._recorder is not None:
@@ -214,17 +214,17 @@
         return self._engine.request_load(worker, function)
 
     def allow_load_requests(self, is_allowed: bool) -> None:
-        """Sets whether this policy decides on replicas, or a planner does."""
+        """Sets whether this policy, and not a planner, decides on load requests."""
         if self._recorder is not None:
             self._recorder.record(events.LoadRequestsAllowed(self._now(), is_allowed))
         self._settings.may_request_loads = is_allowed
 
-    # -- what an earlier run of this dispatcher left
+    # -- knowledge of an earlier run of this dispatcher
 
     def confirm_replica(
         self, worker: Worker, function: Function, result: Result, replicas: int, last_used_ns: int
     ) -> None:
-        """Notifies of the answer to the question after a replica of an earlier run."""
+        """Notifies of a worker's answer whether it has a replica of an earlier run."""
         now = self._now()
         if self._recorder is not None:
             self._recorder.record(
@@ -233,33 +233,33 @@
         self._engine.confirm_replica(worker, function, result, replicas, last_used_ns)
 
     def restore(self, earlier: EarlierRun) -> None:
-        """Hands over what an earlier run had learnt: once, before the first request."""
+        """Restores what an earlier run had learnt: once, before the first request."""
         now = self._now()
         if self._recorder is not None:
             self._recorder.record(events.KnowledgeRestored(now, earlier))
         self._engine.restore(earlier)
 
-    # -- questions, which change nothing
+    # -- queries, which change nothing
 
-    def inspect(self, read: Callable[[Policy, int], T]) -> T:
-        """What `read` finds in the policy's state at this time; it may not change the state."""
+    def inspect(self, read: Callable[[Policy, int], ResultT]) -> ResultT:
+        """Returns `read` of the policy and the time; it must not change the policy's state."""
         return read(self._policy, self._now())
 
     def may_reject(self, request: Request, *unsent: Attempt) -> bool:
-        """Whether the client may repeat it: nothing ran, or the repeat would be dropped.
+        """Whether the client may retry it: nothing ran, or the retry would be deduplicated.
 
-        `unsent` are attempts without a result of which no byte has left.
+        `unsent` are attempts without a result of which no byte has been sent.
         """
         return self._policy.repeats.may_reject(request, unsent)
 
     # -- timers
 
     def next_due_ns(self) -> int | None:
-        """When `advance` is to be called next, None for never."""
+        """Returns when `advance` is to be called next, or None if no timer is set."""
         return self._engine.next_due_ns()
 
     def advance(self) -> None:
-        """Resumes whatever has waited until now."""
+        """Resumes all waits that are due."""
         now = self._now()
         due_ns = self._engine.next_due_ns()
         if due_ns is None or due_ns > now:
--- a/martenlead/edge/protocol.py
+++ b/martenlead/edge/protocol.py
@@ -1,4 +1,4 @@
-"""How an event states a request (docs/protocol.md): its attributes, read into `IncomingRequest`."""
+"""Reads the attributes of an event into an `IncomingRequest` (docs/protocol.md)."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def _read_time_left_ms(event: Event, age_ns: int) -> float | None:
-    """The shorter of the time left that is stated and the time until the expiry that is stated."""
+    """Returns the shorter of the stated time left and the time until the stated expiry."""
     left_ms = _number(event, "timeleftms")
     expiry = event.text("expirytime")
     if expiry is None:
@@ -60,7 +60,7 @@
 def _number(
     event: Event, name: str, least: float = 0, largest: float = LARGEST_INTEGER
 ) -> float | None:
-    """A number in a range. CloudEvents has whole numbers only; a text may hold a fraction."""
+    """Reads a number within a range. CloudEvents has only integers; a string may be a fraction."""
     value = event.attributes.get(name)
     if value is None:
         return None
--- a/martenlead/edge/queue_admission.py
+++ b/martenlead/edge/queue_admission.py
@@ -1,8 +1,8 @@
-"""Requests that wait in the admission controller's queues before the dispatcher accepts them.
+"""Queues requests by the admission controller before the dispatcher accepts them.
 
-The controller decides who enters, waits or is rejected. Here its decisions meet the event loop, the
-dispatcher and the clients: a waiting request is woken, and a rejected one is given its reservation,
-signed where the edges share a secret.
+The controller decides which requests are admitted, queued or rejected. This module carries out its
+decisions: it wakes up queued requests, submits admitted ones to the dispatcher, and gives rejected
+ones a signed reservation if the edges share a secret.
 """
 
 from __future__ import annotations
@@ -41,13 +41,13 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_SECOND = 1e9
-CHECK_SECONDS, IDLE_CHECK_SECONDS = 0.01, 0.05  # while requests wait, and while none does
+CHECK_SECONDS, IDLE_CHECK_SECONDS = 0.01, 0.05  # with and without queued requests
 
-Reservation = tuple[int, int]  # since and until when a rejected client may come, ns
+Reservation = tuple[int, int]  # start and end of the time for a retry, ns
 
 
 class QueueAdmission:
-    """The admission controller of one listener, and the requests that wait for it."""
+    """The admission controller of one listener, and its queued requests."""
 
     def __init__(
         self, dispatcher: Dispatcher, settings: EdgeSettings, queues: QueueSettings
@@ -73,9 +73,9 @@
         content: EventContent,
         client: CancellationSource[PendingRequest] | None,
     ) -> Reply:
-        """Serves a request: at once, after a wait, or not at all.
+        """Serves a request at once or after a wait in a queue, or rejects it.
 
-        Cancelled when its client has left.
+        Cancelled if its client leaves.
         """
         dispatcher, controller = self.dispatcher, self.controller
         queued = self._submit(incoming, event, arrived_ns, len(content.body))
@@ -128,7 +128,7 @@
         return self.controller.submit(request)
 
     async def _wait(self, queued: QueuedRequest) -> None:
-        """Waits until the controller has decided on a request, or until it could not be in time."""
+        """Waits until the controller has decided on a request, or until it is too late to start."""
         changed = self._state_changed[queued] = anyio.Event()
         left_ns = max(0, queued.start_by_ns - self.dispatcher.clock())
         try:
@@ -136,18 +136,18 @@
                 await changed.wait()
             self.controller.expire(queued)
         except anyio.get_cancelled_exc_class():
-            # its client left while it waited, or just as it was admitted: then the next one is due
+            # the client left in the queue or just on admission, so the next request may be admitted
             self._wake(self.controller.complete(queued, ServiceResult.OTHER))
             raise
         finally:
             del self._state_changed[queued]
 
     def verify_reservation(self, event: Event) -> Reservation | None:
-        """The reservation that a request brings from another edge, by this process's clock.
+        """Returns the reservation that a request presents, converted to this process's clock.
 
-        One that was issued in the future shows that a wall clock was stepped. Within the grace that
-        edges allow it counts as issued now, so that nobody is told to wait for longer than was
-        stated; beyond, it is refused.
+        It may be from another edge. One issued in the future means that a wall clock was stepped.
+        Within the grace period it counts as issued now, so that no client has to wait for longer
+        than it was told to; otherwise it is refused.
         """
         text = event.text("appointment") if self._secret is not None else None
         if text is None or self._secret is None:
@@ -166,7 +166,7 @@
         return since + clock_offset, until + clock_offset
 
     def _add_reservation(self, reply: Reply, event: Event, queued: QueuedRequest) -> Reply:
-        """Adds the reservation of a rejected request to its response, signed, by the wall clock."""
+        """Adds a rejected request's reservation to its response, signed and in wall-clock time."""
         if self._secret is not None and queued.reservation is not None:
             clock_offset = self.wall_clock_ns() - self.dispatcher.clock()
             since_ms, until_ms = ((t + clock_offset) // NS_PER_MS for t in queued.reservation)
@@ -179,7 +179,7 @@
             self._state_changed[queued].set()
 
     def _find_placement(self, queued: QueuedRequest) -> PolicyWorker:
-        """The worker that the policy would send a queued request to now, or None."""
+        """Returns the worker that the policy would send a queued request to now, or None."""
         dispatcher = self.dispatcher
         entry = dispatcher.find_or_add_function(queued.function, *queued.resources)
         return dispatcher.policy_boundary.choose_worker(
@@ -190,9 +190,9 @@
         )
 
     async def run(self) -> None:
-        """Admits waiting requests as capacity comes with time alone, until it is cancelled.
+        """Admits queued requests periodically, because capacity also grows with time alone.
 
-        The end of a request admits the next ones at once.
+        The end of a request admits the next ones at once. Runs until it is cancelled.
         """
         while True:
             is_waiting = self.controller.waiting_requests
@@ -200,12 +200,12 @@
             self._wake(self.controller.admit_waiting())
 
     def reject_all(self) -> None:
-        """Rejects all that wait, as the dispatcher stops."""
+        """Rejects all queued requests, because the dispatcher stops."""
         self._wake(self.controller.reject_all())
 
 
 def reservation_issued_ns(since: int, until: int) -> int:
-    """When a reservation was issued: it lasts for the early part of the wait, and the grace."""
+    """Returns the time of issue: the window is the early part of the wait, and the grace."""
     wait = round((until - since - RESERVATION_GRACE_NS) / EARLY_ARRIVAL_SHARE)
     return until - RESERVATION_GRACE_NS - wait
 
@@ -213,9 +213,9 @@
 def classify_service_result(
     outcome: str, policy_request: Request | None, reason: str
 ) -> ServiceResult:
-    """What became of an admitted request, for the controller.
+    """Classifies the result of an admitted request for the controller.
 
-    A request over its tenant's share is the policy's to reject, with the policy's own Retry-After
+    A request over its tenant's share is rejected by the policy, with the policy's own Retry-After
     and without a reservation.
     """
     if outcome == FinalOutcome.SUCCEEDED.value:
--- a/martenlead/edge/records.py
+++ b/martenlead/edge/records.py
@@ -22,17 +22,17 @@
 )
 from martenlead.upstream.endpoints import Endpoint
 
-# objects that the policy makes: kept here and handed back to it, as policy/types.py says
+# objects created by the policy, stored here and passed back to it (see policy/types.py)
 PolicyWorker: TypeAlias = Any
 PolicyFunction: TypeAlias = Any
-# what one listener and one link agree on between themselves, or a link alone
+# values whose type is known only to one listener and one link, or to a link alone
 OpaqueContent: TypeAlias = Any
 
-UNKNOWN_MEMORY_MB = 1.0  # of a worker whose endpoint states no memory
+UNKNOWN_MEMORY_MB = 1.0  # default for an endpoint that states no memory
 
 
 class FinalOutcome(Enum):
-    """The final outcomes, and that of a request whose client left before it had one."""
+    """The final outcomes of requests, including that the client left before there was one."""
 
     SUCCEEDED = "satisfied"
     REJECTED = "turned back"
@@ -44,7 +44,7 @@
 class IncomingRequest:
     """A request as a listener has read it.
 
-    `time_left_ns` counts from its arrival. `id` is the client's own, `trace_id` names the request
+    `time_left_ns` counts from its arrival. `id` is set by the client, `trace_id` names the request
     in captures.
     """
 
@@ -63,9 +63,9 @@
 class PendingRequest:
     """A request that a dispatcher has accepted, and its final response once there is one.
 
-    `content` is what came, in the form that the link to workers sends on; `response` is what the
-    link brought back for it. `client` is the connection that the request came over, where that can
-    be asked whether its client has left.
+    `content` is the request in the form that the link sends to workers, and `response` is what the
+    link received for it. `client` is the client's connection, if it supports a check for whether
+    the client has left.
     """
 
     __slots__ = (
@@ -102,10 +102,10 @@
         self.on_outcome = on_outcome
 
     def end(self, outcome: FinalOutcome) -> None:
-        """Sets the final outcome; only the first call counts.
+        """Sets the final outcome; only the first call has an effect.
 
-        `on_outcome` may be called in the middle of a decision. It must call no method of the
-        dispatcher but `defer`.
+        `on_outcome` may be called during a decision. It must not call any method of the dispatcher
+        except `defer`.
         """
         if self.outcome is not None:
             return
@@ -121,25 +121,25 @@
         self.endpoint, self.connections = endpoint, connections
         self.policy_worker: PolicyWorker = None
         self.started_ns = 0
-        self.started_incarnation = endpoint.incarnation  # the one that `started_ns` belongs to
-        self.draining_incarnation = ""  # the one that told us itself that it drains
+        self.started_incarnation = endpoint.incarnation  # incarnation that started at `started_ns`
+        self.draining_incarnation = ""  # incarnation that announced a drain itself
         self.load_report: dict[str, float] = {}
         self.in_flight = 0  # attempts and load requests that have not ended
         self.is_gone = False
 
     @property
     def is_up(self) -> bool:
-        """Whether it neither drains nor is gone, so that what waited to be sent may leave."""
+        """Whether it is neither draining nor gone, so that waiting messages may be sent to it."""
         return not self.is_gone and self.policy_worker.facts.state is WorkerState.UP
 
     @property
-    def says_it_drains(self) -> bool:
-        """Whether the present incarnation has told us itself that it drains."""
+    def has_announced_draining(self) -> bool:
+        """Whether the current incarnation itself has announced that it is draining."""
         incarnation = self.draining_incarnation
         return bool(incarnation) and incarnation == self.endpoint.incarnation
 
     def build_facts(self, state: WorkerState, started_ns: int, weight: float) -> WorkerFacts:
-        """The facts of this worker, as the policy takes them."""
+        """Returns the facts of this worker for the policy."""
         endpoint = self.endpoint
         mark = int.from_bytes(endpoint.id.encode(), "big")
         memory_mb = endpoint.memory_mb or UNKNOWN_MEMORY_MB
@@ -147,7 +147,7 @@
 
 
 class FunctionEntry:
-    """A function: its name, what is stated of it, and the policy's object."""
+    """A function: its name, its stated resources, and the policy's object."""
 
     __slots__ = ("lanes", "memory_mb", "name", "pending_requests", "policy_function")
 
@@ -160,9 +160,9 @@
 
 
 class InFlightAttempt:
-    """An attempt that a link carries. `number` counts the attempts of its request, from 0.
+    """An attempt in flight. `number` is its index among the attempts of its request, from 0.
 
-    `link_handle` belongs to the link: that by which it cancels the attempt.
+    `link_handle` belongs to the link, which uses it to cancel the attempt.
     """
 
     __slots__ = ("link_handle", "number", "policy_attempt", "request", "worker")
@@ -177,11 +177,11 @@
 
 @dataclass(slots=True)
 class DispatcherSettings:
-    """What a dispatcher is given at its start.
+    """The settings of a dispatcher.
 
     `deadlines_ns` is the longest time that a request of each class may take. `deadline_margin_ns`
-    is taken off the time that a client says is left. At most `function_limit` functions are known
-    at once. `logs_decisions` asks for a log line a decision.
+    is subtracted from a request's time limit. At most `function_limit` functions are known at once.
+    `logs_decisions` enables the decision log.
     """
 
     name: str
--- a/martenlead/edge/responses.py
+++ b/martenlead/edge/responses.py
@@ -1,4 +1,4 @@
-"""The responses that a client gets: final outcomes of requests, and refusals of what is no request.
+"""The responses to clients: final outcomes of requests, and errors for invalid messages.
 
 Their texts and members are part of the protocol (docs/protocol.md).
 """
@@ -30,7 +30,7 @@
 
 
 def final_response(request: PendingRequest) -> Reply:
-    """The response to a request that has its final outcome."""
+    """Returns the response to a request that has its final outcome."""
     if request.outcome is FinalOutcome.SUCCEEDED and request.response is not None:
         headers: Headers = [
             (name, value)
@@ -78,7 +78,7 @@
 
 
 def rejected_before_acceptance(reason: str, retry_after_ns: int) -> Reply:
-    """A rejection that the policy never knew of; the response says so."""
+    """Returns a rejection made before the policy got the request, with a header that says so."""
     reply = problem(
         SERVICE_UNAVAILABLE,
         "Turned back",
@@ -92,12 +92,12 @@
 
 
 def no_such_path() -> Reply:
-    """The refusal of a path that no request is sent to."""
+    """Returns the response to an unknown path."""
     return problem(NOT_FOUND, INVALID_EVENT_TITLES[NOT_FOUND], "tasks are posted to /")
 
 
 def only_post() -> Reply:
-    """The refusal of another method than POST."""
+    """Returns the response to a method other than POST."""
     title = INVALID_EVENT_TITLES[METHOD_NOT_ALLOWED]
     reply = problem(METHOD_NOT_ALLOWED, title, "tasks are posted to /")
     reply.headers.append((b"allow", b"POST"))
@@ -105,7 +105,7 @@
 
 
 def invalid_event(error: InvalidEventError) -> Reply:
-    """The refusal of an event that states no request."""
+    """Returns the response to an event that is no valid request."""
     title = INVALID_EVENT_TITLES[error.status]
     reply = problem(error.status, title, str(error), attribute=error.attribute)
     if error.status == UNSUPPORTED_MEDIA_TYPE:
@@ -114,7 +114,7 @@
 
 
 def unreadable_message(status: int, detail: str) -> Reply:
-    """The refusal of a message that could not be read; the connection is closed behind it."""
+    """Returns the response to a malformed message, which also closes the connection."""
     retry_after_ns = UNREADABLE_RETRY_AFTER_NS if status == SERVICE_UNAVAILABLE else None
     reply = problem(status, "Not a message that is taken", detail, retry_after_ns=retry_after_ns)
     reply.close = True
@@ -122,6 +122,6 @@
 
 
 def internal_error() -> Reply:
-    """The response to a request whose handler failed."""
+    """Returns the response to a request whose handler failed."""
     detail = "the dispatcher failed on this task"
     return problem(INTERNAL_ERROR, "A fault of ours", detail, final="scrapped")
--- a/martenlead/edge/serve.py
+++ b/martenlead/edge/serve.py
@@ -1,4 +1,4 @@
-"""The edge program from start to end: listeners, signals, graceful shutdown."""
+"""Runs the edge program: listeners, signals, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 Companion: TypeAlias = Callable[[Dispatcher], Coroutine[object, object, None]]
 
-IDLE_CHECK_SECONDS = 0.002  # between two looks at whether all pending requests have ended
+IDLE_CHECK_SECONDS = 0.002  # interval of checks for the end of all pending requests
 MS_PER_SECOND = 1000
 NS_PER_MS = 1e6
-# of the garbage collector: new objects until the youngest are collected, then collections
+# thresholds of the three generations of the garbage collector
 COLLECTION_THRESHOLDS = 20_000, 20, 50
 
 
@@ -35,12 +35,12 @@
     recorder: Recorder | None = None,
     companions: Sequence[Companion] = (),
 ) -> None:
-    """Serves until SIGTERM or SIGINT has been obeyed.
+    """Serves until SIGTERM or SIGINT, and then shuts down gracefully.
 
-    `on_started` is called with the port; `companions` run as long as the dispatcher does. At the
-    first signal no new request is accepted, and every pending one gets its response, for `drain_ms`
-    at most. At the second signal every pending request gets its response at once. Raises `OSError`
-    for the listener.
+    `on_started` is called with the port; `companions` run as long as the dispatcher does. After the
+    first signal no new request is accepted, and pending ones have at most `drain_ms` to complete.
+    At the second signal every pending request gets its response at once. Raises `OSError` if a
+    listener cannot be opened.
     """
     log = structlog.get_logger().bind(edge=settings.name)
     dispatcher = create_dispatcher(settings, recorder=recorder)
@@ -81,13 +81,13 @@
 
 
 def _least_time_left_ms(dispatcher: Dispatcher) -> float | None:
-    """The least time that was left at a final response."""
+    """Returns the least time that was left until the deadline at a final response."""
     least_ns = dispatcher.least_time_left_ns
     return None if least_ns is None else least_ns / NS_PER_MS
 
 
 async def _wait_until_idle(dispatcher: Dispatcher, listener: EventListener) -> None:
-    # polled: the end of the last request is no event of its own
+    # polled, because there is no event for the end of the last request
     while dispatcher.pending_requests or listener.server.active_listeners:  # noqa: ASYNC110
         await anyio.sleep(IDLE_CHECK_SECONDS)
 
@@ -109,9 +109,9 @@
 ) -> None:
     """Runs the program until it has stopped. The arguments are those of `serve`.
 
-    A full garbage collection over all pending requests stalls the event loop. So what stands at the
-    start is left out of collections, and the young objects are looked at less often. Cycles are
-    few: requests and responses are freed by their reference counts.
+    A full garbage collection over all pending requests stalls the event loop. So the objects that
+    exist at the start are excluded from collections, and young objects are collected less often.
+    There are few reference cycles: requests and responses are freed by their reference counts.
     """
     gc.collect()
     gc.freeze()
--- a/martenlead/edge/status_report.py
+++ b/martenlead/edge/status_report.py
@@ -1,4 +1,4 @@
-"""What operators see of a dispatcher. Operators and tools know its parts by the stored names."""
+"""The status of a dispatcher for operators, encoded under the names that their tools use."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EndpointListStatus(msgspec.Struct):
-    """The list of workers that the dispatcher follows."""
+    """The version and size of the endpoint list."""
 
     version: int
     workers: int = msgspec.field(name="runners")
@@ -31,9 +31,9 @@
 
 
 class StatusReport(msgspec.Struct):
-    """The state of the process, in plain values.
+    """The status of the process, in plain values.
 
-    `planner` and `queues` are in the reporting parts' own terms, so their values are `Any`.
+    `planner` and `queues` have formats of the components that report them, hence `Any`.
     """
 
     edge: str
--- a/martenlead/edge/timeouts.py
+++ b/martenlead/edge/timeouts.py
@@ -1,9 +1,9 @@
-"""Time limits that cost one timer of whole milliseconds each.
+"""Time limits that use a single timer each, rounded up to whole milliseconds.
 
-anyio sets the timer of a deadline again until the loop's time has passed the deadline. The faster
-event loop counts both its time and its timers in whole milliseconds. What is left of a deadline
-below that is a timer of 0 ms, due at once, again and again until the millisecond is over: hundreds
-of turns of the loop, and more where its clock stands still meanwhile.
+anyio sets the timer of a deadline again until the loop's time has passed the deadline. uvloop
+counts both its time and its timers in whole milliseconds. The last fraction of a millisecond would
+be a timer of 0 ms that fires again and again until the millisecond is over: hundreds of iterations
+of the loop, and more if its clock stands still meanwhile.
 """
 
 from __future__ import annotations
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -24,7 +24,7 @@
             await until(lambda: lines(logs, "attempt_ended"))
             (known,) = f.dispatcher.functions_by_name.values()
             box = f.dispatcher.workers[lines(logs, "attempt_ended")[0]["worker"]]
-            f.dispatcher._carry_out(LoadRequest(box.policy_worker, known.policy_function, 0))
+            f.dispatcher._perform(LoadRequest(box.policy_worker, known.policy_function, 0))
             await until(lambda: lines(logs, "load_request_ended"))
     (sent,) = [line for line in lines(logs, "decision_made") if line["action"] == "Attempt"]
     assert sent["edge"] and sent["worker"] in "ab" and sent["request"]
