--- a/martenlead/edge/dispatcher.py
+++ b/martenlead/edge/dispatcher.py
@@ -88,9 +88,7 @@
         self.counts: Counter[tuple[str, str]] = Counter()
         self.pending_requests: dict[Request, PendingRequest] = {}
         self.pending_bytes = 0
-        self.least_time_left_ns: int | None = (
-            None  # least time before the deadline of any final response
-        )
+        self.least_time_left_ns: int | None = None  # before the deadline, at final responses
         self._in_flight: dict[Attempt, InFlightAttempt] = {}
         # set by components whose status is reported to operators
         self.report_planner: StatusReporter | None = None
--- a/martenlead/edge/http_upstream.py
+++ b/martenlead/edge/http_upstream.py
@@ -121,7 +121,7 @@
         return attempt not in self._unsent
 
     async def _exchange(self, attempt: InFlightAttempt) -> None:
-        """Performs an attempt and reports its end, also if the socket fails or it is cancelled."""
+        """Performs an attempt and reports its end once, even on a socket error or cancellation."""
         policy_attempt, clock = attempt.policy_attempt, self.dispatcher.clock
         connections: WorkerConnections = attempt.worker.connections
         left_ns = policy_attempt.sent_ns + policy_attempt.timeout_ns - clock()
@@ -251,7 +251,7 @@
                 if exchange.message is not None:
                     failure = exchange_classifier.parse_load_failure(exchange.message)
                     outcome.load_failure = failure
-                    outcome.is_draining = _says_draining(exchange.message)
+                    outcome.is_draining = _announces_draining(exchange.message)
         except Exception as error:  # the policy expects the end of each load request
             self.dispatcher.record_fault(error)
         on_outcome(outcome)
@@ -273,7 +273,7 @@
                 exchange = await connections.pool.exchange(data)
                 if exchange.message:
                     worker.load_report.update(_load_report(exchange.message))
-                    if _says_draining(exchange.message):
+                    if _announces_draining(exchange.message):
                         self.dispatcher.mark_draining(worker)
         except Exception as error:  # only this health check fails
             self.dispatcher.record_fault(error)
@@ -284,5 +284,5 @@
     return load_requests.parse_load_report(header)
 
 
-def _says_draining(message: http.Message) -> bool:
+def _announces_draining(message: http.Message) -> bool:
     return message.header(exchange_classifier.STATE_HEADER) == DRAINING_STATE
--- a/martenlead/edge/knowledge_saver.py
+++ b/martenlead/edge/knowledge_saver.py
@@ -46,7 +46,7 @@
 from martenlead.system.state_saver import SaveHealth
 
 KNOWLEDGE = StateKind("knowledge")
-CONFIRM_SPREAD_SECONDS = 0.25  # mean of the total, so that dispatchers do not ask in step
+CONFIRM_SPREAD_SECONDS = 0.25  # mean time for all confirmations, so that edges do not ask in step
 PAUSE_PER_GATHERING = 100  # pause after a gathering, as a multiple of its duration
 READ_ATTEMPTS = 5  # openings that may fail to read the state before the edge starts without it
 # Later than this after the start, newly learnt knowledge is worth more than the saved one.
@@ -136,7 +136,7 @@
             self._save_at_end(dispatcher)
 
     def _save_at_end(self, dispatcher: Dispatcher) -> None:
-        with suppress(Exception):  # a failure was already reported by `_attempt`
+        with suppress(Exception):  # reported by `_attempt` when it first happened
             for _ in self._gather_in_steps(dispatcher):
                 pass
         if self.store is not None or self._is_past_restoring():
--- a/martenlead/edge/membership.py
+++ b/martenlead/edge/membership.py
@@ -60,7 +60,7 @@
                 continue
             if endpoint.state == "gone":
                 gone.append(worker)
-                worker.is_gone = True  # now, as a successor with the same id may follow
+                worker.is_gone = True  # set now: a successor with the same id may follow
             else:
                 worker.endpoint = endpoint
             facts = self._update_facts(worker, endpoint)
@@ -130,9 +130,7 @@
         state = STATES[endpoint.state]
         draining = worker.draining_incarnation
         if state is WorkerState.UP and draining and draining == endpoint.incarnation:
-            state = (
-                WorkerState.DRAINING
-            )  # the worker's own announcement is newer, until it restarts
+            state = WorkerState.DRAINING  # its own announcement is newer than this, until a restart
         facts = worker.build_facts(state, worker.started_ns, _weight(endpoint))
         if worker.policy_worker is None:
             boundary = self.decision_loop.policy_boundary
--- a/martenlead/edge/policy_boundary.py
+++ b/martenlead/edge/policy_boundary.py
@@ -131,7 +131,7 @@
         return function
 
     def update_workers(self, updates: list[tuple[Worker, WorkerFacts]], is_complete: bool) -> None:
-        """Notifies of updates from discovery; complete ones are a list of all workers."""
+        """Notifies of updates from discovery; complete ones cover all workers that there are."""
         now = self._now()
         if self._recorder is not None:
             self._recorder.record(events.WorkersUpdated(now, updates, is_complete))
@@ -242,7 +242,7 @@
     # -- queries, which change nothing
 
     def inspect(self, read: Callable[[Policy, int], ResultT]) -> ResultT:
-        """Returns `read` of the policy and the time; it must not change the policy's state."""
+        """Returns `read(policy, now_ns)`; `read` must not change the policy's state."""
         return read(self._policy, self._now())
 
     def may_reject(self, request: Request, *unsent: Attempt) -> bool:
--- a/martenlead/edge/serve.py
+++ b/martenlead/edge/serve.py
@@ -25,7 +25,8 @@
 IDLE_CHECK_SECONDS = 0.002  # interval of checks for the end of all pending requests
 MS_PER_SECOND = 1000
 NS_PER_MS = 1e6
-# thresholds of the three generations of the garbage collector
+# Garbage collection: new objects before the youngest generation is collected, and collections of
+# each generation before the next older one is.
 COLLECTION_THRESHOLDS = 20_000, 20, 50
 
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -114,8 +114,7 @@
     path = tmp_path / "kept"
     async with fleet() as rig:
         lines = [
-            endpoints.Endpoint(id=name, port=worker.port, memory_mb=1.0)
-            for name, worker in rig.runners.items()
+            endpoints.Endpoint(id=name, port=stub.port, memory_mb=1.0) for name, stub in rig.runners.items()
         ]
         endpoints.save_cached_endpoints(path, endpoints.CachedEndpoints(3, time.time(), lines))
         # A second edge, which cannot reach discovery.
@@ -393,7 +392,7 @@
 
 
 async def test_discovery_is_connected_again_after_a_malformed_update() -> None:
-    """The updates have the wrong type, no JSON at all, or an unknown state."""
+    """The updates lack fields, are not JSON, or have an unknown state."""
     async with fleet() as rig:
         for malformed in (
             b"{}\n",
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -100,9 +100,7 @@
     knowledge = make_knowledge()
     workers: dict[str, tuple[Any, str]] = {"a": ("worker a", "1"), "b": ("worker b", "2")}
     earlier_run = build_earlier_run(knowledge, 2 * SECOND, {"m": "function m"}, workers, 5 * SECOND)
-    assert [(restored.worker, restored.concurrency_limit) for restored in earlier_run.workers] == [
-        ("worker a", 20.0)
-    ]
+    assert [(entry.worker, entry.concurrency_limit) for entry in earlier_run.workers] == [("worker a", 20.0)]
     assert list_draining_workers(knowledge, workers) == ["a"]
     assert earlier_run.load_ages_ns == [3 * SECOND]  # the other one is outside the window of the load budget
     assert [restored.function for restored in earlier_run.functions] == ["function m"]
