--- a/martenlead/node/__init__.py
+++ b/martenlead/node/__init__.py
@@ -1,5 +1,6 @@
-"""The platform's protocol: JSON-RPC clients, workers' JSON lines and the journal service.
+"""The dispatcher on the platform's protocol.
 
-It has codecs without I/O, a client of workers and a source of membership for the dispatcher.
+Clients speak JSON-RPC, workers speak JSON lines, and the journal service sends the membership. The
+package has codecs without I/O, a client for workers and a membership source for the dispatcher.
 See docs/design/node.md.
 """
--- a/martenlead/node/__main__.py
+++ b/martenlead/node/__main__.py
@@ -1,9 +1,9 @@
-"""Starts the program, and keeps the signals that come while it is being imported."""
+"""Starts the program, and records signals that arrive while it is being imported."""
 
 import signal
 import sys
 
-# before the rest is imported: a signal that comes meanwhile would end the program as a crash
+# Installed before the other imports: a signal that arrives during them would crash the program.
 early_signals: list[int] = []
 for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
     signal.signal(signal_number, lambda received, _frame: early_signals.append(received))
--- a/martenlead/node/call_timeouts.py
+++ b/martenlead/node/call_timeouts.py
@@ -1,4 +1,4 @@
-"""Ends the calls whose time is over, with one heap and one timer for all connections."""
+"""Expires calls that have timed out, with one heap and one timer for all connections."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class CallTimeouts:
-    """Calls by the time at which they are due.
+    """Expires calls at the times at which they are due.
 
-    `expire` is called for each whose outcome has not come by then.
+    `expire` is called for each call that has no outcome by then.
     """
 
     def __init__(self, clock: Callable[[], int], expire: Callable[[OutstandingCall], None]) -> None:
         self._clock, self._expire = clock, expire
-        self._heap: list[tuple[int, int, OutstandingCall]] = []  # due time, number, call
+        self._heap: list[tuple[int, int, OutstandingCall]] = []  # (due time, number, call)
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_ns = 0
 
     def add(self, call: OutstandingCall, number: int) -> None:
-        """Has a call expire at its time; `number` is above those of earlier calls."""
+        """Schedules the expiry of a call; `number` is greater than those of earlier calls."""
         heappush(self._heap, (call.due_ns, number, call))
         self.schedule()
 
     def next_due_ns(self) -> int | None:
-        """When the next call is due, or None."""
+        """Returns when the next call is due, or None if there is no call."""
         return self._heap[0][0] if self._heap else None
 
     def schedule(self) -> None:
-        """Drops calls that have ended, and sets the timer for the next one."""
+        """Drops ended calls from the front of the heap, and sets the timer for the next call."""
         heap = self._heap
         while heap and not heap[0][2].is_outstanding():
             heappop(heap)
@@ -47,7 +47,7 @@
             )
 
     def expire_due(self) -> None:
-        """Ends the calls that are due; also for a caller that comes before a late timer."""
+        """Expires the calls that are due; may also be called ahead of a late timer."""
         now_ns = self._clock()
         while self._heap and self._heap[0][0] <= now_ns:
             call = heappop(self._heap)[2]
--- a/martenlead/node/client_connection.py
+++ b/martenlead/node/client_connection.py
@@ -1,7 +1,7 @@
-"""One connection of a client: bytes to messages, responses to bytes, and its limits.
+"""One client connection: decodes messages, writes responses and enforces limits.
 
-A client that does not keep the form of the protocol gets an error, or the end of its connection.
-That costs other clients nothing.
+A client that violates the protocol gets an error response, or its connection is closed. Other
+clients are not affected.
 """
 
 from __future__ import annotations
@@ -25,20 +25,29 @@
 from martenlead.node.sockets import readable
 from martenlead.system.sender import Sender
 
-WRITE_BUFFER_BYTES = 262_144  # that wait for a client; beyond them no request is accepted from it
-FULL_READ_BYTES = 65_536  # a read of so many may have left some that came at the same time
-FIRST_REQUEST_GRACE_NS = 100 * NS_PER_MS  # for a connection that is over the limit
-LINGER_SECONDS = 0.04  # from our end to the close, which resets where bytes lie unread
-REQUEST_TRANSIT_NS = 50 * NS_PER_MS  # a request may be on its way for so long
-FIRST_MESSAGE_TIMEOUT_NS = 2_000 * NS_PER_MS  # also for the rest of a message that has begun
-IDLE_TIMEOUT_NS = 5_000 * NS_PER_MS  # clients close after 4 s themselves
-STALLED_CLIENT_TIMEOUT_NS = 2_500 * NS_PER_MS  # nothing leaves for so long: the client is gone
-READ_BYTES = 262_144  # of one read between two turns of the loop
+# Unsent response bytes above which no further request is accepted from the client
+WRITE_BUFFER_BYTES = 262_144
+# A read of at least this size may have left bytes unread that arrived at the same time
+FULL_READ_BYTES = 65_536
+# Time for a connection over the limit to deliver its first request
+FIRST_REQUEST_GRACE_NS = 100 * NS_PER_MS
+# Delay from the half-close to the close, which resets the connection if bytes are unread
+LINGER_SECONDS = 0.04
+# Longest time that a request is assumed to be in transit
+REQUEST_TRANSIT_NS = 50 * NS_PER_MS
+# Also applies to the rest of a message that was received in part
+FIRST_MESSAGE_TIMEOUT_NS = 2_000 * NS_PER_MS
+# Clients close idle connections themselves after 4 s
+IDLE_TIMEOUT_NS = 5_000 * NS_PER_MS
+# A client to which nothing could be sent for this long is considered gone
+STALLED_CLIENT_TIMEOUT_NS = 2_500 * NS_PER_MS
+# Size and number of the reads of one call of `read_unread_input`
+READ_BYTES = 262_144
 READS_PER_TURN = 4
 
 
 class MessageHandler(Protocol):
-    """What is done with the messages of clients."""
+    """Handles the messages of clients."""
 
     def handle_messages(
         self, connection: ClientConnection, messages: list[bytes], arrived_ns: int
@@ -46,11 +55,11 @@
         """Handles the messages of one read."""
 
     def abandon_request(self, request: PendingRequest) -> None:
-        """Ends a request whose client waits for it no more."""
+        """Ends a request whose client no longer waits for the response."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the listener that has accepted it."""
+    """The part of the accepting listener that a connection uses."""
 
     dispatcher: Dispatcher
     closing: dict[ClientConnection, int]
@@ -58,43 +67,43 @@
 
     @property
     def requests(self) -> MessageHandler:
-        """Handles what the connection reads."""
+        """The handler of the messages that the connection receives."""
 
     def add_connection(self, connection: ClientConnection) -> None:
-        """Counts a connection that is established."""
+        """Registers an established connection."""
 
     def remove_connection(self, connection: ClientConnection) -> None:
-        """Forgets a connection, and ends its requests."""
+        """Unregisters a connection, and ends its requests."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection. Something has waited for `unread_ns` to be read from it."""
+    """One client connection, whose first bytes have been waiting unread for `unread_ns`."""
 
     def __init__(self, listener: ConnectionOwner, unread_ns: int = 0) -> None:
         self.listener = listener
-        self.transport: Any = None  # of either event loop
+        self.transport: Any = None  # asyncio's or uvloop's
         self.sender: Sender
         self.decoder = MessageDecoder()
         self.open_requests: dict[int, PendingRequest] = {}
-        self.counted_until_ns: list[int] = []  # of ended requests that count as open until then
+        self.counted_until_ns: list[int] = []  # when ended requests stop counting as open
         self.last_number = 0
         self.error_count = 0
-        self.has_sent_message = False  # one that was accepted
-        self.last_read_ns = 0  # of a complete message
-        self.partial_since_ns = 0  # a message has begun, and is not complete
-        self.write_blocked_since_ns = 0  # the client does not read
-        # the earliest arrival of bytes that may be unread: of a full read's rest, or of the backlog
+        self.has_sent_message = False  # set once a message was accepted
+        self.last_read_ns = 0  # when a complete message was last read
+        self.partial_since_ns = 0  # start of an incomplete message, or 0
+        self.write_blocked_since_ns = 0  # start of a pause in the client's reading, or 0
+        # Earliest arrival of bytes that may be unread: left by a full read, or in the backlog.
         self.unread_since_ns = listener.dispatcher.clock() - unread_ns if unread_ns else 0
         self.graceful_close: GracefulClose | None = None
-        self.is_reading = False  # messages of one read are being handled
-        self.answered_in_read: set[int] = set()  # numbers that have their responses meanwhile
-        self.is_unreadable = False  # where a message begins is not known any more
+        self.is_reading = False  # set while the messages of one read are being handled
+        self.answered_in_read: set[int] = set()  # numbers answered while `is_reading`
+        self.is_unreadable = False  # set once message boundaries are unknown
         self.is_closed = False
 
     # -- called by the event loop
 
-    def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - of either event loop
-        """Joins the listener's connections."""
+    def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - asyncio's or uvloop's
+        """Registers the connection with its listener."""
         self.transport = transport
         transport.set_write_buffer_limits(WRITE_BUFFER_BYTES)
         give_up_seconds = STALLED_CLIENT_TIMEOUT_NS / 1e9
@@ -105,13 +114,13 @@
         self.listener.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        """Handles the messages that are complete."""
+        """Handles the messages that are now complete."""
         if self.is_closed:
             return
         self.is_reading = True
         try:
             self._process(data, self.listener.dispatcher.clock())
-        except Exception as error:  # ours: it costs this connection
+        except Exception as error:  # a fault of this program closes only this connection
             self.listener.dispatcher.record_fault(error)
             self.is_unreadable = True
             self.begin_graceful_close()
@@ -143,7 +152,7 @@
             self.begin_graceful_close()
 
     def _earliest_arrival_ns(self, now_ns: int, size_bytes: int) -> int:
-        """Returns the earliest time at which what is read now may have arrived."""
+        """Returns the earliest time at which the bytes just read may have arrived."""
         arrival_ns = self.listener.dispatcher.event_loop_lag.earliest_arrival(now_ns)
         if self.unread_since_ns:
             arrival_ns = min(arrival_ns, self.unread_since_ns)
@@ -151,44 +160,44 @@
         return arrival_ns
 
     def eof_received(self) -> None:
-        """Takes a closed or half-closed client for gone, before all that was written has left."""
+        """Treats a client that has closed or half-closed as gone, even with responses unsent."""
         self.close()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Leaves the listener's connections."""
+        """Unregisters the connection from its listener."""
         self.is_closed = True
         self.listener.remove_connection(self)
         self.listener.closing.pop(self, None)
         self.listener.on_connection_closed()
 
     def pause_writing(self) -> None:
-        """Goes on reading, since a cancel or the client's end may come; not while it is closing."""
+        """Keeps reading, as a cancel or an EOF may arrive, unless the connection is closing."""
         self.write_blocked_since_ns = self.listener.dispatcher.clock()
         if self.graceful_close is not None and not self.is_closed:
             self._pause_reading()
 
     def resume_writing(self) -> None:
-        """The client reads again."""
+        """Clears the blocked state: the client reads again."""
         self.write_blocked_since_ns = 0
         if self.graceful_close is not None and not self.is_closed:
             self.transport.resume_reading()
 
-    # -- asked before an attempt of one of its requests leaves
+    # -- called before an attempt of one of its requests is sent
 
     def peek_input(self) -> UnreadInput:
-        """Returns what lies unread."""
+        """Returns what is pending on the connection, without reading it."""
         return UnreadInput.END if self.is_closed else sockets.peek_input(self.transport)
 
     def read_unread_input(self) -> bool:
-        """Reads before the event loop does, up to a bound; returns whether nothing is left unread.
+        """Reads pending input ahead of the event loop, up to a limit; returns whether none is left.
 
-        What a client that does not read sends beyond the bound stays unread: there is no room for
-        the responses.
+        If the client does not read and the connection is closing, its input stays unread: there is
+        no room for the responses.
         """
         try:
             self._read_socket()
         except BlockingIOError:
-            return True  # the machine's own word, also where a look at the socket fails
+            return True  # the kernel has no input, even if polling the socket failed
         except InterruptedError:
             pass
         except OSError:
@@ -211,27 +220,27 @@
             self.data_received(data)
 
     def handle_disconnect(self, request: PendingRequest) -> None:
-        """Closes the connection of a client that has left, and ends this request of it."""
+        """Closes the connection of a client that has left, and ends the given request."""
         self.close()
-        self.listener.requests.abandon_request(request)  # it may not be among the open ones yet
+        self.listener.requests.abandon_request(request)  # may not be in `open_requests` yet
 
     # -- responses
 
     def write(self, data: bytes) -> None:
-        """Writes, unless the connection is closed."""
+        """Writes data, unless the connection is closed or closing."""
         if not self.is_closed and not self.transport.is_closing():
             self.sender.write(data)
 
     def respond(self, number: int, data: bytes) -> None:
-        """Writes the one response to the request of this number."""
+        """Writes the only response to the request of this number."""
         if self.is_reading:
             self.answered_in_read.add(number)
         self.write(data)
 
-    # -- its end
+    # -- closing
 
     def close(self) -> None:
-        """Closes once what was written has left; its open requests have no client any more."""
+        """Closes once all written data is sent; ends the open requests, whose client is gone."""
         if not self.is_closed:
             self._mark_closed()
             self.sender.after_writes(self.transport.close)
@@ -242,9 +251,10 @@
         self.listener.remove_connection(self)
 
     def begin_graceful_close(self, is_over_limit: bool = False) -> None:
-        """Accepts no new request, and closes once all that was read has its response.
+        """Rejects new requests, and closes once all requests that were read have responses.
 
-        The first request on a connection that is over the limit may be on its way.
+        A connection over the limit is kept for a grace period, as its first request may be in
+        transit.
         """
         if self.graceful_close is not None or self.is_closed:
             return
@@ -260,7 +270,7 @@
             )
 
     def start_lingering_close(self) -> None:
-        """Ends the writing side, and closes once the client has had time to read."""
+        """Half-closes the connection, and closes it once the client has had time to read."""
         if self.is_closed:
             return
         self._mark_closed()
@@ -272,7 +282,7 @@
         try:
             self._pause_reading()
             self.transport.write_eof()
-        except OSError:  # it was reset
+        except OSError:  # the connection was reset
             self.transport.abort()
             return
         asyncio.get_running_loop().call_later(LINGER_SECONDS, self.transport.close)
@@ -281,10 +291,10 @@
         if self.transport.is_reading():
             self.transport.pause_reading()
 
-    # -- its state
+    # -- state
 
     def is_between_requests(self, now_ns: int) -> bool:
-        """Whether nothing is open, on its way or unread, and nothing was read just before."""
+        """Whether no request is open, unread or possibly in transit."""
         if self.open_requests or self.write_blocked_since_ns:
             return False
         if now_ns - self.last_read_ns <= REQUEST_TRANSIT_NS:
@@ -294,7 +304,7 @@
         return not readable(self.transport)
 
     def is_idle(self, now_ns: int) -> bool:
-        """Whether it has done nothing for longer than it may."""
+        """Whether the connection has been idle for longer than its timeout."""
         if self.open_requests or self.graceful_close is not None:
             return False
         if self.write_blocked_since_ns:
@@ -304,9 +314,9 @@
         timeout_ns = IDLE_TIMEOUT_NS if self.has_sent_message else FIRST_MESSAGE_TIMEOUT_NS
         if now_ns - self.last_read_ns <= timeout_ns:
             return False
-        return not readable(self.transport)  # a request that has just come is read in this turn
+        return not readable(self.transport)  # pending input is read in this loop iteration
 
     def count_open_requests(self, now_ns: int) -> int:
-        """Counts requests that are open to the client, or cost the workers as much."""
+        """Returns the number of open requests, with ended ones that still count as open."""
         self.counted_until_ns = [until for until in self.counted_until_ns if until > now_ns]
         return len(self.open_requests) + len(self.counted_until_ns)
--- a/martenlead/node/client_protocol.py
+++ b/martenlead/node/client_protocol.py
@@ -1,7 +1,7 @@
-"""The clients' protocol: a header with a length, then a JSON-RPC 2.0 message.
+"""Codec of the client protocol: JSON-RPC 2.0 messages, each after a header with its length.
 
-This codec does no I/O, and everything that a peer can make it keep is bounded. The structs that
-decode a message have the field names of the wire; `Call` has the names of the program.
+The codec does no I/O and bounds everything that it buffers for a peer. The structs that decode a
+message use the field names of the wire; `Call` uses the names of the program.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 import msgspec
 
-HEADER_BYTES_LIMIT = 256  # it has one field
-BODY_BYTES_LIMIT = 16_384  # of a request, by the protocol
-MESSAGE_BYTES_LIMIT = 65_536  # the body in base64, and the other fields
+HEADER_BYTES_LIMIT = 256  # a header has one field
+BODY_BYTES_LIMIT = 16_384  # largest request body that the protocol allows
+MESSAGE_BYTES_LIMIT = 65_536  # covers the body in base64 and the other fields
 WAIT_LIMIT_MS = 3_600_000.0
 LANES_LIMIT = 4096
 MEMORY_MB_LIMIT = 1e9
 COST_LIMIT_MS = 1e9
-NUMBER_LIMIT = 1 << 53  # numbers of messages are below it: JSON has them without loss
+NUMBER_LIMIT = 1 << 53  # message numbers are below it, so that JSON represents them exactly
 
-# error codes of JSON-RPC, and the two of this protocol
+# Error codes of JSON-RPC, followed by the two of this protocol
 PARSE_ERROR = -32700
 INVALID_REQUEST = -32600
 METHOD_NOT_FOUND = -32601
@@ -43,9 +43,9 @@
 
 
 class FramingError(Exception):
-    """The stream cannot be split into messages any more.
+    """The stream can no longer be split into messages.
 
-    `complete_messages` were read before the place that cannot be read.
+    `complete_messages` were received before the invalid part.
     """
 
     def __init__(self, complete_messages: list[bytes], detail: str) -> None:
@@ -54,14 +54,13 @@
 
 
 class MessageDecoder:
-    """Splits received bytes into the bodies of messages."""
+    """Splits received bytes into message bodies."""
 
     def __init__(self, message_bytes_limit: int = MESSAGE_BYTES_LIMIT) -> None:
         self.message_bytes_limit = message_bytes_limit
         self._buffer = b""
-        self._length = (
-            -1
-        )  # of the body that is being received; negative before its header is complete
+        # Length of the body being received; negative until its header is complete.
+        self._length = -1
 
     @property
     def has_partial_message(self) -> bool:
@@ -69,10 +68,10 @@
         return bool(self._buffer) or self._length >= 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the messages that are complete now.
+        """Adds received bytes, and returns the messages that are now complete.
 
         Raises:
-            FramingError: what follows cannot be read.
+            FramingError: the rest of the stream cannot be split into messages.
         """
         buffer = self._buffer + data if self._buffer else data
         start = 0
@@ -114,10 +113,10 @@
 
 
 class InvalidCallError(Exception):
-    """A message that was read and is not accepted.
+    """A message that is not accepted.
 
-    `code` and `detail` are for the client. `number` is that of the message, where it has a usable
-    one.
+    `code` and `detail` are sent to the client. `number` is the message's, or None if it has no
+    valid one.
     """
 
     def __init__(self, code: int, detail: str, number: int | None = None) -> None:
@@ -145,15 +144,15 @@
 
 
 class _NumberOnly(msgspec.Struct):
-    id: Any = None  # of whatever type the peer has sent
+    id: Any = None  # any JSON type
 
 
 @dataclass(slots=True)
 class Call:
-    """A message that keeps the form: a request, a ping or a cancel.
+    """A valid message: a request, a ping or a cancel.
 
-    `used_connections` are the worker client's: upstream connections that the request was sent on.
-    `cancelled_id` is what a cancel names: the number of a request, or its id.
+    `used_connections` belongs to the worker client: upstream connections on which the request was
+    sent. `cancelled_id` is the number or the id of the request that a cancel names.
     """
 
     number: int | None
@@ -178,10 +177,10 @@
 
 
 def parse_call(message: bytes) -> Call:
-    """Reads one message. The listener checks whether its method and its tenant are known.
+    """Parses one message. The listener checks whether its method and its tenant are known.
 
     Raises:
-        InvalidCallError: it does not keep the form.
+        InvalidCallError: the message is malformed.
     """
     try:
         decoded = _decode_message(message)
@@ -199,7 +198,7 @@
     return Call(
         number,
         decoded.method,
-        params.id,  # type: ignore[arg-type]  # `_check_params` has found that it is a string
+        params.id,  # type: ignore[arg-type]  # `_check_params` has checked the type
         round(params.wait * 1e6),  # type: ignore[operator]  # likewise
         params.tenant,
         params.retry not in (0, "", "0", False),
@@ -235,7 +234,7 @@
 
 
 def _check_params(params: _Params, number: int) -> None:
-    """Raises InvalidCallError for the first parameter that is not accepted."""
+    """Raises InvalidCallError for the first invalid parameter."""
     if not isinstance(params.id, str) or not _HEX16(params.id):
         raise InvalidCallError(INVALID_PARAMS, "id: 16 hex digits were expected", number)
     if not _HEX16(params.key):
@@ -254,7 +253,7 @@
 
 
 def is_base64(text: str, bytes_limit: int) -> bool:
-    """Whether it is base64 of at most so many bytes."""
+    """Whether the text is base64 of at most `bytes_limit` bytes."""
     if len(text) > bytes_limit * 4 // 3 + 4:
         return False
     try:
@@ -286,7 +285,7 @@
 
 
 def _describe_undecodable(message: bytes, detail: str) -> InvalidCallError:
-    """Makes the error for a message that cannot be decoded, with its number if there is one."""
+    """Returns the error for a message that cannot be decoded, with its number if it has one."""
     try:
         number = _decode_number(message).id
     except _DECODE_ERRORS:
@@ -297,9 +296,9 @@
 
 
 def unparsed_call_error(message: bytes) -> InvalidCallError:
-    """Makes the error for a message that could not be read because of a fault in this program.
+    """Returns the error for a message that was not parsed because of a fault in this program.
 
-    Nothing was done for the message, so its client may send it again.
+    The message had no effect, so its client may send it again.
     """
     number = _describe_undecodable(message, "").number
     return InvalidCallError(REQUEST_REJECTED, "a fault of the dispatcher", number)
@@ -325,8 +324,8 @@
 
 
 def encode_error(number: int | None, code: int, text: str, retry_after_ms: int = 0) -> bytes:
-    """Encodes an error; `retry_after_ms` is 0 for none."""
-    error: dict[str, Any] = {"code": code, "message": text}  # values of JSON
+    """Encodes an error response; `retry_after_ms` is 0 for no Retry-After."""
+    error: dict[str, Any] = {"code": code, "message": text}  # JSON values
     if retry_after_ms > 0:
         error["data"] = {"after": retry_after_ms}
     return _encode_frame(msgspec.json.encode({"jsonrpc": "2.0", "id": number, "error": error}))
--- a/martenlead/node/config.py
+++ b/martenlead/node/config.py
@@ -1,4 +1,4 @@
-"""The configuration file of a dispatcher, read at its start and at each SIGHUP."""
+"""The configuration file of a dispatcher, read at startup and on each SIGHUP."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from martenlead.simulator_adapter.settings import Profile, SettingsError, seconds_to_ns
 from martenlead.upstream.endpoints import EndpointUpdate
 
-FUNCTIONS_PER_MB = 20  # known at a time: each has some KB, with its replicas
+# Functions tracked per MB of the memory limit; each takes a few KB with its replicas
+FUNCTIONS_PER_MB = 20
 FUNCTIONS_MINIMUM = 100
 PORT_LIMIT = 1 << 16
 DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.25
@@ -33,11 +34,11 @@
 
 
 class ConfigError(Exception):
-    """The file cannot be used."""
+    """The configuration cannot be used."""
 
 
 class Limits(msgspec.Struct):
-    """What the platform grants the process. The fields have the names of the file."""
+    """Resources that the platform grants the process, under the field names of the file."""
 
     cores: Annotated[float, Meta(gt=0)] = 1.0
     memory_mb: Annotated[float, Meta(gt=0, le=1e9)] = 192.0
@@ -45,7 +46,7 @@
 
 
 class ConfigFile(msgspec.Struct):
-    """The file, with its names."""
+    """The configuration file, under its own field names."""
 
     name: str
     listen: str
@@ -53,12 +54,12 @@
     seed: str = "0"
     limits: Limits = msgspec.field(default_factory=Limits)
     known: InitialMembership = msgspec.field(default_factory=InitialMembership)
-    settings: dict[str, Any] = {}  # `Profile` checks it
+    settings: dict[str, Any] = {}  # validated by `Profile`
 
 
 @dataclass(slots=True)
 class ConnectionSettings:
-    """What the settings say of connections to workers."""
+    """Settings of the connections to workers."""
 
     calls_per_connection: int
     connect_timeout_ns: int
@@ -80,16 +81,16 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Reads `host:port`; raises ConfigError."""
+    """Parses `host:port`; raises ConfigError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < PORT_LIMIT:
-        detail = f"{text[:80]!r} is no address"
+        detail = f"{text[:80]!r} is not a valid host:port address"
         raise ConfigError(detail)
     return host, int(port)
 
 
 def read_config(path: Path) -> NodeConfig:
-    """Reads the file; raises ConfigError."""
+    """Reads the configuration file; raises ConfigError."""
     try:
         file = msgspec.json.decode(path.read_bytes(), type=ConfigFile)
         return _build(file, Profile(file.settings))
@@ -100,7 +101,7 @@
 
 def _build(file: ConfigFile, profile: Profile) -> NodeConfig:
     if len(profile.deadlines_ns) < len(profile.request_classes):
-        detail = "a class has no give-up"
+        detail = "a request class has no deadline"
         raise SettingsError(detail)
     tables = JournalTables(
         profile.decoded.azs or [],
--- a/martenlead/node/connection_pool.py
+++ b/martenlead/node/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one worker, and the choice among them."""
+"""Keeps the connections to one worker, and selects one of them for a call."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConnectionPool:
-    """The connections to one worker; there is one pool for each worker of the fleet."""
+    """The connections to one worker; each worker of the fleet has its own pool."""
 
     __slots__ = ("connections", "connections_opened", "host", "is_retired", "port")
 
@@ -17,7 +17,7 @@
         self.host, self.port = endpoint.host, endpoint.port
         self.connections: set[UpstreamConnection] = set()
         self.connections_opened = 0
-        self.is_retired = False  # its worker is gone
+        self.is_retired = False  # set once the worker is gone
 
     @property
     def open_connections(self) -> int:
@@ -27,9 +27,9 @@
     def find_idle(
         self, used: Sequence[UpstreamConnection], idle_limit_ns: int, now_ns: int
     ) -> UpstreamConnection | None:
-        """Returns the idle connection that was used last, and none of `used`.
+        """Returns the most recently used idle connection that is not in `used`, or None.
 
-        Closes those that have ended, or were idle for so long that the worker may close them.
+        Closes connections that have ended or been idle so long that the worker may close them.
         """
         found: UpstreamConnection | None = None
         for connection in list(self.connections):
@@ -46,7 +46,7 @@
     def find_least_busy(
         self, used: Sequence[UpstreamConnection], calls_limit: int, now_ns: int
     ) -> UpstreamConnection | None:
-        """Returns the connection with the fewest calls, below the limit, and none of `used`."""
+        """Returns the connection with the fewest calls, below the limit and not in `used`."""
         found: UpstreamConnection | None = None
         for connection in self.connections:
             calls = len(connection.outstanding_calls)
--- a/martenlead/node/discovery.py
+++ b/martenlead/node/discovery.py
@@ -1,4 +1,4 @@
-"""The journal service as the dispatcher's source of membership, followed from the last event on."""
+"""Membership source that follows the journal service, resuming after the last known event."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from martenlead.node.worker_age import NS_PER_MS, WorkerAges
 from martenlead.upstream.endpoints import EndpointList, EndpointUpdate, MissingVersionError
 
-SILENCE_TIMEOUT_SECONDS = 1.6  # a heartbeat is due each second
+SILENCE_TIMEOUT_SECONDS = 1.6  # heartbeats are due every second
 CONNECT_TIMEOUT_SECONDS = 0.5
-MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.02, 0.25  # between two connections
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.02, 0.25  # delay before reconnecting
 
-ADDRESS_CHANGED = "it moved"  # why a connection ended
+ADDRESS_CHANGED = "it moved"  # logged reason for the end of a connection
 
 
 class JournalSource:
@@ -38,19 +38,18 @@
         self.worker_ages = WorkerAges()
         self.log = structlog.get_logger().bind(edge=name)
         self._scope: anyio.CancelScope | None = None
-        self._last_gap: tuple[int, int] | None = (
-            None  # between the event before it and the one after
-        )
+        # The versions before and after the last gap in the event numbers.
+        self._last_gap: tuple[int, int] | None = None
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Follows the service at another address; the numbers of events go on."""
+        """Reconnects to the service at another address, where the event numbers continue."""
         if address != self.address:
             self.address = address
             if self._scope is not None:
                 self._scope.cancel()
 
     async def run(self, dispatcher: Dispatcher) -> None:
-        """Follows it until cancelled, in one connection after the other."""
+        """Follows the service until cancelled, reconnecting whenever a connection ends."""
         try:
             for update in self.initial_updates:
                 self._apply(dispatcher, update)
@@ -79,36 +78,37 @@
                 stream = None
                 stream = await anyio.connect_tcp(*self.address)
             if stream is None:
-                return "it is silent"
+                return "connecting timed out"
             async with stream:
                 return await self._read_stream(dispatcher, stream)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             return "the connection ended"
         except (JournalFrameError, MissingVersionError) as error:
             return str(error)
-        except Exception as error:  # an update that makes no sense must not end the program
+        except Exception as error:  # an inconsistent update must not end the program
             dispatcher.record_fault(error)
             return "a fault of ours"
 
     async def _read_stream(self, dispatcher: Dispatcher, stream: anyio.abc.SocketStream) -> str:
-        """Applies its updates until it is silent."""
+        """Applies updates until none arrives within the silence timeout; returns the reason."""
         decoder = FrameDecoder(self.tables)
         await stream.send(EVENT_NUMBER.pack(self.endpoint_list.version))
         while True:
-            # a complete one: a frame that goes on byte by byte is silence, too
+            # Only a complete update resets the timeout: a frame that trickles in byte by byte
+            # counts as silence.
             updates: list[EndpointUpdate] = []
             with time_limit(SILENCE_TIMEOUT_SECONDS):
                 while not updates:
                     updates = decoder.feed(await stream.receive())
             if not updates:
-                return "it is silent"
+                return "no update within the silence timeout"
             for update in updates:
                 self._apply(dispatcher, update)
 
     def _apply(self, dispatcher: Dispatcher, update: EndpointUpdate) -> None:
-        """Raises MissingVersionError for a gap that is met for the first time."""
+        """Applies one update. Raises MissingVersionError when a gap is found for the first time."""
         version = self.endpoint_list.version
-        if update.version <= version:  # nothing new, or sent twice
+        if update.version <= version:  # a heartbeat or a duplicate
             if update.endpoints is None:
                 self.worker_ages.confirm(dispatcher.clock())
             return
@@ -117,18 +117,19 @@
         gap = version, update.version
         if has_gap and gap != self._last_gap:
             self._last_gap = gap
-            detail = f"at {gap[0]}, told of {gap[1]}"
+            detail = f"at version {gap[0]}, received version {gap[1]}"
             raise MissingVersionError(detail)
         if update.endpoints is None:
             return
-        if has_gap:  # the service has nothing between: what changed since is better than nothing
+        # The service no longer has the missing events; applying the later ones is better than none.
+        if has_gap:
             self.endpoint_list.version = update.version - 1
         self._fill_ages(update, dispatcher.clock())
         if self.endpoint_list.apply(update):
             dispatcher.update_endpoints(update.endpoints, update.is_snapshot)
 
     def _fill_ages(self, update: EndpointUpdate, now_ns: int) -> None:
-        """Turns the starts of workers into ages."""
+        """Computes the ages of workers from their start times."""
         offset_before_ns = self.worker_ages.offset_ns
         self.worker_ages.fill_ages(update, now_ns)
         offset_ns = self.worker_ages.offset_ns
--- a/martenlead/node/journal.py
+++ b/martenlead/node/journal.py
@@ -1,7 +1,7 @@
-"""Events of the journal service: frames of binary records, and the same events as JSON.
+"""Codec of the journal service's events: binary frames, and the same events as JSON.
 
-This codec does no I/O. A frame is a big-endian length, an event number and a kind, and a record for
-each worker. The structs of the configuration's `known` have the field names of the file.
+The codec does no I/O. A frame consists of a big-endian length, an event number, a kind and one
+record per worker. The structs of the configuration's `known` use the field names of the file.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 from martenlead.upstream.endpoints import Endpoint, EndpointUpdate
 
-EVENT_NUMBER = struct.Struct(">Q")  # what a subscriber sends: the last event that it has
-WORKER_STATES = ("up", "draining", "gone")  # by their numbers in records
+EVENT_NUMBER = struct.Struct(">Q")  # sent by a subscriber: the last event that it has
+WORKER_STATES = ("up", "draining", "gone")  # indexed by the state number of a record
 STATE_BY_PHASE = {"in_service": "up", "terminating": "draining", "terminated": "gone"}
 
 _LENGTH_BYTES = 4
 _HEAD = struct.Struct(">IQB")  # length, event number, kind
 _RECORD = struct.Struct(">I4sHBBBHIQ")
-_LEAST_LENGTH = _HEAD.size - _LENGTH_BYTES  # of a frame without records
+_LEAST_LENGTH = _HEAD.size - _LENGTH_BYTES  # length field of a frame without records
 _RECORDS_LIMIT = 20_000
 FRAME_BYTES_LIMIT = _LEAST_LENGTH + _RECORD.size * _RECORDS_LIMIT
 
 
 class EventKind(IntEnum):
-    """What an event is, by its number on the wire."""
+    """Kinds of events, by their numbers on the wire."""
 
     HEARTBEAT = 0
     SNAPSHOT = 1
@@ -37,14 +37,14 @@
 
 
 class JournalFrameError(Exception):
-    """The stream cannot be read on from here."""
+    """A frame is invalid, so the rest of the stream cannot be decoded."""
 
 
 @dataclass(slots=True)
 class JournalTables:
-    """The lists of the settings that records point into, and the memory by kind of machine.
+    """The zones and machine kinds that records index, and the memory of each kind.
 
-    Where `hides_weights`, the weights of workers are not said.
+    With `hides_weights`, the weights of workers are not known and become 0.
     """
 
     zones: list[str]
@@ -61,13 +61,13 @@
         kind: str,
         cell: int,
         weight: float,
-        state: Any,  # noqa: ANN401 - one of `WORKER_STATES`, which a table gives as a string
+        state: Any,  # noqa: ANN401 - one of `WORKER_STATES`, typed as a plain string
         started_unix_ms: int,
     ) -> Endpoint:
-        """Makes an endpoint with the worker's start as its incarnation.
+        """Returns an endpoint whose incarnation is the start time of the worker.
 
-        The start is by the clock of the source, 0 for long past; `worker_age.WorkerAges` makes an
-        age of it.
+        The start time is by the clock of the source, 0 for long past; `worker_age.WorkerAges`
+        computes an age from it.
         """
         return Endpoint(
             id=worker_id,
@@ -84,24 +84,24 @@
 
 
 class FrameDecoder:
-    """Splits received bytes into updates; a heartbeat is an update without endpoints."""
+    """Decodes received bytes into updates; a heartbeat is an update without endpoints."""
 
     def __init__(self, tables: JournalTables) -> None:
         self.tables = tables
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[EndpointUpdate]:
-        """Returns the updates that are complete now.
+        """Adds received bytes, and returns the updates that are now complete.
 
         Raises:
-            JournalFrameError: what follows cannot be read.
+            JournalFrameError: a frame is invalid.
         """
         buffer, start = self._buffer + data, 0
         updates: list[EndpointUpdate] = []
         while len(buffer) - start >= _LENGTH_BYTES:
             length = int.from_bytes(buffer[start : start + _LENGTH_BYTES], "big")
             if not _LEAST_LENGTH <= length <= FRAME_BYTES_LIMIT:
-                detail = f"a frame of {length} bytes"
+                detail = f"invalid frame length: {length} bytes"
                 raise JournalFrameError(detail)
             end = start + _LENGTH_BYTES + length
             if len(buffer) < end:
@@ -117,7 +117,7 @@
             return EndpointUpdate(number)
         is_known = kind in (EventKind.SNAPSHOT, EventKind.DELTA)
         if not is_known or (len(frame) - _HEAD.size) % _RECORD.size:
-            detail = "an event that is none"
+            detail = "event of unknown kind or with an incomplete record"
             raise JournalFrameError(detail)
         endpoints = [
             self._parse_record(*record) for record in _RECORD.iter_unpack(frame[_HEAD.size :])
@@ -139,7 +139,7 @@
         tables = self.tables
         is_state = state < len(WORKER_STATES)
         if not is_state or zone >= len(tables.zones) or kind >= len(tables.kinds):
-            detail = "a record that is none"
+            detail = "record with an unknown state, zone or machine kind"
             raise JournalFrameError(detail)
         return tables.make_endpoint(
             f"s-{worker_number:08x}",
@@ -165,7 +165,7 @@
     up_since_ms: int = 0
 
     def to_endpoint(self, tables: JournalTables) -> Endpoint:
-        """Returns the endpoint that a record would give."""
+        """Returns the same endpoint as a binary record of this member."""
         host, _, port = self.host_port.rpartition(":")
         return tables.make_endpoint(
             self.id,
@@ -190,7 +190,7 @@
     hosts: _Hosts | None = None
 
     def to_update(self, tables: JournalTables) -> EndpointUpdate:
-        """Returns the update that a frame would give."""
+        """Returns the same update as a binary frame of this event."""
         if self.hosts is None:
             return EndpointUpdate(self.pos, endpoints=[])
         endpoints = [member.to_endpoint(tables) for member in self.hosts.members]
@@ -198,11 +198,11 @@
 
 
 class InitialMembership(msgspec.Struct):
-    """`known` of the configuration: events up to the start of this process."""
+    """The configuration's `known`: events up to the start of this process."""
 
     pos: int = 0
     entries: list[_Entry] = []
 
     def to_updates(self, tables: JournalTables) -> list[EndpointUpdate]:
-        """Returns the events as the journal service's frames would give them."""
+        """Returns the same updates as the journal service's frames of these events."""
         return [entry.to_update(tables) for entry in self.entries]
--- a/martenlead/node/listener.py
+++ b/martenlead/node/listener.py
@@ -1,4 +1,4 @@
-"""All connections of clients: how many there may be, and which ones are closed when."""
+"""Manages all client connections: limits their number, and decides which ones to close."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 NS_PER_MS = 1_000_000
 SWEEP_INTERVAL_NS = 250 * NS_PER_MS
-FINAL_READS = 16  # of one client, which may never pause, as the node ends
+# Reads of each client at shutdown, limited as a client may never stop sending
+FINAL_READS = 16
 
 
 class RpcListener:
-    """The connections of a node, at most `connection_limit`."""
+    """The client connections of a node, at most `connection_limit`."""
 
     def __init__(
         self,
@@ -30,38 +31,40 @@
         self.dispatcher, self.connection_limit = dispatcher, connection_limit
         self.requests = RequestHandler(dispatcher, request_limit, body_bytes_limit)
         self.clients: dict[ClientConnection, None] = {}  # the oldest first
-        self.closing: dict[ClientConnection, int] = {}  # since when; not all written has left
-        self.on_connection_closed: Callable[[], None] = lambda: None  # a descriptor is free
+        # Connections with unsent data that are being closed, and since when.
+        self.closing: dict[ClientConnection, int] = {}
+        # Called when a descriptor has become free.
+        self.on_connection_closed: Callable[[], None] = lambda: None
 
     async def run(self) -> None:
-        """Closes connections that wait too long, until cancelled."""
+        """Closes overdue connections periodically, until cancelled."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_NS / 1e9)
             self.close_overdue_connections()
 
     def close_overdue_connections(self) -> None:
-        """Closes idle and finished connections, and those that do not come to their end."""
+        """Closes idle and finished connections, and aborts those that take too long to close."""
         now_ns = self.dispatcher.clock()
         for connection in [c for c in self.clients if c.is_idle(now_ns)]:
             connection.close()
         for closing in [c.graceful_close for c in self.clients]:
             if closing is not None:
                 closing.close_if_finished()
-        patience_ns = SWEEP_INTERVAL_NS
+        timeout_ns = SWEEP_INTERVAL_NS
         if self.count_descriptors() < self.connection_limit:
-            patience_ns = client_connection.STALLED_CLIENT_TIMEOUT_NS
-        for connection in [c for c, since in self.closing.items() if now_ns - since > patience_ns]:
+            timeout_ns = client_connection.STALLED_CLIENT_TIMEOUT_NS
+        for connection in [c for c, since in self.closing.items() if now_ns - since > timeout_ns]:
             connection.transport.abort()
 
     def count_descriptors(self) -> int:
-        """Counts those that clients have, with those of connections that are being closed."""
+        """Returns the number of descriptors used by open and closing connections."""
         return len(self.clients) + len(self.closing)
 
     def add_connection(self, connection: ClientConnection) -> None:
-        """Adds a connection, and closes another one if there are too many.
+        """Registers a connection, and closes one if there are too many.
 
-        That is the oldest that never sent a message, else the one idle for longest, else the new
-        one.
+        That is the oldest one that never sent a message, else the one idle for longest, else the
+        new one.
         """
         self.clients[connection] = None
         if len(self.clients) <= self.connection_limit:
@@ -73,7 +76,8 @@
         ]
         unused = [c for c in others if not c.has_sent_message]
         idle = sorted((c for c in others if c.has_sent_message), key=lambda c: c.last_read_ns)
-        # one by one until one may be closed: looking at all would cost more than the connection
+        # Polls the sockets one by one until a connection may be closed: polling all of them would
+        # cost more than the connection.
         replaced = next((c for c in (*unused, *idle) if not readable(c.transport)), None)
         if replaced is not None:
             replaced.close()
@@ -82,7 +86,7 @@
         self.dispatcher.counts["client", "no place"] += 1
 
     def remove_connection(self, connection: ClientConnection) -> None:
-        """Forgets a connection, and ends its requests."""
+        """Unregisters a connection, and ends its requests."""
         self.clients.pop(connection, None)
         for request in list(connection.open_requests.values()):
             self.requests.abandon_request(request)
@@ -91,19 +95,19 @@
     # -- shutdown
 
     def reject_new_requests(self) -> None:
-        """Rejects all that comes from now on: no worker could respond before the end."""
+        """Rejects all further requests: no worker could respond before the node stops."""
         self.requests.rejects_requests = True
 
     def close_connections_between_requests(self) -> None:
-        """Closes connections of clients that have nothing open; they come again elsewhere."""
+        """Closes connections without open requests; their clients reconnect elsewhere."""
         now_ns = self.dispatcher.clock()
         for connection in [c for c in self.clients if c.is_between_requests(now_ns)]:
             connection.start_lingering_close()
 
     def close_all_connections(self) -> None:
-        """Reads each connection to its end, answers what was read, and closes it.
+        """Reads all pending input of each connection, rejects its requests, and closes it.
 
-        No request may be open any more.
+        No request may be open when this is called.
         """
         self.reject_new_requests()
         for connection in list(self.clients):
--- a/martenlead/node/outstanding_call.py
+++ b/martenlead/node/outstanding_call.py
@@ -1,4 +1,4 @@
-"""One call to a worker, which is an attempt or a load request, until its one outcome."""
+"""A call to a worker, which is an attempt or a load request, until it has its outcome."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 
 
 class CallConnection(Protocol):
-    """What a call needs of the connection that it is on."""
+    """The part of its connection that a call uses."""
 
     outstanding_calls: dict[str, OutstandingCall]
-    transport: Any  # of either event loop; None until it is established
+    transport: Any  # asyncio's or uvloop's; None until the connection is established
 
     def cancel(self, call: OutstandingCall) -> bool:
-        """Gives a call up; returns whether it may have run."""
+        """Cancels a call; returns whether it may have run."""
 
 
 class OutstandingCall:
-    """A call that waits on a connection, to be written or for its response.
+    """A call on a connection that waits to be written or for its response.
 
-    `request` is None for a load request. The call ends at `due_ns`; its connection is taken for
-    silent from `overdue_ns` on. Its first byte may not leave after `begin_by_ns`. `encode_line`
-    gives what is written at a time, and is None once any of it was written, at `written_ns`.
+    `request` is None for a load request. The call times out at `due_ns`; from `overdue_ns` on, a
+    connection that has received nothing counts as unresponsive. The first byte must not be sent
+    after `begin_by_ns`. `encode_line` returns the line for a time of writing, and is None once any
+    byte of it was written, at `written_ns`.
     """
 
     __slots__ = (
@@ -61,16 +62,16 @@
         self.written_ns = 0
 
     def is_outstanding(self) -> bool:
-        """Whether its outcome has not come."""
+        """Whether the call has no outcome yet."""
         connection = self.connection
         return connection is not None and connection.outstanding_calls.get(self.call_id) is self
 
     def reason_not_to_send(self, now_ns: int) -> str:
-        """Why it may not leave any more, or nothing."""
+        """Returns why the call may no longer be sent, or an empty string."""
         return reason_not_to_send(self.request, self.worker, self.begin_by_ns, now_ns)
 
     def read_client(self) -> bool:
-        """Reads what its client has sent meanwhile, which may be a cancel or the connection's end.
+        """Reads pending input of the request's client, which may hold a cancel or an EOF.
 
         Returns whether all of it was read.
         """
@@ -83,7 +84,10 @@
 def reason_not_to_send(
     request: PendingRequest | None, worker: UpstreamWorker, begin_by_ns: int, now_ns: int
 ) -> str:
-    """Why a call may not leave after a wait, or nothing; `request` is None for a load request."""
+    """Returns why a delayed call may no longer be sent, or an empty string.
+
+    `request` is None for a load request.
+    """
     if request is not None and request.outcome is not None:
         return "its task is over"
     if now_ns > begin_by_ns:
--- a/martenlead/node/request_handler.py
+++ b/martenlead/node/request_handler.py
@@ -1,4 +1,4 @@
-"""Clients' messages to requests of the dispatcher, and its outcomes to responses. No decisions."""
+"""Turns client messages into dispatcher requests, and outcomes into responses. No decisions."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
     encode_result,
 )
 
-REQUESTS_PER_CONNECTION = 32  # open at a time, by the protocol
-ERRORS_PER_CONNECTION = 16  # then it is closed
+REQUESTS_PER_CONNECTION = 32  # open requests that the protocol allows
+ERRORS_PER_CONNECTION = 16  # a connection with more errors is closed
 NS_PER_MS = 1_000_000
-RESPONSE_TRANSIT_NS = 5 * NS_PER_MS  # until then a request counts as open to its client
+# Time after the response for which a request still counts as open to its client
+RESPONSE_TRANSIT_NS = 5 * NS_PER_MS
 
 
 class RequestHandler:
     """Accepts, cancels and answers the requests of all connections of a node.
 
-    At most `request_limit` requests are open, with bodies of `body_bytes_limit` in all.
+    At most `request_limit` requests are open, with bodies of `body_bytes_limit` bytes in total.
     """
 
     def __init__(self, dispatcher: Dispatcher, request_limit: int, body_bytes_limit: int) -> None:
@@ -34,22 +35,22 @@
         self.request_limit, self.body_bytes_limit = request_limit, body_bytes_limit
         retry_after_ns = dispatcher.settings.policy_settings.retry_after_limit_ns
         self.retry_after_ms = retry_after_ns // NS_PER_MS
-        self.open_requests: dict[str, PendingRequest] = {}  # by id
+        self.open_requests: dict[str, PendingRequest] = {}  # keyed by id
         self.finished_ids: dict[str, None] = {}  # the oldest first
-        self.rejects_requests = False  # the node stops before a worker could respond
+        self.rejects_requests = False  # set when the node stops before a worker could respond
 
     # -- messages
 
     def handle_messages(
         self, connection: ClientConnection, messages: list[bytes], arrived_ns: int
     ) -> None:
-        """Handles the messages of one read, which may have arrived at `arrived_ns`.
+        """Handles the messages of one read, which arrived at `arrived_ns` or later.
 
         A request that a later message of the same read cancels is not accepted at all.
         """
         now_ns = self.dispatcher.clock()
         calls = [self._parse(message) for message in messages]
-        # Cancels come first: accepting a request may bring further attempts of those that are open.
+        # Cancels come first: accepting a request may start further attempts of open requests.
         for call in calls:
             if isinstance(call, Call) and call.method == "abort":
                 self._cancel(connection, call.cancelled_id, now_ns)
@@ -65,7 +66,7 @@
                 connection.has_sent_message = True
             except InvalidCallError as error:
                 self._refuse(connection, error)
-            except Exception as error:  # ours: the others go on
+            except Exception as error:  # a fault of this program: handle the other messages
                 self._report_fault(connection, call, error)
 
     def _parse(self, message: bytes) -> Call | InvalidCallError:
@@ -73,7 +74,7 @@
             return client_protocol.parse_call(message)
         except InvalidCallError as error:
             return error
-        except Exception as error:  # ours: the client may send the message again
+        except Exception as error:  # a fault of this program: the client may resend
             self.dispatcher.record_fault(error)
             return client_protocol.unparsed_call_error(message)
 
@@ -94,7 +95,7 @@
         else:
             self._accept_request(connection, call, now_ns, arrived_ns, is_cancelled)
         if connection.write_blocked_since_ns:
-            connection.error_count += 1  # it asks for ever more, and does not read
+            connection.error_count += 1  # the client keeps sending but does not read
             if connection.error_count > ERRORS_PER_CONNECTION:
                 connection.begin_graceful_close()
 
@@ -103,7 +104,7 @@
         connection.error_count += 1
         number = error.number
         if number is not None and number in connection.open_requests:
-            number = None  # its one response is still to come
+            number = None  # the open request's own response is still due
         refusal = encode_error(number, error.code, error.detail)
         if number is None:
             connection.write(refusal)
@@ -113,7 +114,7 @@
             connection.begin_graceful_close()
 
     def _report_fault(self, connection: ClientConnection, call: Call, error: Exception) -> None:
-        """Answers a message that a fault of this program kept from being handled."""
+        """Answers a message that was not handled because of a fault in this program."""
         self.dispatcher.record_fault(error)
         number = call.number
         if number is None or call.method == "abort":
@@ -145,20 +146,21 @@
         dispatcher = self.dispatcher
 
         def respond(request: PendingRequest) -> None:
-            """Writes the one response, whatever the outcome."""
+            """Writes the only response, whatever the outcome."""
             connection.open_requests.pop(number, None)
             connection.counted_until_ns.append(dispatcher.clock() + RESPONSE_TRANSIT_NS)
             self._finish(call.request_id)
             connection.respond(number, _encode_outcome(number, request))
             closing = connection.graceful_close
-            if closing is not None:  # in the next turn: a decision may be being made
+            if closing is not None:  # in the next loop iteration: a decision may be in progress
                 asyncio.get_running_loop().call_soon(closing.close_if_finished)
-            # a request and its attempts refer to each other until they are collected
+            # Releases the bodies now: a request and its attempts refer to each other, so they stay
+            # in memory until they are garbage-collected.
             request.content = request.response = None
             dispatcher.defer(dispatcher.close, request)
 
         incoming = _read_incoming(call)
-        # the outcome may come before `accept` returns
+        # The outcome may be set before `accept` returns.
         request = dispatcher.accept(
             incoming, arrived_ns, call, size_bytes, on_outcome=respond, client=connection
         )
@@ -167,7 +169,7 @@
             self.open_requests[call.request_id] = request
 
     def _check(self, connection: ClientConnection, call: Call, number: int) -> None:
-        """Raises InvalidCallError for a request that names what is unknown or was used before."""
+        """Raises InvalidCallError for an unknown method or tenant, or a reused number or id."""
         dispatcher = self.dispatcher
         if number <= connection.last_number:
             raise InvalidCallError(client_protocol.INVALID_REQUEST, "a number that was used before")
@@ -206,10 +208,10 @@
     def _cancel(
         self, connection: ClientConnection, cancelled_id: int | str | None, now_ns: int
     ) -> None:
-        """Ends a request that its client has cancelled; no response is owed for either.
+        """Ends a request that its client has cancelled; neither it nor the cancel gets a response.
 
-        Its worker may go on with it. So it counts as open for a while, or hundreds of requests that
-        are cancelled at once would lead to hundreds of attempts.
+        Its worker may continue to run it. So it counts as open for a while; otherwise hundreds of
+        requests that are cancelled at once would lead to hundreds of attempts.
         """
         for number, request in connection.open_requests.items():
             if cancelled_id in (number, request.incoming.id):
@@ -222,7 +224,7 @@
                 return
 
     def abandon_request(self, request: PendingRequest) -> None:
-        """Ends a request whose client waits for it no more."""
+        """Ends a request whose client no longer waits for the response."""
         if request.outcome is not None:
             return
         request.on_outcome = request.content = None
@@ -231,9 +233,10 @@
         self.dispatcher.defer(self.dispatcher.close, request)
 
     def _finish(self, request_id: str) -> None:
-        """Remembers an id that may not be used again.
+        """Records an id that may not be used again.
 
-        Hundreds of requests with one id would count as accepted, and make room for load requests.
+        Otherwise hundreds of requests with one id would count as accepted, and allow further load
+        requests.
         """
         self.open_requests.pop(request_id, None)
         self.finished_ids[request_id] = None
@@ -242,18 +245,18 @@
 
 
 def _find_cancelled(calls: list[Call | InvalidCallError]) -> Collection[int]:
-    """Returns the places of the requests that a later message cancels."""
+    """Returns the indexes of the requests that a later message cancels."""
     cancelled_ids: set[int | str | None] = set()
-    places: set[int] = set()
-    for place in range(len(calls) - 1, -1, -1):
-        call = calls[place]
+    indexes: set[int] = set()
+    for index in range(len(calls) - 1, -1, -1):
+        call = calls[index]
         if isinstance(call, InvalidCallError):
             continue
         if call.method == "abort":
             cancelled_ids.add(call.cancelled_id)
         elif call.number in cancelled_ids or call.request_id in cancelled_ids:
-            places.add(place)
-    return places
+            indexes.add(index)
+    return indexes
 
 
 def _read_incoming(call: Call) -> IncomingRequest:
@@ -271,7 +274,7 @@
 
 
 def _encode_outcome(number: int, request: PendingRequest) -> bytes:
-    """Encodes the response to a request that has its outcome."""
+    """Encodes the response to a request that has an outcome."""
     if request.outcome is FinalOutcome.SUCCEEDED:
         return encode_result(number, request.response)
     if request.outcome is FinalOutcome.REJECTED:
--- a/martenlead/node/serve.py
+++ b/martenlead/node/serve.py
@@ -1,4 +1,4 @@
-"""The dispatcher on the platform, from its configuration to its end."""
+"""Runs a dispatcher on the platform's protocol, from its configuration to its shutdown."""
 
 from __future__ import annotations
 
@@ -27,32 +27,40 @@
 from martenlead.system.listener import bind
 from martenlead.system.log import configure_log
 
-# for the listener, the event loop, the journal service, what the interpreter opens, and clients
-# that come while others are closed
+# Descriptors for the listener, the event loop, the journal service, the interpreter, and clients
+# that connect while others are being closed
 RESERVED_DESCRIPTORS = 40
-LEAST_DESCRIPTORS = 16  # beside these
-REQUESTS_PER_MB = 8  # open at a time
+# Fewest descriptors for connections, in addition to the reserved ones
+LEAST_DESCRIPTORS = 16
+# Open requests per MB of the memory limit
+REQUESTS_PER_MB = 8
 REQUESTS_MINIMUM = 100
-BODY_MEMORY_SHARE = 1 / 8  # of the memory limit, for bodies of open requests
+# Share of the memory limit for the bodies of open requests
+BODY_MEMORY_SHARE = 1 / 8
 
-ACCEPT_AFTER_SIGTERM_SECONDS = 0.8  # in which clients still come
-# SIGKILL comes after the longest deadline, of which so much counts at most, and this margin
+# Clients may still connect for this long after SIGTERM
+ACCEPT_AFTER_SIGTERM_SECONDS = 0.8
+# SIGKILL follows SIGTERM after the longest deadline, capped at the limit here, plus the margin
 KILL_MARGIN_SECONDS, KILL_DEADLINE_LIMIT_SECONDS = 0.7, 3.0
-LAST_RESPONSES_SECONDS = 0.2  # before SIGKILL, for the last responses to leave
-REJECT_BEFORE_END_SECONDS = 0.15  # before the last responses; nothing new is accepted then
-FLUSH_SECONDS = 0.15  # at most, for what was written to clients that are slow to read
-BIND_MARGIN_SECONDS = 4.0  # for an earlier process to end, and for faults that pass
+# Time before SIGKILL for sending the last responses
+LAST_RESPONSES_SECONDS = 0.2
+# Time before the last responses in which new requests are rejected
+REJECT_BEFORE_END_SECONDS = 0.15
+# Longest wait for written data to reach clients that read slowly
+FLUSH_SECONDS = 0.15
+# Extra time to bind, for an earlier process to end and for temporary errors
+BIND_MARGIN_SECONDS = 4.0
 ACCEPT_POLL_SECONDS = 0.005
 CLOSE_POLL_SECONDS = 0.01
 
-# requests and attempts refer to each other: what waits to be collected is growth of the process
+# Requests and attempts refer to each other: those not yet collected add to the process's memory
 COLLECTION_THRESHOLDS = (2_000, 5, 5)
 
 EXIT_UNUSABLE = 2  # no usable configuration, or no listener
 
 
 class Node:
-    """One dispatcher with its clients, workers and source of membership."""
+    """A dispatcher with its listener, worker client and membership source."""
 
     def __init__(self, path: Path) -> None:
         """Reads the configuration; raises config.ConfigError."""
@@ -89,7 +97,8 @@
     ) -> None:
         """Serves until the shutdown after a SIGTERM is complete.
 
-        `early_signals` came before they could be received here. Raises OSError if it cannot listen.
+        `early_signals` arrived before this method could receive them. Raises OSError if the
+        listening socket cannot be bound.
         """
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._handle_loop_exception)
@@ -113,25 +122,24 @@
                     self._handle_signal(received, group, listener)
 
     async def _bind(self) -> socket.socket:
-        """Returns a listening socket.
+        """Returns a listening socket, retrying temporary errors.
 
-        An earlier process may have the address for as long as it may live after its SIGTERM, and
-        other errors may pass too. Raises OSError for one that cannot pass, or once the time is
-        over.
+        An earlier process may use the address until it is killed after its SIGTERM. Raises OSError
+        for a permanent error, or when the time for retries is over.
         """
         address = self.config.listen_address
 
         def log_delay(error: OSError) -> None:
-            """Logs the first error that may pass."""
+            """Logs the first temporary error."""
             self.log.warning("listener_delayed", address=address, reason=str(error))
 
-        patience_seconds = KILL_MARGIN_SECONDS + KILL_DEADLINE_LIMIT_SECONDS + BIND_MARGIN_SECONDS
-        return await bind(address, patience_seconds, delayed=log_delay)
+        timeout_seconds = KILL_MARGIN_SECONDS + KILL_DEADLINE_LIMIT_SECONDS + BIND_MARGIN_SECONDS
+        return await bind(address, timeout_seconds, delayed=log_delay)
 
     def _handle_signal(
         self, received: signal.Signals, group: TaskGroup, listener: Listener
     ) -> None:
-        """Reloads also during shutdown: the journal service may still move."""
+        """Reloads or shuts down; reloads also during shutdown: the journal service may move."""
         if received is signal.SIGHUP:
             self.reload()
         elif not self.is_stopping:
@@ -143,17 +151,17 @@
     def _handle_loop_exception(
         self,
         _loop: asyncio.AbstractEventLoop,
-        context: dict[str, Any],  # the loop's own form
+        context: dict[str, Any],  # the context that asyncio passes
     ) -> None:
-        """Records the fault of a callback of the event loop; it costs one connection."""
+        """Records a fault in an event-loop callback, which affects only one connection."""
         error = context.get("exception")
         if isinstance(error, Exception) and not isinstance(error, OSError):
             self.dispatcher.record_fault(error)
 
     def reload(self) -> None:
-        """Takes over a new address of the journal service; requests go on.
+        """Applies a new address of the journal service, without interrupting requests.
 
-        A file that cannot be read leaves the configuration as it was.
+        The configuration stays unchanged if the file cannot be used.
         """
         try:
             new_config = config.read_config(self.path)
@@ -164,11 +172,11 @@
         self.log.info("config_reloaded", journal_address=new_config.journal_address)
 
     async def _shut_down(self, group: TaskGroup, listener: Listener) -> None:
-        """Answers all that was accepted, before SIGKILL comes.
+        """Answers all accepted requests before SIGKILL arrives.
 
-        Clients still come for a while. What the machine has accepted counts: no connection of the
-        backlog and no bytes of a client are left behind. A client that goes on sending on an open
-        connection is served as long as there is time, then rejected, and its connection closed with
+        Clients may still connect for a while. Connections in the kernel's backlog and unread input
+        count as accepted, so none are dropped. A client that keeps sending on an open connection is
+        served while time is left; then its requests are rejected, and its connection is closed with
         nothing unread.
         """
         dispatcher, clients = self.dispatcher, self.listener
@@ -200,10 +208,10 @@
         """Accepts the backlog, then waits until no request is pending and no client is left."""
         clients = self.listener
         while readable(listener.sock):
-            clients.close_connections_between_requests()  # who comes may wait for a descriptor
+            clients.close_connections_between_requests()  # new ones may need a descriptor
             await anyio.sleep(ACCEPT_POLL_SECONDS)
         listener.close()
-        while listener.accepting:  # noqa: ASYNC110 - accepted last, and not clients yet
+        while listener.accepting:  # noqa: ASYNC110 - accepted last, and not registered yet
             await anyio.sleep(ACCEPT_POLL_SECONDS)
         while self.dispatcher.pending_requests or clients.clients:
             clients.close_connections_between_requests()
@@ -211,9 +219,9 @@
 
 
 def freeze_heap() -> None:
-    """Exempts all present objects from garbage collection, so that even a full one is short.
+    """Exempts all existing objects from garbage collection, so that even a full one is short.
 
-    A collection that looks at thousands of listed workers delays requests by tens of milliseconds.
+    A collection that traverses thousands of listed workers delays requests by tens of milliseconds.
     """
     gc.collect()
     gc.freeze()
--- a/martenlead/node/sockets.py
+++ b/martenlead/node/sockets.py
@@ -1,4 +1,4 @@
-"""What a client's connection has received and the event loop has not read."""
+"""Detects input of a client connection that the event loop has not read yet."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 __all__ = ["descriptor", "peek_input", "readable"]
 
 
-def peek_input(transport: Any) -> UnreadInput:  # noqa: ANN401 - a transport of either event loop
-    """Looks without reading. A connection that was closed on this side counts as ended."""
+def peek_input(transport: Any) -> UnreadInput:  # noqa: ANN401 - asyncio's or uvloop's transport
+    """Returns what is pending, without reading it. A connection closed here counts as ended."""
     number = descriptor(transport)
     if number < 0 or transport.is_closing():
         return UnreadInput.END
--- a/martenlead/node/upstream_connection.py
+++ b/martenlead/node/upstream_connection.py
@@ -1,11 +1,11 @@
 """One connection to a worker, with several calls in flight.
 
-As long as a connection is not established, nothing that waits for it has run. Once a byte of a line
-has left, the call may have run, whatever follows, until the worker says otherwise. A call that
-waited for its connection, or for memory that the machine lacked, is checked once more before it
-leaves: meanwhile its request may have ended, or its worker may be draining or gone.
+Until a connection is established, no call that waits for it has run. Once a byte of its line was
+sent, a call may have run, whatever happens later, unless the worker states otherwise. A call that
+waited for its connection, or for kernel memory, is checked again before it is sent: its request may
+have ended meanwhile, or its worker may be draining or gone.
 
-The time left that a line states is that of its writing, not that of the decision to send it.
+A line states the time left when it is written, not when the decision to send it was made.
 """
 
 from __future__ import annotations
@@ -31,25 +31,27 @@
 from martenlead.system.sender import Sender
 from martenlead.upstream.outcome import UpstreamOutcome
 
-CANCELLED_CALLS_LIMIT = 32  # of one connection, whose responses may still come
-WRITE_RETRY_SECONDS = 0.001  # for lines that wait for their clients to be read, or for the machine
+# Cancelled calls of a connection whose responses may still arrive; with more it takes no new call
+CANCELLED_CALLS_LIMIT = 32
+# Delay before lines are retried that wait for their clients to be read, or for kernel memory
+WRITE_RETRY_SECONDS = 0.001
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the worker client."""
+    """The part of the worker client that a connection uses."""
 
     settings: ConnectionSettings
     clock: Callable[[], int]
 
     def remove_connection(self, connection: UpstreamConnection) -> None:
-        """Forgets a connection that has ended."""
+        """Unregisters a connection that has ended."""
 
     def count_invalid_response(self) -> None:
-        """Counts a connection that brought what cannot be read."""
+        """Counts a connection that received an invalid response."""
 
 
 class OwningPool(Protocol):
-    """What the worker client reads of the pool that a connection is in."""
+    """The part of a connection's pool that the worker client uses."""
 
     host: str
     port: int
@@ -59,33 +61,33 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection, from the request to establish it on."""
+    """One connection to a worker, which accepts calls even before it is established."""
 
     def __init__(self, owner: ConnectionOwner, pool: OwningPool) -> None:
         self.owner, self.pool = owner, pool
-        self.transport: Any = None  # of either event loop; None until it is established
+        self.transport: Any = None  # asyncio's or uvloop's; None until it is established
         self.sender: Sender
         self.outstanding_calls: dict[str, OutstandingCall] = {}
-        self.cancelled_ids: set[str] = set()  # their responses may still come
+        self.cancelled_ids: set[str] = set()  # calls whose responses may still arrive
         self.is_write_blocked = False  # the worker does not read what was written
         self.decoder = LineDecoder()
         self.last_received_ns = self.idle_since_ns = owner.clock()
-        self.is_retired = False  # takes no new call, and closes once it has none
+        self.is_retired = False  # accepts no new call, and closes once it has none
         self.is_closed = False
         self._is_write_scheduled = False
 
     # -- called by the event loop
 
-    def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - of either event loop
-        """Writes the calls that have waited for it."""
-        # first: a client's cancel may still take a call from this connection
+    def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - asyncio's or uvloop's
+        """Writes the calls that waited for the connection."""
+        # Clients are read first: a cancel may still remove a call from this connection.
         unread = [call for call in list(self.outstanding_calls.values()) if not call.read_client()]
         self.transport = transport
         if self.is_closed:
-            transport.abort()  # in this turn of the loop; all that waited has ended as not sent
+            transport.abort()  # closed in this loop iteration, and all waiting calls with it
             return
-        # A line goes to the machine as it is written, or the connection counts as blocked. None
-        # lies here and leaves when the worker reads again, which may be draining by then.
+        # A written line goes to the kernel at once, or the connection counts as blocked. No line
+        # is buffered here to be sent when the worker reads again: it may be draining by then.
         transport.set_write_buffer_limits(0)
         give_up_seconds = self.owner.settings.connect_timeout_ns / 1e9
         self.sender = Sender(transport, 0, give_up_seconds, self.pause_writing, self.resume_writing)
@@ -93,7 +95,7 @@
         self._write_waiting(unread)
 
     def data_received(self, data: bytes) -> None:
-        """Ends the calls whose responses are complete."""
+        """Ends the calls whose responses are now complete."""
         self.last_received_ns = self.owner.clock()
         error_text = ""
         try:
@@ -111,32 +113,32 @@
             self.close("what came cannot be read")
 
     def eof_received(self) -> None:
-        """Closes at once: what is written before the loss is reported would be lost."""
+        """Closes at once: lines written until the loss is reported would be lost."""
         self.close("the connection ended")
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Ends all calls."""
+        """Ends all outstanding calls."""
         self.close("the connection ended")
 
     def pause_writing(self) -> None:
-        """The machine takes no more."""
+        """Marks the connection as blocked: the kernel accepts no more data."""
         self.is_write_blocked = True
 
     def resume_writing(self) -> None:
-        """The machine takes lines again."""
+        """Marks the connection as writable again."""
         self.is_write_blocked = False
 
     # -- calls
 
     def send(self, call: OutstandingCall) -> None:
-        """Writes a call, or keeps it until the connection is established."""
+        """Writes a call, or queues it until the connection is established."""
         call.connection = self
         self.outstanding_calls[call.call_id] = call
         if self.transport is not None:
             self._write(call, self.owner.clock())
 
     def _write(self, call: OutstandingCall, now_ns: int) -> None:
-        """A line that the machine does not take waits, as before the connection was established."""
+        """Writes a call; it stays queued if the kernel does not accept its line."""
         assert call.encode_line is not None
         if not self.sender.offer(call.encode_line(now_ns)):
             self._schedule_write()
@@ -150,10 +152,9 @@
             asyncio.get_running_loop().call_later(WRITE_RETRY_SECONDS, self._retry_write)
 
     def _retry_write(self) -> None:
-        """Tries the waiting lines again.
+        """Retries the waiting lines.
 
-        Their clients had more to be read than one turn of the loop reads, or the machine took no
-        line.
+        Their clients had more input than one loop iteration reads, or the kernel accepted no line.
         """
         self._is_write_scheduled = False
         if not self.is_closed:
@@ -161,7 +162,7 @@
             self._write_waiting([call for call in calls if not call.read_client()])
 
     def _write_waiting(self, unread: list[OutstandingCall]) -> None:
-        """Writes the calls that wait, but for `unread`, whose clients have more to be read."""
+        """Writes the waiting calls, except `unread`, whose clients have more input to be read."""
         if self.is_closed:
             return
         now_ns = self.owner.clock()
@@ -184,17 +185,15 @@
             self._note_idle()
         if is_waiting:
             self._schedule_write()
-        for (
-            call,
-            reason,
-        ) in refused:  # last: an outcome may bring the next attempt on this connection
+        # Outcomes are reported last: they may start the next attempt on this connection.
+        for call, reason in refused:
             call.on_outcome(UpstreamOutcome(Result.NOT_SENT, reason=reason))
 
     def cancel(self, call: OutstandingCall) -> bool:
-        """Gives a call up; returns whether it may have run.
+        """Cancels a call; returns whether it may have run.
 
-        A connection that has received nothing since the call was written takes no new call: the
-        machine behind it may have vanished.
+        A connection that has received nothing since the call was written accepts no new call: its
+        peer may be unreachable.
         """
         self.outstanding_calls.pop(call.call_id, None)
         may_have_run = call.encode_line is None
@@ -215,7 +214,7 @@
 
     def _handle_response(self, response: WorkerResponse) -> None:
         call = self.outstanding_calls.pop(response.call_id, None)
-        if call is None:  # it was cancelled, or never sent
+        if call is None:  # cancelled, or never sent
             self.cancelled_ids.discard(response.call_id)
             return
         result = RESULT_BY_WORD.get(response.word, Result.ERROR)
@@ -229,30 +228,30 @@
             )
         )
 
-    # -- its state
+    # -- state
 
     def is_overdue(self, now_ns: int) -> bool:
-        """Whether it is silent, and its oldest call should have ended."""
+        """Whether its oldest call is overdue, and nothing was received since that was written."""
         oldest = next(iter(self.outstanding_calls.values()), None)
         if oldest is None or now_ns <= oldest.overdue_ns:
             return False
         return self.last_received_ns <= oldest.written_ns
 
     def is_transport_closing(self) -> bool:
-        """Whether the event loop has closed it and not reported that yet: no line would leave."""
+        """Whether the event loop has closed it without reporting that: no line would be sent."""
         return self.transport is not None and bool(self.transport.is_closing())
 
     def has_ended(self) -> bool:
         """Whether an idle connection has ended.
 
-        Anything that can be read from it is its end, or bytes that answer nothing.
+        Anything that can be read from it is an EOF, or bytes that belong to no call.
         """
         return self.is_transport_closing() or readable(self.transport)
 
     def close(self, reason: str = "", unwritten_result: Result = Result.UNREACHABLE) -> None:
-        """Closes it, at once if there is a `reason`, and ends its calls.
+        """Closes the connection, at once if there is a `reason`, and ends its calls.
 
-        Calls of which nothing has left end with `unwritten_result`. Only the first call counts.
+        Calls that were not written end with `unwritten_result`. Closing it again has no effect.
         """
         if self.is_closed:
             return
--- a/martenlead/node/worker_age.py
+++ b/martenlead/node/worker_age.py
@@ -1,37 +1,37 @@
-"""The ages of workers, where the clock that stamps their starts may differ from ours. No I/O.
-
-The journal service gives the start of a worker as a Unix time of another machine. The wall clock
-there and ours may each be wrong by seconds or by an hour, and theirs may be stepped while we run. A
-worker that is taken for older than it is gets requests that overload it while it warms up. A worker
-that is taken for younger only gets its share later. So an age is bounded by what was observed on
-our own steady clock, and where the bounds leave a choice, the younger age is taken:
-
-- No age is negative: a start in our future counts as now, as of the update that brought it. From
-  there the steady clock runs on, so a worker that was listed for longer than its slow start is
-  warm.
-- A worker that is added after the source said that it had nothing newer started after that, give or
-  take the time for which the source may delay an event. If it looks older, the clocks differ, and
-  it counts as new.
+"""Computes the ages of workers whose starts are stamped by a clock that may differ from ours.
+
+No I/O. The journal service gives the start of a worker as a Unix time of another machine. The wall
+clock there and ours may each be wrong by seconds or by an hour, and theirs may be stepped while
+this process runs. A worker whose age is overestimated gets requests that overload it while it warms
+up. A worker whose age is underestimated only gets its full share later. So an age is bounded by
+what was observed on our own monotonic clock, and within the bounds the lower age is used:
+
+- No age is negative: a start in our future counts as the time of the update that listed it. From
+  there the age grows with the monotonic clock, so a worker that was listed for longer than its slow
+  start is warm.
+- A worker that is added after the source confirmed that it had nothing newer started after that,
+  give or take the time by which the source may delay an event. If it looks older, the clocks
+  differ, and it counts as new.
 - The apparent age of an added worker is its true age plus the offset of our clock from the
   source's. The least of the last few is the best estimate of the offset, since its event was the
-  most prompt. The offset is subtracted where the clocks cannot agree, or where not even the most
-  prompt event came in the usual time.
+  most prompt. The offset is subtracted if the clocks cannot agree, or if not even the most prompt
+  event arrived in the usual time.
 
-A worker keeps its start as long as it is the same incarnation, also if it was gone meanwhile.
+A worker keeps its start as long as it is the same incarnation, even if it was gone meanwhile.
 
 What cannot be decided:
 
-- Workers listed before the source first said that it had nothing newer (the list at our own start):
-  nothing was observed of them. Their stamps are believed, but for starts in our future. If our
-  clock is ahead at our start, a worker that has just started looks warm to this dispatcher. The
-  alternative would hold each worker that ever started late to a cold worker's share at every
+- Workers listed before the source first confirmed that it had nothing newer (the list at our own
+  start): nothing was observed of them. Their stamps are trusted, except for starts in our future.
+  If our clock is ahead at our start, a worker that has just started looks warm to this dispatcher.
+  The alternative would limit each worker that ever started late to a cold worker's share at every
   restart. The protocol says that all clocks agree, so that would cost more, and more often.
 - An offset of up to `USUAL_DELAY_NS` cannot be distinguished from a delay of the same length. The
-  stamp is believed, and a worker may be taken for that much older. A step of the source's clock
-  that leaves an age within its bound shows only after `OFFSET_SAMPLES` more additions. Until then
-  an age is at most the last silence and `SOURCE_DELAY_LIMIT_NS` too high.
-- A source that delays every event for longer than `USUAL_DELAY_NS` looks like a clock that differs.
-  Its workers are taken for younger by that delay, which is the safe side.
+  stamp is trusted, and the age of a worker may be that much too high. A step of the source's clock
+  that leaves an age within its bound is detected only after `OFFSET_SAMPLES` more additions. Until
+  then an age is too high by at most the last silence plus `SOURCE_DELAY_LIMIT_NS`.
+- A source that delays every event by more than `USUAL_DELAY_NS` looks like a clock that differs.
+  The ages of its workers are too low by that delay, which is the safe side.
 """
 
 from __future__ import annotations
@@ -41,40 +41,44 @@
 from martenlead.upstream.endpoints import Endpoint, EndpointUpdate
 
 NS_PER_MS = 1_000_000
-LONG_PAST_START = "0"  # the stamp of a worker whose start does not matter any more
-PROMPT_SILENCE_NS = 1_600 * NS_PER_MS  # up to it an event is prompt: a heartbeat is due each second
-SOURCE_DELAY_LIMIT_NS = 2_000 * NS_PER_MS  # beside that silence, for which a source delays events
-USUAL_DELAY_NS = (
-    500 * NS_PER_MS
-)  # of a prompt event; a longer least delay is an offset of the clocks
-OFFSET_SAMPLES = 8  # additions that give the offset; few, so that it follows a step of the clock
-GONE_WORKERS_LIMIT = 1024  # whose starts are remembered, should they return
+# Stamp of a worker that started so long ago that its age does not matter
+LONG_PAST_START = "0"
+# An event after at most this silence is prompt, as heartbeats are due every second
+PROMPT_SILENCE_NS = 1_600 * NS_PER_MS
+# Longest time, in addition to the silence, by which a source delays events
+SOURCE_DELAY_LIMIT_NS = 2_000 * NS_PER_MS
+# Longest delay of a prompt event; a longer least delay counts as an offset of the clocks
+USUAL_DELAY_NS = 500 * NS_PER_MS
+# Added workers that the offset is estimated from; few, so that it follows a step of the clock
+OFFSET_SAMPLES = 8
+# Gone workers whose starts are kept in case they return
+GONE_WORKERS_LIMIT = 1024
 
 
 class WorkerAges:
     """Fills in the ages of listed workers.
 
-    All times are ns of a steady clock that showed Unix time at its start.
+    All times are in ns, by a monotonic clock that was set to Unix time at its start.
     """
 
     def __init__(self) -> None:
-        self._confirmed_ns: int | None = None  # when the source last said that it had nothing newer
-        self._apparent_ages_ns: deque[int] = deque(maxlen=OFFSET_SAMPLES)  # of added workers
-        self._starts: dict[
-            str, tuple[str, int]
-        ] = {}  # by id: the stamp, and that time by our clock
-        self._gone: OrderedDict[tuple[str, str], int] = (
-            OrderedDict()
-        )  # the same of workers that are gone
+        # When the source last confirmed that it had nothing newer.
+        self._confirmed_ns: int | None = None
+        # Apparent ages of the last added workers.
+        self._apparent_ages_ns: deque[int] = deque(maxlen=OFFSET_SAMPLES)
+        # Worker id -> (incarnation, start by our clock).
+        self._starts: dict[str, tuple[str, int]] = {}
+        # (Worker id, incarnation) -> start by our clock, of workers that are gone.
+        self._gone: OrderedDict[tuple[str, str], int] = OrderedDict()
 
     @property
     def offset_ns(self) -> int:
-        """By how much our clock is estimated to be ahead of the source's."""
+        """Estimated time by which our clock is ahead of the source's."""
         least = min(self._apparent_ages_ns, default=0)
         return least if least < 0 or least > USUAL_DELAY_NS else 0
 
     def confirm(self, now_ns: int) -> None:
-        """The source has said that it has nothing newer than what we have."""
+        """Records that the source has nothing newer than the current list."""
         self._confirmed_ns = now_ns
 
     def fill_ages(self, update: EndpointUpdate, now_ns: int) -> None:
@@ -105,21 +109,21 @@
         return (now_ns - started_ns) / NS_PER_MS
 
     def _bounded_age_ns(self, apparent_age_ns: int, silence_ns: int | None) -> int:
-        """The age of a worker that was not listed before."""
+        """Returns the age of a newly listed worker, bounded by what was observed."""
         if silence_ns is None:
             return max(0, apparent_age_ns)
         age_ns = max(0, apparent_age_ns - self.offset_ns)
         return age_ns if age_ns <= silence_ns + SOURCE_DELAY_LIMIT_NS else 0
 
     def _update_offset(self, least_age_ns: int, silence_ns: int) -> None:
-        """Takes in the least apparent age of workers that were added together."""
+        """Updates the offset from the least apparent age of workers that were added together."""
         if least_age_ns - self.offset_ns > silence_ns + SOURCE_DELAY_LIMIT_NS:
-            self._apparent_ages_ns.clear()  # the source's clock was stepped since
+            self._apparent_ages_ns.clear()  # the source's clock was stepped
         if silence_ns <= PROMPT_SILENCE_NS or least_age_ns < self.offset_ns:
             self._apparent_ages_ns.append(least_age_ns)
 
     def _find_start_ns(self, endpoint: Endpoint) -> int | None:
-        """When this incarnation started, if it was listed before."""
+        """Returns when this incarnation started, or None if it was not listed before."""
         incarnation, started_ns = self._starts.get(endpoint.id, ("", 0))
         if incarnation == endpoint.incarnation:
             return started_ns
@@ -136,10 +140,10 @@
 
 
 def has_start(endpoint: Endpoint) -> bool:
-    """Whether its age matters: it is not gone, and did not start long ago."""
+    """Whether the age of the worker matters: it is not gone, and did not start long ago."""
     return endpoint.state != "gone" and endpoint.incarnation != LONG_PAST_START
 
 
 def start_ns(endpoint: Endpoint) -> int:
-    """Returns the start of a worker as the source has stamped it."""
+    """Returns the start of a worker, in ns, as stamped by the source."""
     return int(endpoint.incarnation) * NS_PER_MS
--- a/martenlead/node/worker_client.py
+++ b/martenlead/node/worker_client.py
@@ -1,11 +1,11 @@
 """Sends attempts and load requests to workers, several at a time on each of few connections.
 
-Responses are found by the id of their call. Only the making of a connection has a task of its own.
+Responses are matched to calls by id. Only establishing a connection runs as a task of its own.
 
-A busy event loop reads late that a client has closed or cancelled. So each attempt looks at its
-client's socket before its line leaves. An attempt whose client's connection has ended is not sent.
-Where bytes wait to be read, they are read first, in as many turns of the loop as that takes: a
-cancel may be among them.
+A busy event loop learns late that a client has closed its connection or cancelled. So the client's
+socket is polled before an attempt is sent. If the client's connection has ended, the attempt is not
+sent. If input is pending, it is read first, over as many loop iterations as needed, since it may
+hold a cancel.
 """
 
 from __future__ import annotations
@@ -32,19 +32,21 @@
 from martenlead.upstream.endpoints import Endpoint
 from martenlead.upstream.outcome import UpstreamOutcome
 
-CONNECTIONS_PER_WORKER = 32  # however many descriptors there are
-SWEEP_INTERVAL_NS = 500_000_000  # between two looks for idle connections
+CONNECTIONS_PER_WORKER = 32  # upper limit, however many descriptors are free
+SWEEP_INTERVAL_NS = 500_000_000  # interval between checks for idle connections
 NS_PER_MS = 1_000_000
-READ_BUDGET_NS = 5_000_000  # of one turn of the loop, for clients' input that attempts wait for
-READ_PAUSE_SECONDS = 0.001  # between two such turns, for all else
+# Time per loop iteration to read the input of clients whose attempts wait for that
+READ_BUDGET_NS = 5_000_000
+# Pause between two such iterations, for all other work
+READ_PAUSE_SECONDS = 0.001
 TIME_OVER_UNREAD = "the time was over before its client was heard"
 
 
 class WorkerClient:
-    """The dispatcher's link to workers.
+    """The dispatcher's client for workers.
 
-    At most `connection_limit` connections are open to all workers together. `latency_objectives_ns`
-    are those of the request classes.
+    At most `connection_limit` connections are open to all workers together.
+    `latency_objectives_ns` is keyed by request class.
     """
 
     def __init__(
@@ -58,21 +60,21 @@
         self.latency_objectives_ns, self.clock = latency_objectives_ns, clock
         self.dispatcher: Dispatcher
         self.pools: set[OwningPool] = set()
-        self.connections: set[UpstreamConnection] = set()  # of all pools, most of which have none
+        # Connections of all pools, most of which have none.
+        self.connections: set[UpstreamConnection] = set()
         self._task_group: TaskGroup
-        self._deferred: dict[
-            InFlightAttempt, None
-        ] = {}  # their clients' input has to be read first
+        # Attempts whose clients' input has to be read first.
+        self._deferred: dict[InFlightAttempt, None] = {}
         self._is_deferred_send_scheduled = False
         self._timeouts = CallTimeouts(clock, self._expire)
-        self._last_number = 0  # of load requests and of calls with a timeout
+        self._last_number = 0  # numbers load requests, and calls with a timeout
 
     def attach(self, dispatcher: Dispatcher) -> None:
-        """Names the dispatcher that outcomes are reported to, before all else."""
+        """Sets the dispatcher that outcomes are reported to; must be called first."""
         self.dispatcher = dispatcher
 
     async def run(self) -> None:
-        """Makes connections and closes idle ones, until cancelled."""
+        """Establishes connections and closes idle ones, until cancelled."""
         async with anyio.create_task_group() as self._task_group:
             while True:
                 await anyio.sleep(SWEEP_INTERVAL_NS / 1e9)
@@ -87,7 +89,7 @@
         return pool
 
     def retire_connections(self, pool: ConnectionPool) -> None:
-        """Sends nothing new to a worker that is gone; calls in flight end as they would."""
+        """Stops sending calls to a worker that is gone; calls in flight continue."""
         pool.is_retired = True
         for connection in list(pool.connections):
             connection.is_retired = True
@@ -99,9 +101,9 @@
             self.pools.discard(pool)
 
     def remove_connection(self, connection: UpstreamConnection) -> None:
-        """Forgets a connection that has ended.
+        """Unregisters a connection that has ended.
 
-        The pool of a worker that is gone is forgotten with its last connection.
+        The pool of a worker that is gone is removed with its last connection.
         """
         pool = connection.pool
         self.connections.discard(connection)
@@ -110,13 +112,13 @@
             self.pools.discard(pool)
 
     def count_invalid_response(self) -> None:
-        """Counts a connection that brought what cannot be read."""
+        """Counts a connection that received an invalid response."""
         self.dispatcher.counts["runner", "spoilt"] += 1
 
     def close_idle_connections(self) -> None:
         """Closes idle connections well before the worker would.
 
-        What is written while the worker closes may have run.
+        A call that is written while the worker closes its side may have run.
         """
         now_ns = self.clock()
         idle_limit_ns = self.settings.idle_timeout_ns // 2
@@ -132,7 +134,7 @@
     ) -> UpstreamConnection | None:
         """Returns an idle connection, a new one while the limit allows it, or the least busy one.
 
-        It is none of `used`, and none whose worker does not read.
+        The connection is not in `used`, and its worker reads what is written.
         """
         now_ns = self.clock()
         idle = pool.find_idle(used, self.settings.idle_timeout_ns // 2, now_ns)
@@ -148,9 +150,9 @@
         return connection
 
     def _make_room(self) -> bool:
-        """Returns whether one more connection may be made.
+        """Returns whether another connection may be opened.
 
-        At the limit, the one that was idle for longest is closed for it.
+        At the limit, the connection that was idle for longest is closed to make room.
         """
         if len(self.connections) < self.connection_limit:
             return True
@@ -174,14 +176,14 @@
                 connection.close(reason, Result.NOT_SENT)
             else:
                 connection.close("no connection")
-        except Exception as error:  # of the event loop or ours: it must not end the task group
+        except Exception as error:  # a fault here must not end the task group
             self.dispatcher.record_fault(error)
             connection.close("no connection")
 
     # -- attempts
 
     def send_attempt(self, attempt: InFlightAttempt) -> None:
-        """Sends an attempt, once its client's input was read."""
+        """Sends an attempt once its client's pending input was read."""
         client = attempt.request.client
         unread = client.peek_input() if client is not None else UnreadInput.NOTHING
         if client is not None and unread is UnreadInput.END:
@@ -196,17 +198,20 @@
         self.dispatcher.attempt_ended(attempt, UpstreamOutcome(Result.NOT_SENT, reason=reason))
 
     def _defer(self, attempt: InFlightAttempt) -> None:
-        """Leaves it to a later turn: in a decision or in a read, nothing more is read."""
+        """Defers an attempt to a later loop iteration.
+
+        No client may be read during a decision or during another read.
+        """
         self._deferred[attempt] = None
         if not self._is_deferred_send_scheduled:
             self._is_deferred_send_scheduled = True
             asyncio.get_running_loop().call_soon(self._send_deferred)
 
     def _send_deferred(self) -> None:
-        """Reads the clients of deferred attempts, and sends those whose input was read.
+        """Reads the clients of deferred attempts, and sends the attempts whose clients were read.
 
-        A client with more input than one turn reads waits behind the others, until its request's
-        time is over.
+        An attempt whose client has more input than one iteration reads is queued behind the others,
+        until its time is over.
         """
         self._is_deferred_send_scheduled = False
         started_ns = self.clock()
@@ -216,7 +221,7 @@
             client = attempt.request.client
             is_read = client is None or client.read_unread_input()
             if attempt not in self._deferred:
-                continue  # cancelled by what was read
+                continue  # cancelled by the input just read
             del self._deferred[attempt]
             reason = self._reason_after_wait(attempt)
             if reason:
@@ -230,7 +235,7 @@
             asyncio.get_running_loop().call_later(READ_PAUSE_SECONDS, self._send_deferred)
 
     def _reason_after_wait(self, attempt: InFlightAttempt) -> str:
-        """Why a deferred attempt may not be sent any more, or nothing."""
+        """Returns why a deferred attempt may no longer be sent, or an empty string."""
         now_ns, decision = self.clock(), attempt.policy_attempt
         reason = reason_not_to_send(attempt.request, attempt.worker, decision.begin_by_ns, now_ns)
         if not reason and now_ns >= decision.sent_ns + decision.timeout_ns:
@@ -250,7 +255,7 @@
             deadline_ns = min(due_ns, request.policy_request.deadline_ns)
 
         def encode_line(written_ns: int) -> bytes:
-            """Encodes the time that is left as it is written."""
+            """Encodes the attempt with the time left when it is written."""
             return encode_attempt(
                 call.request_id,
                 call.method,
@@ -261,7 +266,7 @@
             )
 
         def report_outcome(outcome: UpstreamOutcome) -> None:
-            """Reports the one end of this attempt."""
+            """Reports the only outcome of this attempt."""
             self.dispatcher.attempt_ended(attempt, outcome)
 
         outstanding = attempt.link_handle = OutstandingCall(
@@ -277,7 +282,7 @@
         self._send(outstanding, call.used_connections)
 
     def cancel_attempt(self, attempt: InFlightAttempt) -> None:
-        """Cancels an attempt, unless its outcome is on its way."""
+        """Cancels an attempt, unless its call has already ended."""
         if attempt in self._deferred:
             del self._deferred[attempt]
             self._refuse(attempt, "called off")
@@ -290,7 +295,7 @@
         call.on_outcome(UpstreamOutcome(result, reason="called off"))
 
     def end_overdue_attempts(self) -> None:
-        """Ends what is due, where the loop is late to run the timer."""
+        """Ends attempts that are due, in case the event loop runs the timer late."""
         now_ns = self.clock()
         for attempt in list(self._deferred):
             decision = attempt.policy_attempt
@@ -300,7 +305,7 @@
         self._timeouts.expire_due()
 
     def has_sent(self, attempt: InFlightAttempt) -> bool:
-        """Whether a byte of an attempt in flight may have left."""
+        """Whether a byte of an attempt in flight may have been sent."""
         call: OutstandingCall | None = attempt.link_handle
         return attempt not in self._deferred and call is not None and call.encode_line is None
 
@@ -313,13 +318,13 @@
         replicas: int,
         on_outcome: Callable[[UpstreamOutcome], None],
     ) -> None:
-        """Asks a worker for so many replicas of a function."""
+        """Sends a load request for `replicas` replicas of a function."""
         self._last_number += 1
         call_id = f"o{self._last_number}"
         due_ns = self.clock() + self.settings.load_timeout_ns
 
         def encode_line(_written_ns: int) -> bytes:
-            """Encodes the request, whenever it is written."""
+            """Encodes the load request, which does not depend on the time of writing."""
             return encode_load_request(call_id, function.name, replicas)
 
         call = OutstandingCall(call_id, worker, None, due_ns, due_ns, encode_line, on_outcome)
@@ -328,10 +333,10 @@
     # -- both
 
     def _send(self, call: OutstandingCall, used: list[UpstreamConnection]) -> None:
-        """Sends a call on a connection that is none of `used`, where its request was sent before.
+        """Sends a call on a connection outside `used`, on which its request was sent before.
 
-        All attempts of a request have one id. On the same connection a late second response to the
-        earlier one would be taken for that of the new one.
+        All attempts of a request share one id. On the same connection, a late second response to
+        the earlier attempt would be mistaken for the response to the new one.
         """
         connection = self._choose_connection(call.worker.connections, used)
         if connection is None:
@@ -343,7 +348,7 @@
         self._timeouts.add(call, self._last_number)
 
     def _expire(self, call: OutstandingCall) -> None:
-        """Ends a call whose time is over."""
+        """Ends a call that has timed out."""
         connection = call.connection
         assert connection is not None
         is_established = connection.transport is not None
--- a/martenlead/node/worker_protocol.py
+++ b/martenlead/node/worker_protocol.py
@@ -1,7 +1,7 @@
-"""The workers' protocol: one JSON object on each line.
+"""Codec of the worker protocol: one JSON object per line.
 
-This codec does no I/O, and the length of a line is bounded. The structs that decode a line have the
-field names of the wire; `WorkerResponse` has the names of the program.
+The codec does no I/O, and bounds the length of a line. The structs that decode a line use the field
+names of the wire; `WorkerResponse` uses the names of the program.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
     "LACK": Result.FUNCTION_MISSING,
     "WAIT": Result.AT_CAPACITY,
     "BROKE": Result.ERROR,
-    # its time was over before it began: it did not run, and the worker is alive
+    # timed out before it started: it did not run, and the worker is alive
     "PAST": Result.AT_CAPACITY,
 }
 """Results by the word of a response.
 
 Results without a response: `UNREACHABLE` for a connection that was not established, and `NOT_SENT`
 for a line that was not written or for which this machine lacked descriptors, memory or ports. Both
-prove that nothing ran. `CONNECTION_LOST` for a connection that ended or brought what cannot be
-read, `NO_RESPONSE` for a silent one, and `CANCELLED`. After these three the attempt may have run.
+prove that nothing ran. `CONNECTION_LOST` for a connection that ended or received invalid data,
+`NO_RESPONSE` for a silent one, and `CANCELLED`. After these three the attempt may have run.
 """
 
 WARMTH_BY_NOTE = {
@@ -38,13 +38,13 @@
     "boot_error": Warmth.LOAD_FAILED,
 }
 
-FIT_WORD = "FIT"  # accepted, though no call of ours ends with it
+FIT_WORD = "FIT"  # valid, although no call of this program ends with it
 
 
 class InvalidLineError(Exception):
-    """Nothing on that connection can be trusted any more.
+    """A line is invalid, so nothing on its connection can be trusted any more.
 
-    `complete_lines` were read before the place that cannot be read.
+    `complete_lines` were received before the invalid part.
     """
 
     def __init__(self, complete_lines: list[bytes], detail: str) -> None:
@@ -57,11 +57,11 @@
 
     def __init__(self, line_bytes_limit: int = LINE_BYTES_LIMIT) -> None:
         self.line_bytes_limit = line_bytes_limit
-        self._parts: list[bytes] = []  # of the line that is not complete yet
+        self._parts: list[bytes] = []  # received parts of an incomplete line
         self._parts_bytes = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the lines that are complete now.
+        """Adds received bytes, and returns the lines that are now complete.
 
         Raises:
             InvalidLineError: a line is too long.
@@ -72,12 +72,12 @@
             self._parts, self._parts_bytes = [], 0
         for index, line in enumerate(lines):
             if len(line) > self.line_bytes_limit:
-                raise InvalidLineError(lines[:index], "a line that is too long")
+                raise InvalidLineError(lines[:index], "line too long")
         if rest:
             self._parts.append(rest)
             self._parts_bytes += len(rest)
             if self._parts_bytes > self.line_bytes_limit:
-                raise InvalidLineError(lines, "a line without an end")
+                raise InvalidLineError(lines, "incomplete line too long")
         return lines
 
 
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class WorkerResponse:
-    """The end of the call `call_id`: its word and note, the loaded replicas, and the body."""
+    """The response to the call `call_id`: its word and note, the loaded replicas, and the body."""
 
     word: str
     call_id: str
@@ -108,10 +108,10 @@
 
 
 def parse_response(line: bytes, body_bytes_limit: int) -> WorkerResponse:
-    """Reads one line of a worker.
+    """Parses one line of a worker.
 
     Raises:
-        InvalidLineError: it is no response, or its body is too long.
+        InvalidLineError: the line is not a response, or its body is too long.
     """
     try:
         decoded = _decode_line(line)
@@ -125,9 +125,9 @@
     ) as error:
         raise InvalidLineError([], str(error)[:200]) from None
     if decoded.word not in RESULT_BY_WORD and decoded.word != FIT_WORD:
-        raise InvalidLineError([], "an unknown word")
+        raise InvalidLineError([], "unknown response word")
     if not is_base64(decoded.raw, body_bytes_limit):
-        raise InvalidLineError([], "a body that is no base64")
+        raise InvalidLineError([], "body is not base64 or too long")
     return WorkerResponse(
         decoded.word, str(decoded.txn), decoded.props.why, max(0, replicas), decoded.raw
     )
@@ -143,8 +143,8 @@
 ) -> bytes:
     """Encodes an attempt.
 
-    The listener has checked the id, the names and the body. None of them needs an escape but the
-    request class, which comes from the settings.
+    The listener has validated the id, the names and the body. Only the request class, which comes
+    from the settings, may need escaping.
     """
     dedupe = b"" if idempotency_key is None else b',"dedupe":"%b"' % idempotency_key.encode()
     return b'{"m":"DO","txn":"%b","props":{"lane":%b,"name":"%b","ttl":%d%b},"raw":"%b"}\n' % (
@@ -158,12 +158,12 @@
 
 
 def encode_cancel(call_id: str) -> bytes:
-    """Encodes the cancel of an attempt or of a load request."""
+    """Encodes a cancel of an attempt or a load request."""
     return b'{"m":"UNDO","txn":"%b"}\n' % call_id.encode()
 
 
 def encode_load_request(call_id: str, function: str, replicas: int) -> bytes:
-    """Encodes a load request for so many replicas of a function."""
+    """Encodes a load request for `replicas` replicas of a function."""
     return b'{"m":"PIN","txn":"%b","props":{"name":"%b","instances":%d}}\n' % (
         call_id.encode(),
         function.encode(),
