--- a/martenlead/system/__init__.py
+++ b/martenlead/system/__init__.py
@@ -1,4 +1,5 @@
-"""What every program needs of the operating system.
+"""Operating-system services that all programs share.
 
-Its clocks, its listening sockets, and files that are replaced as a whole. No decisions.
+Clocks, listening sockets, writes to sockets, the log, and files that are replaced atomically. It
+makes no decisions.
 """
--- a/martenlead/system/durable_file.py
+++ b/martenlead/system/durable_file.py
@@ -1,9 +1,9 @@
-"""Files that are replaced as a whole and survive a kill and a power cut.
+"""Atomic file replacement that survives a kill of the process and a power cut.
 
-A replacement is a temporary file written in full and synced, a rename, and a sync of the folder, in
-this order. After a failed `fsync` the kernel may have dropped the data while it reports the next
-`fsync` of the same file as done; so nothing is synced twice: each attempt writes the temporary file
-anew, after the wait that `Backoff` gives.
+A replacement writes a complete temporary file, syncs it, renames it and syncs the folder, in this
+order. After a failed `fsync` the kernel may have dropped the data, yet report success for the next
+`fsync` of the same file. So nothing is synced twice: each attempt writes a new temporary file,
+after the delay that `Backoff` returns.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from random import Random
 
 FIRST_BACKOFF_SECONDS = 0.1  # a full disk or a lost mount seldom recovers sooner
-# so that what is known is at most this late once the folder is well again
+# Longest delay until state is saved again after the folder has recovered
 LONGEST_BACKOFF_SECONDS = 10.0
 READ_SIZE = 1 << 20
 
 
 class Backoff:
-    """Exponential backoff with full jitter: processes that share a disk do not try in step."""
+    """Exponential backoff with full jitter, so that processes on one disk do not retry in step."""
 
     def __init__(
         self,
@@ -34,18 +34,18 @@
         self._bound_seconds = first_seconds
 
     def next_seconds(self) -> float:
-        """The wait after one more failure."""
+        """Returns the delay after another failure, in seconds."""
         wait = self._chance.uniform(0, self._bound_seconds)
         self._bound_seconds = min(self._longest_seconds, 2 * self._bound_seconds)
         return wait
 
     def reset(self) -> None:
-        """After a success."""
+        """Returns to the first delay, after a success."""
         self._bound_seconds = self._first_seconds
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Writes all of it, in as many pieces as the kernel takes. Raises OSError."""
+    """Writes all data, in as many calls as the kernel needs. Raises OSError."""
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
@@ -54,7 +54,7 @@
 def write_synced(path: Path, data: bytes) -> None:
     """Writes a file from its first byte and syncs it.
 
-    Raises OSError: nothing is known of its content.
+    Raises OSError, after which the content of the file is undefined.
     """
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o644)
     try:
@@ -65,7 +65,7 @@
 
 
 def sync_folder(path: Path) -> None:
-    """Makes names that were made, renamed or removed in a folder durable. Raises OSError."""
+    """Makes created, renamed and removed entries of a folder durable. Raises OSError."""
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
@@ -74,10 +74,10 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Replaces a file so that the old or the new one is found, whole, whatever happens.
+    """Replaces a file so that always either the complete old or the complete new one is found.
 
-    The new one is durable when this returns. Raises OSError: the old one may still be in its place
-    or not, and the next attempt does everything again.
+    The new file is durable on return. Raises OSError, after which either file may be in place; the
+    next attempt repeats the whole replacement.
     """
     temporary = path.with_name(f"{path.name}.{os.getpid()}.new")
     try:
@@ -91,7 +91,7 @@
 
 
 def remove_leftovers(path: Path) -> None:
-    """Removes the temporary files of `path` that processes which are gone have left behind."""
+    """Removes temporary files of `path` that ended processes have left behind."""
     pattern = re.compile(re.escape(path.name) + r"\.(\d+)\.new\Z")
     with suppress(OSError):
         for entry in os.scandir(path.parent):
@@ -102,17 +102,17 @@
 
 
 def _is_running(process: int) -> bool:
-    """Whether another process of that number runs.
+    """Whether another process with this ID is running.
 
-    Our own writes no temporary file at this time.
+    This process does not count, as it writes no temporary file at this time.
     """
     return process != os.getpid() and Path(f"/proc/{process}").exists()
 
 
 def read_if_there(path: Path) -> bytes | None:
-    """A file's content, None where there is none.
+    """Returns the content of a file, or None if it does not exist.
 
-    Raises OSError for one that is there and cannot be read now.
+    Raises OSError if it exists but cannot be read now.
     """
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
--- a/martenlead/system/listener.py
+++ b/martenlead/system/listener.py
@@ -1,9 +1,10 @@
 """Listening sockets: binding is retried, and connections are accepted only while there is room.
 
-The event loops' own servers accept all that waits in one turn, before a connection that gives way
-is closed. Without a descriptor one of them then closes whoever waits, requests and all, the other
-accepts nothing for a second; the listener of anyio ends with the error, and the program with it.
-What is not accepted here waits in the backlog, and loses nothing.
+The servers of asyncio and uvloop accept the whole backlog in one loop iteration, before a
+connection that is closed for a new one has ended. When descriptors run out, one of them closes the
+waiting connections with their requests, and the other accepts nothing for a second. The listener of
+anyio raises the error, which ends the program. Connections that are not accepted here wait in the
+backlog, and lose nothing.
 """
 
 from __future__ import annotations
@@ -19,12 +20,15 @@
 
 import anyio
 
-BACKLOG = 512  # connections that the machine accepts before we do
-RETRY_SECONDS = 0.05  # between two tries where the machine had no descriptor, memory or address
-# connections of one turn of the loop: a flood of them leaves time for all else
+BACKLOG = 512  # connections that the kernel queues until they are accepted
+# Delay between attempts while the machine has no descriptor, memory or address
+RETRY_SECONDS = 0.05
+# Connections accepted per loop iteration, so that a flood of them leaves time for other work
 ACCEPTED_PER_TURN = 32
-OWN_DESCRIPTORS = 40  # of listeners, event loop, discovery, files and what the interpreter opens
-LEAST_CONNECTIONS = 4  # of each listener, however full the others are: operators' ports stay open
+# Descriptors for listeners, the event loop, discovery, files and the interpreter
+OWN_DESCRIPTORS = 40
+# Connections granted to each listener, however full the others are: operators' ports stay open
+LEAST_CONNECTIONS = 4
 
 PERMANENT_BIND_ERRORS = frozenset(
     {
@@ -39,7 +43,7 @@
         errno.ENOTSOCK,
     }
 )
-"""What no wait changes. A name that cannot be resolved belongs here too, but for EAI_AGAIN."""
+"""Errors that no wait resolves. Failures to resolve a name count too, except for EAI_AGAIN."""
 
 CONNECTION_ERRORS = frozenset(
     {
@@ -53,18 +57,18 @@
         errno.ETIMEDOUT,
     }
 )
-"""Of accept: the connection that waited first has ended, and is gone; accept(2) says to go on."""
+"""Errors of accept for a pending connection that has failed already; accept(2) says to retry."""
 
 
 class ResolvedAddress(NamedTuple):
-    """What a socket is bound to."""
+    """The address that a socket is bound to."""
 
     family: int  # such as socket.AF_INET
     target: tuple[str, int]  # address and port
 
 
 def may_pass(error: OSError) -> bool:
-    """Whether another try to bind may succeed."""
+    """Whether the error is temporary, so that binding again may succeed."""
     if isinstance(error, socket.gaierror):
         return error.errno == socket.EAI_AGAIN
     return error.errno not in PERMANENT_BIND_ERRORS
@@ -78,10 +82,10 @@
     waits_for_address: bool = True,
     delayed: Callable[[OSError], None] = lambda _error: None,
 ) -> socket.socket:
-    """A listening socket at this address.
+    """Returns a listening socket at `address`.
 
-    Tries for so long where the error may pass, and calls `delayed` with the first such error. An
-    address in use is waited for only if asked. Raises the last OSError.
+    Retries temporary errors for up to `seconds`, and calls `delayed` with the first of them. An
+    address in use is retried only with `waits_for_address`. Raises the last OSError.
     """
     end = monotonic() + seconds
     is_delayed = False
@@ -104,9 +108,9 @@
 
 
 def _resolve(host: str, port: int) -> ResolvedAddress:
-    """Looks up a name here: the event loop would do it on threads, which then stay.
+    """Resolves a name in this thread: the event loop would use other threads, which then stay.
 
-    IPv4 comes first, and an IPv4 address, or none, needs no look at all.
+    IPv4 is preferred, and an IPv4 address or an empty host needs no lookup.
     """
     with suppress(OSError):
         if host:
@@ -118,9 +122,10 @@
 
 
 def descriptors_for_clients() -> int:
-    """How many accepted connections this process may have.
+    """Returns how many accepted connections this process may have.
 
-    Half of its descriptors but its own, since a request in flight needs one more to its worker.
+    That is half of the descriptors that are not reserved, since a request in flight needs another
+    one to its worker.
     """
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if limit == resource.RLIM_INFINITY:
@@ -129,7 +134,7 @@
 
 
 class ClientDescriptors:
-    """Counts the accepted connections of a process over all of its listeners."""
+    """Counts the accepted connections of a process across all of its listeners."""
 
     def __init__(self, limit: Callable[[], int] = descriptors_for_clients) -> None:
         self.limit = limit
@@ -151,20 +156,20 @@
             resume()
 
     def add_listener(self, resume: Callable[[], None]) -> None:
-        """`resume` is called whenever a connection has ended."""
+        """Registers `resume`, which is called whenever a connection has ended."""
         self._waiting.add(resume)
 
     def remove_listener(self, resume: Callable[[], None]) -> None:
-        """`resume` is not called any more."""
+        """Unregisters `resume`."""
         self._waiting.discard(resume)
 
 
 PROCESS_CLIENTS = ClientDescriptors()
-"""Of this process: the limit of descriptors is its own, too."""
+"""Shared by all listeners of this process, as the descriptor limit applies to the process."""
 
 
 class Listener:
-    """Accepts from `start` to `close`."""
+    """Accepts connections between `start` and `close`."""
 
     def __init__(
         self,
@@ -173,25 +178,26 @@
         has_room: Callable[[int], bool],
         per_turn: int = ACCEPTED_PER_TURN,
     ) -> None:
-        """`connect` takes over an accepted socket.
+        """Initializes the listener; `connect` takes over an accepted socket.
 
         If it raises, the socket is closed, and an error other than an OSError goes to the event
-        loop's exception handler. `has_room` is asked before each accept, with the number of sockets
-        that are accepted and not taken over yet. `per_turn` of the event loop are accepted at most.
+        loop's exception handler. `has_room` is called before each accept, with the number of
+        sockets that are accepted but not taken over yet. At most `per_turn` connections are
+        accepted per loop iteration.
         """
         self.sock, self.connect, self.has_room, self.per_turn = sock, connect, has_room, per_turn
         self.accepting: set[asyncio.Task[None]] = set()
         self._loop = asyncio.get_running_loop()
-        self.is_waiting = True  # for its start, for room, or for a descriptor
+        self.is_waiting = True  # waits for `start`, for room, or for a descriptor
         self._is_closed = False
 
     def start(self) -> None:
-        """The socket listens already, as `bind` gives it."""
+        """Starts accepting. The socket is already listening, as returned by `bind`."""
         self.sock.setblocking(False)
         self.resume()
 
     def close(self) -> None:
-        """Accepts nothing more; `connect` still gets what was accepted."""
+        """Stops accepting; sockets that were already accepted still go to `connect`."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -199,12 +205,12 @@
         self.sock.close()
 
     def resume(self) -> None:
-        """There may be room again."""
+        """Resumes accepting after a pause, as there may be room again."""
         if not self.is_waiting or self._is_closed:
             return
         try:
             self._loop.add_reader(self.sock.fileno(), self._accept)
-        except OSError:  # no memory, or no watch left, for one more descriptor
+        except OSError:  # no memory or no epoll watch left for the descriptor
             self._loop.call_later(RETRY_SECONDS, self.resume)
             return
         self.is_waiting = False
@@ -232,7 +238,7 @@
             connection.setblocking(False)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self.connect(connection)
-        except OSError:  # it was reset before
+        except OSError:  # the connection was already reset
             connection.close()
         except Exception as error:
             connection.close()
@@ -241,9 +247,9 @@
             )
 
     def _connected(self, connecting: asyncio.Task[None]) -> None:
-        """For a moment it may have counted twice, as accepted and as a client.
+        """Resumes accepting after a connection was taken over, as there may be room again.
 
-        There may be room again.
+        Until now the connection may have counted twice, as being accepted and as a client.
         """
         self.accepting.discard(connecting)
         self.resume()
--- a/martenlead/system/log.py
+++ b/martenlead/system/log.py
@@ -1,6 +1,6 @@
-"""The log of every program: one JSON object a line, on standard error.
+"""The log of all programs: one JSON object per line, on standard error.
 
-A traceback is written as plain text. The default of structlog renders it with the variables of each
+Tracebacks are written as plain text. By default structlog renders them with the variables of each
 frame, which stalls an event loop for a tenth of a second.
 """
 
@@ -14,7 +14,7 @@
 
 
 def configure_log(level: int | str = logging.INFO, stream: TextIO | None = None) -> None:
-    """Configures the log of this process; `stream` stands in for standard error."""
+    """Configures the log of this process; `stream` replaces standard error."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/martenlead/system/sender.py
+++ b/martenlead/system/sender.py
@@ -1,7 +1,7 @@
-"""Writes that outlive a moment in which the machine has no buffer or no memory for them.
+"""Writes to transports that survive a temporary shortage of kernel buffers or memory.
 
-Linux documents ENOBUFS and ENOMEM for send(2), and neither says anything of the connection. The
-event loops end it all the same, and with it go the answers that are owed on it.
+Linux documents ENOBUFS and ENOMEM for send(2), and neither means that the connection has failed.
+The event loops close it nevertheless, and the responses that are due on it are lost.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 from martenlead.system.sockets import descriptor
 
 TEMPORARY_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM})
-RETRY_SECONDS = 0.005  # between two tries to write what the machine had no room for
+RETRY_SECONDS = 0.005  # delay between attempts to write data that the kernel had no room for
 
 
 class Sender:
-    """All that is written to one transport, in its order, each byte once.
+    """Writes all data of one transport, in order and each byte once.
 
-    A write goes to the machine itself first. What it has no memory for is kept here and tried
-    again. What the peer does not take yet is the transport's, and as long as it has any, so is what
-    follows; a transport without a socket has all. Every other error ends the connection.
+    Data is first written to the socket directly. Data that the kernel has no memory for is kept
+    here and retried. Data that the peer does not accept yet is passed to the transport, and so is
+    all later data while the transport has any buffered. A transport without a socket gets all data.
+    Every other error ends the connection.
     """
 
     def __init__(
@@ -34,9 +35,9 @@
         pause: Callable[[], None],
         resume: Callable[[], None],
     ) -> None:
-        """`pause` is called once more than `limit` bytes are kept, `resume` once these have left.
+        """Calls `pause` once more than `limit` bytes are kept, `resume` once they were sent.
 
-        The connection ends where none of what is kept has left for `give_up_seconds`.
+        The connection is aborted if none of the kept data was sent for `give_up_seconds`.
         """
         self.transport, self.limit, self.give_up_seconds = transport, limit, give_up_seconds
         self._pause, self._resume = pause, resume
@@ -47,13 +48,13 @@
         self._next: Callable[[], None] | None = None
 
     def write(self, data: bytes) -> None:
-        """Takes all of it, unless the connection is being closed."""
+        """Writes all data, or keeps what must wait, unless the connection is closing."""
         if not self._kept:
             data = self._send(data)
         self._keep(data)
 
     def offer(self, data: bytes) -> bool:
-        """Whether it is taken; if not, not a byte of it has left or will."""
+        """Returns whether the data is accepted; if not, no byte of it was or will be sent."""
         if self._kept or self.transport.is_closing():
             return False
         rest = self._send(data)
@@ -63,9 +64,9 @@
         return True
 
     def after_writes(self, action: Callable[[], None]) -> None:
-        """Calls it once nothing is kept here.
+        """Calls `action` once no data is kept here.
 
-        What the transport has it sends itself before it closes.
+        The transport sends the data in its own buffer before it closes.
         """
         if self._kept:
             self._next = action
@@ -73,7 +74,7 @@
             action()
 
     def _send(self, data: bytes) -> bytes:
-        """What the machine did not take for now."""
+        """Writes data, and returns the rest that could not be written for now."""
         while data and not self.transport.is_closing():
             if self._descriptor < 0 or self.transport.get_write_buffer_size():
                 self.transport.write(data)
@@ -109,7 +110,7 @@
             self._kept = b""
             return
         if not self._kept:
-            self._go_on()
+            self._handle_all_sent()
             return
         if len(self._kept) < before:
             self._kept_since = loop.time()
@@ -119,8 +120,8 @@
             return
         loop.call_later(RETRY_SECONDS, self._retry)
 
-    def _go_on(self) -> None:
-        """Nothing is kept any more. A transport that has too much itself calls `resume` itself."""
+    def _handle_all_sent(self) -> None:
+        """Resumes writing. A transport whose own buffer is too full calls `resume` itself."""
         if self._is_paused:
             self._is_paused = False
             if self.transport.get_write_buffer_size() <= self.limit:
--- a/martenlead/system/sockets.py
+++ b/martenlead/system/sockets.py
@@ -1,4 +1,4 @@
-"""What the machine knows of a socket and a transport of the event loop does not tell."""
+"""Socket state that is known to the kernel but not exposed by transports of the event loop."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 import struct
 from typing import Any
 
-# of Linux: told also where bytes lie in front of the end
+# Linux only: reported even if unread bytes precede the EOF
 HALF_CLOSED = getattr(select, "POLLRDHUP", 0)
-LAST_DATA_RECEIVED = 52  # where `struct tcp_info` of Linux has the ms since then
+LAST_DATA_RECEIVED = 52  # offset of `tcpi_last_data_recv` (ms) in Linux's `struct tcp_info`
 OWN_SHORTAGES = frozenset(
-    # the last: of local ports
+    # EADDRNOTAVAIL: no local port is left
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
-"""Why a connection cannot be asked for that say nothing of the peer."""
+"""Errors of connecting that are caused by this machine and say nothing about the peer."""
 
 ENDED = HALF_CLOSED | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
-def descriptor(at: Any) -> int:
-    """Of a transport or of a socket; -1 where it is closed."""
-    own = at.get_extra_info("socket") if hasattr(at, "get_extra_info") else at
+def descriptor(source: Any) -> int:
+    """Returns the descriptor of a transport or a socket, -1 if it is closed."""
+    own = source.get_extra_info("socket") if hasattr(source, "get_extra_info") else source
     return -1 if own is None else int(own.fileno())
 
 
 def poll(number: int, events: int) -> int:
-    """What of these is so now, 0 for nothing.
+    """Returns which of `events` hold now, 0 for none.
 
-    Where the machine cannot say, something is taken to wait to be read: whoever asks then reads, or
-    leaves the connection as it is.
+    If polling fails, input is assumed to be pending: the caller then reads, or leaves the
+    connection as it is.
     """
     poller = select.poll()
     poller.register(number, events)
@@ -41,34 +41,34 @@
     return found[0][1] if found else 0
 
 
-def readable(at: Any) -> bool:
-    """Whether bytes, a new connection or an end wait there.
+def readable(source: Any) -> bool:
+    """Whether bytes, a new connection or an EOF is pending.
 
-    Of a transport or of a listening socket: what the machine has and the event loop has not
-    reported yet.
+    Applies to a transport or a listening socket, and includes what the event loop has not reported
+    yet.
     """
-    number = descriptor(at)
+    number = descriptor(source)
     return number >= 0 and bool(poll(number, select.POLLIN))
 
 
-def has_ended(at: Any) -> bool:
-    """Whether the peer has closed, or half of it, or the connection is broken or closed here."""
-    number = descriptor(at)
+def has_ended(source: Any) -> bool:
+    """Whether the peer has closed or half-closed, or the connection is broken or closed here."""
+    number = descriptor(source)
     return number < 0 or bool(poll(number, HALF_CLOSED) & ENDED)
 
 
 def is_own_shortage(error: BaseException) -> bool:
-    """Whether a connection failed for what this machine lacks.
+    """Whether a connection failed because this machine lacks a resource.
 
-    The cause is where anyio has the errno.
+    The cause of the error is checked too, as anyio leaves the errno there.
     """
-    return any(getattr(at, "errno", None) in OWN_SHORTAGES for at in (error, error.__cause__))
+    return any(getattr(one, "errno", None) in OWN_SHORTAGES for one in (error, error.__cause__))
 
 
 def unread_ms(connection: socket.socket) -> int:
-    """For how long what came last has waited to be read there.
+    """Returns for how many ms the last received bytes have been waiting to be read.
 
-    0 where nothing waits, or nobody can tell.
+    0 if no bytes are waiting, or if the system does not provide the time.
     """
     if not readable(connection) or not hasattr(socket, "TCP_INFO"):
         return 0
--- a/martenlead/system/state_saver.py
+++ b/martenlead/system/state_saver.py
@@ -1,7 +1,4 @@
-"""Saves of a state that fail for a while.
-
-What is logged and counted, and when they are tried again.
-"""
+"""Saves of state that are retried after failures, with logs and counts of their outcomes."""
 
 from __future__ import annotations
 
@@ -25,9 +22,9 @@
 
 
 class SaveHealth:
-    """Outcomes of the saves of one state.
+    """Tracks the outcomes of the saves of one state.
 
-    One log line as they begin to fail, one as they succeed again.
+    Logs one line when saves begin to fail, and one when they succeed again.
     """
 
     def __init__(
@@ -38,7 +35,7 @@
         clock: Callable[[], float] = time.monotonic,
         count: Callable[[str, str], None] | None = None,
     ) -> None:
-        """`state` names it in log lines and counters.
+        """Initializes the tracker; `state` is the name in log lines and counters.
 
         `count` is called with (event, state) at each outcome; `clock` is monotonic, in seconds.
         """
@@ -55,7 +52,7 @@
         return self._failing_since is not None
 
     def success(self) -> None:
-        """Notes a save that succeeded."""
+        """Records a save that succeeded."""
         self.saved += 1
         self._count("state_saved", self.state)
         if self._failing_since is None:
@@ -73,7 +70,7 @@
         self._backoff.reset()
 
     def failure(self, reason: str) -> float:
-        """Seconds until the next attempt."""
+        """Records a save that failed; returns the seconds until the next attempt."""
         self.failed += 1
         self._failures_in_a_row += 1
         self._count("state_save_failed", self.state)
@@ -86,8 +83,7 @@
 class StateSaver(Generic[State]):
     """Saves the newest value of a state in a thread whenever it has changed.
 
-    Changes during a save lead to one further save. A save that failed is tried again until one
-    succeeds.
+    Changes during a save lead to one further save. A failed save is retried until it succeeds.
     """
 
     def __init__(
@@ -99,8 +95,8 @@
     ) -> None:
         """`snapshot` is called in the event loop before each attempt, `write` in a thread.
 
-        `prepare`, awaited before both, is for what has to be read before it is written over.
-        `write` and `prepare` raise OSError for what may succeed later.
+        `prepare` is awaited before both, to read what must be read before it is overwritten.
+        `write` and `prepare` raise OSError for failures that may be temporary.
         """
         self.health = health
         self._snapshot, self._write, self._prepare = snapshot, write, prepare
@@ -108,17 +104,17 @@
         self._is_unsaved = False
 
     def changed(self) -> None:
-        """There is something newer to save. Never waits."""
+        """Requests a save of the newest value. Never waits."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Until it is cancelled; what is not saved then is tried once more."""
+        """Saves changes until cancelled; a value not saved by then is tried once more."""
         try:
             while True:
                 await self._changed.wait()
                 self._changed = anyio.Event()
                 self._is_unsaved = True
-                # a backoff between attempts, and no poll for an event
+                # ASYNC110 does not apply: this is a backoff, not polling for an event
                 while (wait := await self._attempt()) is not None:  # noqa: ASYNC110
                     await anyio.sleep(wait)
         finally:
@@ -130,7 +126,7 @@
             await self._attempt()
 
     async def _attempt(self) -> float | None:
-        """Seconds until it has to be tried again, None where it has succeeded."""
+        """Tries to save; returns the seconds until the next attempt, or None after a success."""
         try:
             if self._prepare is not None:
                 await self._prepare()
--- a/martenlead/system/stream_writes.py
+++ b/martenlead/system/stream_writes.py
@@ -1,8 +1,8 @@
-"""Writes to a stream of anyio that outlive a moment in which the machine has no memory for them.
+"""Writes to anyio streams that survive a temporary shortage of kernel memory.
 
-Linux documents ENOBUFS and ENOMEM for send(2), and neither says anything of the connection. An
-event loop ends it all the same, and with it goes the response that is being written.
-`sender.Sender` does the same for transports.
+Linux documents ENOBUFS and ENOMEM for send(2), and neither means that the connection has failed. An
+event loop closes it nevertheless, and the response that is being written is lost. `sender.Sender`
+does the same for transports.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 async def send_all(stream: SocketStream, data: bytes) -> None:
-    """Writes all of it, as the only writer of the stream. Raises as `SocketStream.send` does.
+    """Writes all data, as the only writer of the stream. Raises as `SocketStream.send` does.
 
-    It goes to the machine itself first, again after a pause where the machine has no memory for it.
-    What the peer does not take yet is left to the event loop.
+    Data is first written to the socket directly, and again after a pause if the kernel has no
+    memory for it. Data that the peer does not accept yet is left to the event loop.
     """
     await anyio.lowlevel.checkpoint()
     own_socket = stream.extra(SocketAttribute.raw_socket, None)
--- a/martenlead/upstream/__init__.py
+++ b/martenlead/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP protocol spoken with workers and with discovery: requests and the meaning of responses.
+"""The HTTP protocol of workers and discovery: encodes requests and interprets responses.
 
 docs/protocol.md specifies it.
 """
--- a/martenlead/upstream/endpoint_watch.py
+++ b/martenlead/upstream/endpoint_watch.py
@@ -14,7 +14,7 @@
 from martenlead.upstream import endpoints
 
 MAX_LINE_BYTES = 16 * 1024 * 1024
-BACKOFF_LIMIT = 20  # times the first wait
+BACKOFF_LIMIT = 20  # longest wait, as a multiple of the first one
 STREAM_ERRORS: tuple[type[Exception], ...] = (
     OSError,
     TimeoutError,
@@ -30,7 +30,7 @@
 
 
 class WatchSettings(Protocol):
-    """Where discovery is, and when its stream is broken."""
+    """The address of discovery, and the timing of its stream."""
 
     @property
     def host(self) -> str:
@@ -42,7 +42,7 @@
 
     @property
     def silence_timeout_ms(self) -> float:
-        """Time without a byte after which the stream is broken."""
+        """Time without a received byte after which the stream counts as broken."""
 
     @property
     def retry_ms(self) -> float:
@@ -59,15 +59,15 @@
     on_error: Callable[[Exception], None],
     random: Callable[[], float],
 ) -> None:
-    """Keeps a list up to date until it is cancelled.
+    """Keeps an endpoint list up to date until cancelled.
 
     Args:
-        settings: Where discovery is.
+        settings: Address of discovery and timing of the stream.
         agent: The User-Agent.
-        known: The list, which each update is applied to first.
+        known: The list, to which each update is applied before `on_update`.
         on_update: Called with each update that holds endpoints, in their order.
-        on_lost: Called with the reason of each break of the stream.
-        on_error: Called with an error of `on_update`, after which a snapshot is asked for.
+        on_lost: Called with the reason for each break of the stream.
+        on_error: Called with an error of `on_update`, after which a snapshot is requested.
         random: Draws from [0, 1), for the jitter of the waits.
     """
     first_wait_seconds = settings.retry_ms / 1000
@@ -91,7 +91,7 @@
 def _handle_failure(
     error: Exception, known: endpoints.EndpointList, on_error: Callable[[Exception], None]
 ) -> str:
-    """The reason of a break in words; unless the connection broke, a snapshot is asked for next."""
+    """Returns the reason for a break; unless the connection failed, requests a snapshot next."""
     if isinstance(error, STREAM_ERRORS):
         return f"{type(error).__name__} {error}".strip()
     known.version = 0
@@ -102,7 +102,7 @@
 
 
 def _open_stream(settings: WatchSettings, agent: bytes, version: int) -> AsyncGenerator[bytes]:
-    """The lines of the stream behind a version; a snapshot comes first where the version is 0."""
+    """Returns the stream's lines after a version, beginning with a snapshot if that is 0."""
     host = f"{settings.host}:{settings.port}".encode()
     data = http.request(b"GET", b"/roster?after=%d" % version, host, [(b"user-agent", agent)])
     return read_lines(
--- a/martenlead/upstream/endpoints.py
+++ b/martenlead/upstream/endpoints.py
@@ -1,9 +1,9 @@
-"""The endpoint list that discovery streams: its JSON form, a subscriber's state, the file on disk.
+"""The endpoint list that discovery streams: JSON format, state of a subscriber, and cache file.
 
-`GET /roster?after=N` is answered with a stream of JSON objects, one a line. A line holds a
-`version`. With `whole` it is a snapshot of the list, else a delta to the version before. A line
-without `runners` only keeps the stream alive. A subscriber that has missed a version resyncs: it
-asks again after 0 and gets a snapshot.
+The response to `GET /roster?after=N` is a stream of JSON objects, one per line. Each line holds a
+`version`. With `whole` it is a snapshot of the list, otherwise a delta to the preceding version. A
+line without `runners` is a heartbeat. A subscriber that has missed a version resyncs: it requests
+the stream after 0 and gets a snapshot.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 class Endpoint(msgspec.Struct, omit_defaults=True):
     """One worker as discovery lists it.
 
-    `incarnation` names the present run of its process. `age_ms` is how long that run had lasted
-    when the line was written; without it, the run started long ago. It is an age, as the clocks
-    of two machines differ. `agent_port` belongs to the layers agent on the worker's machine, 0
-    where there is none.
+    `incarnation` identifies the current run of its process. `age_ms` is the age of that run when
+    the line was written; without it, the run started long ago. An age is used instead of a start
+    time because the clocks of two machines differ. `agent_port` is the port of the layers agent on
+    the worker's machine, 0 if there is none.
     """
 
     id: str
@@ -42,7 +42,7 @@
 
 
 class EndpointUpdate(msgspec.Struct, omit_defaults=True):
-    """One line of the stream: a snapshot, a delta, or without endpoints a sign of life."""
+    """One line of the stream: a snapshot, a delta or, without endpoints, a heartbeat."""
 
     version: int
     is_snapshot: bool = msgspec.field(default=False, name="whole")
@@ -50,10 +50,10 @@
 
 
 class CachedEndpoints(msgspec.Struct):
-    """The list as it is cached on disk, with the time of its writing by two clocks.
+    """The list as cached on disk, with the time of writing by two clocks.
 
-    The wall clock's time is for people. Ages are computed with the boot clock: `uptime_ns` since
-    the start of the machine that `boot_id` names. Files of earlier versions have no boot clock.
+    The wall clock's time is for people. Ages are computed with the boot clock, which had counted
+    `uptime_ns` since the boot with ID `boot_id`. Files of earlier versions have no boot clock.
     """
 
     version: int
@@ -68,7 +68,7 @@
 
 
 class MissingVersionError(Exception):
-    """An update does not follow the version that the subscriber has: it needs a snapshot."""
+    """An update does not follow the subscriber's version, so the subscriber needs a snapshot."""
 
 
 class EndpointList:
@@ -79,21 +79,21 @@
         self.endpoints: dict[str, Endpoint] = {}
 
     def apply(self, update: EndpointUpdate) -> bool:
-        """Applies an update; true where it holds endpoints.
+        """Applies an update; returns whether it holds endpoints.
 
         Raises:
             MissingVersionError: One or more versions before this one were missed.
         """
         if update.endpoints is None:
             if update.version != self.version:
-                gap = f"at {self.version}, the roster is at {update.version}"
+                gap = f"at version {self.version}, the endpoint list is at {update.version}"
                 raise MissingVersionError(gap)
             return False
         if update.is_snapshot:
             self.endpoints = {one.id: one for one in update.endpoints if one.state != "gone"}
         else:
             if update.version != self.version + 1:
-                gap = f"at {self.version}, told of {update.version}"
+                gap = f"at version {self.version}, received version {update.version}"
                 raise MissingVersionError(gap)
             self._apply_delta(update.endpoints)
         self.version = update.version
@@ -108,7 +108,7 @@
 
 
 def make_cached_endpoints(version: int, endpoints: list[Endpoint]) -> CachedEndpoints:
-    """The list with the present time of both clocks, to be saved."""
+    """Returns the list with the present time of both clocks, to be saved."""
     now = clocks.moment()
     return CachedEndpoints(version, now.wall / 1e9, endpoints, now.boot, now.uptime)
 
@@ -121,10 +121,10 @@
 def load_cached_endpoints(path: Path) -> CachedEndpoints | None:
     """Reads the list that an earlier run saved, and adds the time since then to the ages.
 
-    None where there is no file, or it holds no list. Only time that has certainly passed is
-    added, so the wall clock is not asked: its step forward would make new workers look warm. An
-    age that is too low costs a worker one slow start at most. Raises OSError for a file that
-    cannot be read now.
+    Returns None if there is no file, or it holds no list. Only time that has certainly passed is
+    added, so the wall clock is not used: a step forward would make new workers look warm. An age
+    that is too low costs a worker one slow start at most. Raises OSError for a file that cannot
+    be read now.
     """
     try:
         cached = msgspec.json.decode(path.read_bytes(), type=CachedEndpoints)
--- a/martenlead/upstream/exchange_classifier.py
+++ b/martenlead/upstream/exchange_classifier.py
@@ -1,8 +1,8 @@
-"""What the end of an HTTP exchange with a worker means: its `Result` and the reason.
+"""Classifies how an HTTP exchange with a worker ended, as a `Result` with a reason.
 
-Rule 2 asks one question of every end: does it prove that the request never ran? Only two things
-prove it: not one byte of the request has left this machine, or the worker says so itself. After
-any other end the request may have run.
+By rule 2, the question is whether an end proves that the request never ran. Only two things prove
+it: no byte of the request has left this machine, or the worker states it. After any other end the
+request may have run.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from martenlead.upstream.outcome import UpstreamOutcome
 
 NEVER_RAN_HEADER = b"martenlead-never-ran"
-"""The worker's word, on a 503, 429 or 404, that it has not begun the request and will not."""
+"""On a 503, 429 or 404: the worker states that it has not begun the request and will not."""
 
 REPLICA_HEADER = b"martenlead-copy"
-"""What the attempt found of its function, a key of `WARMTH_BY_HEADER_VALUE`."""
+"""State of the function when the attempt arrived, a key of `WARMTH_BY_HEADER_VALUE`."""
 
 STATE_HEADER = b"martenlead-state"
-"""`draining` where the worker takes nothing new."""
+"""`draining` if the worker accepts no new requests."""
 
 LOAD_FAILURE_HEADER = b"martenlead-load-failure"
 """Why a load failed, by the names of the layers agent: vault-away, no-room, ..."""
 
 LOAD_REPORT_HEADER = b"martenlead-report"
-"""The worker's load report: name=value pairs with commas between them."""
+"""The worker's load report: comma-separated name=value pairs."""
 
 WARMTH_BY_HEADER_VALUE = {
     b"warm": Warmth.WARM,
@@ -40,7 +40,7 @@
     # nothing was written: there was no connection
     ExchangeEnd.REFUSED: Result.UNREACHABLE,
     ExchangeEnd.CONNECT_TIMEOUT: Result.UNREACHABLE,
-    # nothing was written for a reason of our own, which says nothing of the worker
+    # nothing was written, for a reason on this side that says nothing about the worker
     ExchangeEnd.NO_SLOT: Result.NOT_SENT,
     ExchangeEnd.WITHHELD: Result.NOT_SENT,
     # the worker may have read the request first, also on a pooled connection that closed as it
@@ -51,24 +51,25 @@
     # another program, or a faulty worker, answers there; the request may have run
     ExchangeEnd.GARBAGE: Result.CONNECTION_LOST,
 }
-"""The ends without a response. Two more are our own, see `classify_unanswered_attempt`.
+"""Results of exchanges that ended without a response.
 
-A request whose time was over before a connection was asked for is NOT_SENT.
+`classify_unanswered_attempt` covers the two ends that are caused on this side. A request that timed
+out before a connection was requested is NOT_SENT.
 """
 
 OK = HTTPStatus.OK.value
-MULTIPLE_CHOICES = HTTPStatus.MULTIPLE_CHOICES.value  # the first status that is no success
+MULTIPLE_CHOICES = HTTPStatus.MULTIPLE_CHOICES.value  # first status after 2xx
 NOT_FOUND = HTTPStatus.NOT_FOUND.value
 AT_CAPACITY_STATUSES = (
     HTTPStatus.TOO_MANY_REQUESTS.value,
     HTTPStatus.SERVICE_UNAVAILABLE.value,
 )
 LOAD_FAILURE_STATUSES = (NOT_FOUND, HTTPStatus.SERVICE_UNAVAILABLE.value)
-LOAD_FAILURE_LENGTH = 20  # characters of a name that is counted as it is
+LOAD_FAILURE_LENGTH = 20  # characters of the longest name that is counted under itself
 
 
 def classify_attempt(exchange: Exchange) -> UpstreamOutcome:
-    """The outcome of an attempt whose exchange ended by itself."""
+    """Returns the outcome of an attempt whose exchange was not ended on this side."""
     message = exchange.message
     if message is None or exchange.end is not ExchangeEnd.ANSWERED:
         result, reason = _classify_end(exchange)
@@ -95,27 +96,27 @@
     elif message.status == NOT_FOUND and never_ran:
         outcome.result, outcome.reason = Result.FUNCTION_MISSING, "no copy stands there"
     else:
-        # an error, or a refusal without the worker's word: a proxy between could have sent it
+        # An error, or a refusal without the never-ran header: a proxy may have sent it.
         outcome.result, outcome.reason = Result.ERROR, f"status {message.status}"
 
 
 def classify_unanswered_attempt(*, is_cancelled: bool, has_written: bool) -> UpstreamOutcome:
-    """The outcome of an attempt that we ended, by its time-out or as it was cancelled.
+    """Returns the outcome of an attempt that was ended on this side, by time-out or cancel.
 
     Args:
-        is_cancelled: It was cancelled; else it ran into its time-out.
-        has_written: A byte of the request may have left.
+        is_cancelled: Whether it was cancelled; otherwise it timed out.
+        has_written: Whether a byte of the request may have been sent.
     """
     if is_cancelled:
         result = Result.CANCELLED if has_written else Result.NOT_SENT
         return UpstreamOutcome(result, reason="called off")
-    # no connection in all the time of an attempt means the same as a time-out of the connect
+    # No connection within the time of an attempt is equivalent to a connect time-out.
     result = Result.NO_RESPONSE if has_written else Result.UNREACHABLE
     return UpstreamOutcome(result, reason="no answer in time")
 
 
 def parse_load_failure(message: Message) -> str:
-    """The name of the reason why a load failed; empty where the response states none.
+    """Returns the name of the reason why a load failed, empty if the response states none.
 
     A name that is too long, or not of letters and dashes, becomes `unknown`, since names are
     counted.
@@ -126,7 +127,7 @@
 
 
 def classify_load_request(exchange: Exchange) -> tuple[Result, str]:
-    """The result of a load request and the reason; the body has the number of replicas."""
+    """Returns the result of a load request and the reason; the body has the replica count."""
     message = exchange.message
     if message is None or exchange.end is not ExchangeEnd.ANSWERED:
         return _classify_end(exchange)
@@ -141,6 +142,6 @@
 
 
 def _classify_end(exchange: Exchange) -> tuple[Result, str]:
-    """The result and the reason of an exchange that ended without a response."""
+    """Returns the result and the reason of an exchange that ended without a response."""
     result = RESULT_BY_END.get(exchange.end, Result.CONNECTION_LOST)
     return result, exchange.detail or exchange.end.value
--- a/martenlead/upstream/load_requests.py
+++ b/martenlead/upstream/load_requests.py
@@ -1,10 +1,10 @@
-"""Load, unload and health-check requests to a worker, and what its responses say.
+"""Encodes load, unload and health-check requests to a worker, and parses its responses.
 
 They follow the model repository extension of the Open Inference Protocol: `POST
-/v2/repository/models/NAME/load` with `{"parameters": {"copies": N}}` has the worker keep at least
-N replicas, and with N = 0 it only asks how many there are; `.../unload` drops the idle ones; `GET
-/v2/health/ready` is the health check. The parameter `copies` and the body of the response are our
-own.
+/v2/repository/models/NAME/load` with `{"parameters": {"copies": N}}` makes the worker keep at least
+N replicas, and N = 0 only queries their number; `.../unload` unloads the idle ones; `GET
+/v2/health/ready` is the health check. The parameter `copies` and the body of the response are
+extensions of this project.
 """
 
 from __future__ import annotations
@@ -55,18 +55,18 @@
 def encode_load_request(
     host: bytes, agent: bytes, function: str, replicas: int, memory_mb: float, lanes: int
 ) -> bytes:
-    """A request to keep at least so many replicas loaded; `agent` is the User-Agent."""
+    """Returns a request to keep at least `replicas` loaded; `agent` is the User-Agent."""
     body = msgspec.json.encode(LoadRequestBody(_LoadParameters(replicas, memory_mb, lanes)))
     return _encode_repository_request(host, agent, function, b"load", body)
 
 
 def encode_unload_request(host: bytes, agent: bytes, function: str) -> bytes:
-    """A request to drop the idle replicas of a function."""
+    """Returns a request to unload the idle replicas of a function."""
     return _encode_repository_request(host, agent, function, b"unload", b"{}")
 
 
 def encode_health_check(host: bytes, agent: bytes) -> bytes:
-    """A request for the worker's health and load report."""
+    """Returns a request for the worker's health and load report."""
     return request(b"GET", b"/v2/health/ready", host, [(b"user-agent", agent)])
 
 
@@ -79,7 +79,7 @@
 
 
 def parse_replica_count(exchange: Exchange) -> int:
-    """The loaded replicas that a response states, 0 where it states none."""
+    """Returns the number of loaded replicas that a response states, 0 if it states none."""
     if exchange.message is None:
         return 0
     try:
@@ -89,7 +89,7 @@
 
 
 def parse_load_report(raw: bytes | None) -> dict[str, float]:
-    """The values of a load report's header, by name; a part that is not name=number is skipped."""
+    """Returns the values of a load-report header by name, skipping parts not name=number."""
     values: dict[str, float] = {}
     for pair in (raw or b"").split(b","):
         name, _, value = pair.partition(b"=")
