--- a/tests/disk_fault_rig.py
+++ b/tests/disk_fault_rig.py
@@ -1,4 +1,4 @@
-"""What the tests of state on a failing disk share: a kind of state, retry intervals and the error codes."""
+"""Shared by the tests of state on a failing disk: a kind of state, retry delays and the error codes."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class NoRetry(Backoff):
-    """Waits for longer than any test."""
+    """A backoff that is longer than any test."""
 
     def next_seconds(self) -> float:
+        """Returns one hour."""
         return 3600.0
 
 
@@ -27,4 +28,5 @@
 
 
 def temporary_files(root: Path) -> list[Path]:
+    """Returns the temporary files of unfinished writes below a folder."""
     return [path for path in root.rglob("*") if path.name.endswith((".new", ".part"))]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
 """Pytest plugin: known failures, listed in `KNOWN-RED.txt`, do not fail the run.
 
-Each line of that file names one test that fails for a real fault that is still to be mended:
+Each line of that file names one test that fails because of a real fault that is not fixed yet:
 
     tests/test_x.py::test_y | command and seed that show it | what was seen | issue 29
     tests/test_x.py::test_z | command and seed that show it | flaky: what was seen | issue 29
@@ -8,7 +8,7 @@
 A listed test that fails is reported as "known red", never as passed. The run fails on a malformed list,
 on a line that names no collected test, and on a listed test that does not fail.
 A test marked "flaky:" fails now and then: it may pass or fail, and is printed either way.
-It must do one of the two: skipped, or failing as it was expected to, it fails the run.
+It must do one of the two: if it is skipped, or fails as an expected failure, the run fails.
 A line matches one node id exactly, so it cannot cover another test. For the same reason two kinds of
 failure are never excused: a collection error, which keeps a whole file from running, and a teardown
 failure of a fixture that the test shares with others.
@@ -38,31 +38,31 @@
     """One line of the list."""
 
     node_id: str
-    command: str  # which shows the failure, with its seed
-    seen: str
+    command: str  # reproduces the failure, includes the seed
+    observed: str
     issue: str
     is_flaky: bool = False
 
     def __str__(self) -> str:
         mark = f"{FLAKY_MARK} " if self.is_flaky else ""
-        return f"{self.node_id}: {mark}{self.seen} ({self.issue}; {self.command})"
+        return f"{self.node_id}: {mark}{self.observed} ({self.issue}; {self.command})"
 
 
 def parse_line(line: str, number: int) -> KnownRed:
-    """Read one line; `number` is its place in the file, counted from 1. Raises `pytest.UsageError`."""
+    """Read one line; `number` is its line number in the file, from 1. Raises `pytest.UsageError`."""
     fields = [field.strip() for field in line.rsplit(SEPARATOR, len(FIELDS) - 1)]
     if len(fields) != len(FIELDS) or not all(fields):
         raise pytest.UsageError(f"{FILE_NAME}:{number}: expected '{SEPARATOR.join(FIELDS)}'")
-    node_id, command, seen, issue = fields
+    node_id, command, observed, issue = fields
     if "::" not in node_id:
         raise pytest.UsageError(f"{FILE_NAME}:{number}: {node_id!r} names no test")
     if not ISSUE_PATTERN.fullmatch(issue):
         raise pytest.UsageError(f"{FILE_NAME}:{number}: {issue!r} is not of the form 'issue N'")
-    is_flaky = seen.startswith(FLAKY_MARK)
-    seen = seen.removeprefix(FLAKY_MARK).strip()
-    if not seen:
+    is_flaky = observed.startswith(FLAKY_MARK)
+    observed = observed.removeprefix(FLAKY_MARK).strip()
+    if not observed:
         raise pytest.UsageError(f"{FILE_NAME}:{number}: expected what was seen behind '{FLAKY_MARK}'")
-    return KnownRed(node_id, command, seen, issue, is_flaky)
+    return KnownRed(node_id, command, observed, issue, is_flaky)
 
 
 def parse(text: str) -> dict[str, KnownRed]:
@@ -89,7 +89,7 @@
 
 
 class KnownRedPlugin:
-    """Turns the failures of listed tests into known ones, and checks the list against what was collected.
+    """Excuses the failures of listed tests, and checks the list against the collected tests.
 
     A test has up to three reports (setup, call, teardown). The verdict on a listed test is given once, on
     its teardown report, which comes last and always; its other reports are not counted.
@@ -107,8 +107,8 @@
         self._collected.add(item.nodeid)
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
-        """In a run of the whole suite, refuse a line that names no test."""
-        if session.testsfailed or not _is_whole_suite(session.config):
+        """In a run of the full suite, refuse a line that names no test."""
+        if session.testsfailed or not _is_full_suite(session.config):
             return
         missing = sorted(self._entries.keys() - self._collected)
         if missing:
@@ -116,7 +116,7 @@
 
     @pytest.hookimpl(wrapper=True, tryfirst=True)
     def pytest_runtest_teardown(self, item: pytest.Item) -> "Generator[None, object, object]":
-        """Tear the listed test down by itself first, to tell its failure from that of a shared fixture."""
+        """Tear the listed test down by itself first, to distinguish its failure from a shared fixture's."""
         own_error: BaseException | None = None
         if item.nodeid in self._entries and item.parent is not None:
             try:
@@ -200,7 +200,7 @@
                 yield "    passed this time"
 
 
-def _is_whole_suite(config: pytest.Config) -> bool:
+def _is_full_suite(config: pytest.Config) -> bool:
     """Whether pytest was started at the root without naming files, so every test was collected."""
     names_files = config.args_source is pytest.Config.ArgsSource.ARGS
     return not names_files and config.invocation_params.dir == config.rootpath
--- a/tests/syscall_filter.py
+++ b/tests/syscall_filter.py
@@ -1,7 +1,8 @@
 """Starts a program under a system-call filter like that of the platform's whole-fleet days.
 
-`python -m tests.syscall_filter COMMAND` refuses what those days refuse, then becomes `/bin/sh -c COMMAND`.
-Other system calls are allowed. The filter needs no special rights and ends with the process.
+`python -m tests.syscall_filter COMMAND` installs the filter, then replaces itself by `/bin/sh -c COMMAND`.
+The filter refuses the same system calls as on those days and allows all others. It needs no special rights
+and ends with the process.
 """
 
 from __future__ import annotations
@@ -46,12 +47,12 @@
 
 
 def instruction(code: int, if_true: int, if_false: int, value: int) -> bytes:
-    """`struct sock_filter`; jumps are counted from the next instruction."""
+    """Encodes a `struct sock_filter`; jumps are counted from the next instruction."""
     return struct.pack("=HBBI", code, if_true, if_false, value)
 
 
 def assemble(machine: str) -> bytes:
-    """The filter: refused calls first, then a clone that is not for a thread."""
+    """Returns the filter's instructions: refuses the listed calls, then any clone that makes no thread."""
     lines = [instruction(LOAD_WORD, 0, 0, NUMBER_OFFSET)]
     for number, error in REFUSED[machine].items():
         lines.append(instruction(JUMP_IF_EQUAL, 0, 1, number))
@@ -65,7 +66,7 @@
 
 
 def install(instructions: bytes) -> None:
-    """Puts the filter on this process. Raises OSError."""
+    """Installs the filter in this process. Raises OSError."""
     libc = ctypes.CDLL(None, use_errno=True)
     program = Program(len(instructions) // 8, instructions)
     for arguments in (
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture(autouse=True)
 def without_other_plugins(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each inner run would import them anew, which takes most of its time."""
+    """Saves most of the time of each inner run, which would import the plugins again."""
     monkeypatch.setenv("PYTEST_DISABLE_PLUGIN_AUTOLOAD", "1")
 
 
@@ -25,24 +25,24 @@
 
 
 def summary(result: pytest.RunResult) -> str:
-    """The closing line, without the time taken."""
+    """Return the closing line, without the time taken."""
     return result.outlines[-1].partition(" in ")[0]
 
 
 def assert_refused(result: pytest.RunResult, message: str) -> None:
-    """The list itself is at fault: one clear line, a failure status and no traceback."""
+    """Check for a run that ends with a usage error: one clear line, a failure status and no traceback."""
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     output = str(result.stdout) + str(result.stderr)
     assert message in output
     assert "Traceback" not in output
 
 
-def test_the_suite_runs_under_the_list(request: pytest.FixtureRequest) -> None:
+def test_the_suite_uses_the_list_of_known_failures(request: pytest.FixtureRequest) -> None:
     assert request.config.pluginmanager.has_plugin("tests.known_red")
     assert (Path(__file__).parent.parent / "KNOWN-RED.txt").is_file()
 
 
-def test_a_listed_failure_is_passed_over_and_printed(pytester: pytest.Pytester) -> None:
+def test_a_listed_failure_is_excused_and_printed(pytester: pytest.Pytester) -> None:
     result = run(pytester, LISTED, RED + GREEN)
     assert result.ret == pytest.ExitCode.OK
     assert summary(result) == "1 passed, 1 known red"
@@ -83,8 +83,8 @@
     result.stdout.fnmatch_lines(["*did not fail: remove its line*"])
 
 
-def test_every_listed_failure_is_passed_over_however_many(pytester: pytest.Pytester) -> None:
-    """Each case that is found and not mended has an entry; one that has none fails the run."""
+def test_all_listed_failures_are_excused_however_many(pytester: pytest.Pytester) -> None:
+    """Each known case that is not fixed needs an entry; a failing case without one fails the run."""
     lines = [f"test_tiny.py::test_red[{number}] | pytest | off by one | issue 29" for number in range(4)]
     lines.append("test_tiny.py::test_red[4] | pytest | flaky: off by one | issue 29")
     code = "import pytest\n@pytest.mark.parametrize('number', range({}))\ndef test_red(number): assert 0\n"
@@ -94,7 +94,7 @@
     assert summary(result) == "1 failed, 5 known red"
 
 
-def test_a_flaky_test_that_fails_is_passed_over_and_printed(pytester: pytest.Pytester) -> None:
+def test_a_flaky_test_that_fails_is_excused_and_printed(pytester: pytest.Pytester) -> None:
     result = run(pytester, FLAKY, RED + GREEN)
     assert result.ret == pytest.ExitCode.OK
     assert summary(result) == "1 passed, 1 known red"
@@ -197,7 +197,7 @@
     result.stdout.fnmatch_lines([f"    {when}: assert 0"])
 
 
-def test_an_error_of_a_shared_fixture_is_not_passed_over(pytester: pytest.Pytester) -> None:
+def test_an_error_of_a_shared_fixture_is_not_excused(pytester: pytest.Pytester) -> None:
     fixture = "import pytest\n@pytest.fixture(scope='module')\ndef part():\n    yield\n    assert 0\n"
     result = run(pytester, LISTED, fixture + "def test_green(part): pass\n" + RED)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Listeners: bound in spite of faults that pass, and alive whatever accept says."""
+"""Listeners: binding survives temporary errors, and no error of accept ends a listener."""
 
 from __future__ import annotations
 
@@ -27,10 +27,11 @@
 
 @pytest.fixture(params=[False, True], ids=["asyncio", "uvloop"])
 def anyio_backend(request: Any) -> Any:
+    """Runs each test on both event loops."""
     return "asyncio", {"use_uvloop": request.param}
 
 
-async def test_a_bind_is_given_up_at_once_for_what_no_wait_changes() -> None:
+async def test_bind_fails_at_once_on_a_permanent_error() -> None:
     faults = SocketFaults()
     faults.add("bind", errno.EACCES)
     with faults.installed(), pytest.raises(PermissionError):
@@ -38,7 +39,7 @@
     assert faults.failed["bind"] == 1
 
 
-async def test_a_bind_is_given_up_once_its_time_is_over() -> None:
+async def test_bind_fails_once_its_time_for_retries_is_over() -> None:
     delayed: list[OSError] = []
     faults = SocketFaults()
     faults.add("bind", errno.ENOBUFS)
@@ -48,39 +49,40 @@
     assert len(delayed) == 1 and faults.failed["bind"] > 2
 
 
-async def test_a_name_that_does_not_resolve_is_given_up_at_once() -> None:
+async def test_bind_fails_at_once_if_a_name_does_not_resolve() -> None:
     with pytest.raises(socket.gaierror), anyio.fail_after(5):
         await bind(("no-such-host.invalid", 0), 60)
 
 
 @pytest.mark.parametrize("host", ["127.0.0.1", "localhost", ""])
-async def test_an_address_or_a_name_is_listened_on_over_ipv4(host: str) -> None:
+async def test_bind_uses_ipv4_for_an_address_or_a_name(host: str) -> None:
     with closing(await bind((host, 0), 1)) as sock:
         assert sock.family is socket.AF_INET
         with closing(socket.create_connection(("127.0.0.1", sock.getsockname()[1]), 2)):
             pass
 
 
-async def test_a_connection_that_comes_as_its_listener_is_cancelled_takes_no_descriptor(
+async def test_a_connection_accepted_as_its_listener_is_cancelled_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its stream is made once the group that would serve it has ended."""
+    """Guards against a leaked descriptor: the stream is created after its task group has ended."""
     clients = ClientDescriptors()
     listener = StreamListener(await bind(LOOPBACK, 1), clients)
-    real, going_on, asked = anyio.abc.SocketStream.from_socket, anyio.Event(), anyio.Event()
+    original, may_continue, was_called = anyio.abc.SocketStream.from_socket, anyio.Event(), anyio.Event()
 
     async def from_socket(sock: socket.socket) -> Any:
-        asked.set()
-        await going_on.wait()
-        return await real(sock)
+        """Creates the stream only when the test allows it."""
+        was_called.set()
+        await may_continue.wait()
+        return await original(sock)
 
     monkeypatch.setattr(anyio.abc.SocketStream, "from_socket", from_socket)
     with closing(socket.create_connection(("127.0.0.1", listener.port), 2)) as client:
         async with anyio.create_task_group() as group:
             group.start_soon(listener.serve, anyio.sleep_forever)
-            await asked.wait()
+            await was_called.wait()
             group.cancel_scope.cancel()
-        going_on.set()
+        may_continue.set()
         assert listener._listener is not None
         await until(lambda: not listener._listener.accepting)
         client.settimeout(2)
@@ -88,28 +90,29 @@
     assert (clients.in_use, listener.open_connections) == (0, 0)
 
 
-async def test_an_address_in_use_ends_a_program_of_http_at_once() -> None:
+async def test_an_http_listener_fails_at_once_if_its_address_is_in_use() -> None:
     with (
-        closing(socket.create_server(LOOPBACK)) as taken,
+        closing(socket.create_server(LOOPBACK)) as occupied,
         anyio.fail_after(2),
         pytest.raises(OSError) as raised,
     ):
-        await listen("127.0.0.1", taken.getsockname()[1])
+        await listen("127.0.0.1", occupied.getsockname()[1])
     assert raised.value.errno == errno.EADDRINUSE
 
 
-async def test_a_listener_goes_on_once_the_loop_can_watch_it_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """epoll_ctl may fail for want of memory, as the listener starts or goes on after a pause."""
+async def test_a_listener_resumes_once_the_event_loop_can_watch_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """epoll_ctl may fail for lack of memory when the listener starts or resumes after a pause."""
     sock = await bind(LOOPBACK, 1)
     accepted: list[socket.socket] = []
 
     async def connect(connection: socket.socket) -> None:
+        """Keeps the accepted socket."""
         accepted.append(connection)
 
-    tries = 0
+    attempts = 0
 
-    class Loop:
-        """The running one, whose first two watches fail."""
+    class FailingLoop:
+        """The running event loop, except that the first two calls of `add_reader` fail."""
 
         def __init__(self, real: Any) -> None:
             self.real = real
@@ -118,14 +121,15 @@
             return getattr(self.real, name)
 
         def add_reader(self, *arguments: Any) -> None:
-            nonlocal tries
-            tries += 1
-            if tries <= 2:
+            """Fails twice, then watches the descriptor."""
+            nonlocal attempts
+            attempts += 1
+            if attempts <= 2:
                 raise OSError(errno.ENOMEM, "no memory")
             self.real.add_reader(*arguments)
 
     listener = Listener(sock, connect, lambda _accepting: True)
-    listener._loop = Loop(listener._loop)  # type: ignore[assignment]
+    listener._loop = FailingLoop(listener._loop)  # type: ignore[assignment]
     listener.start()
     with closing(socket.create_connection(sock.getsockname())):
         await until(lambda: accepted)
@@ -133,25 +137,26 @@
     accepted[0].close()
 
 
-async def test_a_fault_as_a_connection_is_taken_over_costs_that_connection() -> None:
+async def test_a_fault_while_a_connection_is_taken_over_closes_only_that_connection() -> None:
     loop = asyncio.get_running_loop()
-    runners_own = loop.get_exception_handler()
+    original_handler = loop.get_exception_handler()
     reported: list[Any] = []
     loop.set_exception_handler(lambda _loop, context: reported.append(context.get("exception")))
     sock = await bind(LOOPBACK, 1)
-    taken: list[socket.socket] = []
+    accepted: list[socket.socket] = []
 
     async def connect(connection: socket.socket) -> None:
-        taken.append(connection)
-        if len(taken) == 1:
-            raise RuntimeError("of the event loop")
+        """Fails for the first connection."""
+        accepted.append(connection)
+        if len(accepted) == 1:
+            raise RuntimeError("a fault while the connection is taken over")
 
     listener = Listener(sock, connect, lambda _accepting: True)
     listener.start()
     with closing(socket.create_connection(sock.getsockname())) as first:
-        await until(lambda: taken)
+        await until(lambda: accepted)
         with closing(socket.create_connection(sock.getsockname())):
-            await until(lambda: len(taken) == 2)
+            await until(lambda: len(accepted) == 2)
         await until(lambda: not listener.accepting)
         first.setblocking(False)
         with anyio.fail_after(2):
@@ -162,20 +167,21 @@
                 except BlockingIOError:
                     await anyio.sleep(0.01)
     listener.close()
-    taken[1].close()
-    loop.set_exception_handler(runners_own)
+    accepted[1].close()
+    loop.set_exception_handler(original_handler)
     assert [type(error) for error in reported] == [RuntimeError]
 
 
-async def test_a_handler_that_fails_costs_its_connection_and_not_the_listener() -> None:
+async def test_a_failed_handler_closes_its_connection_but_not_the_listener() -> None:
     listener, port = await listen("127.0.0.1", 0)
-    seen = 0
+    connections = 0
 
     async def handler(stream: Any) -> None:
-        nonlocal seen
-        seen += 1
-        if seen == 1:
-            raise KeyError("a fault of ours")
+        """Fails for the first connection, serves the others."""
+        nonlocal connections
+        connections += 1
+        if connections == 1:
+            raise KeyError("a fault of the handler")
         await stream.send(b"served")
 
     async with anyio.create_task_group() as group:
@@ -189,7 +195,7 @@
         group.cancel_scope.cancel()
 
 
-async def test_a_connection_waits_in_the_backlog_until_one_has_ended() -> None:
+async def test_a_connection_waits_in_the_backlog_until_another_has_ended() -> None:
     clients = ClientDescriptors(lambda: 0)
     sock = await bind(LOOPBACK, 1)
     listener = StreamListener(sock, clients)
@@ -197,6 +203,7 @@
     released = anyio.Event()
 
     async def handler(stream: Any) -> None:
+        """Keeps the connection open until the test releases it."""
         await stream.send(b"accepted")
         await released.wait()
 
@@ -217,10 +224,11 @@
         group.cancel_scope.cancel()
 
 
-async def test_a_failed_accept_is_tried_again_without_a_busy_loop() -> None:
+async def test_a_failed_accept_is_retried_without_a_busy_loop() -> None:
     listener, port = await listen("127.0.0.1", 0)
 
     async def handler(stream: Any) -> None:
+        """Serves a connection."""
         await stream.send(b"served")
 
     faults = SocketFaults()
@@ -238,7 +246,7 @@
             group.cancel_scope.cancel()
 
 
-FLOOD = """
+PROXY_PROGRAM = """
 import socket, sys, time
 import anyio
 from martenlead.events.client import ExchangeEnd, Pool
@@ -249,7 +257,7 @@
 async def main():
     worker, worker_port = await listen("127.0.0.1", 0)
 
-    async def answer(_message, _now):
+    async def respond(_message, _now):
         return Reply(200, [], b"worked")
 
     pool = Pool("127.0.0.1", worker_port, connect_timeout_ns=2_000_000_000)
@@ -259,14 +267,14 @@
         assert exchange.end is ExchangeEnd.ANSWERED, exchange
         return Reply(200, [], exchange.message.body)
 
-    def of(handler):
+    def make_server(handler):
         return Server(handler, ServerLimits(), make_error_reply=lambda s, d: problem(s, "bad", d),
                       make_fault_reply=lambda e: problem(500, "fault", repr(e)))
 
     async with anyio.create_task_group() as group:
-        group.start_soon(of(answer).serve, worker)
+        group.start_soon(make_server(respond).serve, worker)
         listener, port = await listen("127.0.0.1", 0)
-        group.start_soon(of(forward).serve, listener)
+        group.start_soon(make_server(forward).serve, listener)
         print(port, flush=True)
         await anyio.sleep_forever()
 
@@ -274,20 +282,24 @@
 """
 
 
-def ask(port: int, seconds: float) -> bytes:
-    with closing(socket.create_connection(("127.0.0.1", port), seconds)) as client:
-        client.settimeout(seconds)
+def send_request(port: int, timeout_seconds: float) -> bytes:
+    """Sends a GET request on a new connection, and returns the complete response."""
+    with closing(socket.create_connection(("127.0.0.1", port), timeout_seconds)) as client:
+        client.settimeout(timeout_seconds)
         client.sendall(b"GET / HTTP/1.1\r\nhost: e\r\nconnection: close\r\n\r\n")
-        whole = b""
+        response = b""
         while part := client.recv(65_536):
-            whole += part
-    return whole
+            response += part
+    return response
 
 
-async def test_a_flood_of_clients_keeps_a_program_of_http_neither_from_others_nor_from_its_workers(
+async def test_a_flood_of_clients_blocks_neither_other_clients_nor_connections_to_workers(
     anyio_backend: Any,
 ) -> None:
-    """64 descriptors, 80 idle connections: the listener of anyio ended with EMFILE, and all with it."""
+    """Opens 80 idle connections to a program with 64 descriptors.
+
+    The listener of anyio ended with EMFILE here, and the program with it.
+    """
     loop = "uvloop" if anyio_backend[1]["use_uvloop"] else "asyncio"
     command = f"ulimit -n 64; exec {sys.executable} - {loop}"
     with subprocess.Popen(
@@ -295,7 +307,7 @@
     ) as process:
         assert process.stdin is not None and process.stdout is not None
         try:
-            process.stdin.write(FLOOD)
+            process.stdin.write(PROXY_PROGRAM)
             process.stdin.close()
             port = int(process.stdout.readline())
             idle = []
@@ -304,11 +316,11 @@
                 idle[-1].setblocking(False)
                 idle[-1].connect_ex(("127.0.0.1", port))
             for _ in range(3):
-                whole = await anyio.to_thread.run_sync(ask, port, 3.0)
-                assert whole.startswith(b"HTTP/1.1 200") and whole.endswith(b"worked")
+                response = await anyio.to_thread.run_sync(send_request, port, 3.0)
+                assert response.startswith(b"HTTP/1.1 200") and response.endswith(b"worked")
             assert process.poll() is None
-            for one in idle:
-                one.close()
-            assert (await anyio.to_thread.run_sync(ask, port, 3.0)).endswith(b"worked")
+            for connection in idle:
+                connection.close()
+            assert (await anyio.to_thread.run_sync(send_request, port, 3.0)).endswith(b"worked")
         finally:
             process.kill()
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -25,10 +25,11 @@
 
 
 @pytest.fixture(autouse=True)
-def log_as_before() -> Iterator[None]:
-    before = structlog.get_config()
+def restored_log_configuration() -> Iterator[None]:
+    """Restores the log's configuration, which the programs replace."""
+    configuration = structlog.get_config()
     yield
-    structlog.configure(**before)
+    structlog.configure(**configuration)
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
@@ -38,6 +39,7 @@
     """Guards against tracebacks that stall the event loop for a tenth of a second."""
 
     def run(*_: Any, **__: Any) -> None:
+        """Logs an exception in place of running the program."""
         try:
             raise KeyError("a fault of ours")
         except KeyError as error:
@@ -51,6 +53,6 @@
     result = CliRunner().invoke(command, [str(path)])
     assert result.exit_code == 0, result.output
     (line,) = result.stderr.splitlines()
-    told = json.loads(line)
-    assert (told["event"], told["level"]) == ("fault_recorded", "error")
-    assert "KeyError: 'a fault of ours'" in told["exception"] and "locals" not in told["exception"]
+    record = json.loads(line)
+    assert (record["event"], record["level"]) == ("fault_recorded", "error")
+    assert "KeyError: 'a fault of ours'" in record["exception"] and "locals" not in record["exception"]
--- a/tests/test_node_codecs.py
+++ b/tests/test_node_codecs.py
@@ -1,4 +1,4 @@
-"""The platform's codecs: the same whatever the cuts, bounded, and no errors but their own."""
+"""The codecs of the node: independent of how bytes are split, bounded, and raising only their own errors."""
 
 from __future__ import annotations
 
@@ -14,52 +14,53 @@
 from martenlead.upstream.endpoints import EndpointUpdate
 from tests.nodes import answer, frame, message, record
 
-PLACES = journal.JournalTables(["east", "west"], ["std"], {"std": 8000.0}, hides_weights=False)
-JSON = st.recursive(
+TABLES = journal.JournalTables(["east", "west"], ["std"], {"std": 8000.0}, hides_weights=False)
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False, allow_infinity=False) | st.text(),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner, max_size=3),
     max_leaves=8,
 )
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
-    ends = sorted({0, len(data), *(a % (len(data) + 1) for a in at)})
-    return [data[a:b] for a, b in pairwise(ends)]
+def split_at(data: bytes, positions: list[int]) -> list[bytes]:
+    """Splits data at these positions, which wrap around behind its end."""
+    ends = sorted({0, len(data), *(position % (len(data) + 1) for position in positions)})
+    return [data[start:end] for start, end in pairwise(ends)]
 
 
 @given(st.lists(st.binary(max_size=300), max_size=5), st.lists(st.integers(0), max_size=8))
-def test_messages_are_the_same_however_they_are_cut(bodies: list[bytes], at: list[int]) -> None:
+def test_messages_decode_the_same_however_they_are_split(bodies: list[bytes], positions: list[int]) -> None:
     data = b"".join(b"Content-Length: %d\r\n\r\n%b" % (len(body), body) for body in bodies)
-    frames = client_protocol.MessageDecoder()
-    assert [m for part in cut(data, at) for m in frames.feed(part)] == bodies
-    assert not frames.has_partial_message
+    decoder = client_protocol.MessageDecoder()
+    assert [message for part in split_at(data, positions) for message in decoder.feed(part)] == bodies
+    assert not decoder.has_partial_message
 
 
 @given(st.lists(st.binary(max_size=600), max_size=6))
-def test_noise_in_frames_is_bounded(parts: list[bytes]) -> None:
-    frames = client_protocol.MessageDecoder(message_bytes_limit=500)
+def test_invalid_bytes_of_a_client_are_buffered_up_to_the_limit(parts: list[bytes]) -> None:
+    decoder = client_protocol.MessageDecoder(message_bytes_limit=500)
     try:
         for part in parts:
-            frames.feed(part)
-            assert len(frames._buffer) <= 500 + client_protocol.HEADER_BYTES_LIMIT
+            decoder.feed(part)
+            assert len(decoder._buffer) <= 500 + client_protocol.HEADER_BYTES_LIMIT
     except client_protocol.FramingError:
         pass
 
 
-MEMBERS = ["id", "wait", "tenant", "retry", "once", "key", "cost", "props", "blob"]
+PARAMETER_NAMES = ["id", "wait", "tenant", "retry", "once", "key", "cost", "props", "blob"]
 
 
-@given(st.binary(max_size=50) | JSON.map(lambda j: json.dumps(j).encode()))
-def test_any_message_is_a_call_or_a_bad_call(data: bytes) -> None:
+@given(st.binary(max_size=50) | JSON_VALUES.map(lambda value: json.dumps(value).encode()))
+def test_arbitrary_messages_raise_only_invalid_call_errors(data: bytes) -> None:
     with pytest.raises(client_protocol.InvalidCallError):
         client_protocol.parse_call(data)
 
 
-@given(st.dictionaries(st.sampled_from(MEMBERS), JSON))
-def test_any_params_are_checked(params: dict[str, Any]) -> None:
-    told = {"jsonrpc": "2.0", "id": 7, "method": "safe", "params": params}
+@given(st.dictionaries(st.sampled_from(PARAMETER_NAMES), JSON_VALUES))
+def test_arbitrary_parameters_give_a_call_or_an_error_with_the_message_number(params: dict[str, Any]) -> None:
+    request = {"jsonrpc": "2.0", "id": 7, "method": "safe", "params": params}
     try:
-        call = client_protocol.parse_call(json.dumps(told).encode())
+        call = client_protocol.parse_call(json.dumps(request).encode())
     except client_protocol.InvalidCallError as error:
         assert error.number == 7
     else:
@@ -67,40 +68,46 @@
 
 
 @given(
-    st.lists(st.binary(max_size=100).filter(lambda b: b"\n" not in b)), st.lists(st.integers(0), max_size=8)
+    st.lists(st.binary(max_size=100).filter(lambda line: b"\n" not in line)),
+    st.lists(st.integers(0), max_size=8),
 )
-def test_lines_are_the_same_however_they_are_cut(told: list[bytes], at: list[int]) -> None:
-    reader = worker_protocol.LineDecoder()
-    data = b"".join(line + b"\n" for line in told)
-    assert [line for part in cut(data, at) for line in reader.feed(part)] == told
+def test_lines_decode_the_same_however_they_are_split(lines: list[bytes], positions: list[int]) -> None:
+    decoder = worker_protocol.LineDecoder()
+    data = b"".join(line + b"\n" for line in lines)
+    assert [line for part in split_at(data, positions) for line in decoder.feed(part)] == lines
 
 
-def test_what_came_whole_before_a_line_without_an_end_counts() -> None:
-    reader = worker_protocol.LineDecoder(line_bytes_limit=10)
-    with pytest.raises(worker_protocol.InvalidLineError) as found:
-        reader.feed(b"one\ntwo\n" + b"x" * 11)
-    assert found.value.complete_lines == [b"one", b"two"]
+def test_complete_lines_before_an_overlong_line_are_returned() -> None:
+    decoder = worker_protocol.LineDecoder(line_bytes_limit=10)
+    with pytest.raises(worker_protocol.InvalidLineError) as raised:
+        decoder.feed(b"one\ntwo\n" + b"x" * 11)
+    assert raised.value.complete_lines == [b"one", b"two"]
 
 
-@given(st.binary(max_size=60) | JSON.map(lambda j: json.dumps(j).encode()))
-def test_any_line_is_a_word_or_a_bad_line(data: bytes) -> None:
+@given(st.binary(max_size=60) | JSON_VALUES.map(lambda value: json.dumps(value).encode()))
+def test_arbitrary_lines_raise_only_invalid_line_errors(data: bytes) -> None:
     with pytest.raises(worker_protocol.InvalidLineError):
         worker_protocol.parse_response(data, 100)
 
 
-def test_fields_of_answers_may_be_strings_or_numbers() -> None:
-    word = worker_protocol.parse_response(b'{"m":"DONE","txn":7,"props":{"instances":2}}', 100)
-    assert (word.call_id, word.replicas) == ("7", 2)
+def test_fields_of_responses_may_be_strings_or_numbers() -> None:
+    response = worker_protocol.parse_response(b'{"m":"DONE","txn":7,"props":{"instances":2}}', 100)
+    assert (response.call_id, response.replicas) == ("7", 2)
     assert worker_protocol.parse_response(answer("WAIT", "o1", instances="3"), 100).replicas == 3
 
 
 @given(st.lists(st.integers(0), max_size=8))
-def test_journal_frames_are_the_same_however_they_are_cut(at: list[int]) -> None:
+def test_journal_frames_decode_the_same_however_they_are_split(positions: list[int]) -> None:
     data = frame(2, 1, record(7, 80, 0, 5), record(8, 81, 1)) + frame(2, 0) + frame(3, 2, record(7, 80, 2))
-    reader = journal.FrameDecoder(PLACES)
-    told = [news for part in cut(data, at) for news in reader.feed(part)]
+    decoder = journal.FrameDecoder(TABLES)
+    updates = [update for part in split_at(data, positions) for update in decoder.feed(part)]
     assert [
-        (n.version, n.is_snapshot, [(r.id, r.state, r.incarnation) for r in n.endpoints or ()]) for n in told
+        (
+            update.version,
+            update.is_snapshot,
+            [(endpoint.id, endpoint.state, endpoint.incarnation) for endpoint in update.endpoints or ()],
+        )
+        for update in updates
     ] == [
         (2, True, [("s-00000007", "up", "5"), ("s-00000008", "draining", "0")]),
         (2, False, []),
@@ -109,23 +116,23 @@
 
 
 @given(st.lists(st.binary(max_size=200), max_size=4))
-def test_noise_in_the_journal_is_news_or_a_bad_frame(parts: list[bytes]) -> None:
-    reader = journal.FrameDecoder(PLACES)
+def test_arbitrary_journal_bytes_give_updates_or_a_frame_error(parts: list[bytes]) -> None:
+    decoder = journal.FrameDecoder(TABLES)
     try:
         for part in parts:
-            assert all(isinstance(news, EndpointUpdate) for news in reader.feed(part))
+            assert all(isinstance(update, EndpointUpdate) for update in decoder.feed(part))
     except journal.JournalFrameError:
         pass
 
 
-def test_events_of_the_configuration_read_as_frames_do() -> None:
+def test_events_of_the_configuration_give_the_same_updates_as_frames() -> None:
     members = [
         {"id": "s-00000007", "host_port": "127.0.0.1:80", "locality": "east", "flavor": "std", "cell": 0}
         | {"phase": "terminating", "size": 1.0, "up_since_ms": 5}
     ]
     known = journal.InitialMembership(
-        1, [journal._Entry(1, journal._Hosts([journal._Member(**m) for m in members], True))]
+        1, [journal._Entry(1, journal._Hosts([journal._Member(**member) for member in members], True))]
     )
-    told = journal.FrameDecoder(PLACES).feed(frame(1, 1, record(7, 80, 1, 5)))
-    assert known.to_updates(PLACES) == told
+    updates = journal.FrameDecoder(TABLES).feed(frame(1, 1, record(7, 80, 1, 5)))
+    assert known.to_updates(TABLES) == updates
     assert message({})[:14] == b"Content-Length"
--- a/tests/test_state_save_retries.py
+++ b/tests/test_state_save_retries.py
@@ -19,16 +19,17 @@
 from tests.disk_fault_rig import QUICK, NoRetry
 
 
-def test_waits_grow_are_drawn_in_full_and_are_the_same_for_a_seed() -> None:
-    def waits(seed: int) -> list[float]:
+def test_backoff_delays_grow_have_full_jitter_and_are_the_same_for_a_seed() -> None:
+    def draw_delays(seed: int) -> list[float]:
+        """Returns the delays after eight failures in a row."""
         backoff = Backoff(Random(seed), first_seconds=1.0, longest_seconds=8.0)
         return [backoff.next_seconds() for _ in range(8)]
 
-    assert waits(1) == waits(1) != waits(2)
-    drawn = [waits(seed) for seed in range(300)]
-    for n, bound in enumerate((1, 2, 4, 8, 8, 8)):
-        column = [row[n] for row in drawn]
-        assert max(column) <= bound and max(column) > 0.9 * bound and min(column) < 0.1 * bound
+    assert draw_delays(1) == draw_delays(1) != draw_delays(2)
+    delays_by_seed = [draw_delays(seed) for seed in range(300)]
+    for failure, bound in enumerate((1, 2, 4, 8, 8, 8)):
+        delays = [row[failure] for row in delays_by_seed]
+        assert max(delays) <= bound and max(delays) > 0.9 * bound and min(delays) < 0.1 * bound
     backoff = Backoff(Random(1), 1.0, 8.0)
     for _ in range(5):
         backoff.next_seconds()
@@ -36,7 +37,7 @@
     assert backoff.next_seconds() <= 1.0
 
 
-def test_a_trouble_has_one_line_at_its_start_and_one_at_its_end() -> None:
+def test_failures_in_a_row_log_one_line_at_their_start_and_one_at_their_end() -> None:
     now = 0.0
     counts: Counter[tuple[str, str]] = Counter()
     with capture_logs() as logs:
@@ -47,7 +48,7 @@
             structlog.get_logger(),
             QUICK(Random(1)),
             lambda: now,
-            lambda e, s: counts.update([(e, s)]),
+            lambda event, state: counts.update([(event, state)]),
         )
         health.success()
         for n in range(5):
@@ -71,13 +72,14 @@
 
 
 @pytest.mark.anyio
-async def test_the_newest_value_is_saved_once_the_disk_is_well(tmp_path: Path) -> None:
+async def test_the_newest_value_is_saved_once_the_disk_has_recovered(tmp_path: Path) -> None:
     import structlog
 
     disk = DiskFaults(tmp_path, Random(1))
     path, value = tmp_path / "file", b"1"
 
-    def has_arrived() -> bool:
+    def is_saved() -> bool:
+        """Whether the newest value is on the disk."""
         return not health.is_failing and path.read_bytes() == value
 
     with capture_logs() as logs, disk():
@@ -93,14 +95,14 @@
                 value += b"1"
                 saver.changed()
                 disk.heal()
-                await until(has_arrived)
+                await until(is_saved)
             group.cancel_scope.cancel()
     events = [line["event"] for line in logs]
     assert events == ["state_save_failed", "state_save_recovered"] * len(ERRNOS)
 
 
 @pytest.mark.anyio
-async def test_what_is_not_saved_at_the_end_is_tried_once_more(tmp_path: Path) -> None:
+async def test_an_unsaved_value_is_tried_once_more_at_the_end(tmp_path: Path) -> None:
     import structlog
 
     disk = DiskFaults(tmp_path, Random(1))
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -27,7 +27,7 @@
 from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests import nodes
 from tests.nodes import Play, done, play
-from tests.test_worker_age import tell_between_beats
+from tests.test_worker_age import send_event_between_heartbeats
 
 pytestmark = pytest.mark.anyio
 
@@ -166,10 +166,10 @@
             await anyio.sleep(0.6)
             await p.runner("c", done)
             audit.cold["c"] = anyio.current_time()
-            await tell_between_beats(p, p.record("c", started=wall.true() // MS))
+            await send_event_between_heartbeats(p, p.record("c", started=wall.true() // MS))
             await anyio.sleep(1.2)
             audit.drained["a"] = anyio.current_time()
-            await tell_between_beats(p, p.record("a", state=1))
+            await send_event_between_heartbeats(p, p.record("a", state=1))
             await anyio.sleep(0.9)
             audit.stopped = True
     assert wall.reads
--- a/tests/test_worker_age.py
+++ b/tests/test_worker_age.py
@@ -1,4 +1,4 @@
-"""The age of a worker whose start was stamped by another machine's clock, which may be stepped."""
+"""Ages of workers whose starts were stamped by another machine's clock, which may be stepped."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 HOUR = 3600 * SECOND
-NOW = 1_800_000_000 * SECOND  # some Unix time
-BEAT = 900 * MS  # since the source last said that it had nothing newer
-SLACK = 50 * MS
+NOW = 1_800_000_000 * SECOND  # an arbitrary Unix time
+HEARTBEAT_INTERVAL = 900 * MS
+TOLERANCE = 50 * MS
 STEPS = [0, 700 * MS, -700 * MS, 5 * SECOND, -5 * SECOND, HOUR, -HOUR]
 
 
 class Source:
-    """A source of membership whose clock is `behind` ours; it tells what is added, and confirms each beat."""
+    """A membership source whose clock is `behind` ours, with the ages that a node computes from it."""
 
     def __init__(self, behind: int) -> None:
         self.behind = behind
@@ -38,199 +38,209 @@
         self.ages = WorkerAges()
         self.count = 0
 
-    def first_list(self, *ages: int) -> list[float | None]:
-        told = self.tell(*ages, whole=True)
-        self.beat()
-        return told
+    def send_first_list(self, *ages: int) -> list[float | None]:
+        """Lists workers of these ages in a snapshot, then confirms it; returns the computed ages in ns."""
+        computed_ages = self.add_workers(*ages, is_snapshot=True)
+        self.send_heartbeat()
+        return computed_ages
 
-    def beat(self) -> None:
-        self.now += BEAT
+    def send_heartbeat(self) -> None:
+        """Confirms, one interval later, that there is nothing newer."""
+        self.now += HEARTBEAT_INTERVAL
         self.ages.confirm(self.now)
 
-    def tell(self, *ages: int, whole: bool = False) -> list[float | None]:
-        """Tells of new workers of these ages; what they are taken for, in ns."""
-        lines = []
+    def add_workers(self, *ages: int, is_snapshot: bool = False) -> list[float | None]:
+        """Lists new workers of these ages; returns the computed ages in ns."""
+        endpoints = []
         for age in ages:
             self.count += 1
-            lines.append(self.line(f"w{self.count}", self.now - age))
-        return self.news(*lines, whole=whole)
+            endpoints.append(self.make_endpoint(f"w{self.count}", self.now - age))
+        return self.send_update(*endpoints, is_snapshot=is_snapshot)
 
-    def line(self, id: str, start: int) -> Endpoint:
-        """A worker that started at `start` by our clock, as the source stamps it."""
+    def make_endpoint(self, id: str, start: int) -> Endpoint:
+        """Returns a worker that started at `start` by our clock, as the source stamps it."""
         return Endpoint(id, incarnation=str(max(0, start - self.behind) // MS))
 
-    def news(self, *lines: Endpoint, whole: bool = False) -> list[float | None]:
-        self.ages.fill_ages(EndpointUpdate(1, whole, list(lines)), self.now)
-        return [None if line.age_ms is None else line.age_ms * MS for line in lines]
+    def send_update(self, *endpoints: Endpoint, is_snapshot: bool = False) -> list[float | None]:
+        """Lists these workers; returns the computed ages in ns."""
+        self.ages.fill_ages(EndpointUpdate(1, is_snapshot, list(endpoints)), self.now)
+        return [None if endpoint.age_ms is None else endpoint.age_ms * MS for endpoint in endpoints]
 
 
-async def tell_between_beats(p: Play, record: bytes) -> None:
-    """Tells an event while no empty frame is being written: the service here cannot write two."""
-    p.journal.beats = False
+async def send_event_between_heartbeats(rig: Play, record: bytes) -> None:
+    """Sends an event while no heartbeat is being written: the journal service here cannot write both."""
+    rig.journal.beats = False
     await anyio.sleep(0.02)
-    await p.journal.tell(record)
-    p.journal.beats = True
+    await rig.journal.tell(record)
+    rig.journal.beats = True
 
 
-def near(found: float | None, age: int) -> bool:
-    return found is not None and abs(found - age) <= SLACK
+def is_near(computed_age: float | None, age: int) -> bool:
+    """Whether a computed age is known, and equal to `age` within the tolerance."""
+    return computed_age is not None and abs(computed_age - age) <= TOLERANCE
 
 
-def test_where_clocks_agree_ages_are_as_told() -> None:
-    """The list at the start, an addition that is told at once, and those of an outage."""
+def test_ages_are_as_stamped_if_the_clocks_agree() -> None:
+    """The first list, an addition that is reported at once, and additions during an outage."""
     source = Source(0)
-    told = source.first_list(2 * SECOND, HOUR, 10 * MS)
-    assert all(map(near, told, [2 * SECOND, HOUR, 10 * MS]))
-    assert near(source.tell(100 * MS)[0], 100 * MS)
-    source.beat()
+    computed_ages = source.send_first_list(2 * SECOND, HOUR, 10 * MS)
+    assert all(map(is_near, computed_ages, [2 * SECOND, HOUR, 10 * MS]))
+    assert is_near(source.add_workers(100 * MS)[0], 100 * MS)
+    source.send_heartbeat()
     source.now += 8 * SECOND
-    told = source.tell(8 * SECOND, 4 * SECOND, 300 * MS)
-    assert all(map(near, told, [8 * SECOND, 4 * SECOND, 300 * MS]))
-    source.beat()
-    assert near(source.tell(1500 * MS)[0], 1500 * MS)  # a late event, after prompt ones
+    computed_ages = source.add_workers(8 * SECOND, 4 * SECOND, 300 * MS)
+    assert all(map(is_near, computed_ages, [8 * SECOND, 4 * SECOND, 300 * MS]))
+    source.send_heartbeat()
+    assert is_near(source.add_workers(1500 * MS)[0], 1500 * MS)  # a late event, after prompt ones
 
 
 def test_a_start_long_past_has_no_age() -> None:
     source = Source(HOUR)
-    source.first_list()
-    assert source.news(Endpoint("w", incarnation="0")) == [None]
+    source.send_first_list()
+    assert source.send_update(Endpoint("w", incarnation="0")) == [None]
 
 
 @pytest.mark.parametrize("behind", [step for step in STEPS if step > 0])
-def test_a_new_worker_is_not_warm_by_a_clock_that_is_ahead(behind: int) -> None:
+def test_a_new_worker_does_not_look_warm_if_our_clock_is_ahead(behind: int) -> None:
     source = Source(behind)
-    source.first_list()
+    source.send_first_list()
     for age in (100 * MS, 0, 200 * MS):
-        source.beat()
-        found = source.tell(age)[0]
-        assert found is not None and 0 <= found <= age + SLACK
+        source.send_heartbeat()
+        found = source.add_workers(age)[0]
+        assert found is not None and 0 <= found <= age + TOLERANCE
 
 
 @pytest.mark.parametrize("behind", [step for step in STEPS if step < 0])
-def test_a_new_worker_is_not_cold_for_longer_by_a_clock_that_is_behind(behind: int) -> None:
-    """A start in our future counts as now, in the list at the start too; the steady clock runs on."""
+def test_a_new_worker_is_not_cold_for_longer_if_our_clock_is_behind(behind: int) -> None:
+    """A start in our future counts as now, also in the first list; from there the monotonic clock counts."""
     source = Source(behind)
-    first = source.line("first", source.now)
-    assert source.news(first, whole=True) == [0]
-    source.beat()
-    second = source.line("second", source.now)
-    assert source.news(second) == [0]
+    first = source.make_endpoint("first", source.now)
+    assert source.send_update(first, is_snapshot=True) == [0]
+    source.send_heartbeat()
+    second = source.make_endpoint("second", source.now)
+    assert source.send_update(second) == [0]
     source.now += 10 * SECOND
-    assert source.news(first, second, whole=True) == [10 * SECOND + BEAT, 10 * SECOND]
+    assert source.send_update(first, second, is_snapshot=True) == [
+        10 * SECOND + HEARTBEAT_INTERVAL,
+        10 * SECOND,
+    ]
 
 
-def test_a_step_of_the_source_in_the_middle_makes_no_new_worker_old() -> None:
+def test_a_clock_step_of_the_source_makes_no_new_worker_look_old() -> None:
     source = Source(0)
-    source.first_list()
+    source.send_first_list()
     for step in (HOUR, 0, -HOUR, 5 * SECOND, 0, HOUR):
         source.behind = step
         for age in (100 * MS, 50 * MS):
-            source.beat()
-            found = source.tell(age)[0]
-            assert found is not None and 0 <= found <= age + SLACK, step
+            source.send_heartbeat()
+            found = source.add_workers(age)[0]
+            assert found is not None and 0 <= found <= age + TOLERANCE, step
 
 
-def test_the_offset_is_learnt_anew_by_the_first_worker_after_a_step() -> None:
+def test_the_offset_is_estimated_anew_from_the_first_worker_after_a_step() -> None:
     source = Source(0)
-    source.first_list()
+    source.send_first_list()
     for _ in range(OFFSET_SAMPLES):
-        source.beat()
-        source.tell(0)
+        source.send_heartbeat()
+        source.add_workers(0)
     source.behind = HOUR
-    source.beat()
-    assert source.tell(0) == [0]
-    source.beat()
+    source.send_heartbeat()
+    assert source.add_workers(0) == [0]
+    source.send_heartbeat()
     source.now += 8 * SECOND
-    assert near(source.tell(3 * SECOND)[0], 3 * SECOND)
+    assert is_near(source.add_workers(3 * SECOND)[0], 3 * SECOND)
 
 
-def test_after_a_silence_a_worker_is_no_older_than_the_silence_grants() -> None:
+def test_after_a_silence_the_age_of_a_worker_is_bounded_by_that_silence() -> None:
     source = Source(HOUR)
-    source.first_list()
+    source.send_first_list()
     source.now += 8 * SECOND
-    assert source.tell(3 * SECOND, SECOND) == [0, 0]  # the clocks are apart, by how much is not known yet
-    source.beat()
-    source.tell(0)
-    source.beat()
+    assert source.add_workers(3 * SECOND, SECOND) == [0, 0]  # the offset of the clocks is not known yet
+    source.send_heartbeat()
+    source.add_workers(0)
+    source.send_heartbeat()
     source.now += 8 * SECOND
-    told = source.tell(3 * SECOND, SECOND)
-    assert all(map(near, told, [3 * SECOND, SECOND]))  # now it is
+    computed_ages = source.add_workers(3 * SECOND, SECOND)
+    assert all(map(is_near, computed_ages, [3 * SECOND, SECOND]))  # now it is known
 
 
-def test_events_that_come_together_after_a_silence_are_judged_by_all_of_it() -> None:
-    """An event proves that there is no newer one as little as the burst does that it came in."""
+def test_ages_in_a_burst_of_events_are_bounded_by_the_silence_before_the_burst() -> None:
+    """An event does not confirm that there is no newer one, and neither does a burst of events."""
     source = Source(0)
-    source.first_list()
+    source.send_first_list()
     source.now += 6 * SECOND
-    told = [source.tell(age)[0] for age in (6 * SECOND, 5 * SECOND, SECOND)]
-    assert all(map(near, told, [6 * SECOND, 5 * SECOND, SECOND]))
+    computed_ages = [source.add_workers(age)[0] for age in (6 * SECOND, 5 * SECOND, SECOND)]
+    assert all(map(is_near, computed_ages, [6 * SECOND, 5 * SECOND, SECOND]))
 
 
 def test_an_incarnation_keeps_its_start_and_another_one_has_its_own() -> None:
     source = Source(0)
-    source.first_list()
-    line = source.line("w", source.now)
-    source.news(line)
+    source.send_first_list()
+    first = source.make_endpoint("w", source.now)
+    source.send_update(first)
     for _ in range(20):
-        source.beat()
-    source.news(Endpoint("w", state="gone", incarnation="0"))
-    source.beat()
-    assert source.news(line) == [21 * BEAT]  # cut off for a while, and not started anew
-    source.news(whole=True)
-    source.beat()
-    anew = source.line("w", source.now - 100 * MS)
-    assert near(source.news(Endpoint("w", state="gone", incarnation="0"), anew)[1], 100 * MS)
+        source.send_heartbeat()
+    source.send_update(Endpoint("w", state="gone", incarnation="0"))
+    source.send_heartbeat()
+    assert source.send_update(first) == [21 * HEARTBEAT_INTERVAL]  # gone for a while, but not restarted
+    source.send_update(is_snapshot=True)
+    source.send_heartbeat()
+    restarted = source.make_endpoint("w", source.now - 100 * MS)
+    assert is_near(source.send_update(Endpoint("w", state="gone", incarnation="0"), restarted)[1], 100 * MS)
 
 
-def test_what_is_remembered_is_bounded() -> None:
+def test_the_number_of_remembered_workers_is_bounded() -> None:
     source = Source(0)
-    source.first_list()
+    source.send_first_list()
     for _ in range(GONE_WORKERS_LIMIT + 10):
-        source.tell(0)
-        source.news(whole=True)
+        source.add_workers(0)
+        source.send_update(is_snapshot=True)
     assert len(source.ages._gone) == GONE_WORKERS_LIMIT
     assert len(source.ages._apparent_ages_ns) == OFFSET_SAMPLES
     assert not source.ages._starts
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_age_is_over_what_is_granted_whatever_is_stepped(seed: int) -> None:
-    """Steps of the source by seeded draws, prompt events and silences: an age is never below zero, and it
-    exceeds the true one by the usual delay, or by what the last silence leaves open."""
-    chance = Random(seed)
-    source = Source(chance.choice(STEPS))
-    source.first_list()
+def test_ages_stay_within_their_bounds_under_random_clock_steps(seed: int) -> None:
+    """Draws steps of the source's clock, prompt events and silences.
+
+    An age is never negative. It exceeds the true age by at most the usual delay, unless the last silence
+    allows more.
+    """
+    random = Random(seed)
+    source = Source(random.choice(STEPS))
+    source.send_first_list()
     for _ in range(200):
-        if chance.random() < 0.1:
-            source.behind = chance.choice(STEPS)
-        source.beat()
-        silence = chance.choice([0, 0, 0, 500 * MS, 8 * SECOND])
+        if random.random() < 0.1:
+            source.behind = random.choice(STEPS)
+        source.send_heartbeat()
+        silence = random.choice([0, 0, 0, 500 * MS, 8 * SECOND])
         source.now += silence
-        ages = [chance.randint(0, silence + 300 * MS) for _ in range(chance.randint(1, 3))]
-        for age, found in zip(ages, source.tell(*ages), strict=True):
+        ages = [random.randint(0, silence + 300 * MS) for _ in range(random.randint(1, 3))]
+        for age, found in zip(ages, source.add_workers(*ages), strict=True):
             assert found is not None
             assert 0 <= found <= max(age + USUAL_DELAY_NS, silence + SOURCE_DELAY_LIMIT_NS)
-        if chance.random() < 0.3:
-            source.news(whole=True)
+        if random.random() < 0.3:
+            source.send_update(is_snapshot=True)
 
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.anyio
-async def test_a_node_that_starts_with_a_stepped_clock_takes_a_new_worker_for_new(
+async def test_a_node_that_starts_with_a_stepped_clock_treats_a_new_worker_as_new(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
-    """The journal service stamps by the true clock; the node's is stepped before its start."""
-    true = clocks.wall_ns
+    """The journal service stamps by the true clock; the node's clock is stepped before the node starts."""
+    stepped_clock = clocks.wall_ns
     monkeypatch.setattr(clocks, "_read_wall", lambda read=clocks._read_wall: read() + step)
-    async with play(tmp_path, {"a": [done]}) as p:
-        await p.runner("b", done)
-        source = p.node.discovery
+    async with play(tmp_path, {"a": [done]}) as rig:
+        await rig.runner("b", done)
+        source = rig.node.discovery
         await until(lambda: source.worker_ages._confirmed_ns)
-        await tell_between_beats(p, p.record("b", started=(true() - step) // MS))
-        id = f"s-{ord('b'):08x}"
-        await until(lambda: id in p.node.dispatcher.workers)
-        box = p.node.dispatcher.workers[id]
-        age = p.node.dispatcher.clock() - box.started_ns
+        await send_event_between_heartbeats(rig, rig.record("b", started=(stepped_clock() - step) // MS))
+        worker_id = f"s-{ord('b'):08x}"
+        await until(lambda: worker_id in rig.node.dispatcher.workers)
+        worker = rig.node.dispatcher.workers[worker_id]
+        age = rig.node.dispatcher.clock() - worker.started_ns
         assert 0 <= age < USUAL_DELAY_NS
         await anyio.sleep(0.05)
-        assert p.node.dispatcher.clock() - box.started_ns > age
+        assert rig.node.dispatcher.clock() - worker.started_ns > age
