--- a/martenlead/system/listener.py
+++ b/martenlead/system/listener.py
@@ -67,7 +67,7 @@
     target: tuple[str, int]  # address and port
 
 
-def may_pass(error: OSError) -> bool:
+def is_temporary(error: OSError) -> bool:
     """Whether the error is temporary, so that binding again may succeed."""
     if isinstance(error, socket.gaierror):
         return error.errno == socket.EAI_AGAIN
@@ -94,7 +94,7 @@
             return _create(address, backlog)
         except OSError as error:
             in_use = error.errno == errno.EADDRINUSE and not waits_for_address
-            if in_use or not may_pass(error) or monotonic() >= end:
+            if in_use or not is_temporary(error) or monotonic() >= end:
                 raise
             if not is_delayed:
                 is_delayed = True
@@ -227,7 +227,7 @@
             except OSError as error:
                 if error.errno in CONNECTION_ERRORS:
                     continue
-                self._wait()
+                self._pause_and_retry()
                 return
             connecting = self._loop.create_task(self._connect(connection))
             self.accepting.add(connecting)
@@ -258,6 +258,6 @@
         self.is_waiting = True
         self._loop.remove_reader(self.sock.fileno())
 
-    def _wait(self) -> None:
+    def _pause_and_retry(self) -> None:
         self._pause()
         self._loop.call_later(RETRY_SECONDS, self.resume)
--- a/tests/test_node_codecs.py
+++ b/tests/test_node_codecs.py
@@ -100,7 +100,7 @@
 def test_journal_frames_decode_the_same_however_they_are_split(positions: list[int]) -> None:
     data = frame(2, 1, record(7, 80, 0, 5), record(8, 81, 1)) + frame(2, 0) + frame(3, 2, record(7, 80, 2))
     decoder = journal.FrameDecoder(TABLES)
-    updates = [update for part in split_at(data, positions) for update in decoder.feed(part)]
+    updates = [decoded for part in split_at(data, positions) for decoded in decoder.feed(part)]
     assert [
         (
             update.version,
