--- a/martenlead/node/__main__.py
+++ b/martenlead/node/__main__.py
@@ -8,6 +8,6 @@
 for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
     signal.signal(signal_number, lambda received, _frame: early_signals.append(received))
 
-from martenlead.node.serve import main  # noqa: E402 - the handlers come first
+from martenlead.node.serve import main  # noqa: E402 - the handlers are installed first
 
 sys.exit(main(early_signals))
--- a/martenlead/node/request_handler.py
+++ b/martenlead/node/request_handler.py
@@ -44,7 +44,7 @@
     def handle_messages(
         self, connection: ClientConnection, messages: list[bytes], arrived_ns: int
     ) -> None:
-        """Handles the messages of one read, which arrived at `arrived_ns` or later.
+        """Handles the messages of one read, which arrived at `arrived_ns` at the earliest.
 
         A request that a later message of the same read cancels is not accepted at all.
         """
--- a/martenlead/node/serve.py
+++ b/martenlead/node/serve.py
@@ -30,7 +30,7 @@
 # Descriptors for the listener, the event loop, the journal service, the interpreter, and clients
 # that connect while others are being closed
 RESERVED_DESCRIPTORS = 40
-# Fewest descriptors for connections, in addition to the reserved ones
+# Minimum number of descriptors for connections, in addition to the reserved ones
 LEAST_DESCRIPTORS = 16
 # Open requests per MB of the memory limit
 REQUESTS_PER_MB = 8
@@ -139,7 +139,7 @@
     def _handle_signal(
         self, received: signal.Signals, group: TaskGroup, listener: Listener
     ) -> None:
-        """Reloads or shuts down; reloads also during shutdown: the journal service may move."""
+        """Reloads on SIGHUP, else shuts down; reloads even then: the journal service may move."""
         if received is signal.SIGHUP:
             self.reload()
         elif not self.is_stopping:
--- a/martenlead/node/worker_client.py
+++ b/martenlead/node/worker_client.py
@@ -333,7 +333,7 @@
     # -- both
 
     def _send(self, call: OutstandingCall, used: list[UpstreamConnection]) -> None:
-        """Sends a call on a connection outside `used`, on which its request was sent before.
+        """Sends a call on a connection not in `used`, the ones its request was sent on before.
 
         All attempts of a request share one id. On the same connection, a late second response to
         the earlier attempt would be mistaken for the response to the new one.
