--- a/martenlead/policy/__init__.py
+++ b/martenlead/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of a dispatcher, free of I/O; docs/design.md says what is decided and why."""
+"""All decisions of a dispatcher, without I/O; docs/design.md gives the decisions and reasons."""
--- a/martenlead/policy/attempts.py
+++ b/martenlead/policy/attempts.py
@@ -1,8 +1,8 @@
 """One request from its arrival to its final response: attempts, retries and hedging.
 
-Rule 1, one final response in time: whatever becomes of its attempts, `Attempts.handle` ends before
-the deadline with a success, a rejection or a failure. Rule 2, no effect twice, is asked of
-repeats.py before each attempt. The retries are docs/design.md's "Retries".
+Rule 1, one final response in time: whatever the results of its attempts, `Attempts.handle` ends
+before the deadline with a success, a rejection or a failure. Rule 2, no effect twice, is checked by
+repeats.py before each attempt. Retries are described in docs/design.md, "Retries".
 """
 
 from __future__ import annotations
@@ -30,24 +30,26 @@
     Wait,
 )
 
-ERRORS_LIMIT = 2  # workers where a request ended in an error: it would at the others too
-DEADLINE_MARGIN_TICKS = 3  # a final response has to be out, and not only decided, by the deadline
-MARGIN_SHARE = (
-    0.5  # of a request's time that this may take: with more of it a late loop rejects all
-)
-UNSHARED_TICK_NS = (
-    10_000_000  # a tick up to which it is kept whole all the same: nothing is that quick
-)
-OVERDUE_QUANTILE, OVERDUE_TIMES = (
-    0.95,
-    3,
-)  # twice was too soon where a dispatcher seldom hears a worker
-COST_REQUESTS = 60  # that the mean cost of a function's requests is taken from at most
-BURST_DEVIATIONS = 2  # that a one-second rate is above Rmax by, before it is more than chance
+# A request that ended in an error at this many workers would fail at the others too.
+ERRORS_LIMIT = 2
+# The final response has to be sent, and not only decided, by the deadline.
+DEADLINE_MARGIN_TICKS = 3
+# Largest share of a request's time that the margin may take. With a larger share, a late
+# event loop would reject every request.
+MARGIN_SHARE = 0.5
+# Ticks of the margin up to this length are never shortened: no request completes in so little time.
+MIN_MARGIN_TICK_NS = 10_000_000
+# An attempt is overdue after this multiple of this quantile of the function's latency. With a
+# multiple of 2, dispatchers with few responses from a worker took attempts for lost too early.
+OVERDUE_QUANTILE, OVERDUE_MULTIPLE = 0.95, 3
+# Largest number of requests that the mean cost of a function is averaged over.
+MEAN_COST_REQUESTS = 60
+# A one-second rate has to exceed Rmax by this many standard deviations to be more than chance.
+BURST_DEVIATIONS = 2
 
 
 class Attempts:
-    """Takes requests, and has an attempt made where one may be made."""
+    """Handles requests: makes their attempts and gives their final responses."""
 
     def __init__(
         self,
@@ -68,8 +70,8 @@
 
     # -- a request from end to end
 
-    def handle(self, request: Request) -> Steps:  # noqa: C901 - a checkpoint knows its waits
-        """Attempts until one succeeds or nothing is left to do, then the final response."""
+    def handle(self, request: Request) -> Steps:  # noqa: C901 - checkpoints refer to its waits
+        """Makes attempts until one succeeds or none is left to make, then ends the request."""
         state, settings = self.state, self.state.settings
         yield from self.count_request(request)
         tick_ns = self._tick_ns(request)
@@ -83,10 +85,9 @@
                 yield from self._load_first(request.function, worker)
             attempt = self.begin_attempt(request, worker, last_ns)
             yield attempt
-            while (
-                attempt.result is None and state.now_ns <= last_ns
-            ):  # never waits on past the deadline
-                overdue_ns = state.now_ns + self._patience_ns(request)
+            # an attempt is never awaited beyond the deadline
+            while attempt.result is None and state.now_ns <= last_ns:
+                overdue_ns = state.now_ns + self._overdue_after_ns(request)
                 answer: AttemptResult | None = yield Wait(min(last_ns + tick_ns, overdue_ns))
                 if answer is not None and answer.is_final:
                     return
@@ -100,19 +101,20 @@
             if answer is None or answer.is_final:
                 break
         if not any(a.result is Result.SUCCEEDED for a in request.attempts):
-            yield self._give_up(request)
+            yield self._reject_or_fail(request)
 
     def _tick_ns(self, request: Request) -> int:
-        """The tick that is kept free before its deadline.
+        """The length of one tick of the margin before the deadline.
 
-        Where the loop is late for once, a request of little time still gets an attempt.
+        It is shortened for a request with little time left, so that the request still gets an
+        attempt when the event loop is late.
         """
         left_ns = request.deadline_ns - self.state.now_ns
         shared_ns = int(left_ns * MARGIN_SHARE) // DEADLINE_MARGIN_TICKS
-        return min(self.state.settings.tick_ns, max(shared_ns, UNSHARED_TICK_NS))
+        return min(self.state.settings.tick_ns, max(shared_ns, MIN_MARGIN_TICK_NS))
 
     def _next_worker(self, request: Request, tried: set[Worker], last_ns: int) -> Worker | None:
-        """None where no further attempt is to be made."""
+        """The worker for the next attempt, or None if no further attempt may be made."""
         attempts = request.attempts
         if self.state.now_ns >= last_ns or len(attempts) >= self.state.settings.attempt_limit:
             return None
@@ -120,29 +122,32 @@
             return None
         worker = self.placement.choose_worker(request, tried)
         if worker is None and attempts and attempts[-1].result is Result.ERROR:
-            worker = self.placement.choose_worker(
-                request, set()
-            )  # nobody else may: the same, once more
+            # no other worker may have the request, so it is repeated where it was tried
+            worker = self.placement.choose_worker(request, set())
         return worker
 
     def _load_first(self, function: Function, worker: Worker) -> Steps:
-        """Asks for the replica, at workers that do not load on a miss."""
+        """Requests the load of a replica, for workers that do not load functions on a miss."""
         replica = self.state.replica(function, worker)
-        is_there = self.state.is_warm(replica) or replica.load_requested_ns
-        if not is_there and self.load_budget.allows(worker):
+        is_loaded_or_loading = self.state.is_warm(replica) or replica.load_requested_ns
+        if not is_loaded_or_loading and self.load_budget.allows(worker):
             yield self.scaling.request_load(replica)
 
-    def _patience_ns(self, request: Request) -> int:
-        """How long an attempt may take before it is asked whether it is lost."""
+    def _overdue_after_ns(self, request: Request) -> int:
+        """How long an attempt may take before it is overdue, and checked for being lost."""
         usual_ns: int = request.function.latency.quantile(OVERDUE_QUANTILE)
-        return max(request.request_class.latency_objective_ns // 2, OVERDUE_TIMES * usual_ns)
+        return max(request.request_class.latency_objective_ns // 2, OVERDUE_MULTIPLE * usual_ns)
 
     def _is_lost(self, attempt: Attempt) -> bool:
-        """Whether an overdue attempt is one for a retry: its worker has not said a word since."""
+        """Whether a request may be retried because of an overdue attempt.
+
+        The attempt expected a warm replica, and its worker has sent no response since.
+        """
         is_silent = attempt.expects_warm and attempt.worker.last_response_ns < attempt.sent_ns
         return bool(is_silent) and len(attempt.request.attempts) < self.state.settings.attempt_limit
 
-    def _give_up(self, request: Request) -> Reject | Fail:
+    def _reject_or_fail(self, request: Request) -> Reject | Fail:
+        """The final response to a request without a successful attempt."""
         if not self.repeats.may_reject(request):
             return Fail(request)
         return Reject(
@@ -153,19 +158,16 @@
             ),
         )
 
-    # -- its parts
+    # -- steps of a request
 
     def count_request(self, request: Request) -> Steps:
-        """Counts it in all rates.
-
-        A rate above Rmax runs the check at once.
-        """
+        """Counts a request in all rates, and checks its function at once if a rate exceeds Rmax."""
         state, function = self.state, request.function
         self.load_budget.record_request()
         state.note_request(function)
         function.requests += 1
         function.mean_cost += (request.cost - function.mean_cost) / min(
-            function.requests, COST_REQUESTS
+            function.requests, MEAN_COST_REQUESTS
         )
         function.last_request_ns = state.now_ns
         request.is_deferrable = request.is_retry or self.tenant_shares.is_over(request.tenant)
@@ -180,19 +182,16 @@
             yield from self.scaling.check(function, function.new_requests[0], SECOND)
 
     def _is_burst(self, function: Function) -> bool:
-        """Whether this second's requests exceed Rmax beyond chance, or nothing is held yet."""
+        """Whether this second's requests exceed Rmax beyond chance, or Rmax is still 0."""
         if function.requests <= 1:
             return False
         count = function.new_requests[0]
-        sure = count - BURST_DEVIATIONS * math.sqrt(count)
+        lower_bound = count - BURST_DEVIATIONS * math.sqrt(count)
         capacity = function.capacity_per_second
-        return not capacity or sure * self.state.traffic.equivalent_dispatchers > capacity
+        return not capacity or lower_bound * self.state.traffic.equivalent_dispatchers > capacity
 
     def begin_attempt(self, request: Request, worker: Worker, last_ns: int) -> Attempt:
-        """Counts an attempt as in flight.
-
-        It has to end by `last_ns`.
-        """
+        """Creates an attempt that has to end by `last_ns`, and counts it as in flight."""
         state, function = self.state, request.function
         replica = state.replica(function, worker)
         worker.in_flight += 1
@@ -200,10 +199,10 @@
         if worker.in_flight == 1:
             worker.overdue_since_ns = state.now_ns
         self.concurrency.record_attempt(worker)
-        by_ns = self.repeats.begin_by_ns(request)
+        begin_by_ns = self.repeats.begin_by_ns(request)
         is_warm = int(state.is_warm(replica))
         attempt = Attempt(
-            request, worker, last_ns - state.now_ns, state.now_ns, is_warm, begin_by_ns=by_ns
+            request, worker, last_ns - state.now_ns, state.now_ns, is_warm, begin_by_ns=begin_by_ns
         )
         if not replica.is_loaded and not replica.load_requested_ns:
             replica.load_requested_ns = state.now_ns
@@ -213,10 +212,10 @@
         return attempt
 
     def close(self, request: Request, is_cancelled: bool) -> list[Action]:
-        """A request that is over leaves nothing waiting.
+        """The attempts to cancel once a request has ended or its client has left.
 
-        Where its client left with its one attempt in flight, that may end: a worker goes on with
-        most of what is cancelled, and would be taken for free meanwhile.
+        None if the client left: workers complete most cancelled attempts all the same, and would
+        count as idle meanwhile.
         """
         if is_cancelled and request.attempts:
             self.load_budget.withdraw_request(request.attempts[0].sent_ns)
--- a/martenlead/policy/boundary_events.py
+++ b/martenlead/policy/boundary_events.py
@@ -1,6 +1,6 @@
-"""Everything that a policy is notified of, one type for each kind of event.
+"""The events that a policy is notified of, one type for each kind.
 
-`edge.policy_boundary` makes these events for its recorder, and only where there is one. Captures
+`edge.policy_boundary` creates them for its recorder, and only if it has one. Captures
 store them under the same names (`capture/events.py`), with numbers in place of objects. Times are
 nanoseconds of the dispatcher's clock.
 """
@@ -24,13 +24,13 @@
 
 
 class BoundaryEvent(msgspec.Struct, frozen=True, eq=False):
-    """Anything that a policy is notified of, and when."""
+    """An event that a policy is notified of, with its time."""
 
     time_ns: int
 
 
 class RunStarted(BoundaryEvent, frozen=True, eq=False):
-    """The policy has been made. Names of request classes are in the order of the settings."""
+    """The policy was created. The request classes are named in the order of the settings."""
 
     settings: Settings
     seed: int
@@ -39,17 +39,17 @@
 
 
 class EngineStarted(BoundaryEvent, frozen=True, eq=False):
-    """What runs as long as the dispatcher does begins."""
+    """The background generators of the policy were started."""
 
 
 class TickChanged(BoundaryEvent, frozen=True, eq=False):
-    """The event loop achieves another tick."""
+    """The tick that the event loop achieves has changed."""
 
     tick_ns: int
 
 
 class WorkerAdded(BoundaryEvent, frozen=True, eq=False):
-    """A worker is named for the first time."""
+    """A worker was named for the first time."""
 
     worker: Worker
     facts: WorkerFacts
@@ -57,7 +57,7 @@
 
 
 class FunctionAdded(BoundaryEvent, frozen=True, eq=False):
-    """A function is named for the first time."""
+    """A function was named for the first time."""
 
     function: Function
     facts: FunctionFacts
@@ -65,27 +65,27 @@
 
 
 class WorkersUpdated(BoundaryEvent, frozen=True, eq=False):
-    """What discovery says of some workers, or of all where it is complete."""
+    """Discovery reported some workers, or all of them if `is_complete`."""
 
     updates: list[tuple[Worker, WorkerFacts]]
     is_complete: bool
 
 
 class RequestAccepted(BoundaryEvent, frozen=True, eq=False):
-    """A request has arrived. Its name is what clients and operators know it by."""
+    """A request has arrived. `name` is its id for clients and operators."""
 
     request: Request
     name: str
 
 
 class AttemptEnded(BoundaryEvent, frozen=True, eq=False):
-    """An attempt has its result."""
+    """An attempt has ended."""
 
     result: AttemptResult
 
 
 class LoadEnded(BoundaryEvent, frozen=True, eq=False):
-    """A load request has ended, and so many replicas are loaded at its worker."""
+    """A load request has ended; its worker has `replicas` replicas of the function loaded."""
 
     load_request: LoadRequest
     result: Result
@@ -112,7 +112,7 @@
 
 
 class LoadPlanned(BoundaryEvent, frozen=True, eq=False):
-    """A planner decided on a load request, which has the planner's number."""
+    """A planner decided on a load request, and gave it `plan_number`."""
 
     plan_number: int
     worker: Worker
@@ -120,13 +120,13 @@
 
 
 class LoadRequestsAllowed(BoundaryEvent, frozen=True, eq=False):
-    """From here on this policy decides on replicas, or a planner does."""
+    """From now on this policy decides on replicas if `is_allowed`, otherwise a planner does."""
 
     is_allowed: bool
 
 
 class ReplicaConfirmed(BoundaryEvent, frozen=True, eq=False):
-    """The answer to the question after a replica of an earlier run, and when it was last used."""
+    """A worker reported whether a replica of an earlier run is still loaded."""
 
     worker: Worker
     function: Function
@@ -136,12 +136,12 @@
 
 
 class WorkerChoiceRequested(BoundaryEvent, frozen=True, eq=False):
-    """Admission asked which worker would have such a request now."""
+    """Admission asked which worker would get such a request now."""
 
     request: Request
 
 
 class KnowledgeRestored(BoundaryEvent, frozen=True, eq=False):
-    """What an earlier run had learnt was handed to the policy."""
+    """The policy was given what an earlier run had learnt."""
 
     earlier: EarlierRun
--- a/martenlead/policy/concurrency.py
+++ b/martenlead/policy/concurrency.py
@@ -1,8 +1,8 @@
 """The concurrency limit: how many attempts this dispatcher may have in flight at one worker.
 
-One more a round of responses in time, a fifth fewer when over a fifth come late. What the
-dispatchers may have in flight together is divided between them without a floor; docs/design.md,
-"Concurrency limit".
+The limit grows by one for each round of responses in time, and is cut by a fifth when more than a
+fifth of the responses are late. The limit of all dispatchers together is divided among them without
+a lower bound for each; see docs/design.md, "Concurrency limit".
 """
 
 from __future__ import annotations
@@ -10,20 +10,23 @@
 from martenlead.policy.slow_start import SlowStart
 from martenlead.policy.state import State, Worker
 
-LEAST_CONCURRENCY = (
-    4.0  # of all dispatchers together, at one worker: fewer would tell nothing of it
-)
-DEFERRED_SHARE = (
-    0.3  # of a limit is for repeats and requests over a tenant's share: their first try is late
-)
-LATE_SHARE_LIMIT = 0.2  # a part of responses that long requests alone do not make late
-LATE_WEIGHT = 1 / 8  # of one response in the share of late ones
-DECREASE = 0.8
-INCREASE_PART = 1 / 4  # of the limit, at most, in one step: limits below one must not jump
+# Lower bound of the limit of all dispatchers together at one worker. Responses to fewer attempts
+# would say too little about the worker.
+LEAST_CONCURRENCY = 4.0
+# Share of the limit that client retries and requests over a tenant's share may use. The first try
+# of a retried request is late already.
+DEFERRED_SHARE = 0.3
+# Share of late responses above which the limit is cut; long requests alone do not reach it.
+LATE_SHARE_LIMIT = 0.2
+# Weight of one response in the moving average of late responses.
+LATE_WEIGHT = 1 / 8
+DECREASE_FACTOR = 0.8
+# Largest increase in one step, as a share of the limit, so that limits below one do not jump.
+MAX_INCREASE_SHARE = 1 / 4
 
 
 class ConcurrencyLimits:
-    """Whether a worker may have one more attempt now."""
+    """Decides whether a worker may have one more attempt now, and adjusts the limits."""
 
     def __init__(self, state: State, slow_start: SlowStart) -> None:
         self.state, self.slow_start = state, slow_start
@@ -31,8 +34,8 @@
     def has_room(self, worker: Worker, is_deferrable: bool) -> bool:
         """Whether a request may go to this worker now.
 
-        One that is deferrable, a repeat or one over its tenant's share, gets only a part of the
-        limit, and nothing of one that was cut to the least.
+        A deferrable request, which is a client retry or over its tenant's share, may use only a
+        part of the limit, and nothing of a limit that was cut to the lower bound.
         """
         if not self.slow_start.allows(worker):
             return False
@@ -44,24 +47,23 @@
         )
 
     def record_attempt(self, worker: Worker) -> None:
-        """Notes that an attempt goes now.
+        """Records that an attempt is sent now.
 
-        A worker that warms up, or has a limit below one, gets no other before a time that is set
-        here.
+        Sets the earliest time of the next attempt at a worker that is warming up or has a limit
+        below one.
         """
         state = self.state
         if self.slow_start.is_warming_up(worker):
             self.slow_start.schedule_next(worker)
-        elif (
-            worker.concurrency_limit < 1
-        ):  # of many dispatchers, less than one attempt each: one at times
+        elif worker.concurrency_limit < 1:
+            # one of many dispatchers, with less than one attempt each: spaces them out in time
             usual_ns = state.latencies.warm_run_ns(state.latencies.all_functions)
             worker.next_attempt_ns = state.now_ns + int(
                 (1 / worker.concurrency_limit - 1) * usual_ns
             )
 
     def record_latency(self, worker: Worker, latency_ns: int, objective_ns: int) -> None:
-        """Adjusts the limit to a response; it is cut once a latency objective at most."""
+        """Adjusts the limit to a response; cuts it at most once per latency objective."""
         worker.late_share += ((latency_ns > objective_ns) - worker.late_share) * LATE_WEIGHT
         limit, is_late = worker.concurrency_limit, worker.late_share > LATE_SHARE_LIMIT
         if (
@@ -69,7 +71,7 @@
             and not is_late
             and worker.warm_in_flight + 1 > limit / 2
         ):
-            worker.concurrency_limit += min(1 / limit, limit * INCREASE_PART)
+            worker.concurrency_limit += min(1 / limit, limit * MAX_INCREASE_SHARE)
         elif (
             is_late
             and latency_ns > objective_ns
@@ -77,4 +79,4 @@
         ):
             worker.limit_cut_ns = self.state.now_ns
             least = LEAST_CONCURRENCY / self.state.settings.dispatchers
-            worker.concurrency_limit = max(least, limit * DECREASE)
+            worker.concurrency_limit = max(least, limit * DECREASE_FACTOR)
--- a/martenlead/policy/engine.py
+++ b/martenlead/policy/engine.py
@@ -1,7 +1,7 @@
-"""Resumes the policy's generators: with results as they come, with None when a wait is over.
+"""Runs the policy's generators: resumes them with results, or with None when a wait is over.
 
-The same engine serves every program: it knows neither wire nor clock, only an outlet for what the
-policy wants done and the time that it is told, in ns.
+The same engine serves every program. It has neither a wire format nor a clock: it passes the
+policy's actions to an outlet, and its caller gives it the time in ns.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Process:
-    """One running generator and the wait that it stands in."""
+    """A running generator and its current wait; `turn` counts how often it was resumed."""
 
     __slots__ = ("alive", "steps", "turn")
 
@@ -35,9 +35,9 @@
 
 
 class Engine:
-    """One policy, its running generators and their timers.
+    """A policy, its running generators and their timers.
 
-    Whoever feeds it sets the policy's clock before each call.
+    The caller sets the policy's clock before each call.
     """
 
     def __init__(self, policy: Policy, outlet: Callable[[Action], None]) -> None:
@@ -47,39 +47,39 @@
         self._count = 0
 
     def start(self) -> None:
-        """Begins what runs as long as the dispatcher does."""
+        """Starts the background generators, which run as long as the dispatcher does."""
         for steps in self.policy.background():
             self._resume(Process(steps), None)
 
     def handle_request(self, request: Request) -> None:
-        """A request has arrived."""
+        """Starts to handle a request that has arrived."""
         request.process = Process(self.policy.handle_request(request))
         self._resume(request.process, None)
 
     def record_result(self, answer: AttemptResult) -> None:
-        """An attempt has ended; its request goes on, if it waits for that."""
+        """Records the end of an attempt, and resumes its request if that is waiting."""
         self.policy.record_result(answer)
         self._resume(answer.attempt.request.process, answer)
 
     def record_load_end(self, load: LoadRequest, result: Result, replicas: int) -> None:
-        """A load request has ended, and so many replicas are loaded at its worker."""
+        """Records the end of a load request and the number of replicas loaded at its worker."""
         self.policy.record_load_end(load, result, replicas)
 
     def choose_worker(self, request: Request) -> Worker | None:
-        """The worker that would have this request now, None where there is none.
+        """The worker that this request would be sent to now, or None.
 
-        It is asked as a request asks it, and nothing is begun.
+        The choice is the same as for an attempt, but none is started.
         """
         return self.policy.placement.choose_worker(request, set())
 
     def set_retained(self, worker: Worker, function: Function, is_retained: bool) -> None:
-        """What another instance of the policy decided for this one: whether a replica is held."""
+        """Sets whether a replica is retained, as another instance of the policy decided."""
         self.policy.state.replica(function, worker).is_retained = is_retained
 
     def request_load(self, worker: Worker, function: Function) -> LoadRequest | None:
-        """A load request that another policy instance decided on; None where it is not allowed.
+        """Makes a load request that another policy instance decided on; None if not allowed.
 
-        That is asked of this instance, which counts all load requests whoever decided on them.
+        This instance's budget decides: it counts all load requests, whoever decided on them.
         """
         if not self.policy.load_budget.allows(worker):
             return None
@@ -90,13 +90,13 @@
         return load
 
     def restore(self, earlier: EarlierRun) -> None:
-        """What an earlier run of this dispatcher had learnt."""
+        """Restores what an earlier run of this dispatcher had learnt."""
         self.policy.restore(earlier)
 
     def confirm_replica(
         self, worker: Worker, function: Function, result: Result, replicas: int, last_used_ns: int
     ) -> None:
-        """The answer to the question after a replica that was held before this run began."""
+        """Records the load state of a replica that was retained before this run began."""
         self.policy.record_load_end(LoadRequest(worker, function, 0), result, replicas)
         replica = self.policy.state.replica(function, worker)
         if replica.is_loaded:
@@ -106,8 +106,8 @@
             )
 
     def close_request(self, request: Request) -> None:
-        """The request has its final response, or its client has left."""
-        is_cancelled = request.process.alive  # before the policy was done with it
+        """Closes a request that has its final response, or whose client has left."""
+        is_cancelled = request.process.alive  # the policy has not finished it
         if is_cancelled:
             request.process.alive = False
             request.process.steps.close()
@@ -115,13 +115,13 @@
             self.outlet(action)
 
     def next_due_ns(self) -> int | None:
-        """When `advance` is to be called next, None for never."""
+        """When `advance` has to be called next, or None if nothing is waiting."""
         while self._due and not self._waiting(self._due[0]):
             heappop(self._due)
         return self._due[0][0] if self._due else None
 
     def advance(self, now: int) -> None:
-        """Resumes all whose wait is over."""
+        """Resumes all generators whose wait is over."""
         while self._due and self._due[0][0] <= now:
             entry = heappop(self._due)
             if self._waiting(entry):
--- a/martenlead/policy/latency.py
+++ b/martenlead/policy/latency.py
@@ -1,7 +1,7 @@
-"""Response times as they are usual: histograms that forget, and what is read from them.
+"""Usual latencies, estimated from histograms in which old responses lose weight.
 
-The design takes warm run latencies where responses tell of them, and the lower quartile of all
-latencies where they do not (docs/design.md, "Kept"; the paper's equation 1 needs them for Rmax). A
+The estimate is the mean of warm run latencies if responses report warmth, otherwise the lower
+quartile of all latencies (docs/design.md, "Kept"; the paper's equation 1 needs it for Rmax). A
 worker's pace is how many times longer than usual its responses take (docs/design.md, "Health").
 Latencies are whole nanoseconds.
 """
@@ -14,21 +14,24 @@
 
 MILLISECOND = 1_000_000
 SECOND = 1000 * MILLISECOND
-USUAL_RATIO = (
-    SECOND // 10
-)  # how a response that took as long as usual is noted in a histogram of ratios
-BINS = 24  # the last begins at 11 s, beyond any latency objective that a response still meets
-LOG_BIN_RATIO = math.log(
-    1.5
-)  # each bin is half as wide again as the one before: a quantile is right to a fifth
-HALVED_ABOVE = 60  # responses: enough for a quartile, and few enough that a change shows soon
-EARLIER_RUN_RESPONSES = 3.0  # at most, that an earlier run counts for: new ones soon outweigh it
+# Value in a histogram of latency ratios of a response that took exactly the usual time.
+USUAL_RATIO = SECOND // 10
+# The last bin begins at 11 s, beyond any latency objective that a response still meets.
+BINS = 24
+# Each bin is 1.5 times as wide as the one before, so that quantiles are right within a fifth.
+LOG_BIN_RATIO = math.log(1.5)
+# Total above which all counts are halved: enough responses for a quartile, and few enough that a
+# change of the latency shows soon.
+HALVED_ABOVE = 60
+# Largest number of responses that an earlier run counts for, so that new ones soon outweigh it.
+EARLIER_RUN_RESPONSES = 3.0
 LOWER_QUARTILE = 0.25
-PRIOR_RESPONSES = 2  # at the usual pace, that a worker is taken to have given before its first
+# Responses at the usual pace that each worker is assumed to have given before its first one.
+PRIOR_RESPONSES = 2
 
 
 class LatencyHistogram:
-    """Latencies in bins of growing size; many counts are halved, so that old ones decay."""
+    """Latencies in bins of growing width; counts are halved above a total, so old ones decay."""
 
     def __init__(self) -> None:
         self.bins = [0.0] * BINS
@@ -45,13 +48,13 @@
             self.halve()
 
     def halve(self) -> None:
-        """Makes all that was added count for half."""
+        """Halves the weight of all latencies added so far."""
         self.bins = [count / 2 for count in self.bins]
         self.total /= 2
         self.sum_ns /= 2
 
     def blend(self, bins: list[float], sum_ns: float, weight: float) -> None:
-        """Adds the histogram of an earlier run with the weight of a few responses."""
+        """Adds the histogram of an earlier run, with the weight of a few responses at most."""
         earlier = sum(bins)
         if len(bins) == len(self.bins) and earlier:
             weight *= min(1.0, EARLIER_RUN_RESPONSES / earlier)
@@ -60,7 +63,7 @@
             self.sum_ns += weight * sum_ns
 
     def quantile(self, share: float) -> int:
-        """The latency below which that share lies, interpolated within its bin; 0 if empty."""
+        """The latency below which this share of latencies lies, interpolated; 0 if empty."""
         left = share * self.total
         for place, count in enumerate(self.bins):
             if count >= left and count:
@@ -69,12 +72,12 @@
         return 0
 
     def mean(self) -> int:
-        """The mean; 0 where nothing was added."""
+        """The mean latency; 0 if empty."""
         return int(self.sum_ns / self.total) if self.total else 0
 
 
 class LatencyEstimates:
-    """What this dispatcher takes for the usual latency of a warm run."""
+    """This dispatcher's estimates of the usual latency of a warm run."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -83,15 +86,15 @@
     def warm_run_ns(self, histogram: LatencyHistogram) -> int:
         """The usual latency of a warm run.
 
-        The mean where only warm runs were added; else the lower quartile, which cold starts do not
-        reach.
+        The mean if only warm runs were added, otherwise the lower quartile, which cold starts do
+        not affect.
         """
         if self.settings.tells_warmth:
             return histogram.mean()
         return histogram.quantile(LOWER_QUARTILE)
 
     def pace(self, ratios: LatencyHistogram) -> float:
-        """How many times longer than usual a worker takes, for slow cores or others' requests."""
+        """How many times longer than usual a worker takes, due to slow cores or other requests."""
         mean = self.warm_run_ns(ratios)
         return (PRIOR_RESPONSES + mean * ratios.total / USUAL_RATIO) / (
             PRIOR_RESPONSES + ratios.total
--- a/martenlead/policy/placement.py
+++ b/martenlead/policy/placement.py
@@ -1,9 +1,9 @@
 """Placement: the worker for an attempt, and the worker for a new replica.
 
-The design's rule for requests: where the function was last seen warm while own requests there are
-fewer than lanes, else the less busy of two random holders, else the next of the shared order
-(docs/design.md, "Kept"; the paper leaves the routing open). Each departure from it stands in
-docs/design.md, "Changed".
+The design's rule for requests: the home worker, where the function was last seen warm, while this
+dispatcher has fewer requests there than lanes; else the less busy of two random workers that have
+the function; else the next worker of the shared order (docs/design.md, "Kept"; the paper leaves the
+routing open). Each deviation from the rule is listed in docs/design.md, "Changed".
 """
 
 from __future__ import annotations
@@ -19,13 +19,16 @@
 from martenlead.policy.state import Function, Replica, State, Worker
 from martenlead.policy.types import Request, Result
 
-REPLICA_CHOICES = 6  # workers of the shared order, of all dispatchers together, for a new replica
-CROWDED_PACE = 1.3  # times the usual latency: more than its own variance makes of it
-CROWDED_PARTS = 2  # of an even part of all requests in flight
+# Workers of the shared order considered for a new replica, divided among the dispatchers.
+REPLICA_CHOICES = 6
+# Multiple of the usual latency above which a worker is crowded; variance alone does not reach it.
+CROWDED_PACE = 1.3
+# Multiple of an even share of all requests in flight above which a worker is crowded.
+CROWDED_PARTS = 2
 
 
 class Placement:
-    """Chooses workers, by all that is known of them."""
+    """Chooses workers for attempts and for new replicas."""
 
     def __init__(
         self,
@@ -44,15 +47,15 @@
     # -- for an attempt
 
     def choose_worker(self, request: Request, excluded: set[Worker]) -> Worker | None:
-        """None where no worker may have the request now.
+        """The worker for the next attempt, or None if no worker may have the request now.
 
-        Draws from chance, and begins nothing.
+        Draws random numbers, and starts no attempt.
         """
         function: Function = request.function
         known = self._known_holders(request, function)
         fitting = [r for r in known if r.worker not in excluded and self.fits(request, r.worker)]
         warm = [r for r in fitting if self.state.is_warm(r)]
-        warm = [r for r in warm if r.is_retained] or warm  # what no load request holds may lapse
+        warm = [r for r in warm if r.is_retained] or warm  # others may be unloaded
         for replica in warm:
             is_free_home = (
                 replica.worker is function.home and replica.in_flight < function.facts.lanes
@@ -66,7 +69,7 @@
         return self._next_candidate(request, excluded, len(known))
 
     def _known_holders(self, request: Request, function: Function) -> list[Replica]:
-        """Where the function is warm or being loaded, less the workers that returned an error."""
+        """Warm or loading replicas, except at workers that returned an error to the request."""
         state, outliers = self.state, self.outliers
         known = [
             replica
@@ -74,9 +77,8 @@
             if (state.is_warm(replica) or replica.load_requested_ns)
             and outliers.is_usable(replica.worker)
         ]
-        erring = [
-            a.worker for a in request.attempts if a.result is Result.ERROR
-        ]  # not for lack of room
+        # workers at capacity are not left out
+        erring = [a.worker for a in request.attempts if a.result is Result.ERROR]
         return [
             replica
             for replica in known
@@ -90,7 +92,8 @@
         is_short_list = len(self.state.workers) <= FULLY_RANKED_WORKERS
         for worker in self.candidates(request.function, holders):
             if holders and is_short_list and not self.slow_start.is_warming_up(worker):
-                # a load would push out what others need; one just started holds nothing yet
+                # A load would evict replicas that other functions need. Only a worker that has just
+                # started has none yet.
                 continue
             if worker not in excluded and self.fits(request, worker):
                 return worker
@@ -107,31 +110,31 @@
         )
 
     def busyness(self, worker: Worker) -> float:
-        """Of two workers the one with less of it is chosen."""
+        """The load of a worker, by pace and requests in flight; of two, the lower is chosen."""
         return self.state.latencies.pace(worker.latency_ratio) * (1 + worker.warm_in_flight)
 
     def is_crowded(self, worker: Worker) -> bool:
-        """Whether it takes much longer than usual, or has far more in flight than its part."""
+        """Whether a worker takes much longer than usual or has far more in flight than its part."""
         if self.state.latencies.pace(worker.latency_ratio) > CROWDED_PACE:
             return True
         part = CROWDED_PARTS * self.state.warm_in_flight / len(self.state.workers)
         return worker.warm_in_flight > CROWDED_PARTS + part
 
     def pace(self, worker: Worker) -> float:
-        """How many times longer than usual it takes."""
+        """How many times longer than usual a worker takes."""
         return self.state.latencies.pace(worker.latency_ratio)
 
     # -- for a new replica
 
     def candidates(self, function: Function, replicas: int = 0) -> Iterator[Worker]:
-        """The workers of the function's shared order, which all dispatchers have alike."""
+        """The workers in the function's shared order, which is the same at all dispatchers."""
         return function.ranking.candidates(self.state.index, replicas)
 
     def choose_worker_for_replica(self, function: Function) -> Worker | None:
         """The least busy of the next few workers in the shared order, or one that has it loaded.
 
-        A few dispatchers see alike and choose alike; of many each sees little, so that only the
-        plain next worker brings their replicas together.
+        A few dispatchers observe and choose much the same. Each of many observes little, so that
+        only the plain next worker makes them choose the same replicas.
         """
         state, free = self.state, list[Worker]()
         choices = max(1, REPLICA_CHOICES // state.settings.dispatchers)
@@ -147,7 +150,7 @@
                 and not replica.is_retained
                 and not self.is_crowded(worker)
             ):
-                return worker  # what is loaded already costs no load
+                return worker  # already loaded, so that no load is needed
             retry_ns = replica.load_failed_ns + state.settings.keep_alive_ns // 2 if replica else 0
             if replica is None or not (replica.is_retained or state.now_ns < retry_ns):
                 free.append(worker)
--- a/martenlead/policy/policy.py
+++ b/martenlead/policy/policy.py
@@ -1,11 +1,11 @@
-"""The policy of one dispatcher: receives each event and hands it to the module whose matter it is.
+"""The policy of one dispatcher: receives each event and passes it to the module responsible.
 
-Called by engine.py: `background` and `handle_request` give generators that yield what they want
-done and are resumed with what came of it; the other methods tell what was observed. `new_worker`
-and `new_function` make the objects that stand for ids outside. The types of both directions stand
-in types.py, the design in docs/design.md.
+Called by engine.py: `background` and `handle_request` return generators that yield actions and are
+resumed with their results; the other methods record observations. `new_worker` and `new_function`
+create the objects that represent the caller's ids. The types of both directions are in types.py,
+the design is in docs/design.md.
 
-| what | module |
+| responsibility | module |
 | --- | --- |
 | workers, functions, replicas; rule 3, drains | state.py |
 | R against Rmax, the paper's mechanism | replica_scaling.py |
@@ -14,9 +14,9 @@
 | rule 2, no effect twice | repeats.py |
 | rule 4, slow start | slow_start.py |
 | rule 5, the load budget | load_budget.py |
-| what responses teach | results.py, latency.py, outliers.py, concurrency.py |
+| learning from responses | results.py, latency.py, outliers.py, concurrency.py |
 | tenants' shares | tenant_shares.py |
-| what an earlier run knew | earlier_run.py |
+| restoring what an earlier run had learnt | earlier_run.py |
 """
 
 from __future__ import annotations
@@ -53,9 +53,9 @@
 
 
 class Policy:
-    """The decisions of one dispatcher, which knows nothing of the others."""
+    """Makes the decisions of one dispatcher, which knows nothing of the others."""
 
-    placement_type: type[Placement] = Placement  # other placements are compared with it
+    placement_type: type[Placement] = Placement  # replaced to compare other placements
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -82,10 +82,10 @@
         )
         self.results = Results(self.state, self.outliers, self.concurrency)
 
-    # -- what is asked of the fleet without a request
+    # -- background
 
     def background(self) -> list[Steps]:
-        """What runs as long as the dispatcher does."""
+        """The generators that run as long as the dispatcher."""
         return [
             self.scaling.run(),
             *([self._ask_for_workers()] if self.settings.lists_workers else []),
@@ -99,33 +99,33 @@
     # -- events
 
     def new_worker(self, facts: WorkerFacts) -> Worker:
-        """An object for a worker's id."""
+        """Creates the object for a worker's id."""
         return self.state.new_worker(facts)
 
     def new_function(self, facts: FunctionFacts) -> Function:
-        """An object for a function's id."""
+        """Creates the object for a function's id."""
         return self.state.new_function(facts)
 
     def update_workers(self, events: Iterable[tuple[Any, WorkerFacts]], is_snapshot: bool) -> None:
-        """What discovery says of some workers, or with a snapshot of all."""
+        """Applies discovery's report on some workers, or with a snapshot on all."""
         self.state.update_workers(events, is_snapshot)
 
     def handle_request(self, request: Request) -> Steps:
-        """A request from its arrival to its final response."""
+        """Handles a request from its arrival to its final response."""
         return self.attempts.handle(request)
 
     def record_result(self, answer: AttemptResult) -> None:
-        """The end of an attempt, also of one whose request is over."""
+        """Records the end of an attempt, even if its request has ended."""
         self.results.record(answer)
 
     def record_load_end(self, load: LoadRequest, result: Result, replicas: int) -> None:
-        """The end of a load request, and how many replicas are loaded there now."""
+        """Records the end of a load request and the number of replicas loaded at its worker."""
         self.scaling.record_load_end(load, result, replicas)
 
     def close_request(self, request: Request, is_cancelled: bool) -> list[Action]:
-        """A request is over, or its client has left: what is still to be done for it."""
+        """The actions left to do for a request that has ended or whose client has left."""
         return self.attempts.close(request, is_cancelled)
 
     def restore(self, past: EarlierRun) -> None:
-        """What an earlier run of this dispatcher had learnt."""
+        """Restores what an earlier run of this dispatcher had learnt."""
         restore(self.state, self.load_budget, past)
--- a/martenlead/policy/repeats.py
+++ b/martenlead/policy/repeats.py
@@ -1,6 +1,6 @@
-"""Rule 2, no effect twice: where a request may be sent again that may have run already.
+"""Rule 2, no effect twice: where a request that may have run already may be sent again.
 
-Asked before each attempt and before a request is rejected, since a rejected client comes back.
+Checked before each attempt, and before a request is rejected, since its client then retries.
 """
 
 from __future__ import annotations
@@ -10,19 +10,18 @@
 from martenlead.policy.state import State, Worker
 from martenlead.policy.types import NEVER_RAN, Attempt, DeduplicationScope, Effect, Request
 
-WINDOW_MARGIN_TICKS = (
-    4  # a repeat has to begin, and not only to leave, inside the idempotency window
-)
+# A repeat has to begin, and not only be sent, within the idempotency window.
+WINDOW_MARGIN_TICKS = 4
 
 
 class RepeatGuard:
-    """What a request's kind and its attempts so far allow."""
+    """Decides by a request's class and attempts whether it may be sent again or rejected."""
 
     def __init__(self, state: State) -> None:
         self.state = state
 
     def may_send(self, request: Request, worker: Worker) -> bool:
-        """Whether an attempt there repeats no effect and is no forbidden second one in flight."""
+        """Whether an attempt there repeats no effect and is no forbidden hedged request."""
         may_have_run = [a for a in request.attempts if a.result not in NEVER_RAN]
         if not self.state.settings.may_hedge and any(a.result is None for a in may_have_run):
             return False
@@ -35,15 +34,15 @@
         ):
             return False
         first, other = may_have_run[0].worker.facts, worker.facts
-        is_same = first.zone == other.zone and (
+        is_same_scope = first.zone == other.zone and (
             first.cell == other.cell or request_class.deduplication_scope is DeduplicationScope.ZONE
         )
-        return is_same or request_class.deduplication_scope is DeduplicationScope.ALL
+        return is_same_scope or request_class.deduplication_scope is DeduplicationScope.ALL
 
     def begin_by_ns(self, request: Request) -> int:
-        """Until when an attempt may begin.
+        """The latest time at which an attempt may begin.
 
-        A repeat of what may have run is dropped as one inside its idempotency window only.
+        Workers drop a repeat of a request that may have run only within its idempotency window.
         """
         if request.request_class.effect is Effect.IDEMPOTENT:
             return request.deadline_ns
@@ -57,9 +56,9 @@
         )
 
     def may_reject(self, request: Request, unsent: Collection[Attempt] = ()) -> bool:
-        """Whether the client may retry: nothing ran, or the repeat is dropped wherever it goes.
+        """Whether the client may retry: no attempt ran, or every worker drops the repeat.
 
-        `unsent` are attempts without a result of which no byte has left, and none will.
+        `unsent` are attempts without a result of which no byte was or will be sent.
         """
         effect = request.request_class.effect
         if effect is Effect.IDEMPOTENT or first_that_may_have_run(request, unsent) is None:
@@ -71,6 +70,6 @@
 
 
 def first_that_may_have_run(request: Request, unsent: Collection[Attempt] = ()) -> Attempt | None:
-    """The first attempt of which it is not sure that it never ran."""
+    """The first attempt that is not known never to have run."""
     may_have_run = (a for a in request.attempts if a.result not in NEVER_RAN and a not in unsent)
     return next(may_have_run, None)
--- a/martenlead/policy/replica_scaling.py
+++ b/martenlead/policy/replica_scaling.py
@@ -1,10 +1,11 @@
 """Replica scaling: the expected rate R against Rmax, the mechanism of the paper.
 
 "AsyFunc: A High-Performance and Resource-Efficient Serverless Inference System via Asymmetric
-Functions", section 4, as docs/design.md takes it up: R is a function's rate times the dispatchers;
-Rmax sums, over the replicas that are held, lanes over warm run latency (the paper's equation 1);
-above 0.8 Rmax whole replicas are added, below 0.6 the one of lowest capacity is released, between
-nothing changes (its algorithm 1). What is held is renewed within the keep-alive. Times are ns.
+Functions", section 4, as adapted in docs/design.md: R is a function's rate times the number of
+dispatchers; Rmax is the sum of lanes / warm run latency over the retained replicas (the paper's
+equation 1). Above 0.8 Rmax whole replicas are added, below 0.6 Rmax the one of lowest capacity is
+released, and in between nothing changes (its algorithm 1). Retained replicas are renewed within the
+keep-alive. Times are ns.
 """
 
 from __future__ import annotations
@@ -20,36 +21,50 @@
 from martenlead.policy.tenant_shares import TenantShares
 from martenlead.policy.types import LoadRequest, Result, Steps, Wait
 
-ADD_ABOVE, RELEASE_BELOW = 0.8, 0.6  # of Rmax: the design's dead band
-NEW_REPLICAS = (
-    2  # a function and period, as the design starts; as many again as are held, once that is more
-)
-FIRST_PERIOD = SECOND // 4  # of a dispatcher that has just begun, which holds nothing yet
-RATE_REQUESTS = (
-    16  # that a function's rate is taken from: fewer tell more of chance than of the rate
-)
-RATE_PERIODS = 8  # or else as many periods: demand of long ago is no demand
-REQUESTS_OF_A_GAP = 2  # at least, before anything is known of the time between them
-RETAINED_GAPS = 6  # mean gaps between requests that a last replica is held for
-RENEWING_DISPATCHERS = 3  # that renew a replica, of all that hold it: one or two may be away
-FULL_ANSWERS_LIMIT = 2  # in a row: from there on a worker has no capacity to count on
-KNOWN_RESPONSES = 3  # of a replica's own, that its latency is taken from; before, the function's is
-SLOW_REPLICA = (
-    1.5  # times the function's own latency: where all are slow, that is no reason to load more
-)
-GUESSED_OBJECTIVE_PART = 4  # of the objective: the latency of a function of which nothing is known
-FAIR_SHARE = 0.5  # of a worker's part of all requests: what one replica counts for at most
-SORTED_FUNCTIONS = (
-    1024  # up to which those with most requests are checked first; beyond, the last asked for
-)
-SLICE_FUNCTIONS = 64  # that are checked at once, so that a check of thousands holds up no request
+# The design's dead band, as shares of Rmax.
+ADD_ABOVE, RELEASE_BELOW = 0.8, 0.6
+# Replicas added for a function in one period, as the design starts. Once more are retained, as many
+# are added.
+NEW_REPLICAS = 2
+# First period of a dispatcher that has just started and retains no replicas yet.
+FIRST_PERIOD = SECOND // 4
+# Requests above which the counts behind a function's rate are halved. A rate taken from fewer says
+# more of chance than of demand.
+RATE_REQUESTS = 16
+# Periods after which the counts are halved in any case, since demand of long ago is no demand.
+RATE_PERIODS = 8
+# Requests needed before anything is known of the time between them.
+MIN_REQUESTS_FOR_GAP = 2
+# Mean gaps between requests for which the last replica is retained.
+RETAINED_GAPS = 6
+# Dispatchers that renew a replica, of all that retain it; one or two of them may be down.
+RENEWING_DISPATCHERS = 3
+# Refusals in a row after which a worker has no capacity to count on.
+REFUSALS_LIMIT = 2
+# Responses of a replica needed to use its own latency; before, the function's latency is used.
+KNOWN_RESPONSES = 3
+# Multiple of the function's latency above which a replica has no capacity. Where all replicas are
+# slow, that is no reason to load more.
+SLOW_REPLICA = 1.5
+# The latency of an unknown function is taken as the latency objective divided by this.
+UNKNOWN_LATENCY_DIVISOR = 4
+# Largest capacity of one replica, as a share of its worker's part of all requests.
+FAIR_SHARE = 0.5
+# Up to this many functions are checked in order of their number of requests, the most first; more
+# are checked in order of their last request, the latest first.
+SORTED_FUNCTIONS = 1024
+# Functions checked in one slice, so that a check of thousands does not delay requests.
+SLICE_FUNCTIONS = 64
 SLICE_INTERVAL = MILLISECOND
-KNOWN_PACE_RESPONSES = 4  # that tell a worker's pace: where few come, they are kept for longer
+# Responses above which the latency ratios of a worker are halved each period. Where few responses
+# come, they are kept for longer.
+KNOWN_PACE_RESPONSES = 4
+# Results that show that the worker answered a load request.
 ANSWERED = frozenset({Result.SUCCEEDED, Result.AT_CAPACITY, Result.ERROR})
 
 
 class ReplicaScaling:
-    """The periodic check of all functions, and the load requests that come of it."""
+    """Checks all functions periodically, and makes the load requests that follow from it."""
 
     def __init__(
         self,
@@ -64,21 +79,21 @@
         self.slow_start = placement.slow_start
         self.load_budget = load_budget
         self.tenant_shares = tenant_shares
-        self.unchecked: deque[Function] = deque()  # of this period
+        self.unchecked: deque[Function] = deque()  # functions left to check in this period
         self.last_period_ns = 0
 
     # -- the periodic check
 
     def run(self) -> Steps:
-        """Checks every function once a period, some at a time, without end."""
+        """Checks every function once per period, in slices, without end."""
         state = self.state
-        first = int(state.random() * FIRST_PERIOD)  # many dispatchers must not check in step
-        last_ns = state.now_ns  # requests count from here on
+        first = int(state.random() * FIRST_PERIOD)  # keeps dispatchers from checking in step
+        last_ns = state.now_ns  # requests are counted from now on
         yield Wait(state.now_ns + first)
         begun_ns = state.now_ns
         while True:
-            # one that has just begun holds nothing: short periods, that its replicas may double
-            # soon
+            # A dispatcher that has just started retains no replicas. Short periods let them double
+            # soon.
             period = min(state.check_period_ns, max(FIRST_PERIOD, state.now_ns - begun_ns))
             interval = SLICE_INTERVAL if self.unchecked else period
             yield Wait(state.now_ns + interval)
@@ -105,7 +120,7 @@
             self.unchecked = deque(by_requests)
 
     def _check_some(self) -> Steps:
-        """Some functions at once: a check of all would hold up the requests that come meanwhile."""
+        """Checks one slice of functions, since a check of all would delay requests."""
         state = self.state
         for _ in range(min(SLICE_FUNCTIONS, len(self.unchecked))):
             function = self.unchecked.popleft()
@@ -126,8 +141,9 @@
     def check(self, function: Function, requests: float, span_ns: int) -> Steps:
         """Compares R with Rmax, and adds, releases and renews replicas.
 
-        R is this rate times the dispatchers, which multiplies chance too: by one deviation of the
-        count, replicas are added on the least that R may be and released on the most.
+        R is this rate times the number of dispatchers, which also multiplies its random error.
+        Replicas are therefore added by R minus one standard deviation of the count, and released by
+        R plus one standard deviation.
         """
         if not self.state.settings.may_request_loads:
             return
@@ -150,7 +166,7 @@
     def _add_replicas(
         self, function: Function, expected: float, retained: list[Replica], capacity: float
     ) -> Generator[LoadRequest, None, float]:
-        """Holds more replicas, up to the bound of a period; gives Rmax with them."""
+        """Retains more replicas, up to the limit of a period; returns Rmax with them."""
         state, limit = self.state, max(NEW_REPLICAS, len(retained))
         while expected >= ADD_ABOVE * capacity and function.replicas_added < limit:
             worker = (
@@ -177,7 +193,11 @@
     def _release_weakest(
         self, function: Function, expected: float, retained: list[Replica], capacity: float
     ) -> None:
-        """Of equals the last in the shared order: dispatchers end with the same replicas."""
+        """Releases the replica of lowest capacity, if R stays below the bound for adding one.
+
+        Of equals it is the last in the shared order, so that all dispatchers end with the same
+        replicas.
+        """
         places = {
             worker: n for n, worker in enumerate(self.placement.candidates(function, len(retained)))
         }
@@ -195,17 +215,19 @@
             if idle_ns <= state.settings.keep_alive_ns // 2 or replica.load_requested_ns:
                 continue
             if state.random() * state.settings.dispatchers > RENEWING_DISPATCHERS:
-                replica.last_used_ns = (
-                    state.now_ns
-                )  # all hold the same: the renewals are the fleet's
+                # other dispatchers, which retain the same replicas, renew this one
+                replica.last_used_ns = state.now_ns
             elif self.load_budget.allows(replica.worker):
                 yield self.request_load(replica)
             elif idle_ns > state.settings.keep_alive_ns:
                 replica.is_retained = replica.is_loaded = False
 
     def is_worthwhile(self, function: Function) -> bool:
-        """One-off functions get no replicas; others keep theirs for some of their mean gaps."""
-        if function.requests < REQUESTS_OF_A_GAP:
+        """Whether to retain replicas of a function.
+
+        Not for one-off functions; for others, during some of the mean gaps between requests.
+        """
+        if function.requests < MIN_REQUESTS_FOR_GAP:
             return False
         gap_ns = (function.last_request_ns - function.first_request_ns) // (function.requests - 1)
         limit_ns = min(
@@ -226,18 +248,19 @@
         return cold_start * memory / (settings.memory_price * requests)
 
     def capacity(self, replica: Replica) -> float:
-        """Requests a second that a replica counts for in Rmax."""
+        """Requests per second that a replica counts for in Rmax."""
         state, worker = self.state, replica.worker
-        if worker.refused_in_a_row >= FULL_ANSWERS_LIMIT or self.outliers.is_failing(worker):
-            return 0.0  # a worker that refuses meets no objective: replicas grow elsewhere
+        if worker.refused_in_a_row >= REFUSALS_LIMIT or self.outliers.is_failing(worker):
+            return 0.0  # a worker that refuses meets no objective
         warm_run_ns = state.latencies.warm_run_ns
         own, overall = replica.latency, replica.function.latency
         latency_ns = warm_run_ns(own if own.total >= KNOWN_RESPONSES else overall)
         latency_ns = latency_ns or warm_run_ns(state.latencies.all_functions)
-        latency_ns = latency_ns or state.shortest_objective_ns // GUESSED_OBJECTIVE_PART
+        latency_ns = latency_ns or state.shortest_objective_ns // UNKNOWN_LATENCY_DIVISOR
         if latency_ns > max(state.shortest_objective_ns, SLOW_REPLICA * warm_run_ns(overall)):
             return 0.0
-        # a dispatcher that has just begun must not take all replicas for weak and load more
+        # Without a rate, there is no limit by the fair share: a dispatcher that has just started
+        # must not take all replicas for weak and load more.
         rate = state.traffic.succeeded_per_second or math.inf
         peers, weight = state.traffic.equivalent_dispatchers, worker.facts.weight
         fair = FAIR_SHARE * rate * peers * weight / (state.index.weight or 1.0)
@@ -246,14 +269,14 @@
     # -- load requests
 
     def request_load(self, replica: Replica) -> LoadRequest:
-        """Counts it as given now; the budget was asked before."""
+        """Makes a load request and counts it as made now; the caller has checked the budget."""
         load = LoadRequest(replica.worker, replica.function, 1)
         replica.load_requested_ns = replica.last_used_ns = self.state.now_ns
         self.load_budget.record_load(load)
         return load
 
     def record_load_end(self, load: LoadRequest, result: Result, replicas: int) -> None:
-        """How a load request ended, and how many replicas are loaded at its worker now."""
+        """Records the end of a load request and the number of replicas loaded at its worker."""
         self.load_budget.record_load_end(load)
         replica = self.state.replica(load.function, load.worker)
         replica.load_requested_ns = 0
@@ -262,10 +285,9 @@
         if replica.is_loaded and not was_loaded:
             retained = sum(r.is_retained for r in replica.function.replicas.values())
             if self.state.random() * retained < 1:
-                replica.function.home = (
-                    replica.worker
-                )  # else all that hold the same stick to the first
+                # random, or else all dispatchers with the same replicas use the first as home
+                replica.function.home = replica.worker
         if result in ANSWERED:
-            self.outliers.record_word(load.worker)
+            self.outliers.record_answer(load.worker)
         if not replica.is_loaded:
             replica.is_retained, replica.load_failed_ns = False, self.state.now_ns
--- a/martenlead/policy/results.py
+++ b/martenlead/policy/results.py
@@ -1,6 +1,6 @@
-"""What the end of an attempt teaches: of its worker, its replica and its function.
+"""Updates what is known of a worker, a replica and a function by the result of an attempt.
 
-Each result goes to the modules whose matter it is; what all of them believe in stands in state.py.
+Each result is passed to the modules responsible for it; the state that they share is in state.py.
 """
 
 from __future__ import annotations
@@ -12,26 +12,30 @@
 from martenlead.policy.state import Replica, State
 from martenlead.policy.types import Attempt, AttemptResult, Result, Warmth
 
-WORDS = frozenset({Result.SUCCEEDED, Result.ERROR, Result.AT_CAPACITY, Result.FUNCTION_MISSING})
-JUDGED = frozenset({Result.SUCCEEDED, *WORKER_ERRORS})
-LATE_AT_HOME = 2  # times the usual latency: from there on a home worker is left
-REFUSED_LATENESS = 2  # latency objectives that a refused attempt counts as
+# Results that show that the worker answered.
+ANSWERED = frozenset({Result.SUCCEEDED, Result.ERROR, Result.AT_CAPACITY, Result.FUNCTION_MISSING})
+# Results that count in the error share of a worker.
+COUNTED_FOR_ERRORS = frozenset({Result.SUCCEEDED, *WORKER_ERRORS})
+# Multiple of the usual latency above which a worker is no longer the home of a function.
+HOME_LATENESS_LIMIT = 2
+# A refused attempt counts as a response that took this many latency objectives.
+REFUSED_LATENESS = 2
 
 
 class Results:
-    """Takes the end of every attempt, also of requests that are over."""
+    """Records the end of every attempt, also of requests that have ended."""
 
     def __init__(self, state: State, outliers: Outliers, concurrency: ConcurrencyLimits) -> None:
         self.state, self.outliers, self.concurrency = state, outliers, concurrency
 
     def record(self, answer: AttemptResult) -> None:
-        """Takes one end of an attempt."""
+        """Records the end of one attempt."""
         attempt, result = answer.attempt, answer.result
         worker = attempt.worker
         replica = self._end_attempt(attempt, result)
-        if result in WORDS:
-            self.outliers.record_word(worker)
-        if result in JUDGED and answer.warmth is not Warmth.LOAD_FAILED:
+        if result in ANSWERED:
+            self.outliers.record_answer(worker)
+        if result in COUNTED_FOR_ERRORS and answer.warmth is not Warmth.LOAD_FAILED:
             self.outliers.record_response(attempt, result in WORKER_ERRORS)
         if result is Result.SUCCEEDED:
             self._record_success(answer, replica)
@@ -46,10 +50,10 @@
             if replica.function.home is worker and result in NOT_REACHED:
                 replica.function.home = None
         if result is not Result.SUCCEEDED and not replica.in_flight:
-            replica.load_requested_ns = 0  # the load that they waited for failed, or never began
+            replica.load_requested_ns = 0  # the load that attempts waited for failed or never began
 
     def _end_attempt(self, attempt: Attempt, result: Result) -> Replica:
-        """Counts it as in flight no more."""
+        """Removes an attempt from the counts in flight, and returns its replica."""
         worker = attempt.worker
         replica = self.state.replica(attempt.request.function, worker)
         attempt.result = result
@@ -83,8 +87,8 @@
         if usual_ns:
             worker.latency_ratio.add(USUAL_RATIO * latency_ns // usual_ns)
             state.paced_workers[worker] = None
-        if latency_ns > LATE_AT_HOME * usual_ns and function.home is worker:
-            function.home = None  # of many dispatchers, each moves on by what it meets itself
+        if latency_ns > HOME_LATENESS_LIMIT * usual_ns and function.home is worker:
+            function.home = None  # each dispatcher decides this by its own responses
         for histogram in (replica.latency, function.latency, state.latencies.all_functions):
             histogram.add(latency_ns)
         self.concurrency.record_latency(
--- a/martenlead/policy/retry_budget.py
+++ b/martenlead/policy/retry_budget.py
@@ -1,14 +1,16 @@
-"""The retry budget: a worker earns retries by its successes, which bounds their number.
+"""The retry budget: a worker earns retries by its successes, which limits their number.
 
-docs/design.md, "Retries".
+See docs/design.md, "Retries".
 """
 
 from __future__ import annotations
 
 from martenlead.policy.state import Worker
 
-EARNED_BY_SUCCESS = 0.2  # five successes pay for one retry
-BUDGET_LIMIT = 10.0  # retries: a long quiet time saves up no storm
+# Five successes earn one retry.
+EARNED_BY_SUCCESS = 0.2
+# Largest number of retries saved up, so that a long quiet time does not allow a retry storm.
+BUDGET_LIMIT = 10.0
 RETRY_COST = 1
 
 
@@ -18,10 +20,10 @@
 
 
 def spend_retry(worker: Worker) -> None:
-    """For one retry at this worker."""
+    """Takes the cost of one retry at this worker from its budget."""
     worker.retry_budget -= RETRY_COST
 
 
 def earn(worker: Worker) -> None:
-    """What one success at this worker earns it."""
+    """Adds what one success at this worker earns to its budget."""
     worker.retry_budget = min(BUDGET_LIMIT, worker.retry_budget + EARNED_BY_SUCCESS)
--- a/martenlead/policy/slow_start.py
+++ b/martenlead/policy/slow_start.py
@@ -1,7 +1,7 @@
 """Rule 4, slow start: a worker that has just started gets a growing share of its requests.
 
-Each dispatcher keeps to its own part of the stated ramp; docs/design.md, "Cold workers", says how
-the parts add up and tests/test_slow_start_fleet.py plays them against the budget.
+Each dispatcher keeps to its own part of the configured ramp. docs/design.md, "Cold workers",
+explains how the parts add up; tests/test_slow_start_fleet.py checks their sum against the budget.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 from martenlead.policy.state import PEAK_RATE_KEPT, State, Worker
 from martenlead.policy.types import WorkerState
 
-UNKNOWN_RATE_PER_SECOND = (
-    0.5  # of all dispatchers, at a worker: three in its window are always allowed
-)
-LEAST_CAPACITY = (
-    0.48  # of what its weight says: it may do half, and the sum over many dispatchers is chance
-)
+# Rate of all dispatchers together at one worker while they know no rate of requests. The budget of
+# a worker always allows three requests in its window.
+UNKNOWN_RATE_PER_SECOND = 0.5
+# Capacity that a cold worker is assumed to have, as a share of its weight. It may have half, and
+# the sum over many dispatchers varies by chance.
+LEAST_CAPACITY = 0.48
 
 
 class SlowStart:
-    """When this dispatcher may send its next request to a worker that warms up."""
+    """Decides when this dispatcher may send its next request to a worker that warms up."""
 
     def __init__(self, state: State) -> None:
         self.state = state
 
     def is_warming_up(self, worker: Worker) -> bool:
-        """Whether its process started less than a ramp ago; never for an unknown start."""
+        """Whether a worker started less than a ramp ago; False if its start is unknown."""
         return self.state.is_warming_up(worker)
 
     def end_period(self) -> None:
-        """Takes the listed weight into the highest one, which the best request rate refers to.
+        """Updates the highest weight, which the peak request rate refers to.
 
-        A worker that warms up counts by its share of the ramp: the rate was carried by the others.
-        For a dispatcher that has just begun it counts in full, since its rate may be of such
+        A worker that warms up counts by its share of the ramp, since the others carried the rate.
+        At a dispatcher that has just started it counts in full, since the rate may come from such
         workers alone.
         """
         state = self.state
@@ -45,9 +45,9 @@
         state.highest_weight = max(self._serving_weight(), PEAK_RATE_KEPT * state.highest_weight)
 
     def _serving_weight(self) -> float:
-        """The weight that takes requests now, of all listed workers.
+        """The sum of the weights of all listed workers, each times the share of requests it takes.
 
-        Only those are looked at that take fewer than their share.
+        Looks only at the workers that take fewer requests than they would when warm.
         """
         state = self.state
         limited = state.limited_workers
@@ -65,20 +65,19 @@
         if not self.is_warming_up(worker):
             return 1.0
         settings = self.state.settings
-        age_ns = max(
-            0, self.state.now_ns - worker.facts.started_ns
-        )  # clocks of workers may be ahead
+        # the clock of the worker may be ahead
+        age_ns = max(0, self.state.now_ns - worker.facts.started_ns)
         return settings.slow_start_share + self._growth_per_ns() * age_ns
 
     def _growth_per_ns(self) -> float:
-        """How fast the share of a worker that warms up grows."""
+        """The growth per ns of the share of a worker that warms up."""
         settings = self.state.settings
         return (1 - settings.slow_start_share) / max(settings.slow_start_ns, 1)
 
     def allows(self, worker: Worker) -> bool:
-        """Whether the worker is past its ramp, or its ramp has begun here.
+        """True; schedules the first request to a worker that warms up, or shortens the wait for it.
 
-        The first request waits for a random part of the gap, once for each start.
+        The first request waits for a random part of the gap, once for each start of the worker.
         """
         if not self.is_warming_up(worker):
             return True
@@ -90,14 +89,14 @@
         return True
 
     def schedule_next(self, worker: Worker, requests: float = 1.0) -> None:
-        """Sets the time of the next attempt: when the worker may have that many more requests."""
+        """Sets the time of the next attempt: when the worker may get that many more requests."""
         worker.ramp_rate_per_second = self._rate_per_second(worker)
         worker.next_attempt_ns = self.state.now_ns + self._gap_ns(worker, requests)
 
     def _shorten_wait(self, worker: Worker) -> None:
-        """Sets a wait anew that was set before a rate was known, as after a quiet time.
+        """Recomputes a wait that was set before a rate was known, for example after a quiet time.
 
-        What the wait was a part of, a request or less, stays.
+        The fraction of a request that is still to be waited for stays the same.
         """
         if self._rate_per_second(worker) <= worker.ramp_rate_per_second:
             return
@@ -108,21 +107,22 @@
         self.schedule_next(worker, min(1.0, worker.ramp_rate_per_second * warm_ns / SECOND))
 
     def _gap_ns(self, worker: Worker, requests: float) -> int:
-        """The time in which a warming worker may get that many requests of this dispatcher."""
+        """The time in which a worker that warms up may get that many requests from here."""
         growth, share = self._growth_per_ns(), self._ramp_share(worker)
-        warm_ns = requests * SECOND / worker.ramp_rate_per_second + 1  # that it takes a warm worker
-        # solves share * gap + growth * gap ** 2 / 2 = warm_ns: of many dispatchers, a gap spans
-        # most of it
+        # the time in which a warm worker may get them
+        warm_ns = requests * SECOND / worker.ramp_rate_per_second + 1
+        # Solves share * gap + growth * gap ** 2 / 2 = warm_ns. With many dispatchers, one gap spans
+        # most of the ramp.
         return int(2 * warm_ns / (share + math.sqrt(share**2 + 2 * growth * warm_ns)))
 
     def _rate_per_second(self, worker: Worker) -> float:
-        """The requests of this dispatcher that the worker may get once it is warm.
+        """The rate at which this dispatcher may send requests to the worker once it is warm.
 
-        It is this dispatcher's part of the ramp. Each counts what succeeded by itself, so uneven
-        traffic keeps the sum; the best, as a release lowers it, but no more than the part that
-        succeeds of what is asked now, as the best of a few requests is mostly chance. The worker
-        may do half of what its weight says. Where nothing is known, as all begin together, there is
-        a little for all to share.
+        This is the dispatcher's part of the ramp. Each dispatcher uses its own rate of successes,
+        so that uneven traffic leaves the sum as it is. It uses the peak, since a release lowers the
+        rate, but at most the share that succeeds of present requests, since the peak of a few
+        requests is mostly chance. The worker may have half the capacity that its weight says. While
+        no rate is known, as when all processes start together, all dispatchers share a small rate.
         """
         state, settings = self.state, self.state.settings
         part = LEAST_CAPACITY * worker.facts.weight / max(state.highest_weight, LEAST_WEIGHT)
@@ -133,5 +133,5 @@
         return max(known, self._unknown_rate_per_second())
 
     def _unknown_rate_per_second(self) -> float:
-        """What a dispatcher may send to a worker, once it is warm, before it knows a rate."""
+        """The rate for a dispatcher that knows no rate of requests yet."""
         return UNKNOWN_RATE_PER_SECOND / self.state.settings.dispatchers
--- a/martenlead/policy/tenant_shares.py
+++ b/martenlead/policy/tenant_shares.py
@@ -1,6 +1,6 @@
-"""Tenants' shares: which requests count as beyond the rate limit of who sent them.
+"""Tenants' shares: which requests count as over the rate limit of their tenant.
 
-docs/design.md, "Rate limits and retries of clients". Rates are requests a second here.
+See docs/design.md, "Rate limits and retries of clients". Rates are requests per second.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class TenantShares:
-    """The tenants' rates at this dispatcher."""
+    """Tracks the request rates of the tenants at this dispatcher."""
 
     def __init__(self, state: State) -> None:
         self.state = state
@@ -19,18 +19,21 @@
         self.requests_per_second: dict[Tenant, float] = {}
 
     def record_request(self, tenant: Tenant) -> None:
-        """Counts a request of this period."""
+        """Counts a request in this period."""
         self.requests_in_period[tenant] = self.requests_in_period.get(tenant, 0) + 1
 
     def end_period(self, period_ns: int) -> None:
-        """Takes the requests of the period into the rates."""
+        """Updates the rates by the requests of the period."""
         for tenant, requests in self.requests_in_period.items():
             before = self.requests_per_second.get(tenant, 0.0)
             self.requests_per_second[tenant] = (before + requests * SECOND / period_ns) / 2
             self.requests_in_period[tenant] = 0
 
     def is_over(self, tenant: Tenant | None) -> bool:
-        """Counts the part of a tenant's requests beyond its rate limit as over its share."""
+        """Whether a request counts as over its tenant's share.
+
+        Chosen at random, for the part of the tenant's requests that exceeds its rate limit.
+        """
         if tenant is None or self.state.settings.over_share >= 1:
             return False
         peers = self.state.traffic.equivalent_dispatchers
--- a/martenlead/policy/types.py
+++ b/martenlead/policy/types.py
@@ -1,8 +1,8 @@
-"""The types of the policy boundary: settings, facts, actions and results. It decides nothing.
+"""The types of the policy boundary: settings, facts, actions and results. Decides nothing.
 
-Times and durations are whole nanoseconds. Ids stay outside: whoever feeds the policy keeps them and
-hands objects in, which the policy made for them; so the fields that hold these are `Any` here, and
-workers, functions and processes in the policy's own modules.
+Times and durations are whole nanoseconds. Ids stay outside: the caller of the policy keeps them and
+passes the objects that the policy created for them. The fields that hold these objects are `Any`
+here; in the policy's own modules they are workers, functions and processes.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Effect(Enum):
-    """What a second run of a request would do."""
+    """The effect of running a request a second time."""
 
     IDEMPOTENT = "idempotent"
     WITH_IDEMPOTENCY_KEY = "deduplicated"
@@ -30,7 +30,7 @@
 
 
 class WorkerState(Enum):
-    """What discovery says of a worker."""
+    """The state of a worker, as discovery reports it."""
 
     UP = "up"
     DRAINING = "draining"
@@ -57,7 +57,7 @@
 
 
 class Warmth(Enum):
-    """What a response tells of the replica that the request met."""
+    """The state in which a request found its replica, as the response reports it."""
 
     UNKNOWN = "untold"
     WARM = "warm"
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """A kind of request: how soon it is wanted, and what a repeat would do."""
+    """A kind of request: its latency objective and the effect of a repeat."""
 
     latency_objective_ns: int
     effect: Effect
@@ -78,46 +78,46 @@
 
 @dataclass(slots=True, eq=False)
 class Tenant:
-    """Who sends requests, and how many a second over all dispatchers."""
+    """A sender of requests, and its rate limit over all dispatchers together."""
 
     rate_limit_per_second: float
 
 
 @dataclass(slots=True, eq=False)
 class Settings:
-    """What the policy reads of what it is told at start; a feature that is not stated is absent."""
+    """The settings that the policy reads at start. A feature that is not configured is absent."""
 
     dispatchers: int
-    tick_ns: int  # in which events come together, and by which times may be off
-    attempt_limit: int  # of one request
-    may_hedge: bool  # a second attempt while the first is in flight
-    may_cancel: bool  # an attempt in flight
-    may_request_loads: bool  # ahead of requests
+    tick_ns: int  # events are batched by ticks, and times may be off by one
+    attempt_limit: int  # attempts per request
+    may_hedge: bool  # second attempts while the first is in flight are allowed
+    may_cancel: bool  # attempts in flight may be cancelled
+    may_request_loads: bool  # replicas may be loaded ahead of requests
     tells_warmth: bool  # responses say whether the replica was warm
     loads_on_miss: bool  # workers load a function at its first request
-    retry_after_limit_ns: int  # that clients heed at most
-    keep_alive_ns: int  # that an idle replica stays loaded for
-    load_window_ns: int  # of the load budget; 0 for none
+    retry_after_limit_ns: int  # largest Retry-After that clients respect
+    keep_alive_ns: int  # how long an idle replica stays loaded
+    load_window_ns: int  # window of the load budget; 0 for no budget
     free_loads_per_window: float
     loads_per_request: float
-    slow_start_share: float  # of its requests, that a worker may get as it starts
+    slow_start_share: float  # share of its requests that a worker may get at its start
     slow_start_ns: int
-    slow_start_multiple: float  # of a worker's part, that the ramp is a share of
-    over_share: float  # from 1 on tenants have no shares
-    rate_limit_per_second: float  # of all tenants
-    memory_price: float  # of all memory idle all day, in the value of all requests
-    late_value: float  # of a late response, as a part
-    load_price: float  # of one load, in the value of one request
-    lists_workers: bool  # discovery has to be asked
+    slow_start_multiple: float  # multiple of a worker's part of all requests at the end of its ramp
+    over_share: float  # tenants have no shares if this is 1 or more
+    rate_limit_per_second: float  # sum over all tenants
+    memory_price: float  # all memory idle all day, relative to the value of all requests
+    late_value: float  # value of a late response, relative to one in time
+    load_price: float  # one load, relative to the value of one request
+    lists_workers: bool  # discovery has to be asked for the list
     list_interval_ns: int
     request_classes: list[RequestClass] = field(default_factory=list)
-    connect_timeout_ns: int = 0  # until a connection to a worker is up, or given up
-    function_limit: int = 1 << 30  # that may be known at once
+    connect_timeout_ns: int = 0  # within which a connection to a worker opens or fails
+    function_limit: int = 1 << 30  # largest number of functions known at once
 
 
 @dataclass(slots=True)
 class WorkerFacts:
-    """What discovery says of one worker. `mark` is the same number at every dispatcher."""
+    """What discovery reports of a worker. `mark` is the same number at every dispatcher."""
 
     mark: int
     zone: str
@@ -130,7 +130,7 @@
 
 @dataclass(slots=True)
 class FunctionFacts:
-    """What is stated of a function: `lanes` requests may run at once in a replica."""
+    """The properties of a function: a replica can run `lanes` requests at once."""
 
     mark: int
     lanes: int
@@ -145,29 +145,29 @@
     request_class: RequestClass
     tenant: Tenant | None
     deadline_ns: int
-    is_retry: bool  # marked so by the client
-    cost: float  # a hint of the work, on any scale; 0 for none
+    is_retry: bool  # marked by the client
+    cost: float  # hint of the work, on any scale; 0 for none
     attempts: list[Attempt] = field(default_factory=list)
-    is_deferrable: bool = False  # the policy's: a retry, or over its tenant's share
-    process: Any = None  # the engine's
+    is_deferrable: bool = False  # set by the policy: a retry, or over its tenant's share
+    process: Any = None  # set by the engine
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """Sends a request to a worker; resumed at once, its result comes to a later Wait."""
+    """Sends a request to a worker. Resumed at once; a later Wait returns the result."""
 
     request: Request
     worker: Any
     timeout_ns: int
     sent_ns: int
-    expects_warm: int = 0  # 1 where the worker should have the function loaded
+    expects_warm: int = 0  # 1 if the worker is expected to have the function loaded
     result: Result | None = None
-    begin_by_ns: int = 1 << 62  # the first byte may not leave later: the effect could come twice
+    begin_by_ns: int = 1 << 62  # a first byte sent later could repeat an effect
 
 
 @dataclass(slots=True, eq=False)
 class AttemptResult:
-    """How an attempt ended; `is_final` where the request has its final response by it."""
+    """How an attempt ended; `is_final` if this gives the request its final response."""
 
     attempt: Attempt
     result: Result
@@ -185,7 +185,7 @@
 
 @dataclass(slots=True, eq=False)
 class Reject:
-    """The final response that the client may send the request again, after a while."""
+    """The final response that the client may send the request again after `retry_after_ns`."""
 
     request: Request
     retry_after_ns: int
@@ -200,14 +200,14 @@
 
 @dataclass(slots=True, eq=False)
 class Cancel:
-    """Takes back an attempt in flight."""
+    """Cancels an attempt in flight."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True, eq=False)
 class LoadRequest:
-    """Asks a worker to hold that many replicas; with 0 it is asked how many are loaded."""
+    """Asks a worker to keep that many replicas loaded, or with 0 how many are loaded."""
 
     worker: Any
     function: Any
@@ -216,15 +216,15 @@
 
 @dataclass(slots=True, eq=False)
 class ListWorkers:
-    """Asks discovery for changes from now on."""
+    """Asks discovery for all changes from now on."""
 
 
 @dataclass(slots=True, eq=False)
 class EarlierFunction:
     """What an earlier run of this dispatcher knew of a function.
 
-    The weights are in [0, 1]: what latencies and demand still count for. `bins` and
-    `latency_sum_ns` are a histogram's; the requests came within `span_ns`.
+    `bins` and `latency_sum_ns` are those of a latency histogram; `requests` arrived within
+    `span_ns`. The weights, in [0, 1], say how much the latencies and the demand still count.
     """
 
     function: Any
@@ -240,7 +240,7 @@
 
 @dataclass(slots=True, eq=False)
 class EarlierWorker:
-    """The concurrency limit that a worker had, and what it still counts for."""
+    """The concurrency limit that a worker had; `weight` says how much it still counts."""
 
     worker: Any
     concurrency_limit: float
@@ -249,7 +249,7 @@
 
 @dataclass(slots=True, eq=False)
 class EarlierRun:
-    """What an earlier run had learnt; load requests given then, by their ages."""
+    """What an earlier run had learnt, and the ages of the load requests that it made."""
 
     succeeded_per_second: float
     new_requests_per_second: float
--- a/martenlead/simulator_adapter/__init__.py
+++ b/martenlead/simulator_adapter/__init__.py
@@ -1,4 +1,4 @@
-"""The simulator's protocol on standard input and output: decodes, calls the policy, encodes.
+"""The simulator's protocol on standard input and output: decodes events and encodes replies.
 
-It turns ids into the policy's objects and seconds into nanoseconds, and decides nothing.
+Maps ids to the policy's objects and seconds to nanoseconds; all decisions are the policy's.
 """
--- a/martenlead/simulator_adapter/__main__.py
+++ b/martenlead/simulator_adapter/__main__.py
@@ -1,6 +1,6 @@
 """The adapter's program: `python -m martenlead.simulator_adapter`.
 
-Where `MARTENLEAD_CAPTURE` names a folder, every instance is captured there.
+If `MARTENLEAD_CAPTURE` names a folder, every instance is captured there.
 """
 
 import os
@@ -15,7 +15,7 @@
     if not folder:
         serve(SimulatedDispatcher)
         return
-    # captures need packages that a plain run does without
+    # captures need packages that a plain run does not need
     from martenlead.capture.simulator_recorder import record_instances  # noqa: PLC0415
 
     serve(record_instances(folder, SimulatedDispatcher))
--- a/martenlead/simulator_adapter/batch_loop.py
+++ b/martenlead/simulator_adapter/batch_loop.py
@@ -1,4 +1,4 @@
-"""Answers the simulator's batches: one line of events in, one line of replies out."""
+"""Answers the simulator's batches: reads one line of events, writes one line of replies."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from martenlead.simulator_adapter.messages import Batch, EventFields, Panic, Reply
 from martenlead.simulator_adapter.settings import SettingsError, seconds_to_ns
 
-# number of the dispatcher, the event that begins it, the time in ns, and where its replies go
+# Takes the dispatcher's number, its hello event, the time in ns and the list for its replies.
 DispatcherFactory = Callable[[int, EventFields, int, list[Reply]], SimulatedDispatcher]
 
 
 class BatchLoop:
-    """All instances, and the events of the batch that is handled now."""
+    """All instances, and the state of the batch that is being handled."""
 
     def __init__(self, create: DispatcherFactory) -> None:
         self._create = create
         self._dispatchers: dict[int, SimulatedDispatcher] = {}
         self._notified: dict[int, None] = {}  # instances with an event in this batch, in order
         self._replies: list[Reply] = []
-        self.refusal = ""  # why the settings of an instance cannot be used
+        self.refusal = ""  # error text, if the settings of an instance are unusable
 
     def run_batch(self, events: list[EventFields], now_ns: int) -> list[Reply]:
-        """Handles all events of a batch; one that fails hinders none of the others."""
+        """Handles all events of a batch, the others too if one fails."""
         replies: list[Reply] = []
         self._replies, self._notified = replies, {}
         for event in events:
@@ -44,7 +44,7 @@
         return replies
 
     def _handle(self, event: EventFields, now_ns: int) -> None:
-        number: Any = event.get("dispatcher")  # as it came, of whatever type
+        number: Any = event.get("dispatcher")  # unchecked, of any type
         message = event.get("msg")
         if message == messages.EXIT:
             self._dispatchers.pop(number, None)
@@ -70,7 +70,7 @@
 
 
 def serve(create: DispatcherFactory) -> None:
-    """Answers batches until standard input ends, or settings cannot be used."""
+    """Answers batches until standard input ends or settings are unusable."""
     decode = msgspec.json.Decoder(Batch).decode
     encode = msgspec.json.Encoder().encode
     loop = BatchLoop(create)
--- a/martenlead/simulator_adapter/dispatcher.py
+++ b/martenlead/simulator_adapter/dispatcher.py
@@ -1,4 +1,4 @@
-"""One simulated dispatcher: its engine, and the ids that stand for its objects."""
+"""One simulated dispatcher: its engine, and the mapping between ids and objects."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from martenlead.simulator_adapter.settings import Profile, seconds_to_ns
 
 NS_PER_SECOND = 1e9
-TIMER_SLACK_NS = 1000  # the simulator's clock is a float of seconds, and rounds
+TIMER_SLACK_NS = 1000  # the simulator's clock is in float seconds, which are rounded
 HEXADECIMAL = 16
 
 
@@ -49,22 +49,24 @@
         self.function_ids: dict[Function, str] = {}
         self.requests: dict[str, Request] = {}
         self.request_ids: dict[Request, str] = {}
-        self.open_attempts: dict[tuple[str, int], Attempt] = {}  # by request and index
-        self.load_requests: dict[tuple[str, str], list[LoadRequest]] = {}  # by worker and function
+        self.open_attempts: dict[tuple[str, int], Attempt] = {}  # key: request id, attempt index
+        self.load_requests: dict[
+            tuple[str, str], list[LoadRequest]
+        ] = {}  # key: worker id, function id
         self.is_started = False
         self.timer_due_ns: int | None = None
 
     # -- events
 
     def handle_event(self, event: EventFields, now_ns: int) -> None:
-        """Handles one event; a kind that is not known is passed over."""
+        """Handles one event; ignores those of an unknown kind."""
         self.policy.state.now_ns = now_ns
         handler = self.HANDLERS.get(read_text(event.get("msg")))
         if handler:
             handler(self, event, now_ns)
 
     def advance_timers(self, now_ns: int) -> None:
-        """Resumes what is due, and asks for an event when the next is."""
+        """Resumes the generators that are due, and sets a timer for the next one."""
         self.policy.state.now_ns = now_ns
         self.engine.advance(now_ns)
         due_ns = self.engine.next_due_ns()
@@ -115,7 +117,7 @@
         self._begin_request(request_id, function, request_class, deadline_seconds, event)
 
     def _find_function(self, function_id: str, event: EventFields) -> Function | None:
-        """The function of an id, None where nobody can say where it may run."""
+        """The function of an id, or None if the id is not hexadecimal and cannot be placed."""
         if function_id in self.functions:
             return self.functions[function_id]
         lanes, memory_mb = int(read_number(event.get("per-copy"))), read_number(event.get("ram-mb"))
@@ -182,7 +184,7 @@
             replicas = int(read_number(event.get("number")))
             self.engine.record_load_end(waiting.pop(0), messages.read_result(event), replicas)
 
-    HANDLERS: ClassVar[dict[str, Any]] = {  # methods take the instance first
+    HANDLERS: ClassVar[dict[str, Any]] = {  # unbound methods, which take the instance first
         "update": _update_workers,
         "request": _accept_request,
         "closed-attempt": _record_result,
@@ -194,7 +196,7 @@
     # -- actions
 
     def perform(self, action: Action) -> None:
-        """Replies with what the policy decided."""
+        """Sends the reply for an action of the policy."""
         match action:
             case Attempt():
                 self._send_attempt(action)
@@ -234,12 +236,12 @@
         )
 
     def _forget_request(self, request: Request) -> str:
-        """The id that the request had."""
+        """Removes a request and returns its id."""
         request_id = self.request_ids.pop(request)
         self.requests.pop(request_id, None)
         return request_id
 
 
 def mark_from_id(worker_id: str) -> int:
-    """The same number for the same id at every dispatcher."""
+    """The mark of a worker: a number that is the same for the same id at every dispatcher."""
     return int.from_bytes(worker_id.encode(), "big")
--- a/martenlead/simulator_adapter/messages.py
+++ b/martenlead/simulator_adapter/messages.py
@@ -1,7 +1,7 @@
-"""The simulator's messages: the words of its protocol, and the fields of events and replies.
+"""The simulator's messages: the names in its protocol, and the fields of events and replies.
 
-A batch of events is one line of JSON, and so is the list of replies to it. An event is a map of
-which nothing is certain: a field that is absent, or is of another type, says nothing.
+A batch of events is one line of JSON, and so is the list of replies to it. Events are maps without
+guaranteed fields: one that is absent or of another type is treated as unknown.
 """
 
 from __future__ import annotations
@@ -30,65 +30,66 @@
     3: Warmth.AWAITED_LOAD,
     4: Warmth.LOAD_FAILED,
 }
-WARMTH_MODULUS = 8  # of a note: what is above it says nothing of warmth
+WARMTH_MODULUS = 8  # the warmth is in the lowest bits of a note
 WORKER_STATES = {"U": WorkerState.UP, "L": WorkerState.DRAINING, "D": WorkerState.GONE}
-HELLO, EXIT = "hello", "exit"  # events that begin and end an instance
-COMPLETE_FORMS = ("F", "C")  # of a worker list: all workers there are
-EMPTY_FORM = "X"  # of a worker list that says nothing
+HELLO, EXIT = "hello", "exit"  # events that start and end an instance
+COMPLETE_FORMS = ("F", "C")  # forms of a worker list that names all workers
+EMPTY_FORM = "X"  # form of a worker list without information
 TIMER_TAG = "check"
-MAX_NUMBER = 1e15  # of any number in an event: beyond, a time in ns may have no end
+# Largest number accepted in an event; a larger one, in ns, could become infinite.
+MAX_NUMBER = 1e15
 
-# as JSON decodes it: no field's type is certain
+# decoded JSON, with fields of unchecked types
 EventFields = dict[str, Any]
 
 
 class Batch(msgspec.Struct):
-    """What has happened by one moment, in seconds of the simulated clock."""
+    """The events up to a time, in seconds of the simulated clock."""
 
     clock: float
     happened: list[EventFields]
 
 
 def read_number(value: object) -> float:
-    """The value of a field that holds a number, 0 where it holds none that can be right."""
+    """The number in a field, or 0 if it holds none that is valid."""
     if isinstance(value, (int, float)) and 0 <= value <= MAX_NUMBER:
         return value
     return 0
 
 
 def read_text(value: object) -> str:
-    """The value of a field that holds a text, an empty one where it holds none."""
+    """The text in a field, or an empty one if it holds none."""
     return value if isinstance(value, str) else ""
 
 
 def read_result(event: EventFields) -> Result:
     """How an attempt or a load request ended.
 
-    A reason that is not known proves nothing: the request may have run.
+    An unknown reason counts as an error, since the request may have run.
     """
     return RESULTS.get(read_text(event.get("reason")), Result.ERROR)
 
 
 def read_warmth(event: EventFields) -> Warmth:
-    """What the end of an attempt says of the replica."""
+    """The state of the replica, as reported at the end of an attempt."""
     note = int(read_number(event.get("note")))
     return WARMTHS.get(note % WARMTH_MODULUS, Warmth.UNKNOWN)
 
 
 def read_worker_state(worker: EventFields) -> WorkerState:
-    """What a worker list says of a worker; an unknown status does not prove that it is up."""
+    """The listed state of a worker; draining if unknown, since it may not be up."""
     return WORKER_STATES.get(read_text(worker.get("status", "U")), WorkerState.DRAINING)
 
 
 def listed_workers(event: EventFields) -> Iterator[tuple[str, EventFields]]:
-    """The id and the fields of each worker that a list names."""
+    """Yields the id and the fields of each worker that a list names."""
     for worker in event.get("items") or []:
         if isinstance(worker, dict) and (worker_id := read_text(worker.get("runner"))):
             yield worker_id, worker
 
 
 class Reply(msgspec.Struct, tag_field="msg"):
-    """Anything that an instance wants done, with the simulator's name for the instance."""
+    """An action of an instance, with the simulator's name for the instance."""
 
     dispatcher: object
 
@@ -102,7 +103,7 @@
 
 
 class RejectRequest(Reply, tag="say-no"):
-    """Reject a request, which may come again after a while."""
+    """Reject a request, which the client may send again after a while."""
 
     request_id: str = msgspec.field(name="ref")
     retry_after_seconds: float = msgspec.field(name="wait")
@@ -143,12 +144,12 @@
 
 
 class Panic(Reply, tag="panic"):
-    """The instance cannot go on, or an event could not be handled."""
+    """The instance cannot continue, or an event could not be handled."""
 
     reason: str = msgspec.field(name="reason-text")
 
 
 class ReplyBatch(msgspec.Struct):
-    """All that the instances want done after one batch of events."""
+    """All replies to one batch of events."""
 
     replies: list[Reply] = msgspec.field(name="out")
--- a/martenlead/simulator_adapter/settings.py
+++ b/martenlead/simulator_adapter/settings.py
@@ -1,7 +1,7 @@
-"""The settings that the simulator hands to an instance, turned into the policy's types.
+"""The settings that the simulator gives to an instance, converted to the policy's types.
 
-Settings that cannot be used are refused as a whole: a run on a guess costs more than a start that
-says what is wrong.
+Unusable settings are rejected as a whole: a run with guessed settings costs more than a start that
+fails with the reason.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from martenlead.policy.types import DeduplicationScope, Effect, RequestClass, Settings, Tenant
 
 NS_PER_SECOND = 1e9
-MAX_SECONDS = 1e9  # in ns it still has room in 64 bits
+MAX_SECONDS = 1e9  # fits in 64 bits as ns
 MAX_NUMBER = 1e15
 MAX_COUNT = 1_000_000
 MAX_SLOW_START_MULTIPLE = 1e6
@@ -34,14 +34,14 @@
 
 
 class SettingsError(ValueError):
-    """Nothing can be served with these settings; says why, and where."""
+    """The settings are unusable; the message says where and why."""
 
 
 class SettingsPart(msgspec.Struct, rename="kebab", frozen=True):
-    """A part of the settings, with the keys of the wire.
+    """A part of the settings, with the keys of the wire format.
 
-    What has a default may be absent or null: its feature is absent then. Unknown keys are passed
-    over, as sites add some.
+    Fields with a default may be absent or null; their feature is absent then. Unknown keys are
+    ignored, since sites add keys of their own.
     """
 
 
@@ -67,7 +67,7 @@
 
 
 class DispatcherLimits(SettingsPart, frozen=True):
-    """What a dispatcher may do with requests and connections."""
+    """What a dispatcher is allowed to do with requests and connections."""
 
     attempt_limit: Count = msgspec.field(name="attempts-cap")
     may_hedge: bool | None = msgspec.field(name="may-duplicate", default=None)
@@ -108,7 +108,7 @@
 
 
 class Prices(SettingsPart, frozen=True):
-    """What is paid for."""
+    """The prices of operations."""
 
     load: Number | None = msgspec.field(name="origin", default=None)
 
@@ -134,15 +134,15 @@
 
 
 def seconds_to_ns(seconds: float) -> int:
-    """The wire's seconds in the policy's whole nanoseconds."""
+    """Converts seconds of the wire format to the policy's whole nanoseconds."""
     return round(seconds * NS_PER_SECOND)
 
 
 class Profile:
-    """The decoded settings, with the objects that their names stand for."""
+    """The decoded settings, with the objects that their names refer to."""
 
     def __init__(self, settings: object) -> None:
-        """Raises SettingsError; `settings` is what JSON decodes to."""
+        """Raises SettingsError. `settings` is decoded JSON."""
         try:
             self.decoded = decoded = msgspec.convert(settings, SimulatorSettings)
         except (msgspec.ValidationError, RecursionError) as error:
