--- a/tests/play.py
+++ b/tests/play.py
@@ -1,4 +1,4 @@
-"""Plays a dispatcher by hand: a clock, named runners and models, and a trace of what is decided."""
+"""A dispatcher's policy driven by hand: virtual time, named workers and functions, a trace of decisions."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 from pathlib import Path
 from typing import Any
 
-from martenlead.policy import types as io
+from martenlead.policy import types
 from martenlead.policy.engine import Engine
 from martenlead.policy.policy import Policy
 
 MS = 1_000_000
-CHECK = io.RequestClass(500 * MS, io.Effect.IDEMPOTENT, io.DeduplicationScope.ALL, 0)
-POST = io.RequestClass(300 * MS, io.Effect.WITH_IDEMPOTENCY_KEY, io.DeduplicationScope.ZONE, 8000 * MS)
-ONCE = io.RequestClass(300 * MS, io.Effect.NON_IDEMPOTENT, io.DeduplicationScope.ALL, 0)
-SETTINGS = io.Settings(
+IDEMPOTENT = types.RequestClass(500 * MS, types.Effect.IDEMPOTENT, types.DeduplicationScope.ALL, 0)
+WITH_KEY = types.RequestClass(
+    300 * MS, types.Effect.WITH_IDEMPOTENCY_KEY, types.DeduplicationScope.ZONE, 8000 * MS
+)
+NON_IDEMPOTENT = types.RequestClass(300 * MS, types.Effect.NON_IDEMPOTENT, types.DeduplicationScope.ALL, 0)
+SETTINGS = types.Settings(
     dispatchers=1,
     tick_ns=2 * MS,
     attempt_limit=3,
@@ -39,113 +41,143 @@
     memory_price=0.0,
     lists_workers=False,
     list_interval_ns=10_000 * MS,
-    request_classes=[CHECK, POST, ONCE],
+    request_classes=[IDEMPOTENT, WITH_KEY, NON_IDEMPOTENT],
 )
 
 
-class Play:
-    def __init__(self, runners: str = "abc", seed: int = 7, **changes: Any) -> None:
-        self.lines: list[str] = []
+class ScriptedDispatcher:
+    """A policy with its engine; the test sends requests, ends attempts and loads, and moves the clock.
+
+    `trace` has one line for each decision and event, with its time in ms.
+    """
+
+    def __init__(self, workers: str = "abc", seed: int = 7, **changes: Any) -> None:
+        """Lists one worker for each letter of `workers`; `changes` are settings that differ from SETTINGS."""
+        self.trace: list[str] = []
         self.policy = Policy(replace(SETTINGS, **changes), seed)
-        self.engine = Engine(self.policy, self.out)
+        self.engine = Engine(self.policy, self.perform)
         self.names: dict[Any, str] = {}
-        self.hand_offs: list[io.Attempt] = []
-        self.orders: list[io.LoadRequest] = []
-        self.runners = {name: self.policy.new_worker(self.facts(name)) for name in runners}
-        self.names |= {runner: name for name, runner in self.runners.items()}
-        self.models: dict[str, Any] = {}
-        self.list_all()
+        self.attempts: list[types.Attempt] = []
+        self.load_requests: list[types.LoadRequest] = []
+        self.workers = {name: self.policy.new_worker(self.worker_facts(name)) for name in workers}
+        self.names |= {worker: name for name, worker in self.workers.items()}
+        self.functions: dict[str, Any] = {}
+        self.list_all_workers()
         self.engine.start()
 
-    def facts(self, name: str, state: io.WorkerState = io.WorkerState.UP, since: int = 0) -> io.WorkerFacts:
+    def worker_facts(
+        self, name: str, state: types.WorkerState = types.WorkerState.UP, started_ms: int = 0
+    ) -> types.WorkerFacts:
+        """What discovery reports of a worker; `a`, `b` and `c` are in one zone, all others in another."""
         zone = "east" if name in "abc" else "west"
-        return io.WorkerFacts(ord(name), zone, 0, 50_000.0, 1.0, state, since * MS)
+        return types.WorkerFacts(ord(name), zone, 0, 50_000.0, 1.0, state, started_ms * MS)
 
-    def list_all(self) -> None:
-        self.policy.update_workers([(r, r.facts) for r in self.runners.values()], True)
+    def list_all_workers(self) -> None:
+        """Gives the policy a snapshot of all workers."""
+        self.policy.update_workers([(r, r.facts) for r in self.workers.values()], True)
 
-    def list_one(self, name: str, state: io.WorkerState = io.WorkerState.UP, since: int = 0) -> None:
-        self.say(f"listed {name} {state.value}")
-        self.policy.update_workers([(self.runners[name], self.facts(name, state, since))], False)
+    def list_worker(
+        self, name: str, state: types.WorkerState = types.WorkerState.UP, started_ms: int = 0
+    ) -> None:
+        """Gives the policy a changed state or start of one worker."""
+        self.record(f"listed {name} {state.value}")
+        self.policy.update_workers([(self.workers[name], self.worker_facts(name, state, started_ms))], False)
 
-    def say(self, text: str) -> None:
-        self.lines.append(f"{self.policy.state.now_ns // MS:6} {text}")
+    def record(self, text: str) -> None:
+        """Adds a line to the trace."""
+        self.trace.append(f"{self.policy.state.now_ns // MS:6} {text}")
 
-    def out(self, action: io.Action) -> None:
+    def perform(self, action: types.Action) -> None:
+        """Records an action of the policy, and keeps attempts and load requests for the test to end."""
         match action:
-            case io.Attempt(request=task, worker=runner):
-                self.hand_offs.append(action)
-                self.say(f"{self.names[task]} -> {self.names[runner]}")
-            case io.LoadRequest(worker=runner, function=model, replicas=copies):
-                self.orders.append(action)
-                self.say(f"{'hold' if copies else 'ask'} {self.names[model]} at {self.names[runner]}")
-            case io.Reject(request=task, retry_after_ns=wait):
-                self.say(f"{self.names[task]} turned back, come again in {wait // MS}")
-            case io.Fail(request=task):
-                self.say(f"{self.names[task]} scrapped")
-            case io.Cancel(attempt=hand_off):
-                self.say(f"{self.names[hand_off.request]} called off at {self.names[hand_off.worker]}")
-
-    def task(
+            case types.Attempt(request=request, worker=worker):
+                self.attempts.append(action)
+                self.record(f"{self.names[request]} -> {self.names[worker]}")
+            case types.LoadRequest(worker=worker, function=function, replicas=replicas):
+                self.load_requests.append(action)
+                self.record(f"{'hold' if replicas else 'ask'} {self.names[function]} at {self.names[worker]}")
+            case types.Reject(request=request, retry_after_ns=retry_after_ns):
+                self.record(f"{self.names[request]} turned back, come again in {retry_after_ns // MS}")
+            case types.Fail(request=request):
+                self.record(f"{self.names[request]} scrapped")
+            case types.Cancel(attempt=attempt):
+                self.record(f"{self.names[attempt.request]} called off at {self.names[attempt.worker]}")
+
+    def send_request(
         self,
         name: str,
-        model: str = "m",
-        offering: io.RequestClass = CHECK,
-        patience: int = 4000,
-        **more: Any,
+        function: str = "m",
+        request_class: types.RequestClass = IDEMPOTENT,
+        timeout_ms: int = 4000,
+        **optional: Any,
     ) -> Any:
-        if model not in self.models:
-            self.models[model] = self.policy.new_function(io.FunctionFacts(ord(model), 2, 3000.0))
-            self.names[self.models[model]] = model
-        give_up = self.policy.state.now_ns + patience * MS
-        task = io.Request(
-            self.models[model], offering, more.get("customer"), give_up, more.get("again", False), 0.0
+        """Sends a request for a function; `tenant` and `is_retry` are optional."""
+        if function not in self.functions:
+            self.functions[function] = self.policy.new_function(types.FunctionFacts(ord(function), 2, 3000.0))
+            self.names[self.functions[function]] = function
+        deadline_ns = self.policy.state.now_ns + timeout_ms * MS
+        request = types.Request(
+            self.functions[function],
+            request_class,
+            optional.get("tenant"),
+            deadline_ns,
+            optional.get("is_retry", False),
+            0.0,
         )
-        self.names[task] = name
-        self.engine.handle_request(task)
-        return task
+        self.names[request] = name
+        self.engine.handle_request(request)
+        return request
 
-    def answer(
-        self, result: io.Result = io.Result.SUCCEEDED, warmth: io.Warmth = io.Warmth.WARM, which: int = -1
+    def end_attempt(
+        self,
+        result: types.Result = types.Result.SUCCEEDED,
+        warmth: types.Warmth = types.Warmth.WARM,
+        index: int = -1,
     ) -> None:
-        hand_off = self.hand_offs.pop(which)
-        self.say(f"{self.names[hand_off.request]} {result.value} at {self.names[hand_off.worker]}")
-        lag = self.policy.state.now_ns - hand_off.sent_ns
-        final = result is io.Result.SUCCEEDED
-        self.engine.record_result(io.AttemptResult(hand_off, result, final, warmth, lag))
-        if final:
-            self.engine.close_request(hand_off.request)
-
-    def stands(self, places: str = "", result: io.Result = io.Result.SUCCEEDED) -> None:
-        """Answers all orders out: asks find copies at `places`, holds end as told."""
-        orders, self.orders = self.orders, []
-        for order in orders:
-            there = int(order.replicas > 0 and result is io.Result.SUCCEEDED)
-            there = there or int(self.names[order.worker] in places)
-            self.engine.record_load_end(order, result if order.replicas else io.Result.SUCCEEDED, there)
-
-    def to(self, ms: int) -> None:
+        """Ends an attempt in flight, the latest unless `index` says otherwise; a success ends its request."""
+        attempt = self.attempts.pop(index)
+        self.record(f"{self.names[attempt.request]} {result.value} at {self.names[attempt.worker]}")
+        latency_ns = self.policy.state.now_ns - attempt.sent_ns
+        is_final = result is types.Result.SUCCEEDED
+        self.engine.record_result(types.AttemptResult(attempt, result, is_final, warmth, latency_ns))
+        if is_final:
+            self.engine.close_request(attempt.request)
+
+    def end_load_requests(self, loaded_at: str = "", result: types.Result = types.Result.SUCCEEDED) -> None:
+        """Ends all open load requests with `result`.
+
+        Those that only ask are answered, with a replica at the workers named in `loaded_at`.
+        """
+        load_requests, self.load_requests = self.load_requests, []
+        for load in load_requests:
+            is_loaded = int(load.replicas > 0 and result is types.Result.SUCCEEDED)
+            is_loaded = is_loaded or int(self.names[load.worker] in loaded_at)
+            self.engine.record_load_end(load, result if load.replicas else types.Result.SUCCEEDED, is_loaded)
+
+    def advance_to(self, time_ms: int) -> None:
         """Moves the clock, stopping wherever something is due."""
-        while (due := self.engine.next_due_ns()) is not None and due <= ms * MS:
+        while (due := self.engine.next_due_ns()) is not None and due <= time_ms * MS:
             self.policy.state.now_ns = max(self.policy.state.now_ns, due)
             self.engine.advance(self.policy.state.now_ns)
-        self.policy.state.now_ns = ms * MS
-
-    def wide(self) -> None:
-        for runner in self.runners.values():
-            runner.concurrency_limit = 4.0
-
-    def served(self, times: int, model: str = "m", every: int = 50) -> None:
-        """Warm answers in plenty, left out of the trace."""
-        kept = len(self.lines)
-        for _ in range(times):
-            self.task("-", model)
-            self.stands()
-            self.to(self.policy.state.now_ns // MS + every)
-            self.answer()
-        del self.lines[kept:]
-
-
-def check(play: Play, name: str) -> None:
+        self.policy.state.now_ns = time_ms * MS
+
+    def raise_concurrency_limits(self) -> None:
+        """Allows four attempts in flight at each worker."""
+        for worker in self.workers.values():
+            worker.concurrency_limit = 4.0
+
+    def serve_requests(self, count: int, function: str = "m", interval_ms: int = 50) -> None:
+        """Sends requests that all succeed on warm replicas, and leaves them out of the trace."""
+        kept = len(self.trace)
+        for _ in range(count):
+            self.send_request("-", function)
+            self.end_load_requests()
+            self.advance_to(self.policy.state.now_ns // MS + interval_ms)
+            self.end_attempt()
+        del self.trace[kept:]
+
+
+def check_trace(dispatcher: ScriptedDispatcher, name: str) -> None:
+    """Asserts that the trace equals the stored one of this name."""
     path = Path(__file__).parent / "traces" / f"{name}.txt"
-    assert "\n".join(play.lines) + "\n" == path.read_text(), f"differs from {path.name}"
+    assert "\n".join(dispatcher.trace) + "\n" == path.read_text(), f"differs from {path.name}"
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -1,4 +1,4 @@
-"""The ranking of workers for a function: the same at every dispatcher, spread by weight, and bounded."""
+"""The ranking of workers for a function: equal at all dispatchers, spread by weight, and bounded."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from martenlead.policy import types as io
+from martenlead.policy import types
 from martenlead.policy.candidates import CANDIDATES, FULLY_RANKED_WORKERS, LEAVES, CandidateIndex, Ranking
 from martenlead.policy.policy import Policy
 from martenlead.policy.state import Worker
@@ -23,34 +23,43 @@
 SEEDS = st.integers(0, 2**32)
 
 
-def facts(mark: int, weight: float = 1.0, state: io.WorkerState = io.WorkerState.UP) -> io.WorkerFacts:
-    return io.WorkerFacts(mark, f"zone-{mark % 10}", 0, 50_000.0, weight, state, 0)
+def worker_facts(
+    mark: int, weight: float = 1.0, state: types.WorkerState = types.WorkerState.UP
+) -> types.WorkerFacts:
+    """What discovery reports of one worker."""
+    return types.WorkerFacts(mark, f"zone-{mark % 10}", 0, 50_000.0, weight, state, 0)
 
 
-def worker(mark: int, weight: float = 1.0) -> Worker:
-    return Worker(facts(mark, weight), 0, 1.0)
+def new_worker(mark: int, weight: float = 1.0) -> Worker:
+    """A worker with this mark and weight."""
+    return Worker(worker_facts(mark, weight), 0, 1.0)
 
 
 def index_of(workers: Iterable[Worker]) -> CandidateIndex:
+    """An index of these workers."""
     index = CandidateIndex()
     for one in workers:
         index.add(one)
     return index
 
 
-def fleet(size: int) -> list[Worker]:
-    return [worker(mark) for mark in Random(size).sample(range(1 << 40), size)]
+def random_workers(size: int) -> list[Worker]:
+    """Workers with random marks, the same ones for the same size."""
+    return [new_worker(mark) for mark in Random(size).sample(range(1 << 40), size)]
 
 
-def marks(index: CandidateIndex, function: int, replicas: int = 0) -> list[int]:
+def candidate_marks(index: CandidateIndex, function: int, replicas: int = 0) -> list[int]:
+    """The marks of a function's candidates, in order."""
     return [one.facts.mark for one in Ranking(function).candidates(index, replicas)]
 
 
-def firsts(index: CandidateIndex, functions: Iterable[int] = FUNCTIONS) -> dict[int, int]:
+def first_candidates(index: CandidateIndex, functions: Iterable[int] = FUNCTIONS) -> dict[int, int]:
+    """The mark of the first candidate of each function."""
     return {function: next(Ranking(function).candidates(index, 0)).facts.mark for function in functions}
 
 
-def moved(before: dict[int, int], after: dict[int, int]) -> float:
+def moved_share(before: dict[int, int], after: dict[int, int]) -> float:
+    """The share of functions whose first candidate differs."""
     return sum(before[function] != after[function] for function in before) / len(before)
 
 
@@ -59,50 +68,55 @@
 
 @given(SEEDS, st.integers(0, FULLY_RANKED_WORKERS))
 @settings(max_examples=30, deadline=None)
-def test_a_short_list_is_in_the_order_of_weighted_rendezvous_hashing(seed: int, size: int) -> None:
-    chance = Random(seed)
-    weights = {mark: chance.choice((0.5, 1.0, 3.0, 8.0)) for mark in chance.sample(range(1 << 48), size)}
+def test_a_short_list_is_ranked_by_weighted_rendezvous_hashing(seed: int, size: int) -> None:
+    """The score is computed here anew, from its published formula."""
+    random = Random(seed)
+    weights = {mark: random.choice((0.5, 1.0, 3.0, 8.0)) for mark in random.sample(range(1 << 48), size)}
 
-    def key(mark: int) -> float:
+    def score(mark: int) -> float:
+        """The rendezvous score of a worker."""
         return -math.log((crc32(f"{seed} {mark}".encode()) + 1) / 2**32) / weights[mark]
 
-    index = index_of(worker(mark, weight) for mark, weight in weights.items())
-    assert marks(index, seed) == sorted(sorted(weights), key=key)
+    index = index_of(new_worker(mark, weight) for mark, weight in weights.items())
+    assert candidate_marks(index, seed) == sorted(sorted(weights), key=score)
 
 
 # -- the same list, whatever led to it
 
 
-def told(policy: Policy, known: dict[int, Worker], lines: list[io.WorkerFacts], whole: bool = False) -> None:
-    """News of workers by their marks, as a door tells it."""
-    for line in lines:
-        if line.mark not in known:
-            known[line.mark] = policy.new_worker(line)
-    policy.update_workers([(known[line.mark], line) for line in lines], whole)
+def apply_report(
+    policy: Policy, known: dict[int, Worker], reports: list[types.WorkerFacts], is_snapshot: bool = False
+) -> None:
+    """Applies a report of discovery, with a new object for each worker that is not `known`."""
+    for facts in reports:
+        if facts.mark not in known:
+            known[facts.mark] = policy.new_worker(facts)
+    policy.update_workers([(known[facts.mark], facts) for facts in reports], is_snapshot)
 
 
 @given(SEEDS)
 @settings(max_examples=8, deadline=None)
 def test_every_history_that_ends_in_the_same_list_draws_the_same(seed: int) -> None:
-    """One dispatcher hears the whole list once. The other hears of joins, leaves, returns and weights, each
-    line up to three times and out of turn, of workers that it never knew, and whole lists in between."""
-    chance = Random(seed)
-    weights = {mark: chance.choice((0.25, 1.0, 2.0, 8.0)) for mark in chance.sample(range(1 << 40), 400)}
-    last = [facts(mark, weight) for mark, weight in weights.items()]
+    """One dispatcher gets a single snapshot. The other gets joins, leaves, returns and weights, each up to
+    three times and in any order, unknown workers that are gone, and snapshots in between."""
+    random = Random(seed)
+    weights = {mark: random.choice((0.25, 1.0, 2.0, 8.0)) for mark in random.sample(range(1 << 40), 400)}
+    last = [worker_facts(mark, weight) for mark, weight in weights.items()]
     once, often = Policy(SETTINGS, 1), Policy(SETTINGS, 2)
-    told(once, {}, last, whole=True)
+    apply_report(once, {}, last, is_snapshot=True)
     known: dict[int, Worker] = {}
     for _ in range(6):
-        some = chance.sample(last, 150)
-        lines = [
-            facts(line.mark, chance.random() + 0.1, chance.choice(list(io.WorkerState))) for line in some
+        some = random.sample(last, 150)
+        reports = [
+            worker_facts(facts.mark, random.random() + 0.1, random.choice(list(types.WorkerState)))
+            for facts in some
         ]
-        lines += [facts(chance.randrange(1 << 41), 1.0, io.WorkerState.GONE) for _ in range(20)]
-        lines = [line for line in lines for _ in range(chance.randint(1, 3))]
-        chance.shuffle(lines)
-        told(often, known, lines, whole=chance.random() < 0.3)
-    for line in chance.sample(last, 400):
-        told(often, known, [line])
+        reports += [worker_facts(random.randrange(1 << 41), 1.0, types.WorkerState.GONE) for _ in range(20)]
+        reports = [facts for facts in reports for _ in range(random.randint(1, 3))]
+        random.shuffle(reports)
+        apply_report(often, known, reports, is_snapshot=random.random() < 0.3)
+    for facts in random.sample(last, 400):
+        apply_report(often, known, [facts])
     assert (
         [r.facts.mark for r in often.state.workers]
         == [r.facts.mark for r in once.state.workers]
@@ -111,20 +125,23 @@
     assert often.state.index.weight == once.state.index.weight
     assert often.state.index.memory == pytest.approx(once.state.index.memory)
     for function in range(40):
-        assert marks(often.state.index, function, 5) == marks(once.state.index, function, 5)
+        assert candidate_marks(often.state.index, function, 5) == candidate_marks(
+            once.state.index, function, 5
+        )
 
 
-def test_the_candidates_do_not_depend_on_what_was_asked_before() -> None:
-    index = index_of(fleet(500))
+def test_candidates_do_not_depend_on_earlier_requests_for_them() -> None:
+    """A ranking that was read in parts continues as one that is read at once."""
+    index = index_of(random_workers(500))
     for function in range(50):
-        asked = Ranking(function)
-        next(asked.candidates(index, 3))
-        list(asked.candidates(index, 0))
-        assert [w.facts.mark for w in asked.candidates(index, 20)] == marks(index, function, 20)
+        ranking = Ranking(function)
+        next(ranking.candidates(index, 3))
+        list(ranking.candidates(index, 0))
+        assert [w.facts.mark for w in ranking.candidates(index, 20)] == candidate_marks(index, function, 20)
 
 
-class FewLeaves(CandidateIndex):
-    """Many workers in each leaf, as at fleets of tens of thousands."""
+class IndexWithFewLeaves(CandidateIndex):
+    """An index with many workers in each leaf, as in fleets of tens of thousands."""
 
     def _leaf(self, worker: Worker) -> int:
         return LEAVES + worker.facts.mark % 16
@@ -132,40 +149,50 @@
 
 @given(SEEDS)
 @settings(max_examples=10, deadline=None)
-def test_sums_of_weights_keep_nothing_of_the_order_of_news(seed: int) -> None:
-    chance = Random(seed)
-    workers = [worker(mark, chance.uniform(0.1, 8.0)) for mark in range(400)]
-    one, other = FewLeaves(), FewLeaves()
+def test_sums_of_weights_do_not_depend_on_the_sequence_of_changes(seed: int) -> None:
+    """Rounding errors must not differ between dispatchers, since candidates depend on the sums."""
+    random = Random(seed)
+    workers = [new_worker(mark, random.uniform(0.1, 8.0)) for mark in range(400)]
+    one, other = IndexWithFewLeaves(), IndexWithFewLeaves()
     for each in workers[:300]:
         one.add(each)
-    for each in chance.sample(workers, 400):
+    for each in random.sample(workers, 400):
         other.add(each)
-    for each in chance.sample(workers[300:], 100):
+    for each in random.sample(workers[300:], 100):
         other.remove(each)
     assert one.weight == other.weight
-    assert [marks(one, function) for function in range(20)] == [
-        marks(other, function) for function in range(20)
+    assert [candidate_marks(one, function) for function in range(20)] == [
+        candidate_marks(other, function) for function in range(20)
     ]
 
 
-def test_a_version_changes_with_the_list_alone() -> None:
+def test_the_version_changes_only_with_the_list() -> None:
+    """Repeated reports, draining and unknown workers that are gone leave it as it is."""
     policy, known = Policy(SETTINGS, 1), dict[int, Worker]()
-    lines = [facts(mark, 1.0 + mark % 3) for mark in range(300)]
-    told(policy, known, lines, whole=True)
+    reports = [worker_facts(mark, 1.0 + mark % 3) for mark in range(300)]
+    apply_report(policy, known, reports, is_snapshot=True)
     version = policy.state.index.version
-    told(policy, known, list(reversed(lines)), whole=True)
-    told(policy, known, lines[:7] * 3)
-    told(
+    apply_report(policy, known, list(reversed(reports)), is_snapshot=True)
+    apply_report(policy, known, reports[:7] * 3)
+    apply_report(
         policy,
         known,
-        [facts(5, lines[5].weight, io.WorkerState.DRAINING), facts(10**6, 1.0, io.WorkerState.GONE)],
+        [
+            worker_facts(5, reports[5].weight, types.WorkerState.DRAINING),
+            worker_facts(10**6, 1.0, types.WorkerState.GONE),
+        ],
     )
     assert policy.state.index.version == version
     versions = [version]
-    for line in (facts(5, 8.0), facts(6, 1.0, io.WorkerState.GONE), facts(6), facts(301)):
-        told(policy, known, [line])
+    for facts in (
+        worker_facts(5, 8.0),
+        worker_facts(6, 1.0, types.WorkerState.GONE),
+        worker_facts(6),
+        worker_facts(301),
+    ):
+        apply_report(policy, known, [facts])
         versions.append(policy.state.index.version)
-        told(policy, known, [line])
+        apply_report(policy, known, [facts])
         assert policy.state.index.version == versions[-1]
     assert len(set(versions)) == len(versions)
 
@@ -174,17 +201,17 @@
 
 
 def test_first_candidates_follow_the_weights() -> None:
-    """Of 9,000 functions each class of weight has its share within four standard deviations, each worker of
-    300 within five."""
+    """Of 9,000 functions, each group of workers of one weight has its share within four standard deviations,
+    and each of the 300 workers within five."""
     weights = {worker_mark: (1.0, 2.0, 4.0, 8.0)[worker_mark % 4] for worker_mark in range(300)}
-    index = index_of(worker(mark, weight) for mark, weight in weights.items())
-    drawn, functions = Counter(firsts(index, range(9_000)).values()), 9_000
+    index = index_of(new_worker(mark, weight) for mark, weight in weights.items())
+    drawn, functions = Counter(first_candidates(index, range(9_000)).values()), 9_000
     total = sum(weights.values())
     for weight in (1.0, 2.0, 4.0, 8.0):
         of_class = [mark for mark in weights if weights[mark] == weight]
         expected = functions * weight * len(of_class) / total
-        got = sum(drawn[mark] for mark in of_class)
-        assert abs(got - expected) < 4 * math.sqrt(expected), (weight, got, expected)
+        actual = sum(drawn[mark] for mark in of_class)
+        assert abs(actual - expected) < 4 * math.sqrt(expected), (weight, actual, expected)
     for mark, weight in weights.items():
         expected = functions * weight / total
         assert abs(drawn[mark] - expected) < 5 * math.sqrt(expected), (mark, drawn[mark], expected)
@@ -193,85 +220,92 @@
 @pytest.mark.parametrize("size", [300, 2_000, FULL_SIZE])
 @pytest.mark.parametrize("change", ["joins", "leaves", "weighs more"])
 def test_one_change_moves_a_small_multiple_of_one_share(size: int, change: str) -> None:
-    """At most log2(n) / n of the functions on average, in 20 changes of one worker each."""
-    workers = fleet(size)
+    """On average at most log2(n) / n of the functions move, in 20 changes of one worker each."""
+    workers = random_workers(size)
     index = index_of(workers)
-    before = firsts(index)
+    before = first_candidates(index)
     shares = []
     for one in workers[:: size // 20][:20]:
         if change == "joins":
-            one = worker(one.facts.mark + 1)
+            one = new_worker(one.facts.mark + 1)
         else:
             index.remove(one)
         if change == "weighs more":
-            one = worker(one.facts.mark, 2.0)
+            one = new_worker(one.facts.mark, 2.0)
         if change != "leaves":
             index.add(one)
-        shares.append(moved(before, firsts(index)))
+        shares.append(moved_share(before, first_candidates(index)))
         if change != "leaves":
             index.remove(one)
         if change != "joins":
             one.facts.weight = 1.0
             index.add(one)
-    assert firsts(index) == before
+    assert first_candidates(index) == before
     assert sum(shares) / len(shares) <= math.log2(size) / size
     assert max(shares) <= 4 * math.log2(size) / size + 4 / len(before)
 
 
-def test_a_lost_zone_moves_its_functions_alone_to_many_and_its_return_gives_back_the_order() -> None:
-    """Of the functions that stood elsewhere at most a fifth moves: weights on both sides of a choice change,
-    the less the higher it is in the tree."""
-    workers = fleet(2_000)
+def test_a_lost_zone_moves_few_other_functions_and_its_return_restores_all_candidates() -> None:
+    """At most a fifth of the functions of other zones move, because the weights on both sides of a choice
+    change; the change is smaller at higher nodes of the tree."""
+    workers = random_workers(2_000)
     index = index_of(workers)
-    before, orders = firsts(index), {function: marks(index, function, 4) for function in range(60)}
+    before, candidates = (
+        first_candidates(index),
+        {function: candidate_marks(index, function, 4) for function in range(60)},
+    )
     zone = {one.facts.mark: one for one in workers[::10]}
     for one in zone.values():
         index.remove(one)
-    without = firsts(index)
+    without = first_candidates(index)
     assert not set(without.values()) & set(zone)
     stayed = {function: mark for function, mark in before.items() if mark not in zone}
-    assert moved(stayed, without) <= 0.2
+    assert moved_share(stayed, without) <= 0.2
     for mark, one in Random(3).sample(sorted(zone.items()), len(zone)):
         assert one.facts.mark == mark
         index.add(one)
-    assert firsts(index) == before
-    assert {function: marks(index, function, 4) for function in range(60)} == orders
+    assert first_candidates(index) == before
+    assert {function: candidate_marks(index, function, 4) for function in range(60)} == candidates
 
 
 @pytest.mark.parametrize("size", [300, FULL_SIZE])
 def test_the_functions_of_a_lost_worker_spread_over_many(size: int) -> None:
-    """A worker of a hundredth of the weight is lost: no other takes over a third of its functions."""
-    workers = fleet(size)
-    heavy = worker(7, size / 100)
+    """A worker with a hundredth of the weight is lost; no other takes over more than a third of them."""
+    workers = random_workers(size)
+    heavy = new_worker(7, size / 100)
     index = index_of([*workers, heavy])
     functions = range(6_000)
-    before = firsts(index, functions)
+    before = first_candidates(index, functions)
     lost = [function for function, mark in before.items() if mark == 7]
     index.remove(heavy)
-    after = firsts(index, functions)
-    heirs = Counter(after[function] for function in lost)
+    after = first_candidates(index, functions)
+    successors = Counter(after[function] for function in lost)
     assert len(lost) > 30
-    assert heirs.most_common(1)[0][1] <= len(lost) / 3
-    assert len(heirs) > math.sqrt(len(lost))
+    assert successors.most_common(1)[0][1] <= len(lost) / 3
+    assert len(successors) > math.sqrt(len(lost))
 
 
 # -- bounds
 
 
-def test_the_second_candidates_of_functions_with_one_first_are_many() -> None:
-    index = index_of(fleet(300))
+def test_functions_with_the_same_first_candidate_have_many_second_ones() -> None:
+    """So that the functions of a full worker do not all overflow to the same next one."""
+    index = index_of(random_workers(300))
     seconds: dict[int, set[int]] = {}
     for function in range(3_000):
-        first, second, *_ = marks(index, function)
+        first, second, *_ = candidate_marks(index, function)
         seconds.setdefault(first, set()).add(second)
-    assert sum(len(found) for found in seconds.values()) > 2_300  # ten functions a first, few seconds shared
+    assert (
+        sum(len(found) for found in seconds.values()) > 2_300
+    )  # ten functions per first candidate, few of them with the same second one
 
 
 @given(SEEDS, st.integers(0, 600), st.integers(0, 80))
 @settings(max_examples=40, deadline=None)
 def test_candidates_are_bounded_and_never_repeat(seed: int, size: int, replicas: int) -> None:
-    workers = [worker(mark) for mark in Random(seed).sample(range(1 << 50), size)]
-    found = marks(index_of(workers), seed, replicas)
+    """All workers of a short list; at most CANDIDATES and one more per replica of a long one."""
+    workers = [new_worker(mark) for mark in Random(seed).sample(range(1 << 50), size)]
+    found = candidate_marks(index_of(workers), seed, replicas)
     assert len(found) == len(set(found))
     assert set(found) <= {one.facts.mark for one in workers}
     if size <= FULLY_RANKED_WORKERS:
@@ -280,10 +314,11 @@
         assert CANDIDATES <= len(found) <= CANDIDATES + replicas
 
 
-def test_an_empty_list_has_no_candidates_and_a_tiny_one_gives_all() -> None:
+def test_an_empty_list_has_no_candidates_and_a_list_of_one_has_one() -> None:
+    """Also after the only worker was removed again."""
     index, ranking = CandidateIndex(), Ranking(1)
     assert list(ranking.candidates(index, 9)) == []
-    only = worker(5)
+    only = new_worker(5)
     index.add(only)
     assert list(ranking.candidates(index, 9)) == [only]
     index.remove(only)
@@ -292,63 +327,68 @@
 
 
 @pytest.mark.parametrize("weight", [1e-300, 1e-12, 1e12, 1e300])
-def test_a_weight_beside_which_others_vanish_still_gives_candidates(weight: float) -> None:
-    index = index_of([*fleet(300), worker(7, weight)])
-    drawn = Counter(firsts(index, range(200)).values())
+def test_an_extreme_weight_still_gives_candidates(weight: float) -> None:
+    """Beside it, the other weights or it itself vanish in the sums."""
+    index = index_of([*random_workers(300), new_worker(7, weight)])
+    drawn = Counter(first_candidates(index, range(200)).values())
     assert drawn[7] == (200 if weight > 1 else 0)
     for function in range(30):
-        assert len(set(marks(index, function))) >= (1 if weight > 1 else CANDIDATES)
+        assert len(set(candidate_marks(index, function))) >= (1 if weight > 1 else CANDIDATES)
 
 
-def test_one_of_weight_nothing_is_no_candidate_beside_others() -> None:
-    index = index_of([worker(mark, float(mark % 2)) for mark in range(600)])
-    found = {mark for function in range(100) for mark in marks(index, function, 4)}
+def test_workers_of_weight_0_are_no_candidates_beside_others() -> None:
+    """Half of 600 workers have a weight of 0."""
+    index = index_of([new_worker(mark, float(mark % 2)) for mark in range(600)])
+    found = {mark for function in range(100) for mark in candidate_marks(index, function, 4)}
     assert found
     assert all(mark % 2 for mark in found)
 
 
-class OneLeaf(CandidateIndex):
-    """The worst that the hash of ids can do."""
+class IndexWithOneLeaf(CandidateIndex):
+    """An index with all workers in one leaf, the worst case of the hash of ids."""
 
     def _leaf(self, worker: Worker) -> int:
         return LEAVES + 17
 
 
-def test_nearly_all_leaves_empty_and_all_workers_in_one_leaf() -> None:
-    few = fleet(FULLY_RANKED_WORKERS + 1)
-    crowded = OneLeaf()
+def test_candidates_are_spread_with_nearly_empty_leaves_and_with_one_full_leaf() -> None:
+    """Either way, nearly each worker is the first candidate of some function."""
+    few = random_workers(FULLY_RANKED_WORKERS + 1)
+    crowded = IndexWithOneLeaf()
     for one in few:
         crowded.add(one)
     for index in (index_of(few), crowded):
-        assert len(set(firsts(index, range(4_000)).values())) > 250
-        assert {len(marks(index, function)) for function in range(30)} == {CANDIDATES}
+        assert len(set(first_candidates(index, range(4_000)).values())) > 250
+        assert {len(candidate_marks(index, function)) for function in range(30)} == {CANDIDATES}
 
 
-def test_a_list_that_crosses_256_is_ranked_anew_and_back_as_before() -> None:
-    workers = fleet(FULLY_RANKED_WORKERS + 5)
+def test_a_list_that_grows_beyond_256_workers_and_shrinks_again_is_ranked_as_before() -> None:
+    """The long list is drawn from the tree, the short one ranked in full."""
+    workers = random_workers(FULLY_RANKED_WORKERS + 5)
     index = index_of(workers[:FULLY_RANKED_WORKERS])
     ranking = Ranking(77)
-    whole = list(ranking.candidates(index, 0))
+    short_list_ranking = list(ranking.candidates(index, 0))
     for one in workers[FULLY_RANKED_WORKERS:]:
         index.add(one)
     drawn = [one.facts.mark for one in ranking.candidates(index, 0)]
-    assert drawn == marks(index, 77)
+    assert drawn == candidate_marks(index, 77)
     assert len(drawn) == CANDIDATES
     for one in workers[FULLY_RANKED_WORKERS:]:
         index.remove(one)
-    assert list(ranking.candidates(index, 0)) == whole
-    assert len(whole) == FULLY_RANKED_WORKERS
+    assert list(ranking.candidates(index, 0)) == short_list_ranking
+    assert len(short_list_ranking) == FULLY_RANKED_WORKERS
 
 
-def test_what_was_found_for_more_replicas_is_not_given_for_fewer() -> None:
-    """A function that shrank looks at no more workers than one that never grew."""
-    index, ranking = index_of(fleet(500)), Ranking(3)
+def test_candidates_drawn_for_more_replicas_are_not_given_for_fewer() -> None:
+    """A function that had more replicas considers no more workers than one that never had."""
+    index, ranking = index_of(random_workers(500)), Ranking(3)
     assert len(list(ranking.candidates(index, 40))) == CANDIDATES + 40
-    assert [one.facts.mark for one in ranking.candidates(index, 0)] == marks(index, 3)
+    assert [one.facts.mark for one in ranking.candidates(index, 0)] == candidate_marks(index, 3)
     assert len(list(ranking.candidates(index, 0))) == CANDIDATES
 
 
 @pytest.mark.parametrize("size", [FULLY_RANKED_WORKERS, FULLY_RANKED_WORKERS + 1])
-def test_workers_that_all_weigh_nothing_are_ranked_all_the_same(size: int) -> None:
-    index = index_of(worker(mark, 0.0) for mark in range(size))
-    assert len(marks(index, 1)) >= CANDIDATES
+def test_workers_are_ranked_even_if_all_have_weight_0(size: int) -> None:
+    """With a short list and with a long one."""
+    index = index_of(new_worker(mark, 0.0) for mark in range(size))
+    assert len(candidate_marks(index, 1)) >= CANDIDATES
--- a/tests/test_long_outages.py
+++ b/tests/test_long_outages.py
@@ -15,7 +15,7 @@
 from martenlead.policy import types as io
 from support.fleet import until
 from tests.nodes import BROKEN, Asker, Journal, Runner, done, in_turn, linger, play, record
-from tests.virtual_fleet import PATIENCE, SECOND, Dispatcher, Fleet, lines
+from tests.virtual_fleet import REQUEST_TIMEOUT, SECOND, Dispatcher, Fleet, facts_of_workers
 
 pytestmark = pytest.mark.anyio
 
@@ -35,25 +35,25 @@
 
 
 def lose_half(fleet: Fleet) -> None:
-    fleet.lose(range(WORKERS // 2))
+    fleet.stop_workers(range(WORKERS // 2))
 
 
 def lose_all(fleet: Fleet) -> None:
-    fleet.lose(range(WORKERS))
+    fleet.stop_workers(range(WORKERS))
 
 
 def drain_half(fleet: Fleet) -> None:
     for dispatcher in fleet.dispatchers:
-        dispatcher.tell(lines(range(WORKERS // 2), io.WorkerState.DRAINING))
+        dispatcher.update_workers(facts_of_workers(range(WORKERS // 2), io.WorkerState.DRAINING))
 
 
 def replace_six_in_ten(fleet: Fleet) -> None:
     """As many as the bench replaces within some seconds; here at once."""
-    fleet.lose(range(REPLACED))
+    fleet.stop_workers(range(REPLACED))
     fleet.up |= set(range(100, 100 + REPLACED))
     for dispatcher in fleet.dispatchers:
-        dispatcher.tell(lines(range(REPLACED), io.WorkerState.GONE))
-        dispatcher.tell(lines(range(100, 100 + REPLACED), since=fleet.now))
+        dispatcher.update_workers(facts_of_workers(range(REPLACED), io.WorkerState.GONE))
+        dispatcher.update_workers(facts_of_workers(range(100, 100 + REPLACED), started_ns=fleet.now))
 
 
 TROUBLES: dict[str, tuple[Callable[[Fleet], None], bool]] = {  # and whether all can be served
@@ -75,31 +75,31 @@
     virtual = Fleet(range(WORKERS))
     for seed in range(3):
         dispatcher = Dispatcher(virtual, seed + 1)
-        dispatcher.tell(lines(range(WORKERS)), whole=True)
-        dispatcher.begin()
+        dispatcher.update_workers(facts_of_workers(range(WORKERS)), is_snapshot=True)
+        dispatcher.start()
     if known:
         call_all(virtual, 20)
     virtual.run_for(QUIET)
     happens(virtual)
     before = [len(d.attempts) for d in virtual.dispatchers]
-    finals = [d.finals.copy() for d in virtual.dispatchers]
+    finals = [d.final_responses.copy() for d in virtual.dispatchers]
     call_all(virtual, 40)
-    virtual.run_for(2 * PATIENCE)
+    virtual.run_for(2 * REQUEST_TIMEOUT)
     for dispatcher, sent, ended in zip(virtual.dispatchers, before, finals, strict=True):
-        assert (dispatcher.finals - ended).total() == 40
+        assert (dispatcher.final_responses - ended).total() == 40
         if served:
-            assert (dispatcher.finals - ended)["satisfied"] >= 36
+            assert (dispatcher.final_responses - ended)["satisfied"] >= 36
             gone = range(WORKERS // 2 if happens is drain_half else REPLACED)
             assert not {attempt.mark for attempt in dispatcher.attempts[sent:]} & set(gone)
     virtual.up |= set(range(WORKERS))
     virtual.run_for(60 * SECOND)
     for dispatcher in virtual.dispatchers:
-        dispatcher.finals.clear()
+        dispatcher.final_responses.clear()
     call_all(virtual, 20)
-    virtual.run_for(2 * PATIENCE)
+    virtual.run_for(2 * REQUEST_TIMEOUT)
     for dispatcher in virtual.dispatchers:
-        assert dispatcher.finals.total() == 20
-        assert dispatcher.finals["satisfied"] >= 18
+        assert dispatcher.final_responses.total() == 20
+        assert dispatcher.final_responses["satisfied"] >= 18
 
 
 def call_all(virtual: Fleet, count: int) -> None:
--- a/tests/test_policy_state_cleanup.py
+++ b/tests/test_policy_state_cleanup.py
@@ -6,24 +6,25 @@
 import weakref
 from typing import Any
 
-from martenlead.policy import types as io
+from martenlead.policy import types
 from tests.placement_rig import fleet_of
 from tests.play import MS
-from tests.virtual_fleet import SECOND, line
+from tests.virtual_fleet import SECOND, worker_facts
 
 
 def test_functions_and_workers_that_came_and_went_leave_no_state() -> None:
+    """2500 functions that are called a few times, and 1200 workers that join and leave meanwhile."""
     fleet, (dispatcher,) = fleet_of(300, 1)
     gone: list[weakref.ref[Any]] = []
     for n in range(2500):
         dispatcher.call(10_000 + n)
         if n % 2:
             fleet.up.add(1000 + n)
-            dispatcher.tell([line(1000 + n)])
+            dispatcher.update_workers([worker_facts(1000 + n)])
         if n % 2 and n > 100:
             last = 1000 + n - 100
-            fleet.lose([last])
-            dispatcher.tell([line(last, io.WorkerState.GONE)])
+            fleet.stop_workers([last])
+            dispatcher.update_workers([worker_facts(last, types.WorkerState.GONE)])
             gone.append(weakref.ref(dispatcher.workers.pop(last)))
         if n % 20 == 19:
             fleet.run_for(100 * MS)
@@ -37,10 +38,10 @@
     known = len(policy.state.functions)
     assert known > 2000
     fleet.run_for(10 * SECOND)
-    gone += [weakref.ref(model) for model in dispatcher.functions.values()]
+    gone += [weakref.ref(known_function) for known_function in dispatcher.functions.values()]
     dispatcher.functions.clear()
     dispatcher.attempts.clear()
-    dispatcher.ended_tasks.clear()
+    dispatcher.ended_requests.clear()
     fleet.run_for(400 * SECOND)
     assert not policy.state.functions
     assert not policy.scaling.unchecked
@@ -53,28 +54,28 @@
     assert not [ref for ref in gone if ref() is not None]
 
 
-def test_replicas_that_a_planner_held_for_a_faded_function_leave_no_state() -> None:
-    """Nobody calls it here; a planner holds it now and then at workers that go soon after."""
+def test_replicas_that_a_planner_retained_for_a_forgotten_function_leave_no_state() -> None:
+    """The function is not called here; a planner retains it now and then at workers that leave soon after."""
     fleet, (dispatcher,) = fleet_of(300, 1)
     dispatcher.call(5)
     fleet.run_for(400 * SECOND)
     function = dispatcher.functions[5]
     assert function not in dispatcher.policy.state.functions
     for mark in range(1000, 1050):
-        dispatcher.tell([line(mark)])
-        dispatcher.border.set_retained(dispatcher.workers[mark], function, True)
+        dispatcher.update_workers([worker_facts(mark)])
+        dispatcher.boundary.set_retained(dispatcher.workers[mark], function, True)
         fleet.run_for(SECOND)
-        dispatcher.border.set_retained(dispatcher.workers[mark], function, False)
-        dispatcher.tell([line(mark, io.WorkerState.GONE)])
+        dispatcher.boundary.set_retained(dispatcher.workers[mark], function, False)
+        dispatcher.update_workers([worker_facts(mark, types.WorkerState.GONE)])
     fleet.run_for(100 * SECOND)
-    assert not [runner for runner in function.replicas if not runner.is_listed]
+    assert not [worker for worker in function.replicas if not worker.is_listed]
 
 
-def test_functions_that_were_asked_about_and_never_called_leave_no_state() -> None:
-    """Requests that wait at the door ask for room again and again, and may give up before they are taken."""
+def test_functions_with_a_worker_choice_but_no_call_leave_no_state() -> None:
+    """Queued requests ask for a worker again and again, and may leave the queue before they are accepted."""
     fleet, (dispatcher,) = fleet_of(300, 1)
     for number in range(100):
-        dispatcher.border.choose_worker(
+        dispatcher.boundary.choose_worker(
             dispatcher.function(number), dispatcher.settings.request_classes[0], False, 0.0
         )
     fleet.run_for(1000 * SECOND)
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -40,8 +40,7 @@
     says,
     silent,
 )
-from tests.play import MS, ONCE
-from tests.play import Play as VirtualPlay
+from tests.play import MS, NON_IDEMPOTENT, ScriptedDispatcher
 
 pytestmark = pytest.mark.anyio
 
@@ -260,16 +259,16 @@
 
 def test_a_worker_that_drops_requests_with_little_time_stays_in_use() -> None:
     """That it says nothing to them proves nothing of it: who comes next is sent there. In virtual time."""
-    play = VirtualPlay(runners="a")
-    play.served(12)
+    play = ScriptedDispatcher(workers="a")
+    play.serve_requests(12)
     for number in range(HURRIED):
-        play.task(f"hurried {number}", offering=ONCE, patience=LITTLE[-1])
-        assert len(play.hand_offs) == 1
-        play.to(play.policy.state.now_ns // MS + LITTLE[-1])
-        play.answer(io.Result.NO_RESPONSE, io.Warmth.UNKNOWN)
-        play.to(play.policy.state.now_ns // MS + 5)
-    play.task("usual", offering=ONCE)
-    assert [play.names[sent.request] for sent in play.hand_offs] == ["usual"], play.lines
+        play.send_request(f"hurried {number}", request_class=NON_IDEMPOTENT, timeout_ms=LITTLE[-1])
+        assert len(play.attempts) == 1
+        play.advance_to(play.policy.state.now_ns // MS + LITTLE[-1])
+        play.end_attempt(io.Result.NO_RESPONSE, io.Warmth.UNKNOWN)
+        play.advance_to(play.policy.state.now_ns // MS + 5)
+    play.send_request("usual", request_class=NON_IDEMPOTENT)
+    assert [play.names[sent.request] for sent in play.attempts] == ["usual"], play.trace
 
 
 # -- requests that cross the end of a resting connection
--- a/tests/test_replica_check_slices.py
+++ b/tests/test_replica_check_slices.py
@@ -9,38 +9,39 @@
 
 import pytest
 
-from martenlead.policy import replica_scaling
-from martenlead.policy import types as io
+from martenlead.policy import replica_scaling, types
 from martenlead.policy.replica_scaling import SLICE_FUNCTIONS
 from martenlead.policy.state import State
-from tests.placement_rig import BUDGET, all_ended, consistent, fleet_of
+from tests.placement_rig import BUDGET, assert_all_requests_ended, assert_consistent, fleet_of
 from tests.play import MS
-from tests.virtual_fleet import SECOND, Dispatcher, Fleet, lines
+from tests.virtual_fleet import SECOND, Dispatcher, Fleet, facts_of_workers
 
 
-class Steps:
-    """Notes which functions are checked when."""
+class CheckRecorder:
+    """Records the time and the mark of each function that is checked."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, fleet: Fleet) -> None:
-        self.noted: list[tuple[int, int]] = []
-        plain = State.forget_unused
+        self.checked: list[tuple[int, int]] = []
+        original = State.forget_unused
 
         def forget_unused(state: State, function: Any) -> None:
-            self.noted.append((fleet.now, function.facts.mark))
-            plain(state, function)
+            """Records the check, which calls this for each function."""
+            self.checked.append((fleet.now, function.facts.mark))
+            original(state, function)
 
         monkeypatch.setattr(State, "forget_unused", forget_unused)
 
 
-def between_slices(fleet: Fleet, dispatcher: Dispatcher) -> None:
+def run_until_between_slices(fleet: Fleet, dispatcher: Dispatcher) -> None:
     """Runs until some functions of a period are checked and others are not."""
     while not dispatcher.policy.scaling.unchecked:
-        due = dispatcher.border.next_due_ns()
+        due = dispatcher.boundary.next_due_ns()
         assert due is not None
-        fleet.run(due)
+        fleet.run_until(due)
 
 
-def known_functions(size: int, **changes: Any) -> tuple[Fleet, Dispatcher]:
+def fleet_with_functions(size: int, **changes: Any) -> tuple[Fleet, Dispatcher]:
+    """A fleet with one dispatcher that has called so many functions once."""
     fleet, (dispatcher,) = fleet_of(500, 1, **changes)
     for function in range(size):
         dispatcher.call(function)
@@ -50,15 +51,16 @@
 
 
 def test_each_of_300_functions_is_checked_once_a_period_64_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    fleet, dispatcher = known_functions(300)
-    steps = Steps(monkeypatch, fleet)
-    between_slices(fleet, dispatcher)
+    """The slices of a period are 1 ms apart."""
+    fleet, dispatcher = fleet_with_functions(300)
+    checks = CheckRecorder(monkeypatch, fleet)
+    run_until_between_slices(fleet, dispatcher)
     fleet.run_for(100 * MS)
-    steps.noted.clear()
+    checks.checked.clear()
     for _ in range(3):
-        begun = len(steps.noted)
+        before = len(checks.checked)
         fleet.run_for(dispatcher.policy.state.check_period_ns + 10 * MS)
-        period = steps.noted[begun:]
+        period = checks.checked[before:]
         assert sorted(mark for _, mark in period) == list(range(300))
         assert set(Counter(at for at, _ in period).values()) == {64, 300 % 64}
         times = sorted({at for at, _ in period})
@@ -66,73 +68,81 @@
 
 
 def test_requests_between_two_slices_are_decided_at_once() -> None:
-    fleet, dispatcher = known_functions(300)
-    between_slices(fleet, dispatcher)
+    """Attempts are made at the time of the call, for functions that are checked already and others."""
+    fleet, dispatcher = fleet_with_functions(300)
+    run_until_between_slices(fleet, dispatcher)
     now = fleet.now
     for function in (0, 299, 1000):
         assert dispatcher.call(function) is not None
     assert dispatcher.policy.scaling.unchecked
-    assert {a.at for a in dispatcher.attempts[-3:]} == {now}
+    assert {a.time_ns for a in dispatcher.attempts[-3:]} == {now}
     fleet.run_for(10 * SECOND)
-    all_ended(dispatcher)
+    assert_all_requests_ended(dispatcher)
 
 
-def test_a_worker_that_goes_between_two_slices_gets_no_load_request() -> None:
-    fleet, dispatcher = known_functions(300)
+def test_a_worker_that_leaves_between_two_slices_gets_no_load_request() -> None:
+    """The functions that are still to be checked have replicas at the workers that leave."""
+    fleet, dispatcher = fleet_with_functions(300)
     for _ in range(3):
-        for function in range(300):
-            dispatcher.call(function)
+        for number in range(300):
+            dispatcher.call(number)
             fleet.run_for(2 * MS)
-    between_slices(fleet, dispatcher)
+    run_until_between_slices(fleet, dispatcher)
     waiting = list(dispatcher.policy.scaling.unchecked)
-    going = {copy.worker.facts.mark for model in waiting for copy in model.replicas.values()}
-    assert len(going) > 50
-    fleet.lose(going)
-    dispatcher.tell(lines(sorted(going), io.WorkerState.GONE))
-    begun = len(dispatcher.loads), len(dispatcher.attempts)
-    for model in waiting[:100]:
-        assert dispatcher.call(model.facts.mark) not in going
+    leaving = {replica.worker.facts.mark for function in waiting for replica in function.replicas.values()}
+    assert len(leaving) > 50
+    fleet.stop_workers(leaving)
+    dispatcher.update_workers(facts_of_workers(sorted(leaving), types.WorkerState.GONE))
+    before = len(dispatcher.load_requests), len(dispatcher.attempts)
+    for function in waiting[:100]:
+        assert dispatcher.call(function.facts.mark) not in leaving
     fleet.run_for(10 * SECOND)
-    assert not going & {mark for _, _, mark in dispatcher.loads[begun[0] :]}
-    assert not going & {attempt.mark for attempt in dispatcher.attempts[begun[1] :]}
-    all_ended(dispatcher)
-    consistent(dispatcher.policy)
+    assert not leaving & {mark for _, _, mark in dispatcher.load_requests[before[0] :]}
+    assert not leaving & {attempt.mark for attempt in dispatcher.attempts[before[1] :]}
+    assert_all_requests_ended(dispatcher)
+    assert_consistent(dispatcher.policy)
     assert all(
-        model.replicas.keys() <= set(dispatcher.policy.state.workers)
-        for model in dispatcher.functions.values()
+        function.replicas.keys() <= set(dispatcher.policy.state.workers)
+        for function in dispatcher.functions.values()
     )
 
 
-def test_functions_that_fade_in_one_slice_and_are_called_before_the_next_are_checked_again() -> None:
-    fleet, dispatcher = known_functions(300)
+def test_functions_dropped_in_one_slice_and_called_before_the_next_are_checked_again() -> None:
+    """They are forgotten again once they are not called any more."""
+    fleet, dispatcher = fleet_with_functions(300)
     policy = dispatcher.policy
     while len(policy.state.functions) == 300:
-        between_slices(fleet, dispatcher)
+        run_until_between_slices(fleet, dispatcher)
         fleet.run_for(MS)
-    faded = [model for model in dispatcher.functions.values() if model not in policy.state.functions]
+    dropped = [
+        function for function in dispatcher.functions.values() if function not in policy.state.functions
+    ]
     assert policy.scaling.unchecked
-    assert not any(model.replicas for model in faded)
-    for model in faded:
-        assert dispatcher.call(model.facts.mark) is not None
-    assert all(model in policy.state.functions for model in faded)
-    fleet.run_for(1000 * SECOND)  # a replica of two calls is held for six of the gaps between them
-    all_ended(dispatcher)
+    assert not any(function.replicas for function in dropped)
+    for function in dropped:
+        assert dispatcher.call(function.facts.mark) is not None
+    assert all(function in policy.state.functions for function in dropped)
+    fleet.run_for(1000 * SECOND)  # after two calls, a replica is retained for six times the gap between them
+    assert_all_requests_ended(dispatcher)
     assert not policy.state.functions
 
 
-def test_up_to_64_functions_are_decided_as_in_one_step(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_up_to_64_functions_are_checked_as_in_one_step(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With as many functions as a slice has, slices make no difference to the decisions."""
+
     def decisions() -> list[tuple[int, int, int]]:
+        """The attempts and load requests of a run with random calls."""
         fleet, (dispatcher,) = fleet_of(400, 1, **BUDGET)
-        chance = Random(8)
+        random = Random(8)
         for n in range(600):
-            dispatcher.call(int(SLICE_FUNCTIONS * chance.random() ** 2))
+            dispatcher.call(int(SLICE_FUNCTIONS * random.random() ** 2))
             if n == 300:
-                dispatcher.tell(lines(range(40), io.WorkerState.GONE))
+                dispatcher.update_workers(facts_of_workers(range(40), types.WorkerState.GONE))
             fleet.run_for(15 * MS)
         assert len(dispatcher.functions) == SLICE_FUNCTIONS
-        return [(a.at, a.function, a.mark) for a in dispatcher.attempts] + dispatcher.loads
+        return [(a.time_ns, a.function, a.mark) for a in dispatcher.attempts] + dispatcher.load_requests
 
-    some = decisions()
+    in_slices = decisions()
     monkeypatch.setattr(replica_scaling, "SLICE_FUNCTIONS", 10**9)
-    assert decisions() == some
-    assert len(some) > 600
+    assert decisions() == in_slices
+    assert len(in_slices) > 600
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -1,8 +1,8 @@
-"""Costs against the size of the fleet, in counted calls and bytes: constant or logarithmic, never linear.
+"""Costs in calls and bytes grow at most logarithmically with the size of the fleet.
 
-Counted are the Python and C functions that an operation calls, the same on every machine. Sizes grow fourfold
-twice. A cost may grow by `FACTOR` times what the logarithm grows by, in all 2.3 times at most; a linear cost
-grows 16 times.
+The cost of an operation is the number of Python and C functions that it calls, which is the same on every
+machine. The size grows fourfold twice. A cost may grow by `FACTOR` times the growth of the logarithm, 2.3
+times at most; a linear cost would grow 16 times.
 """
 
 from __future__ import annotations
@@ -16,47 +16,49 @@
 
 import pytest
 
-from martenlead.policy import types as io
+from martenlead.policy import types
 from martenlead.policy.candidates import Ranking
 from martenlead.policy.latency import LatencyHistogram
 from martenlead.policy.state import Function, Replica, Worker
 from tests.play import MS
-from tests.virtual_fleet import SECOND, Dispatcher, Fleet, line, lines
+from tests.virtual_fleet import SECOND, Dispatcher, Fleet, facts_of_workers, worker_facts
 
 WORKERS = (300, 1200, 4800)
 FUNCTIONS = (500, 2000, 8000)
 FACTOR = 1.5
-AMONG = 20  # operations that a cost is the mean of
+SAMPLES = 20  # a cost is the mean over this many operations
 
 
-def calls(what: Callable[[], Any]) -> int:
-    """Functions that this calls, in Python and in C."""
+def count_calls(operation: Callable[[], Any]) -> int:
+    """The number of Python and C functions that an operation calls."""
     count = 0
 
-    def note(_frame: Any, event: str, _arg: Any) -> None:
+    def profile(_frame: Any, event: str, _arg: Any) -> None:
+        """Counts an event of the interpreter."""
         nonlocal count
         count += event in ("call", "c_call")
 
-    sys.setprofile(note)
+    sys.setprofile(profile)
     try:
-        what()
+        operation()
     finally:
         sys.setprofile(None)
     return count
 
 
 def assert_no_more_than_logarithmic(costs: dict[int, float]) -> None:
-    (least, cost), *more = sorted(costs.items())
-    for size, dearer in more:
-        assert dearer <= FACTOR * max(cost, 1.0) * math.log2(size) / math.log2(least), costs
+    """The costs, by size, grow at most FACTOR times as much as the logarithm of the size."""
+    (smallest, cost), *larger = sorted(costs.items())
+    for size, larger_cost in larger:
+        assert larger_cost <= FACTOR * max(cost, 1.0) * math.log2(size) / math.log2(smallest), costs
 
 
-def dispatcher_of(workers: int, functions: int = 0) -> tuple[Fleet, Dispatcher]:
-    """One that has seen so many functions, lately and one after the other."""
+def dispatcher_with(workers: int, functions: int = 0) -> tuple[Fleet, Dispatcher]:
+    """A dispatcher that has just called so many functions, one after the other."""
     fleet = Fleet(range(workers))
     dispatcher = Dispatcher(fleet, 1)
-    dispatcher.tell(lines(range(workers)), whole=True)
-    dispatcher.begin()
+    dispatcher.update_workers(facts_of_workers(range(workers)), is_snapshot=True)
+    dispatcher.start()
     for function in range(functions):
         dispatcher.call(function)
         if function % 50 == 49:
@@ -65,69 +67,78 @@
     return fleet, dispatcher
 
 
-def call_costs(fleet: Fleet, dispatcher: Dispatcher, functions: range) -> float:
+def call_cost(fleet: Fleet, dispatcher: Dispatcher, functions: range) -> float:
+    """The mean number of calls for a request to each of the functions."""
     total = 0
     for function in functions:
-        total += calls(partial(dispatcher.call, function))
+        total += count_calls(partial(dispatcher.call, function))
         fleet.run_for(260 * MS)
     return total / len(functions)
 
 
-def news_costs(dispatcher: Dispatcher, workers: int) -> float:
-    """One line each: goes, comes back, weighs more."""
+def update_cost(dispatcher: Dispatcher, workers: int) -> float:
+    """The mean number of calls for three updates: a worker leaves, returns and weighs more."""
     total = 0
-    marks = range(0, workers, workers // AMONG)[:AMONG]
+    marks = range(0, workers, workers // SAMPLES)[:SAMPLES]
     for mark in marks:
-        for news in (line(mark, io.WorkerState.GONE), line(mark), line(mark, weight=2.0)):
-            total += calls(partial(dispatcher.tell, [news]))
+        for update in (
+            worker_facts(mark, types.WorkerState.GONE),
+            worker_facts(mark),
+            worker_facts(mark, weight=2.0),
+        ):
+            total += count_calls(partial(dispatcher.update_workers, [update]))
     return total / len(marks)
 
 
 # -- against the number of workers
 
 
-def test_a_call_of_a_known_function() -> None:
+def test_the_cost_of_a_call_of_a_known_function() -> None:
+    """Against the number of workers."""
     costs: dict[int, float] = {}
     for workers in WORKERS:
-        fleet, dispatcher = dispatcher_of(workers, AMONG)
-        costs[workers] = call_costs(fleet, dispatcher, range(AMONG))
+        fleet, dispatcher = dispatcher_with(workers, SAMPLES)
+        costs[workers] = call_cost(fleet, dispatcher, range(SAMPLES))
     assert_no_more_than_logarithmic(costs)
 
 
-def test_the_first_call_of_a_function() -> None:
+def test_the_cost_of_the_first_call_of_a_function() -> None:
+    """Against the number of workers."""
     costs: dict[int, float] = {}
     for workers in WORKERS:
-        fleet, dispatcher = dispatcher_of(workers)
-        costs[workers] = call_costs(fleet, dispatcher, range(AMONG))
+        fleet, dispatcher = dispatcher_with(workers)
+        costs[workers] = call_cost(fleet, dispatcher, range(SAMPLES))
     assert_no_more_than_logarithmic(costs)
 
 
-def test_the_call_after_a_change_of_the_list() -> None:
+def test_the_cost_of_a_call_after_a_change_of_the_list() -> None:
+    """Against the number of workers; the candidates have to be drawn anew."""
     costs: dict[int, float] = {}
     for workers in WORKERS:
-        fleet, dispatcher = dispatcher_of(workers, AMONG)
+        fleet, dispatcher = dispatcher_with(workers, SAMPLES)
         total = 0.0
-        for function in range(AMONG):
-            dispatcher.tell([line(workers + function)])
-            total += call_costs(fleet, dispatcher, range(function, function + 1))
-        costs[workers] = total / AMONG
+        for function in range(SAMPLES):
+            dispatcher.update_workers([worker_facts(workers + function)])
+            total += call_cost(fleet, dispatcher, range(function, function + 1))
+        costs[workers] = total / SAMPLES
     assert_no_more_than_logarithmic(costs)
 
 
-def test_a_line_of_news() -> None:
-    costs = {size: news_costs(dispatcher_of(size, AMONG)[1], size) for size in WORKERS}
+def test_the_cost_of_an_update_of_a_worker() -> None:
+    """Against the number of workers."""
+    costs = {size: update_cost(dispatcher_with(size, SAMPLES)[1], size) for size in WORKERS}
     assert_no_more_than_logarithmic(costs)
 
 
-def bytes_of(*roots: Any, without: tuple[type, ...] = ()) -> int:
-    """Of all objects that can be reached from there, each counted once."""
-    seen: set[int] = set()
+def total_bytes(*roots: Any, without: tuple[type, ...] = ()) -> int:
+    """The size of all objects that can be reached from `roots`, each counted once."""
+    counted: set[int] = set()
     stack, total = list(roots), 0
     while stack:
         value = stack.pop()
-        if id(value) in seen or isinstance(value, without):
+        if id(value) in counted or isinstance(value, without):
             continue
-        seen.add(id(value))
+        counted.add(id(value))
         total += sys.getsizeof(value)
         if isinstance(value, dict):
             stack += [*value.keys(), *value.values()]
@@ -138,14 +149,15 @@
     return total
 
 
-def test_the_state_of_a_function_in_bytes() -> None:
+def test_the_size_of_the_state_of_a_function() -> None:
+    """In bytes, against the number of workers, whose own state is left out."""
     costs: dict[int, float] = {}
     for workers in WORKERS:
-        fleet, dispatcher = dispatcher_of(workers, AMONG)
-        for function in range(AMONG):
+        fleet, dispatcher = dispatcher_with(workers, SAMPLES)
+        for function in range(SAMPLES):
             dispatcher.call(function)
             fleet.run_for(260 * MS)
-        costs[workers] = bytes_of(*dispatcher.functions.values(), without=(Worker,)) / AMONG
+        costs[workers] = total_bytes(*dispatcher.functions.values(), without=(Worker,)) / SAMPLES
     assert_no_more_than_logarithmic(costs)
     assert max(costs.values()) < 8_000
 
@@ -153,52 +165,55 @@
 # -- against the number of functions
 
 
-def test_a_call_and_a_line_of_news_beside_many_functions() -> None:
+def test_the_cost_of_calls_and_updates_beside_many_functions() -> None:
+    """Against the number of functions: calls of known functions, first calls, and updates of workers."""
     known: dict[int, float] = {}
     first: dict[int, float] = {}
-    news: dict[int, float] = {}
+    updates: dict[int, float] = {}
     for functions in FUNCTIONS:
-        fleet, dispatcher = dispatcher_of(300, functions)
-        known[functions] = call_costs(fleet, dispatcher, range(AMONG))
-        first[functions] = call_costs(fleet, dispatcher, range(functions, functions + AMONG))
-        news[functions] = news_costs(dispatcher, 300)
-    for costs in (known, first, news):
+        fleet, dispatcher = dispatcher_with(300, functions)
+        known[functions] = call_cost(fleet, dispatcher, range(SAMPLES))
+        first[functions] = call_cost(fleet, dispatcher, range(functions, functions + SAMPLES))
+        updates[functions] = update_cost(dispatcher, 300)
+    for costs in (known, first, updates):
         assert_no_more_than_logarithmic(costs)
 
 
 @cache
-def check_steps(functions: int) -> tuple[list[int], list[int]]:
-    """Calls of each step in some seconds: of those that begin a period, and of the others."""
-    begins: list[int] = []
+def check_step_costs(functions: int) -> tuple[list[int], list[int]]:
+    """The number of calls of each step within 3 s: of steps that begin a period, and of the others."""
+    first_steps: list[int] = []
     others: list[int] = []
-    fleet, dispatcher = dispatcher_of(300, functions)
+    fleet, dispatcher = dispatcher_with(300, functions)
     fleet.run_for(3 * SECOND)
     end = fleet.now + 3 * SECOND
-    while (due := dispatcher.border.next_due_ns()) is not None and due < end:
+    while (due := dispatcher.boundary.next_due_ns()) is not None and due < end:
         fleet.now = max(fleet.now, due)
-        (others if dispatcher.policy.scaling.unchecked else begins).append(calls(dispatcher.border.advance))
-    return begins, others
+        (others if dispatcher.policy.scaling.unchecked else first_steps).append(
+            count_calls(dispatcher.boundary.advance)
+        )
+    return first_steps, others
 
 
-def test_the_steps_of_a_check() -> None:
-    """A step checks some functions, however many there are. The first of a period sorts them all: the one
-    linear step, two calls for each function."""
+def test_the_cost_of_the_steps_of_a_check() -> None:
+    """A step checks a slice of functions, however many there are. The first step of a period sorts them
+    all, and is the only linear one, with two calls for each function."""
     longest: dict[int, float] = {}
     for functions in FUNCTIONS:
-        begins, others = check_steps(functions)
+        first_steps, others = check_step_costs(functions)
         longest[functions] = max(others)
-        assert max(begins) <= longest[functions] + 2 * functions + 100
+        assert max(first_steps) <= longest[functions] + 2 * functions + 100
         assert len(others) >= functions // 64 - 1
     assert_no_more_than_logarithmic(longest)
 
 
-def test_the_state_of_the_module_in_bytes() -> None:
-    """For each function, all that the module keeps, workers included."""
+def test_the_size_of_the_state_of_the_policy() -> None:
+    """In bytes for each function, with all that the policy keeps, workers included."""
     costs: dict[int, float] = {}
     for functions in FUNCTIONS:
-        policy = dispatcher_of(300, functions)[1].policy
+        policy = dispatcher_with(300, functions)[1].policy
         costs[functions] = (
-            bytes_of(
+            total_bytes(
                 policy.state.functions,
                 policy.state.workers,
                 policy.state.paced_workers,
@@ -210,25 +225,27 @@
     assert max(costs.values()) < 8_000
 
 
-def test_the_first_step_of_a_check() -> None:
-    longest = {n: float(max(check_steps(n)[0])) for n in FUNCTIONS}
+def test_the_cost_of_the_first_step_of_a_check() -> None:
+    """Against the number of functions."""
+    longest = {n: float(max(check_step_costs(n)[0])) for n in FUNCTIONS}
     assert_no_more_than_logarithmic(longest)
 
 
-def test_comparisons_of_workers_for_a_line_of_news(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Those inside lists, which no call shows."""
+def test_the_number_of_comparisons_of_workers_for_an_update(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Comparisons inside lists, which do not count as calls."""
     compared = 0
 
-    def same(one: Worker, other: object) -> bool:
+    def is_same(one: Worker, other: object) -> bool:
+        """Counts a comparison."""
         nonlocal compared
         compared += 1
         return one is other
 
-    monkeypatch.setattr(Worker, "__eq__", same)
+    monkeypatch.setattr(Worker, "__eq__", is_same)
     costs: dict[int, float] = {}
     for workers in WORKERS:
-        _, dispatcher = dispatcher_of(workers)
+        _, dispatcher = dispatcher_with(workers)
         compared = 0
-        news_costs(dispatcher, workers)
-        costs[workers] = compared / AMONG
+        update_cost(dispatcher, workers)
+        costs[workers] = compared / SAMPLES
     assert_no_more_than_logarithmic(costs)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,7 +23,7 @@
 from martenlead.planner.snapshot import decode_snapshot, encode_snapshot
 from martenlead.policy.policy import Policy
 from support.pair import Pair
-from tests.play import MS, SETTINGS, Play
+from tests.play import MS, SETTINGS, ScriptedDispatcher
 from tests.test_planner import busy
 
 STORED = Path(__file__).parent / "stored"
@@ -106,24 +106,24 @@
 def test_an_edge_takes_up_the_state_folder_of_an_earlier_one(tmp_path: Path) -> None:
     known = stored_knowledge(tmp_path / "edge")
     assert [m.name for m in known.functions] == ["n", "m"]
-    play = Play(load_window_ns=10_000 * MS, free_loads_per_window=8, loads_per_request=0.3)
-    play.task("t1", "m")
-    play.task("t2", "n")
-    lives = {name: (worker, "1") for name, worker in play.runners.items()}
-    play.policy.restore(build_earlier_run(known, 0, play.models, lives, 10_000 * MS))
+    play = ScriptedDispatcher(load_window_ns=10_000 * MS, free_loads_per_window=8, loads_per_request=0.3)
+    play.send_request("t1", "m")
+    play.send_request("t2", "n")
+    lives = {name: (worker, "1") for name, worker in play.workers.items()}
+    play.policy.restore(build_earlier_run(known, 0, play.functions, lives, 10_000 * MS))
     assert play.policy.state.traffic.succeeded_per_second == known.succeeded_per_second == 21.0
     assert play.policy.state.traffic.new_requests_per_second == known.new_requests_per_second == 22.0
     assert len(play.policy.load_budget.load_times_ns) >= len(known.load_ages_ns) == 4
-    assert play.models["n"].latency.total == pytest.approx(3.0)
-    assert play.models["m"].rated_requests == 10.0
+    assert play.functions["n"].latency.total == pytest.approx(3.0)
+    assert play.functions["m"].rated_requests == 10.0
 
 
 def test_the_same_play_is_gathered_as_the_state_folder_has_it(tmp_path: Path) -> None:
-    play = Play(load_window_ns=10_000 * MS, free_loads_per_window=8, loads_per_request=0.3)
+    play = ScriptedDispatcher(load_window_ns=10_000 * MS, free_loads_per_window=8, loads_per_request=0.3)
     for name in "mn":
-        play.served(20, name)
-    names = {play.models[name]: name for name in play.models}
-    lives = {worker: (name, "1", name == "c") for name, worker in play.runners.items()}
+        play.serve_requests(20, name)
+    names = {play.functions[name]: name for name in play.functions}
+    lives = {worker: (name, "1", name == "c") for name, worker in play.workers.items()}
     gathered = gather_knowledge(play.policy, play.policy.state.now_ns, names, lives)
     told = msgspec.to_builtins(gathered)
     assert (told["rate"], told["asked"]) == pytest.approx((19.532295, 20.287677))
@@ -140,8 +140,8 @@
     other = _imported_from(tmp_path / "policy")
     assert other is not Policy
     assert other.__name__ == "Policy"
-    assert Play().policy.__class__ is Policy
-    assert vars(other(Play().policy.settings, 1).state)["now_ns"] == 0
+    assert ScriptedDispatcher().policy.__class__ is Policy
+    assert vars(other(ScriptedDispatcher().policy.settings, 1).state)["now_ns"] == 0
     (tmp_path / "policy" / "policy.py").write_text("class Brain:\n    pass\n")
     with pytest.raises(ValueError, match="not one for the types of today"):
         _imported_from(tmp_path / "policy")
