--- a/martenlead/admission/controller.py
+++ b/martenlead/admission/controller.py
@@ -1,20 +1,20 @@
 """The admission controller: admits, queues or rejects each request of a dispatcher.
 
 The policy decides where a request goes. The controller asks it through `find_placement` whether it
-would place a request now, and has no limit of its own on requests in service: two limits would work
-against each other. While the policy has capacity nothing waits.
+would place a request now. It has no limit of its own on requests in service, as two limits would
+work against each other. No request waits while the policy has capacity for it.
 
 A request waits only while it can still be answered within its latency objective: the wait behind
 its tenant's queue, at the tenant's share of the throughput, plus the usual service time must fit. A
 request that does not fit, or no longer fits, is rejected at once with a reservation. Reservations
-of one tenant follow one another in time, so that requests that are rejected together do not come
-back together. A request that redeems its reservation is admitted ahead of all others. One that
-comes too early is rejected with the rest of its time.
-
-Fairness is by work and not by number of requests. The next request is of the tenant that has had
-the least work admitted by its weight, and within it of the client that has had the least. Clients,
-and tenants that no settings name, are buckets of a hash, which bounds the memory whatever names
-come. Times are whole nanoseconds.
+of one tenant follow one another in time, so that requests that are rejected together do not return
+together. A request that redeems its reservation is admitted ahead of all others. One that returns
+too early is rejected with the remaining time as its Retry-After.
+
+Fairness is measured in work, not in requests. The next request is that of the tenant with the least
+admitted work relative to its weight, and within the tenant that of the client with the least
+admitted work. Clients, and tenants that the settings do not name, are hashed into buckets, which
+bounds the memory for any number of names. Times are whole nanoseconds.
 """
 
 from __future__ import annotations
@@ -23,7 +23,11 @@
 from collections.abc import Callable
 from random import Random
 
-from martenlead.admission.accounts import TenantAccount, decay_accounts, least_waiting_work
+from martenlead.admission.accounts import (
+    TenantAccount,
+    decay_accounts,
+    least_weighted_work_of_waiting,
+)
 from martenlead.admission.heavy_hitters import HeavyHitters, hash_bucket
 from martenlead.admission.limits import AdmissionLimits
 from martenlead.admission.queues import (
@@ -52,7 +56,7 @@
 from martenlead.admission.throughput import ServiceStatistics, ThroughputMeter
 from martenlead.admission.units import NS_PER_SECOND, seconds_to_ns
 
-__all__ = [  # what callers of the controller need
+__all__ = [  # Names that callers of the controller import from here
     "EARLY_ARRIVAL_SHARE",
     "RESERVATION_GRACE_NS",
     "AdmissionController",
@@ -67,7 +71,7 @@
 CLIENT_BUCKETS, TENANT_BUCKETS = 64, 64
 HEAVY_HITTER_COUNTERS, REPORTED_HEAVY_HITTERS = 64, 5
 DECAY_INTERVAL_NS = 5 * NS_PER_SECOND
-MAX_CAPACITY_CHECKS = 16  # questions to the policy in one go; the rest are asked the next time
+MAX_CAPACITY_CHECKS = 16  # Calls of `find_placement` in one call of `admit_waiting`
 
 StatusValue = int | float | list[tuple[str, float]] | None
 
@@ -84,7 +88,8 @@
     ) -> None:
         """`find_placement` asks the policy where it would place a request now.
 
-        Its result is opaque here and only compared with others; None or False means nowhere.
+        Its result is opaque here and only compared with others; None or False means that the
+        policy has no capacity for the request.
         """
         self.limits, self.clock, self.find_placement = limits, clock, find_placement
         self.random = rng.random
@@ -93,20 +98,21 @@
         self.statistics = ServiceStatistics()
         self.queues = FunctionQueues()
         self.accounts: dict[str, TenantAccount] = {}
-        self.counts: Counter[str] = Counter()  # for the status report
+        self.counts: Counter[str] = Counter()  # Event counts for the status report
         self.reservations = Reservations(self.counts)
         self.heavy_hitters = HeavyHitters(HEAVY_HITTER_COUNTERS)
-        self.unconfirmed: QueuedRequest | None = None  # admitted, and not handed to the policy yet
+        # Request that was admitted from a queue and that the policy has not taken yet
+        self.unconfirmed: QueuedRequest | None = None
         self.waiting_requests = self.waiting_reservations = self.waiting_bytes = 0
         self._decayed_ns = clock()
 
     def update_limits(self, limits: AdmissionLimits) -> None:
-        """Applies new limits; requests that wait already stay."""
+        """Applies new limits; requests that are already queued stay queued."""
         self.limits = limits
         for name, account in self.accounts.items():
             account.weight = limits.weight_of(name)
 
-    # -- requests that arrive
+    # -- arrival
 
     def submit(self, arriving: AdmissionRequest) -> QueuedRequest:
         """Decides on a request at once: afterwards it is `ADMITTED`, `QUEUED` or `REJECTED`."""
@@ -122,7 +128,7 @@
         may_pass = not queue.waiting_requests and self.unconfirmed is None
         if may_pass and (placement := self.find_placement(request)):
             self._admit(request, queue, account, now_ns, placement)
-        elif redemption.remaining_ns:  # coming early gains nothing: the rest of its time stands
+        elif redemption.remaining_ns:  # too early: the rest of its Retry-After time applies
             self._reject(request, RejectionReason.TOO_EARLY, redemption.remaining_ns)
         elif request.counts_as_retry and account.retry_budget < 1:
             self._reject_with_reservation(request, queue, account, RejectionReason.TOO_MANY_RETRIES)
@@ -133,7 +139,7 @@
         return request
 
     def _open_request(self, arriving: AdmissionRequest, now_ns: int) -> QueuedRequest:
-        """The record of a request that arrives now."""
+        """Creates the record of a request that arrives now."""
         tenant = arriving.tenant
         self.heavy_hitters.add(f"{tenant} {arriving.client}")
         if tenant not in self.limits.weights:
@@ -158,7 +164,7 @@
     def _enqueue(
         self, request: QueuedRequest, queue: FunctionQueue, account: TenantAccount, now_ns: int
     ) -> None:
-        """Lets a request wait, or rejects it if that is pointless or there is no space."""
+        """Queues a request; rejects it if it would start too late or the queues are full."""
         service_ns = planned_service_ns(request, self.statistics, now_ns)
         request.start_by_ns = min(request.respond_by_ns, request.deadline_ns) - service_ns
         waiting_bytes = self.waiting_bytes + request.size_bytes
@@ -171,8 +177,8 @@
         if now_ns + wait_ns > request.start_by_ns:
             self._reject_with_reservation(request, queue, account, RejectionReason.TOO_LATE)
             return
-        if not account.waiting_requests:  # a tenant that was idle has no claim to the time before
-            least = least_waiting_work(self.accounts.values())
+        if not account.waiting_requests:  # a tenant gains no advantage from having been idle
+            least = least_weighted_work_of_waiting(self.accounts.values())
             account.weighted_work_seconds = max(account.weighted_work_seconds, least)
         account.add_waiting(request, queue.add(request))
         self.waiting_requests += 1
@@ -183,10 +189,10 @@
     def _estimate_wait_ns(
         self, request: QueuedRequest, queue: FunctionQueue, account: TenantAccount, now_ns: int
     ) -> int:
-        """How long a request would wait behind the waiting requests of its tenant.
+        """Estimates how long a request would wait behind the waiting requests of its tenant.
 
-        Two estimates, of which the longer counts: with the tenant's share of the whole throughput,
-        and with its share of the throughput of this function.
+        Returns the longer of two estimates: by the tenant's share of the total throughput, and by
+        its share of the throughput of this function.
         """
         rate_per_request = self.statistics.work_rate_per_request
         wait_seconds = 0.0
@@ -197,7 +203,7 @@
             wait_seconds = max(wait_seconds, by_function)
         return seconds_to_ns(wait_seconds)
 
-    # -- requests that are admitted
+    # -- admission
 
     def _admit(
         self,
@@ -217,9 +223,9 @@
     def admit_waiting(self, freed: object = None) -> list[QueuedRequest]:
         """Admits the next waiting request that the policy has capacity for.
 
-        One at a time: the answer of the policy counts for the next one only once it has taken this
-        one (`confirm_admission`). `freed` is a placement that has just got capacity. Returns the
-        requests whose state has changed, also those that were found to be too late and rejected.
+        Requests are admitted one at a time: the policy can answer for the next one only after it
+        has taken this one (`confirm_admission`). `freed` is a placement that has just got capacity.
+        Returns the requests whose state has changed, including those rejected as too late.
         """
         now_ns = self.clock()
         changed: list[QueuedRequest] = []
@@ -260,18 +266,21 @@
         self.waiting_bytes -= request.size_bytes
 
     def confirm_admission(self, request: QueuedRequest) -> list[QueuedRequest]:
-        """Notes that the policy has taken an admitted request; returns requests that changed."""
+        """Records that the policy took an admitted request, and admits the next one.
+
+        Returns the requests whose state has changed.
+        """
         if self.unconfirmed is not request:
             return []
         self.unconfirmed = None
         return self.admit_waiting(request.placement)
 
-    # -- requests that end
+    # -- completion
 
     def complete(self, request: QueuedRequest, result: ServiceResult) -> list[QueuedRequest]:
-        """Ends a request that was admitted. Returns the waiting requests whose state has changed.
+        """Ends an admitted request. Returns the waiting requests whose state has changed.
 
-        With `NO_CAPACITY` the request is given a Retry-After time and a reservation.
+        With `NO_CAPACITY` the request gets a Retry-After time and a reservation.
         """
         if request.state is not QueueState.ADMITTED:
             self.cancel(request)
@@ -302,14 +311,14 @@
             self.counts["kept in time"] += now_ns <= request.respond_by_ns
 
     def cancel(self, request: QueuedRequest) -> None:
-        """Removes a waiting request whose client has left."""
+        """Removes a waiting request whose client has disconnected."""
         if request.state is QueueState.QUEUED:
             self._dequeue(request, self.queues[request.function])
             request.state = QueueState.ENDED
             self.counts["left"] += 1
 
     def expire(self, request: QueuedRequest) -> None:
-        """Rejects a request that still waits although `start_by_ns` has passed."""
+        """Rejects a request that is still queued after its `start_by_ns`."""
         if request.state is QueueState.QUEUED:
             queue = self.queues[request.function]
             self._dequeue(request, queue)
@@ -317,13 +326,13 @@
             self._reject_with_reservation(request, queue, account, RejectionReason.TOO_LATE)
 
     def reject_all(self) -> list[QueuedRequest]:
-        """Rejects all waiting requests, for a shutdown. They return within one or two seconds."""
+        """Rejects all waiting requests for a shutdown, to be retried after one or two seconds."""
         changed = []
         for queue in self.queues.values():
             for tenant_queue in list(queue.tenant_queues.values()):
                 for request in tenant_queue.requests():
                     self._dequeue(request, queue)
-                    self._reject(request, RejectionReason.SHUTTING_DOWN, self._about_a_second_ns())
+                    self._reject(request, RejectionReason.SHUTTING_DOWN, self._jittered_second_ns())
                     changed.append(request)
         return changed
 
@@ -336,9 +345,9 @@
         account: TenantAccount,
         reason: RejectionReason,
     ) -> None:
-        """Rejects a request until its turn may come.
+        """Rejects a request with a reservation for its next turn.
 
-        Its turn is after the waiting requests and after earlier reservations of its tenant, at the
+        The turn comes after the waiting requests and the earlier reservations of its tenant, at the
         share of the tenant's throughput that is left for reservations.
         """
         now_ns = self.clock()
@@ -349,10 +358,10 @@
     def _next_turn_ns(
         self, request: QueuedRequest, queue: FunctionQueue, account: TenantAccount, now_ns: int
     ) -> int:
-        """When a request's turn may come; books that turn."""
+        """Books the next turn of a request and returns its time."""
         rate = self.throughput.work_rate(now_ns, self.statistics.work_rate_per_request)
-        if not rate:  # nothing gets done: asking again about once a second is soon enough
-            return now_ns + self._about_a_second_ns()
+        if not rate:  # without throughput one retry about every second is enough
+            return now_ns + self._jittered_second_ns()
         accounts = self.accounts.values()
         others = sum(a.weight for a in accounts if a.waiting_requests and a is not account)
         tenant_rate = rate * account.weight / (others + account.weight)
@@ -362,8 +371,8 @@
         )
         return account.reserve_turn(request.work_seconds, now_ns, now_ns + wait_ns, tenant_rate)
 
-    def _about_a_second_ns(self) -> int:
-        """A random time around one second, so that rejected requests do not come back together."""
+    def _jittered_second_ns(self) -> int:
+        """A random time around one second, so that rejected requests do not return together."""
         return int(NS_PER_SECOND * (0.5 + self.random()))
 
     def _reject(self, request: QueuedRequest, reason: RejectionReason, retry_after_ns: int) -> None:
@@ -388,7 +397,7 @@
         decay_accounts(self.accounts.values())
 
     def status_report(self) -> dict[str, StatusValue]:
-        """For operators: `honest` is the share of redeemed reservations that succeeded."""
+        """Status for operators; `honest` is the share of redeemed reservations that succeeded."""
         redeemed = self.counts["kept"]
         return {
             "waiting": self.waiting_requests,
--- a/martenlead/admission/queues.py
+++ b/martenlead/admission/queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait: one queue for each function, and in it one for each tenant."""
+"""Queues of waiting requests: one for each function, and within it one for each tenant."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from martenlead.admission.reservations import ReservationWindow
 from martenlead.admission.throughput import ThroughputMeter
 
-MAX_FUNCTION_QUEUES = 4096  # beyond it the least recently used idle ones are dropped
-QUEUES_EXAMINED = 4  # queues that are looked at for one to drop, when a new one is added
+MAX_FUNCTION_QUEUES = 4096  # From here on the least recently used idle queues are dropped
+QUEUES_EXAMINED = 4  # Queues that are checked for idle ones when a new queue is added
 LONG_AGO_NS = -1 << 62
 
 
 class RejectionReason(StrEnum):
-    """Why a request was rejected, as its client is told."""
+    """Why a request was rejected; the values are sent to clients."""
 
     TOO_LATE = "it could not be answered in time"
     TOO_EARLY = "it was told to come later"
@@ -29,7 +29,7 @@
 
 
 class QueueState(Enum):
-    """Where a request stands."""
+    """The state of a submitted request."""
 
     QUEUED = "queued"
     ADMITTED = "admitted"
@@ -38,15 +38,15 @@
 
 
 class ServiceResult(Enum):
-    """What became of a request that was admitted."""
+    """The outcome of an admitted request."""
 
     SUCCEEDED = "succeeded"
-    NO_CAPACITY = "no capacity"  # the policy sent it nowhere after all
+    NO_CAPACITY = "no capacity"  # The policy had no placement for it after all
     OTHER = "other"
 
 
 class FunctionResources(NamedTuple):
-    """What a replica of a function needs."""
+    """Resources that a replica of a function needs."""
 
     lanes: int = 1
     memory_mb: float = 0.0
@@ -57,32 +57,32 @@
 
 @dataclass(slots=True)
 class AdmissionRequest:
-    """A request that asks to be admitted. Times are absolute, by the clock of the dispatcher."""
+    """A request submitted for admission. Times are absolute, by the clock of the dispatcher."""
 
     function: str
     request_class: str
     tenant: str
     client: str
-    trace_id: int  # the same for all repeats of a request
-    work_seconds: float  # as its client declared it; 0 if it did not
+    trace_id: int  # Identical in all retries of a request
+    work_seconds: float  # Work declared by the client, or 0
     size_bytes: int
-    respond_by_ns: int  # end of the latency objective
+    respond_by_ns: int  # End of the latency objective
     deadline_ns: int
     is_retry: bool
     resources: FunctionResources = NO_RESOURCES
-    reservation: tuple[int, int] | None = None  # window that another dispatcher granted
+    reservation: tuple[int, int] | None = None  # Window granted by another dispatcher
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """A request that was submitted, and what has become of it."""
+    """A submitted request and its state."""
 
     function: str
     request_class: str
-    tenant: str  # name of its account: of the tenant, or of the bucket that the tenant falls into
+    tenant: str  # Account name: the tenant, or the hash bucket that the tenant falls into
     client_bucket: int
     trace_id: int
-    work_seconds: float  # declared by its client, or expected
+    work_seconds: float  # Declared by the client, or estimated
     size_bytes: int
     arrived_ns: int
     respond_by_ns: int
@@ -91,21 +91,20 @@
     resources: FunctionResources = NO_RESOURCES
     has_declared_work: bool = False
     state: QueueState = QueueState.QUEUED
-    has_reservation: bool = False  # it came inside the window of its reservation
-    start_by_ns: int = 0  # the latest time of admission at which it can still be answered in time
+    has_reservation: bool = False  # It arrived inside the window of its reservation
+    start_by_ns: int = 0  # Latest admission at which it can still be answered in time
     admitted_ns: int = 0
-    placement: object = None  # where the policy would place it, as `find_placement` said
-    retry_after_ns: int = 0  # set when it is rejected
-    reservation: ReservationWindow | None = None  # granted when it is rejected
-    reason: str = ""  # of a rejection
+    placement: object = None  # Result of `find_placement`
+    retry_after_ns: int = 0  # Set on rejection
+    reservation: ReservationWindow | None = None  # Granted on rejection
+    reason: str = ""  # Reason of the rejection
 
     @property
     def counts_as_retry(self) -> bool:
         """Whether the policy should treat the request as a retry.
 
-        The policy holds most capacity back from retries. A request that was told when to come back
-        and was never sent to a worker is not a retry to it; otherwise no reservation could be
-        honored.
+        The policy holds most capacity back from retries. A request that redeemed a reservation was
+        never sent to a worker and does not count as one; otherwise no reservation could be honored.
         """
         return self.is_retry and not self.has_reservation
 
@@ -120,7 +119,7 @@
         self.waiting_work_seconds = 0.0
 
     def add(self, request: QueuedRequest) -> None:
-        """Queues a request behind those of its client."""
+        """Queues a request behind those of its client, or behind those with a reservation."""
         self.waiting_requests += 1
         self.waiting_work_seconds += request.work_seconds
         if request.has_reservation:
@@ -129,7 +128,7 @@
             self.by_client.setdefault(request.client_bucket, deque()).append(request)
 
     def remove(self, request: QueuedRequest) -> None:
-        """Takes a request out, wherever it stands."""
+        """Removes a request from any position."""
         self.waiting_requests -= 1
         self.waiting_work_seconds = remaining_work(
             self.waiting_work_seconds, request, self.waiting_requests
@@ -137,21 +136,21 @@
         if request.has_reservation:
             self.with_reservation.remove(request)
             return
-        of_client = self.by_client[request.client_bucket]
-        of_client.remove(request)
-        if not of_client:
+        client_queue = self.by_client[request.client_bucket]
+        client_queue.remove(request)
+        if not client_queue:
             del self.by_client[request.client_bucket]
 
     def next_request(self, client_work_seconds: Mapping[int, float]) -> QueuedRequest:
-        """The request that is due: of the client that has had the least work admitted so far."""
+        """The next request: with a reservation, or of the client with the least admitted work."""
         if self.with_reservation:
             return self.with_reservation[0]
         client = min(self.by_client, key=lambda c: (client_work_seconds.get(c, 0.0), c))
         return self.by_client[client][0]
 
     def requests(self) -> list[QueuedRequest]:
-        """All that wait."""
-        return [*self.with_reservation, *(r for own in self.by_client.values() for r in own)]
+        """All waiting requests."""
+        return [*self.with_reservation, *(r for queue in self.by_client.values() for r in queue)]
 
 
 class FunctionQueue(ThroughputMeter):
@@ -162,8 +161,8 @@
         self.tenant_queues: dict[str, TenantQueue] = {}
         self.waiting_requests = 0
         self.waiting_work_seconds = 0.0
-        self.last_placement: object = None  # of the request that was admitted last
-        self.refused_ns = LONG_AGO_NS  # when the policy last had no capacity for the function
+        self.last_placement: object = None  # Placement of the last admitted request
+        self.refused_ns = LONG_AGO_NS  # When the policy last had no capacity for it
 
     def add(self, request: QueuedRequest) -> TenantQueue:
         """Queues a request; returns the queue of its tenant."""
@@ -174,7 +173,7 @@
         return tenant_queue
 
     def remove(self, request: QueuedRequest) -> TenantQueue:
-        """Takes a request out; returns the queue of its tenant, which is dropped if empty."""
+        """Removes a request; returns the queue of its tenant, which is dropped if empty."""
         tenant_queue = self.tenant_queues[request.tenant]
         tenant_queue.remove(request)
         if not tenant_queue.waiting_requests:
@@ -187,13 +186,13 @@
 
 
 class FunctionQueues:
-    """The queues of all functions, bounded, in the order of their last use."""
+    """The queues of all functions, bounded in number and ordered by their last use."""
 
     def __init__(self) -> None:
         self._queues: OrderedDict[str, FunctionQueue] = OrderedDict()
 
     def __len__(self) -> int:
-        """How many functions have a queue."""
+        """The number of functions that have a queue."""
         return len(self._queues)
 
     def __getitem__(self, function: str) -> FunctionQueue:
@@ -205,7 +204,7 @@
         return self._queues.values()
 
     def use(self, function: str) -> FunctionQueue:
-        """The queue of a function, made if there was none; it is now the most recently used."""
+        """The queue of a function, created if necessary; it becomes the most recently used."""
         queue = self._queues.get(function)
         if queue is None:
             self._drop_idle()
@@ -215,7 +214,7 @@
         return queue
 
     def _drop_idle(self) -> None:
-        """At the bound, drops the idle ones of the least recently used queues."""
+        """Drops idle queues among the least recently used ones once the limit is reached."""
         if len(self._queues) < MAX_FUNCTION_QUEUES:
             return
         for function in list(itertools.islice(self._queues, QUEUES_EXAMINED)):
@@ -229,5 +228,5 @@
 def remaining_work(
     waiting_work_seconds: float, removed: QueuedRequest, waiting_requests: int
 ) -> float:
-    """The work that waits without a request; exactly 0 when nothing waits, despite rounding."""
+    """The waiting work without a removed request; exactly 0 if none waits, despite rounding."""
     return max(0.0, waiting_work_seconds - removed.work_seconds) if waiting_requests else 0.0
--- a/martenlead/admission/reservations.py
+++ b/martenlead/admission/reservations.py
@@ -1,4 +1,4 @@
-"""Reservations: when a rejected request may come back and enter ahead of others.
+"""Reservations: when a rejected request may return and be admitted ahead of others.
 
 A reservation belongs to one trace id. It can be redeemed once, inside its window. The number of
 reservations is bounded, and the oldest are dropped first.
@@ -13,10 +13,9 @@
 
 MIN_RETRY_AFTER_NS, MAX_RETRY_AFTER_NS = 100 * NS_PER_MS, 120 * NS_PER_SECOND
 MAX_RESERVATIONS = 16_384
-EARLY_ARRIVAL_SHARE = (
-    0.1  # of the Retry-After time: a reservation may be redeemed this much earlier
-)
-RESERVATION_GRACE_NS = 2 * NS_PER_SECOND  # a reservation stays valid this long after its time
+# A reservation may be redeemed early by this share of its Retry-After time.
+EARLY_ARRIVAL_SHARE = 0.1
+RESERVATION_GRACE_NS = 2 * NS_PER_SECOND  # Validity of a reservation after its Retry-After time
 
 
 class ReservationWindow(NamedTuple):
@@ -27,10 +26,10 @@
 
 
 class Redemption(NamedTuple):
-    """What came of a request's attempt to redeem a reservation."""
+    """The result of an attempt to redeem a reservation."""
 
     is_redeemed: bool
-    remaining_ns: int  # of its Retry-After time, if the request came too early; otherwise 0
+    remaining_ns: int  # Rest of the Retry-After time if the request is too early, otherwise 0
 
 
 NOT_RESERVED = Redemption(is_redeemed=False, remaining_ns=0)
@@ -38,15 +37,16 @@
 
 
 class Reservations:
-    """The reservations that are open, and those that were redeemed."""
+    """Open reservations, and the trace ids of redeemed ones."""
 
     def __init__(self, counts: Counter[str]) -> None:
         self._counts = counts
-        self._windows: OrderedDict[int, ReservationWindow] = OrderedDict()  # by trace id
-        self._redeemed: OrderedDict[int, None] = OrderedDict()  # trace ids: none is redeemed twice
+        self._windows: OrderedDict[int, ReservationWindow] = OrderedDict()  # Open ones by trace id
+        # Trace ids of closed reservations, so that none is redeemed twice
+        self._redeemed: OrderedDict[int, None] = OrderedDict()
 
     def __len__(self) -> int:
-        """How many reservations are open."""
+        """The number of open reservations."""
         return len(self._windows)
 
     def __contains__(self, trace_id: int) -> bool:
@@ -67,7 +67,7 @@
         return window
 
     def redeem(self, trace_id: int, now_ns: int, presented: tuple[int, int] | None) -> Redemption:
-        """Closes the reservation of a request that comes now, unless it comes too early.
+        """Closes the reservation of a request that arrives now, unless it is too early.
 
         `presented` is the window of a reservation that another dispatcher granted to the request.
         """
--- a/martenlead/admission/scheduling.py
+++ b/martenlead/admission/scheduling.py
@@ -1,4 +1,4 @@
-"""Which waiting request is due, and how long a new one would wait."""
+"""Choice of the next waiting request, and estimates of how long a new one would wait."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from martenlead.admission.throughput import ServiceStatistics
 from martenlead.admission.units import NS_PER_MS
 
-CAPACITY_RECHECK_NS = 5 * NS_PER_MS  # a function without capacity is not asked about again before
+CAPACITY_RECHECK_NS = 5 * NS_PER_MS  # Pause between capacity checks of a function that had none
 
 Accounts = Mapping[str, TenantAccount]
 
@@ -17,10 +17,11 @@
 def choose_next(
     accounts: Accounts, skipped: Container[str], *, has_reserved: bool
 ) -> QueuedRequest | None:
-    """The request that is due, of functions that are not skipped.
+    """The next request to admit, of functions that are not in `skipped`; None if there is none.
 
-    Requests that redeemed a reservation come first, whatever their tenant has had: reservations are
-    given at a share of the tenant's own throughput. Then comes the tenant that has had the least.
+    Requests that redeemed a reservation come first, however much work their tenant had admitted, as
+    reservations are granted from the tenant's own throughput. Among the others the tenant with
+    the least admitted work comes first.
     """
     waiting = sorted(
         (account.weighted_work_seconds, name)
@@ -42,11 +43,11 @@
 def functions_to_skip(
     accounts: Accounts, queues: FunctionQueues, freed: object, now_ns: int
 ) -> set[str]:
-    """Functions with waiting requests that the policy need not be asked about.
+    """Functions with waiting requests for which the policy is not asked now.
 
-    With a placement that has just got capacity (`freed`), these are the functions that were last
-    placed elsewhere: asking about all of them whenever a request ends would cost more than it
-    finds. Without one they are the functions that had no capacity a moment ago.
+    If a placement has just got capacity (`freed`), these are the functions that were last placed
+    elsewhere: asking for all of them whenever a request ends would cost more than it gains.
+    Otherwise they are the functions that had no capacity a moment ago.
     """
     waiting = {
         function
@@ -60,7 +61,7 @@
 
 
 def wait_by_tenant_seconds(accounts: Accounts, account: TenantAccount, rate: float) -> float:
-    """The wait behind all of a tenant's requests, at its share of a total throughput of `rate`."""
+    """The wait behind all requests of a tenant, at its share of the total throughput `rate`."""
     weight = sum(a.weight for a in accounts.values() if a.waiting_requests)
     if not account.waiting_requests:
         weight += account.weight
@@ -71,21 +72,21 @@
 def wait_by_function_seconds(
     accounts: Accounts, queue: FunctionQueue, tenant: str, rate: float
 ) -> float:
-    """The wait behind a tenant's requests for one function, at its share of that throughput."""
-    own = queue.tenant_queues.get(tenant)
-    own_work_seconds = own.waiting_work_seconds if own is not None else 0.0
+    """The wait behind a tenant's requests for one function, at its share of its throughput."""
+    tenant_queue = queue.tenant_queues.get(tenant)
+    tenant_work_seconds = tenant_queue.waiting_work_seconds if tenant_queue is not None else 0.0
     weight = sum(accounts[name].weight for name in queue.tenant_queues)
-    if own is None:
+    if tenant_queue is None:
         weight += accounts[tenant].weight
     share = accounts[tenant].weight / weight
-    return min(own_work_seconds / share, queue.waiting_work_seconds) / rate
+    return min(tenant_work_seconds / share, queue.waiting_work_seconds) / rate
 
 
 def planned_service_ns(request: QueuedRequest, statistics: ServiceStatistics, now_ns: int) -> int:
-    """The service time that must be left after a request has waited.
+    """The service time to reserve for a request after its wait in the queue.
 
-    A request that came back as it was told is not rejected for a margin, nor for a usual service
-    time of more than half of the time that it has.
+    A request that redeemed its reservation gets the mean without a margin, and at most half of its
+    remaining time, so that neither a margin nor a long service time leads to its rejection.
     """
     if not request.has_reservation:
         return statistics.time_bound_ns(request.request_class)
--- a/martenlead/admission/throughput.py
+++ b/martenlead/admission/throughput.py
@@ -1,6 +1,6 @@
-"""How much work gets done, and how long a request of each class takes.
+"""Throughput, and service times by request class.
 
-Work is measured in seconds: what one request is expected to take on a worker.
+Work is measured in seconds: the time that a request is expected to take on a worker.
 """
 
 from __future__ import annotations
@@ -11,38 +11,38 @@
 from martenlead.admission.units import NS_PER_MS, NS_PER_SECOND
 
 THROUGHPUT_WINDOW_NS = 2 * NS_PER_SECOND
-SMOOTHING_FACTOR = 1 / 16  # weight of a new measurement in a running mean
-SERVICE_TIME_DEVIATIONS = 2.0  # mean deviations above the mean that a service time is planned with
-DEFAULT_WORK_SECONDS = 0.1  # of a request about whose class nothing is known yet
+SMOOTHING_FACTOR = 1 / 16  # Weight of a new measurement in a running mean
+SERVICE_TIME_DEVIATIONS = 2.0  # Mean deviations that are added to the mean service time
+DEFAULT_WORK_SECONDS = 0.1  # Assumed for a class that has no measurements yet
 
 
 class ThroughputMeter:
     """Work completed per second, over a sliding window.
 
-    After a lull nothing was completed in the window although requests are in service. The rate is
-    then estimated from their number, and whichever of the two rates is higher counts.
+    After a pause no request was completed in the window although requests are in service. The rate
+    is therefore also estimated from their number, and the higher of the two rates is used.
     """
 
     def __init__(self) -> None:
         self.in_service = 0
-        self.completions: deque[tuple[int, float]] = deque()  # time, work in seconds
-        self.completed_work_seconds = 0.0  # sum of `completions`
+        self.completions: deque[tuple[int, float]] = deque()  # (time in ns, work in seconds)
+        self.completed_work_seconds = 0.0  # Sum of `completions`
 
     def record_completion(self, now_ns: int, work_seconds: float) -> None:
-        """Counts work that is done."""
+        """Adds completed work."""
         self.completions.append((now_ns, work_seconds))
         self.completed_work_seconds += work_seconds
         self.drop_expired(now_ns)
 
     def drop_expired(self, now_ns: int) -> None:
-        """Forgets completions that are older than the window."""
+        """Removes completions that are older than the window."""
         while self.completions and self.completions[0][0] <= now_ns - THROUGHPUT_WINDOW_NS:
             self.completed_work_seconds -= self.completions.popleft()[1]
 
     def work_rate(self, now_ns: int, rate_per_request: float) -> float:
-        """Seconds of work done per second; 0 if nothing is done or in service.
+        """Seconds of work per second; 0 if none was completed and no request is in service.
 
-        `rate_per_request` is the work per second that one request in service usually gets done.
+        `rate_per_request` is the usual work per second of one request in service.
         """
         self.drop_expired(now_ns)
         completed_rate = self.completed_work_seconds * NS_PER_SECOND / THROUGHPUT_WINDOW_NS
@@ -53,22 +53,22 @@
     """Time from admission to the final response, as running means."""
 
     mean_ns: float
-    deviation_ns: float  # mean absolute deviation
+    deviation_ns: float  # Mean absolute deviation
 
 
 UNKNOWN_SERVICE_TIME = ServiceTime(0.0, 0.0)
 
 
 class ServiceStatistics:
-    """Service times and work of requests that succeeded, by request class."""
+    """Service times and work of successful requests, by request class."""
 
     def __init__(self) -> None:
-        self.work_rate_per_request = 0.0  # seconds of work done per second in service, on average
+        self.work_rate_per_request = 0.0  # Mean seconds of work per second in service
         self._service_times: dict[str, ServiceTime] = {}
         self._work_seconds: dict[str, float] = {}
 
     def mean_time_ns(self, request_class: str) -> float:
-        """The usual service time of a class; 0 while it is unknown."""
+        """The mean service time of a class; 0 while it is unknown."""
         return self._service_times.get(request_class, UNKNOWN_SERVICE_TIME).mean_ns
 
     def time_bound_ns(self, request_class: str) -> int:
@@ -77,7 +77,7 @@
         return int(time.mean_ns + SERVICE_TIME_DEVIATIONS * time.deviation_ns)
 
     def expected_work_seconds(self, request_class: str) -> float:
-        """The work of a request whose client declared none."""
+        """The estimated work of a request whose client declared none."""
         return (
             self._work_seconds.get(request_class, 0.0)
             or self.mean_time_ns(request_class) / NS_PER_SECOND
@@ -85,7 +85,7 @@
         )
 
     def record(self, request_class: str, took_ns: int, work_seconds: float) -> None:
-        """Takes a request that succeeded into the means."""
+        """Adds a successful request to the means."""
         rate = work_seconds * NS_PER_SECOND / max(took_ns, NS_PER_MS)
         weight = SMOOTHING_FACTOR if self.work_rate_per_request else 1
         self.work_rate_per_request += (rate - self.work_rate_per_request) * weight
--- a/martenlead/admission/units.py
+++ b/martenlead/admission/units.py
@@ -1,4 +1,4 @@
-"""Time units: nanoseconds in longer ones."""
+"""Conversion of time units to nanoseconds."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 
 def seconds_to_ns(seconds: float) -> int:
-    """Whole nanoseconds, rounded down."""
+    """Converts seconds to whole nanoseconds, rounded down."""
     return int(seconds * NS_PER_SECOND)
--- a/martenlead/events/__init__.py
+++ b/martenlead/events/__init__.py
@@ -1,4 +1,4 @@
 """CloudEvents over HTTP/1.1: message parsing, the event codec, and both ends of a connection.
 
-Nothing is decided here.
+The package only transports events; it decides nothing about the requests in them.
 """
--- a/martenlead/events/client.py
+++ b/martenlead/events/client.py
@@ -1,7 +1,7 @@
 """The client side of HTTP/1.1 on anyio: one exchange at a time on pooled connections.
 
-Each exchange ends with an `ExchangeEnd`, which says what the sockets did. What that proves of a
-request is decided in `upstream.exchange_classifier`.
+Each exchange ends with an `ExchangeEnd`, which says what happened on the sockets. What that proves
+about the request is decided in `upstream.exchange_classifier`.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     OSError,
-    RuntimeError,  # of an event loop that has closed the transport silently
+    RuntimeError,  # Raised by event loops that have closed the transport without an error
 )
 
 
 class ExchangeEnd(Enum):
-    """How an exchange ended, in the order in which it can happen on a socket."""
+    """How an exchange ended, in the order in which this can happen on a socket."""
 
-    # also where the machine has no descriptor, memory or port for a connection
+    # Also if this machine has no descriptor, memory or port for a connection
     NO_SLOT = "all connections that may be open are busy"
     REFUSED = "the peer refused the connection, or it could not be reached"
     CONNECT_TIMEOUT = "no connection in time; not a byte was sent"
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """One request and what came of it; `message` is the response, `detail` explains another end."""
+    """The result of one request: `message` is the response, `detail` explains any other end."""
 
     end: ExchangeEnd
     message: Message | None = None
@@ -57,18 +57,18 @@
 
 
 class SendProgress:
-    """How far an exchange has come, for a caller that may cancel it."""
+    """The progress of an exchange, for a caller that may cancel it."""
 
     __slots__ = ("has_written", "may_send")
 
     def __init__(self, may_send: Callable[[], bool] = lambda: True) -> None:
-        """`may_send` is called once there is a connection, just before the first byte leaves."""
+        """`may_send` is called on an open connection, just before the first byte is sent."""
         self.may_send = may_send
-        self.has_written = False  # whether a byte may have left
+        self.has_written = False  # Whether a byte may have been sent
 
 
 class _Connection:
-    """An open connection, and how to see whether its peer has closed it."""
+    """An open connection that can be polled for a close by its peer."""
 
     __slots__ = ("descriptor", "idle_since_ns", "poll", "reader", "stream")
 
@@ -81,9 +81,9 @@
         self.poll.register(self.descriptor, select.POLLIN | select.POLLHUP | select.POLLERR)
 
     def is_stale(self) -> bool:
-        """Whether anything has come on an idle connection: its end, or bytes that answer nothing.
+        """Whether an idle connection received anything: its end, or bytes without a request.
 
-        A connection that cannot be polled is not used again either.
+        A connection that cannot be polled is stale too.
         """
         try:
             return bool(self.poll.poll(0))
@@ -91,20 +91,20 @@
             return True
 
     def has_stray_bytes(self) -> bool:
-        """Whether bytes have come on a stale connection, and not only its end."""
+        """Whether a stale connection has received bytes, and not only its end."""
         try:
             with socket.socket(fileno=os.dup(self.descriptor)) as duplicate:
                 return bool(duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
-        except OSError:  # also where no descriptor is left to look with
+        except OSError:  # also if no descriptor is free for the duplicate
             return False
 
 
 class Pool:
     """Connections to one peer.
 
-    An idle connection is used again within `idle_timeout_ns` and while nothing has come on it. A
-    peer can still close it just as a request is written: that ends CLOSED, and nobody knows whether
-    the request was read.
+    An idle connection is reused within `idle_timeout_ns` if nothing was received on it. A peer can
+    still close it just as a request is written: the exchange then ends with `CLOSED`, and it is
+    unknown whether the request was read.
     """
 
     def __init__(
@@ -124,7 +124,7 @@
         self.limits = limits or MessageLimits()
         self.open_connections = 0
         self.connections_opened = 0
-        self.stray_responses = 0  # responses, or other bytes, that no request of ours asked for
+        self.stray_responses = 0  # Responses or other bytes without a request
         self._idle: list[_Connection] = []
 
     async def exchange(
@@ -132,9 +132,10 @@
     ) -> Exchange:
         """Sends one request and waits for its response; the caller's cancel scope limits the time.
 
-        `data` is a function for a request that states the time left: it is called once there is a
-        connection. Unless a complete response ends the exchange and keeps the connection, the
-        connection is closed: a late response cannot be taken for that of a later request.
+        `data` is a function if the request states the time left: it is called on an open
+        connection. Unless the exchange ends with a complete response that keeps the connection
+        open, the connection is closed, so that a late response cannot be taken for that of a later
+        request.
         """
         connection = await self._reuse()
         if connection is None:
@@ -163,7 +164,7 @@
                     await anyio.aclose_forcefully(connection.stream)
 
     async def _reuse(self) -> _Connection | None:
-        """An idle connection that is still good; closes those that are not."""
+        """An idle connection that is still usable, or None; closes those that are not."""
         while self._idle:
             connection = self._idle.pop()
             is_stale = connection.is_stale()
@@ -176,13 +177,13 @@
         return None
 
     async def _connect(self) -> _Connection | Exchange:
-        """Opens a connection; whatever fails here, no byte of a request has left."""
+        """Opens a connection; if that fails, no byte of a request has been sent."""
         try:
             with anyio.fail_after(self.connect_timeout_ns / 1e9):
                 stream = await anyio.connect_tcp(self.host, self.port)
         except TimeoutError:
             return Exchange(ExchangeEnd.CONNECT_TIMEOUT)
-        except Exception as error:  # event loops raise more than OSError for an end in that moment
+        except Exception as error:  # event loops raise more than OSError on an immediate close
             end = ExchangeEnd.NO_SLOT if is_own_shortage(error) else ExchangeEnd.REFUSED
             return Exchange(end, detail=str(error.__cause__ or error))
         except BaseException:
@@ -191,21 +192,17 @@
         self.connections_opened += 1
         try:
             return _Connection(stream, self.limits)
-        except (
-            AttributeError,
-            OSError,
-            ValueError,
-        ):  # reset meanwhile: there is no socket any more
+        except (AttributeError, OSError, ValueError):  # a reset connection has no socket any more
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
-            return Exchange(ExchangeEnd.REFUSED, detail="reset as soon as it was made")
+            return Exchange(ExchangeEnd.REFUSED, detail="connection reset just after it was opened")
 
     async def _exchange(
         self, connection: _Connection, data: bytes | Callable[[], bytes], sending: SendProgress
     ) -> Exchange:
         """Sends one request on a connection and reads its response."""
         stream, reader = connection.stream, connection.reader
-        has_begun = False
+        has_received = False
         try:
             await anyio.lowlevel.checkpoint_if_cancelled()
             if not sending.may_send():
@@ -214,15 +211,15 @@
             await stream.send(data if isinstance(data, bytes) else data())
             while True:
                 received = await stream.receive()
-                has_begun = True
+                has_received = True
                 completed = reader.feed(received)
                 if completed:
                     if len(completed) > 1 or reader.in_message:
-                        # what comes behind the first response answers nothing: the connection ends
+                        # bytes after the first response belong to no request: the connection ends
                         completed[0].keep_alive = False
                     return Exchange(ExchangeEnd.ANSWERED, completed[0])
         except CONNECTION_ERRORS:
-            return Exchange(ExchangeEnd.CUT if has_begun else ExchangeEnd.CLOSED)
+            return Exchange(ExchangeEnd.CUT if has_received else ExchangeEnd.CLOSED)
         except InvalidMessageError as error:
             if reader.completed:
                 reader.completed[0].keep_alive = False
@@ -231,7 +228,7 @@
             return Exchange(ExchangeEnd.GARBAGE, detail=error.detail)
 
     async def close(self) -> None:
-        """Closes the idle connections; exchanges close the others."""
+        """Closes the idle connections; running exchanges close the others."""
         idle, self._idle = self._idle, []
         for connection in idle:
             self.open_connections -= 1
@@ -242,12 +239,12 @@
 async def read_lines(
     host: str, port: int, data: bytes, *, silence_timeout_seconds: float, max_line_bytes: int
 ) -> AsyncGenerator[bytes]:
-    """The lines of a chunked response that does not end, as they come.
+    """Yields the lines of a chunked response that does not end, as they are received.
 
     Raises:
-        OSError: The connection failed, as do anyio's errors of a broken stream.
-        TimeoutError: No connection, or no byte, within `silence_timeout_seconds`.
-        InvalidMessageError: The status is not 200, or a line is over `max_line_bytes`.
+        OSError: The connection failed. A broken stream raises errors of anyio.
+        TimeoutError: No connection was made, or no byte received, in `silence_timeout_seconds`.
+        InvalidMessageError: The status is not 200, or a line is longer than `max_line_bytes`.
     """
     with anyio.fail_after(silence_timeout_seconds):
         stream = await anyio.connect_tcp(host, port)
@@ -261,10 +258,10 @@
                 received = await stream.receive()
             unfinished += body.feed(received)
             if body.status not in (0, HTTPStatus.OK):
-                raise InvalidMessageError(502, f"status {body.status}")
+                raise InvalidMessageError(502, f"expected status 200, got {body.status}")
             *finished, unfinished = unfinished.split(b"\n")
             if len(unfinished) > max_line_bytes:
-                raise InvalidMessageError(502, f"a line over {max_line_bytes} bytes")
+                raise InvalidMessageError(502, f"a line is longer than {max_line_bytes} bytes")
             for line in finished:
                 if line:
                     yield line
@@ -276,12 +273,12 @@
 
 
 class _StreamedBody:
-    """The body of one response, in the parts in which it comes."""
+    """Parses the body of one response in parts, as they are received."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.parts: list[bytes] = []
-        self.status = 0  # until the head is complete
+        self.status = 0  # 0 until the head is complete
         self.has_ended = False
 
     def on_headers_complete(self) -> None:
@@ -297,7 +294,7 @@
         self.has_ended = True
 
     def feed(self, data: bytes) -> bytes:
-        """The part of the body that is in these bytes. Raises `InvalidMessageError`."""
+        """The part of the body in these bytes. Raises `InvalidMessageError`."""
         self.parts.clear()
         try:
             self.parser.feed_data(data)
--- a/martenlead/events/cloudevent.py
+++ b/martenlead/events/cloudevent.py
@@ -1,7 +1,7 @@
 """CloudEvents 1.0.2 (core): HTTP protocol binding 1.0.2 and JSON format 1.0.2, both directions.
 
-Attributes keep the type that the format gave them: strings, integers and booleans. The data is
-bytes, as they came, or None where there is none; an empty body with a content type is empty data.
+Attributes keep the type that the format gave them: strings, integers and booleans. The data is the
+received bytes, or None if there is none; an empty body with a content type is empty data.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 RFC3339_TIME = re.compile(r"\d{4}-\d\d-\d\d[Tt]\d\d:\d\d:\d\d(\.\d+)?([Zz]|[+-]\d\d:\d\d)\Z")
 RESERVED_NAMES = frozenset({"data", "data_base64"})
 REQUIRED_ATTRIBUTES = ("specversion", "id", "source", "type")
-INTEGER_LIMIT = 2**31  # of the core specification: 32 bits with a sign
+INTEGER_LIMIT = 2**31  # Signed 32-bit integers (CloudEvents core)
 UNESCAPED_BYTES = frozenset(range(0x21, 0x7F)) - {0x22, 0x25}
 BAD_REQUEST = HTTPStatus.BAD_REQUEST.value
 UNSUPPORTED_MEDIA_TYPE = HTTPStatus.UNSUPPORTED_MEDIA_TYPE.value
-EVENT_MEDIA_TYPES = b"application/cloudevents"  # their common beginning
-UNESCAPED_TEXT = re.compile(r"[!#$&-~]*\Z")  # needs no percent-encoding
+EVENT_MEDIA_TYPE_PREFIX = b"application/cloudevents"
+UNESCAPED_TEXT = re.compile(r"[!#$&-~]*\Z")  # Needs no percent-encoding
 
 
 class InvalidEventError(Exception):
     """The message is not a valid event.
 
-    `attribute` names what is wrong, `status` is for the response to the sender.
+    `attribute` is the name of the invalid attribute, `status` is for the response.
     """
 
     def __init__(self, attribute: str, detail: str, status: int = BAD_REQUEST) -> None:
@@ -53,13 +53,13 @@
     content_type: str | None = None
 
     def text(self, name: str) -> str | None:
-        """An attribute in its canonical string form; None where it is absent."""
+        """An attribute in its canonical string form, or None if it is absent."""
         value = self.attributes.get(name)
         return None if value is None else _canonical(value)
 
     @property
     def identity(self) -> tuple[str, str]:
-        """Source and id: the same in every repeat of an event (CloudEvents core, `id`)."""
+        """Source and id, which are the same in every retry of an event (CloudEvents core, `id`)."""
         return str(self.attributes["source"]), str(self.attributes["id"])
 
 
@@ -72,32 +72,32 @@
 def parse_time(text: str, attribute: str = "time") -> float:
     """Seconds since 1970 of an RFC 3339 timestamp. Raises `InvalidEventError`."""
     if not RFC3339_TIME.match(text):
-        raise InvalidEventError(attribute, "an RFC 3339 time was expected")
+        raise InvalidEventError(attribute, "expected an RFC 3339 timestamp")
     try:
         return datetime.fromisoformat(text.upper()).timestamp()
     except (ValueError, OverflowError):
-        raise InvalidEventError(attribute, "an RFC 3339 time was expected") from None
+        raise InvalidEventError(attribute, "expected an RFC 3339 timestamp") from None
 
 
 def _check_attributes(event: Event) -> Event:
     attributes = event.attributes
     for name in REQUIRED_ATTRIBUTES:
         if name not in attributes:
-            raise InvalidEventError(name, "the attribute is missing")
+            raise InvalidEventError(name, "the attribute is required")
         if not isinstance(attributes[name], str) or not attributes[name]:
-            raise InvalidEventError(name, "a text that is not empty was expected")
+            raise InvalidEventError(name, "expected a non-empty string")
     if attributes["specversion"] != "1.0":
-        raise InvalidEventError("specversion", "1.0 was expected")
+        raise InvalidEventError("specversion", "expected 1.0")
     if "time" in attributes:
         parse_time(str(attributes["time"]))
     for name in ("subject", "dataschema"):
         if name in attributes and not attributes[name]:
-            raise InvalidEventError(name, "a text that is not empty was expected")
+            raise InvalidEventError(name, "expected a non-empty string")
     return event
 
 
 def encode_value(value: AttributeValue) -> bytes:
-    """A header value: percent-encoded where the binding says so (section 3.1.3.2)."""
+    """A header value, percent-encoded as the binding requires (section 3.1.3.2)."""
     text = _canonical(value)
     if UNESCAPED_TEXT.match(text):
         return text.encode()
@@ -110,14 +110,14 @@
     """The text of a header value, quoted or not. Raises `InvalidEventError`."""
     if raw[:1] == b'"':
         if len(raw) == 1 or raw[-1:] != b'"':
-            raise InvalidEventError(attribute, "a quoted text without its end")
+            raise InvalidEventError(attribute, "unterminated quoted string")
         raw = re.sub(rb"\\(.)", rb"\1", raw[1:-1])
     if b"%" in raw:
         parts = raw.split(b"%")
         decoded = [parts[0]]
         for part in parts[1:]:
             if not re.match(rb"[0-9A-Fa-f]{2}", part):
-                raise InvalidEventError(attribute, "a percent sign without two hexadecimal digits")
+                raise InvalidEventError(attribute, "percent sign without two hexadecimal digits")
             decoded += [bytes.fromhex(part[:2].decode()), part[2:]]
         raw = b"".join(decoded)
     try:
@@ -133,31 +133,31 @@
 
 @lru_cache(4096)
 def _attribute(name: bytes) -> str:
-    """The attribute that a ce- header names; the same few come with every event."""
+    """The attribute name of a ce- header, cached as most events have the same few."""
     key = name[3:].decode("latin-1")
     if not ATTRIBUTE_NAME.match(key):
         raise InvalidEventError(key, "attribute names are lower-case letters and digits")
     if key == "datacontenttype" or key in RESERVED_NAMES:
-        raise InvalidEventError(key, "not a header of binary mode")
+        raise InvalidEventError(key, "not allowed as a header in binary mode")
     return key
 
 
 def decode_event(headers: Headers, body: bytes) -> Event:
     """The event of a message, in binary or structured mode. Raises `InvalidEventError`."""
     content_type = _find_content_type(headers)
-    kind = media_type(content_type)
-    if kind.startswith(EVENT_MEDIA_TYPES):
-        return _decode_structured(kind, body)
+    mime_type = media_type(content_type)
+    if mime_type.startswith(EVENT_MEDIA_TYPE_PREFIX):
+        return _decode_structured(mime_type, body)
     attributes: dict[str, AttributeValue] = {}
     for name, value in headers:
         if not name.startswith(b"ce-"):
             continue
         key = _attribute(name)
         if key in attributes:
-            raise InvalidEventError(key, "the attribute is told twice")
+            raise InvalidEventError(key, "duplicate attribute")
         attributes[key] = decode_value(value, key)
     if not attributes:
-        detail = "no event: neither ce- headers nor application/cloudevents+json"
+        detail = "no event: found neither ce- headers nor application/cloudevents+json"
         raise InvalidEventError("specversion", detail, UNSUPPORTED_MEDIA_TYPE)
     text = None
     if content_type is not None:
@@ -174,18 +174,18 @@
     for name, value in headers:
         if name == b"content-type":
             if content_type is not None:
-                raise InvalidEventError("datacontenttype", "Content-Type is told twice")
+                raise InvalidEventError("datacontenttype", "duplicate Content-Type header")
             content_type = value
     return content_type
 
 
-def _decode_structured(kind: bytes, body: bytes) -> Event:
-    """The event of a message with one of the event formats' media types."""
-    if kind.startswith(BATCH_MEDIA_TYPE):
-        detail = "batches are not taken"
+def _decode_structured(mime_type: bytes, body: bytes) -> Event:
+    """The event of a message whose media type is that of an event format."""
+    if mime_type.startswith(BATCH_MEDIA_TYPE):
+        detail = "batched events are not supported"
         raise InvalidEventError("datacontenttype", detail, UNSUPPORTED_MEDIA_TYPE)
-    if kind != STRUCTURED_MEDIA_TYPE:
-        detail = "of the event formats only JSON is taken"
+    if mime_type != STRUCTURED_MEDIA_TYPE:
+        detail = "the only supported event format is JSON"
         raise InvalidEventError("datacontenttype", detail, UNSUPPORTED_MEDIA_TYPE)
     return decode_json_event(body)
 
@@ -203,9 +203,9 @@
     attributes = _decode_attributes(members)
     content_type = attributes.pop("datacontenttype", None)
     if content_type is not None and not isinstance(content_type, str):
-        raise InvalidEventError("datacontenttype", "a text was expected")
+        raise InvalidEventError("datacontenttype", "expected a string")
     if "data" in members and "data_base64" in members:
-        raise InvalidEventError("data", "both data and data_base64")
+        raise InvalidEventError("data", "data and data_base64 are both present")
     data: bytes | None = None
     if "data_base64" in members:
         data = _decode_base64(members["data_base64"])
@@ -220,7 +220,7 @@
 
 
 def _decode_attributes(members: dict[str, msgspec.Raw]) -> dict[str, AttributeValue]:
-    """All members but those of the data."""
+    """All members except those of the data."""
     attributes: dict[str, AttributeValue] = {}
     for name, raw in members.items():
         if name in RESERVED_NAMES:
@@ -232,7 +232,7 @@
             continue  # JSON format 1.0.2, section 2.2: null is the same as absent
         is_too_large = isinstance(value, int) and not -INTEGER_LIMIT <= value < INTEGER_LIMIT
         if is_too_large or not isinstance(value, (str, int)):
-            detail = "a text, a whole number of 32 bits or a boolean was expected"
+            detail = "expected a string, a 32-bit integer or a boolean"
             raise InvalidEventError(name, detail)
         attributes[name] = value
     return attributes
@@ -243,15 +243,15 @@
     try:
         return b64decode(text, validate=True)
     except (TypeError, ValueError):
-        raise InvalidEventError("data_base64", "Base64 was expected") from None
+        raise InvalidEventError("data_base64", "expected Base64") from None
 
 
 def is_json(content_type: str | None) -> bool:
-    """Whether the JSON format holds data of that type as JSON (section 3.1)."""
+    """Whether the JSON format stores data of that type as a JSON value (section 3.1)."""
     if content_type is None:
         return True
-    kind = content_type.split(";")[0].strip().lower()
-    return kind.endswith(("/json", "+json"))
+    mime_type = content_type.split(";")[0].strip().lower()
+    return mime_type.endswith(("/json", "+json"))
 
 
 def encode_event(event: Event) -> tuple[Headers, bytes]:
--- a/martenlead/events/connection.py
+++ b/martenlead/events/connection.py
@@ -1,12 +1,12 @@
-"""One connection of an HTTP/1.1 server: pipelining in order, bounds on what a client can hold.
+"""One connection of an HTTP/1.1 server: ordered pipelining, and limits on what a client can use.
 
-Each request is begun when it has been read, also behind one that still runs, as its time runs
-too. Responses leave in the order of the requests (RFC 9112, section 9.3.2). A client that closes
-its sending side counts as disconnected: HTTP/1.1 clients keep it open until they have their
-response.
+Each request starts as soon as it was read, even while an earlier one is running, as its deadline
+is running too. Responses are sent in the order of the requests (RFC 9112, section 9.3.2). A client
+that closes its sending side counts as disconnected: HTTP/1.1 clients keep it open until they have
+their response.
 
 A request that was read is answered before the connection closes: when the server drains or makes
-room, behind a message that is not valid, and where its handler fails.
+room for other connections, when an invalid message follows, and when the handler fails.
 """
 
 from __future__ import annotations
@@ -33,22 +33,22 @@
 from martenlead.system.sockets import has_ended, readable
 from martenlead.system.stream_writes import send_all
 
-READ_BYTES = (
-    16_384  # of one read: all its messages are parsed at once, and a slow handler holds them
-)
-READ_AHEAD_BYTES = 262_144  # read while no request may be begun, for an end behind them to show
-HANGUP_CHECK_SECONDS = 0.02  # between two checks for a client's end while no request may be begun
-REJECT_SECONDS = 1.0  # for the response to a connection beyond the limit
-LINGER_SECONDS = 0.25  # for the client to read its response and to close
-LINGER_BYTES = 1 << 20  # that are read and dropped meanwhile
-NEVER_NS = 1 << 62  # a start of writing that is never overdue
+# Largest read; all its messages are parsed at once and kept in memory while a handler is slow.
+READ_BYTES = 16_384
+# Bytes read while no request may start, so that a disconnect that follows them is noticed.
+READ_AHEAD_BYTES = 262_144
+HANGUP_CHECK_SECONDS = 0.02  # Interval of checks for a disconnect while no request may start
+REJECT_SECONDS = 1.0  # Time limit for the response to a connection beyond the limit
+LINGER_SECONDS = 0.25  # Time for the client to read its response and to close
+LINGER_BYTES = 1 << 20  # Bytes that are read and dropped during that time
+NEVER_NS = 1 << 62  # A start of writing that is never overdue
 CLIENT_GONE_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 REQUEST_TIMEOUT = HTTPStatus.REQUEST_TIMEOUT.value
 INTERNAL_SERVER_ERROR = HTTPStatus.INTERNAL_SERVER_ERROR.value
 
 
 class _ResponseSlot:
-    """The place of one response in the order in which they leave."""
+    """The place of one response in the order in which they are sent."""
 
     __slots__ = ("is_last", "reply")
 
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Received:
-    """Bytes of a connection; `arrived_ns` is the earliest time at which they can have come."""
+    """Received bytes; `arrived_ns` is the earliest time at which they can have arrived."""
 
     data: bytes
     read_ns: int
@@ -69,7 +69,8 @@
 class Connection:
     """One client's connection.
 
-    One task answers its requests one after the other. Each pipelined request has a task of its own.
+    One task answers requests one after the other. A request that arrives while that task is busy
+    gets a task of its own.
     """
 
     def __init__(self, server: ConnectionOwner, stream: SocketStream) -> None:
@@ -77,60 +78,63 @@
         self.limits = server.limits
         self.reader = Reader(self.limits.message, requests=True)
         self.slots: deque[_ResponseSlot] = deque()
-        self.write_started_ns = 0  # 0 while nothing is written
-        self.last_read_ns = monotonic_ns()  # or when the message that is being read had begun
+        self.write_started_ns = 0  # 0 while no response is being written
+        # Time of the last read or write, or the start of an incomplete message
+        self.last_read_ns = monotonic_ns()
         self.scope = anyio.CancelScope()
         self.read_scope = anyio.CancelScope()
         self.has_sent_request = False
-        self.is_closing = False  # closes once all requests that were read are answered
+        self.is_closing = False  # Closes once all requests that were read are answered
         self.is_too_slow = False
-        self.has_last_request = False  # nothing more is read
-        self._unbegun = 0  # requests that were read and wait for a slot
-        self._unread_since_ns = 0  # since when bytes may wait behind those that were read ahead
+        self.has_last_request = False  # Nothing more is read
+        self._requests_without_slot = 0  # Requests that were read and wait for a slot
+        # Time since which bytes may be waiting in the kernel behind those read ahead
+        self._unread_since_ns = 0
         self._read_ahead: deque[_Received] = deque()
         self._read_ahead_bytes = 0
         self._slot_wait = anyio.CancelScope()
         self._job: tuple[Message, int, _ResponseSlot] | None = None
         self._has_job = anyio.Event()
-        self._is_worker_idle = False
-        self._socket: Any = None  # `Any`: the event loop's own type, see system/sockets.py
-        with suppress(AttributeError):  # reset while it was being made: it has no socket any more
+        self._is_answerer_idle = False
+        self._socket: Any = None  # `Any`: the type depends on the event loop
+        with suppress(AttributeError):  # a reset connection has no socket any more
             self._socket = stream.extra(SocketAttribute.raw_socket)
 
-    # -- its client, and its end
+    # -- disconnects and closing
 
-    def _has_nothing_unread(self) -> bool:
-        if self._unbegun or self._read_ahead or self.reader.in_message:
+    def _has_no_unread_input(self) -> bool:
+        if self._requests_without_slot or self._read_ahead or self.reader.in_message:
             return False
         return not readable(self._socket)
 
     def has_left(self) -> bool:
         """Whether the client has closed the connection, or its sending side.
 
-        The kernel is asked, as the event loop may not have read the end yet. Unread bytes are no
-        end.
+        This asks the kernel, as the event loop may not have read the end yet. Unread bytes alone do
+        not count as a disconnect.
         """
         return has_ended(self._socket)
 
     def end(self) -> None:
-        """Cancels all its requests, in a later turn of the event loop."""
+        """Cancels all its requests, in a later iteration of the event loop."""
         self.scope.cancel()
 
     def close_if_idle(self, before_ns: int) -> bool:
-        """Closes it where no request is in flight or unread; whether it does.
+        """Closes it if no request is in flight or unread; returns whether it does.
 
-        One that was opened after `before_ns` and has sent no request yet stays open. Only reading
-        is cancelled: a request that the event loop has read in this turn is still answered.
+        A connection that was opened after `before_ns` and has sent no request yet stays open. Only
+        reading is cancelled: a request that the event loop has read in this iteration is still
+        answered.
         """
         is_young = not self.has_sent_request and self.last_read_ns > before_ns
-        if self.is_closing or self.slots or is_young or not self._has_nothing_unread():
+        if self.is_closing or self.slots or is_young or not self._has_no_unread_input():
             return False
         self.is_closing = True
         self.read_scope.cancel()
         return True
 
     def close_if_overdue(self, now_ns: int) -> None:
-        """Closes it where the client has not read, finished its request or sent one in time."""
+        """Closes it if the client did not read, complete a request or send one in time."""
         if self.write_started_ns:
             if now_ns - self.write_started_ns > self.limits.write_timeout_ns:
                 self.scope.cancel()
@@ -142,7 +146,7 @@
             self.close_if_idle(now_ns)
 
     async def reject(self, reply: Reply) -> None:
-        """Responds before anything was read, and closes."""
+        """Responds without reading a request, and closes."""
         with anyio.move_on_after(REJECT_SECONDS), suppress(*CLIENT_GONE_ERRORS):
             await self.write(reply, is_last=True)
             await self._linger()
@@ -160,7 +164,7 @@
             await anyio.aclose_forcefully(self.stream)
 
     async def _serve(self, group: TaskGroup) -> bool:
-        """Reads, and waits until all is answered; false where the client has gone meanwhile."""
+        """Serves all requests; returns false if the client disconnected during that time."""
         error = None
         try:
             with self.read_scope:
@@ -168,22 +172,22 @@
         except CLIENT_GONE_ERRORS:
             return False
         if self.is_too_slow:
-            error = InvalidMessageError(REQUEST_TIMEOUT, "the message took too long to arrive")
+            error = InvalidMessageError(REQUEST_TIMEOUT, "the message was not complete in time")
         if error is not None:
             slot = _ResponseSlot(is_last=True)
             self.slots.append(slot)
-            await self._put(slot, self.server.make_error_reply(error.status, error.detail))
+            await self._submit_reply(slot, self.server.make_error_reply(error.status, error.detail))
         with suppress(*CLIENT_GONE_ERRORS):
-            while self.slots:  # the last request is in flight: its client may still disconnect
+            while self.slots:  # the client may disconnect while the last request is in flight
                 await self.stream.receive()
         return True
 
     # -- reading
 
     async def _read(self, group: TaskGroup) -> InvalidMessageError | None:
-        """Reads and begins requests until the last one; what made the bytes unreadable, if any."""
+        """Reads and starts requests up to the last one; returns the error of an invalid message."""
         reader, slots = self.reader, self.slots
-        group.start_soon(self._work)
+        group.start_soon(self._answer_jobs)
         while not self.has_last_request:
             was_in_message = reader.in_message
             received = await self._receive()
@@ -191,23 +195,24 @@
                 self.last_read_ns = received.read_ns
             messages, error = self._parse(received.data)
             self.has_sent_request = self.has_sent_request or bool(messages)
-            self._unbegun = len(messages)
+            self._requests_without_slot = len(messages)
             for message in messages:
                 message.peer = self
-                # one read can hold far more small requests than may be begun at a time
+                # one read can hold far more small requests than may be in flight
                 await self._wait_for_slot()
-                self._unbegun -= 1
+                self._requests_without_slot -= 1
                 self.has_last_request = self.has_last_request or not message.keep_alive
                 slot = _ResponseSlot(self.has_last_request)
                 slots.append(slot)
-                if self._is_worker_idle:
-                    self._is_worker_idle = False
+                if self._is_answerer_idle:
+                    self._is_answerer_idle = False
                     self._job = message, received.arrived_ns, slot
                     self._has_job.set()
                 else:
                     group.start_soon(self._answer, message, received.arrived_ns, slot)
                 if self.has_last_request:
-                    self._unbegun = 0  # a client sends nothing behind a request that closes
+                    # a client sends nothing after a request that closes the connection
+                    self._requests_without_slot = 0
                     return None
             if error is not None:
                 self.has_last_request = True
@@ -218,14 +223,14 @@
         return None
 
     def _parse(self, data: bytes) -> tuple[list[Message], InvalidMessageError | None]:
-        """The messages that these bytes complete, and what made the rest unreadable."""
+        """The messages that these bytes complete, and the error of an invalid one after them."""
         try:
             return self.reader.feed(data), None
         except InvalidMessageError as error:
             return self.reader.completed, error
 
     async def _receive(self) -> _Received:
-        """The next bytes, first those that were read ahead."""
+        """The next bytes, starting with those that were read ahead."""
         if not self._read_ahead:
             return await self._receive_unread()
         received = self._read_ahead.popleft()
@@ -243,9 +248,9 @@
         return _Received(data, now_ns, arrived_ns)
 
     async def _wait_for_slot(self) -> None:
-        """Waits until a further request may be begun.
+        """Waits until another request may start.
 
-        Meanwhile it reads ahead and asks the kernel, as the client may disconnect. Raises
+        Meanwhile it reads ahead and polls the kernel, to notice that the client disconnects. Raises
         EndOfStream then, or another error of the stream.
         """
         while len(self.slots) >= self.limits.max_pipelined:
@@ -261,15 +266,15 @@
 
     # -- answering
 
-    async def _work(self) -> None:
+    async def _answer_jobs(self) -> None:
         """Answers one request after the other, so that most connections need no further task."""
         while True:
-            self._is_worker_idle = True
+            self._is_answerer_idle = True
             await self._has_job.wait()
             self._has_job = anyio.Event()
             assert self._job is not None
             message, arrived_ns, slot = self._job
-            self._job = None  # its message refers to this connection: a circle
+            self._job = None  # the message refers to this connection: a reference cycle
             await self._answer(message, arrived_ns, slot)
 
     async def _answer(self, message: Message, arrived_ns: int, slot: _ResponseSlot) -> None:
@@ -277,10 +282,10 @@
             reply = await self.server.handler(message, arrived_ns)
         except Exception as error:
             reply = self.server.handle_fault(error)
-        await self._put(slot, reply)
+        await self._submit_reply(slot, reply)
 
-    async def _put(self, slot: _ResponseSlot, reply: Reply) -> None:
-        """Fills a slot, and writes all responses whose turn it is unless another task does."""
+    async def _submit_reply(self, slot: _ResponseSlot, reply: Reply) -> None:
+        """Fills a slot, and writes all responses that are next unless another task is doing so."""
         slot.reply = reply
         if self.write_started_ns:
             return
@@ -288,13 +293,13 @@
         try:
             while self.slots and (first := self.slots[0]).reply is not None:
                 self.is_closing = self.is_closing or first.is_last or first.reply.close
-                is_last = self._closes_behind_first()
+                is_last = self._closes_after_first()
                 try:
                     await self.write(first.reply, is_last)
                 except CLIENT_GONE_ERRORS:
                     self.scope.cancel()
                     return
-                except Exception as error:  # of the body: the client can tell that it is incomplete
+                except Exception as error:  # the body failed; the client sees that it is incomplete
                     self.server.handle_fault(error)
                     self.scope.cancel()
                     return
@@ -309,43 +314,43 @@
             self.write_started_ns = 0
             self.last_read_ns = monotonic_ns()
 
-    def _closes_behind_first(self) -> bool:
-        """Whether the first response is the last one.
+    def _closes_after_first(self) -> bool:
+        """Whether the connection closes after the first response in `slots`.
 
-        It is not while further requests are in flight or unread: a client that reads `Connection:
-        close` expects no further response.
+        It does not while further requests are in flight or unread: a client that reads
+        `Connection: close` expects no further response.
         """
         if len(self.slots) > 1:
             return False
         if self.slots[0].is_last:
             return True
-        return (self.is_closing or self.server.is_draining) and self._has_nothing_unread()
+        return (self.is_closing or self.server.is_draining) and self._has_no_unread_input()
 
     async def write(self, reply: Reply, is_last: bool) -> None:
-        """Writes one response; the last one says that the connection closes."""
+        """Writes one response; the last one announces that the connection closes."""
         headers = reply.headers
         if isinstance(reply.body, bytes):
             await send_all(self.stream, self._encode(reply, reply.body, is_last))
             return
         chunked = (b"transfer-encoding", b"chunked")
         await send_all(self.stream, response(reply.status, [*headers, chunked], None))
-        async with aclosing(reply.body) as parts:  # it ends also where the client has gone
+        async with aclosing(reply.body) as parts:  # closed even if the client has disconnected
             async for part in parts:
                 self.write_started_ns = monotonic_ns()
                 await send_all(self.stream, chunk(part))
-                self.write_started_ns = NEVER_NS  # between two parts the client is not waited for
+                self.write_started_ns = NEVER_NS  # no time-out between two parts
         await send_all(self.stream, chunk(b""))
 
     def _encode(self, reply: Reply, body: bytes, is_last: bool) -> bytes:
         close: Headers = [(b"connection", b"close")] if is_last else []
         try:
             return response(reply.status, [*reply.headers, *close], body)
-        except Exception as error:  # of headers that cannot be written
+        except Exception as error:  # the headers cannot be encoded
             fault = self.server.handle_fault(error)
             return response(INTERNAL_SERVER_ERROR, [*fault.headers, *close], b"")
 
     async def _linger(self) -> None:
-        """Reads on for a while, as closing with unread bytes has the kernel drop the response."""
+        """Reads on for a while: on a close with unread bytes the kernel drops the response."""
         errors = (*CLIENT_GONE_ERRORS, anyio.BusyResourceError)
         with anyio.move_on_after(LINGER_SECONDS), suppress(*errors):
             await self.stream.send_eof()
--- a/martenlead/events/drain.py
+++ b/martenlead/events/drain.py
@@ -1,4 +1,4 @@
-"""Closing the connections of a server: in a drain, for want of room, and when they are overdue."""
+"""Closing the connections of a server: in a drain, to make room, and after a time-out."""
 
 from __future__ import annotations
 
@@ -10,22 +10,24 @@
 from martenlead.events.server_interface import ServerLimits
 from martenlead.events.stream_listener import StreamListener
 
-BACKLOG_SECONDS = 1.0  # for the connections that wait to be accepted as a drain begins
-DRAIN_CHECK_SECONDS = 0.01  # between two looks for connections that have become idle in a drain
-DRAIN_YOUNG_NS = 200_000_000  # that a connection has for its first request before a drain closes it
-ROOM_CHECK_SECONDS = 0.02  # between two looks for idle connections while new ones have no room
-CLOSED_PER_CHECK = 4  # idle connections, at each look
-YOUNG_NS = 50_000_000  # that a connection has for its first request before it is closed for another
-SWEEPS_PER_TIMEOUT = 4  # a time-out may be noticed late by this part of the shortest one
+BACKLOG_SECONDS = 1.0  # Time limit for accepting the backlog when a drain begins
+DRAIN_CHECK_SECONDS = 0.01  # Interval of checks for idle connections during a drain
+# Time that a new connection has for its first request before a drain closes it.
+DRAIN_FIRST_REQUEST_NS = 200_000_000
+ROOM_CHECK_SECONDS = 0.02  # Interval of checks for idle connections while new ones have no room
+CLOSED_PER_CHECK = 4  # Idle connections that one check closes at most
+# Time that a new connection has for its first request before it is closed to make room.
+FIRST_REQUEST_NS = 50_000_000
+SWEEPS_PER_TIMEOUT = 4  # A time-out is noticed late by up to a quarter of the shortest one
 SHORTEST_SWEEP_SECONDS, LONGEST_SWEEP_SECONDS = 0.01, 1.0
 
 
 async def drain(
     listener: StreamListener, connections: set[Connection], *, accepts_backlog: bool
 ) -> None:
-    """Takes nothing new, closes connections as they become idle, and returns when all have ended.
+    """Stops accepting, closes connections as they become idle, and returns when all have ended.
 
-    Connections that wait to be accepted as the drain begins are served, unless `accepts_backlog`
+    Connections in the backlog at the start of the drain are still served, unless `accepts_backlog`
     is false.
     """
     if accepts_backlog:
@@ -33,7 +35,7 @@
             await listener.accept_all()
     listener.close()
     while connections or not listener.is_idle:
-        before_ns = monotonic_ns() - DRAIN_YOUNG_NS
+        before_ns = monotonic_ns() - DRAIN_FIRST_REQUEST_NS
         for connection in list(connections):
             connection.close_if_idle(before_ns)
         await anyio.sleep(DRAIN_CHECK_SECONDS)
@@ -47,11 +49,11 @@
         self._is_full = anyio.Event()
 
     def note_full(self) -> None:
-        """A connection waits to be accepted and has no room."""
+        """Records that a connection waits to be accepted and there is no room for it."""
         self._is_full.set()
 
     async def run(self) -> None:
-        """Runs until it is cancelled."""
+        """Closes idle connections whenever the listener is full; runs until it is cancelled."""
         while True:
             await self._is_full.wait()
             self._is_full = anyio.Event()
@@ -61,9 +63,9 @@
 
 
 def close_idle(connections: set[Connection]) -> None:
-    """Closes a few: first the oldest that sent no request, then those that are idle for longest."""
-    before_ns = monotonic_ns() - YOUNG_NS
-    by_rank = sorted(connections, key=lambda one: (one.has_sent_request, one.last_read_ns))
+    """Closes a few: first the oldest that sent no request, then those that are idle the longest."""
+    before_ns = monotonic_ns() - FIRST_REQUEST_NS
+    by_rank = sorted(connections, key=lambda c: (c.has_sent_request, c.last_read_ns))
     closed = 0
     for connection in by_rank:
         if closed == CLOSED_PER_CHECK:
@@ -72,14 +74,14 @@
 
 
 async def close_overdue(connections: set[Connection], limits: ServerLimits) -> None:
-    """Closes connections whose client takes too long; runs until it is cancelled.
+    """Closes connections whose client exceeds a time-out; runs until it is cancelled.
 
-    One look at all connections now and then costs less than a timer for each read and write.
+    A periodic check of all connections costs less than a timer for each read and write.
     """
     shortest_ns = min(limits.idle_timeout_ns, limits.receive_timeout_ns, limits.write_timeout_ns)
-    every_seconds = shortest_ns / SWEEPS_PER_TIMEOUT / 1e9
+    interval_seconds = shortest_ns / SWEEPS_PER_TIMEOUT / 1e9
     while True:
-        await anyio.sleep(min(max(every_seconds, SHORTEST_SWEEP_SECONDS), LONGEST_SWEEP_SECONDS))
+        await anyio.sleep(min(max(interval_seconds, SHORTEST_SWEEP_SECONDS), LONGEST_SWEEP_SECONDS))
         now_ns = monotonic_ns()
         for connection in list(connections):
             connection.close_if_overdue(now_ns)
--- a/martenlead/events/http.py
+++ b/martenlead/events/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages (RFC 9112) without I/O: bytes in, whole messages or one error out.
+"""Parsing and encoding of HTTP/1.1 messages (RFC 9112) without I/O.
 
-The parser is httptools (llhttp); docs/design/edge.md weighs it against h11. This module adds what
-the parser does not check: sizes, the version, and all framing that two parsers could read
+The parser is httptools (llhttp); docs/design/edge.md compares it with h11. This module adds the
+checks that the parser lacks: sizes, the version, and any framing that two parsers could interpret
 differently.
 """
 
@@ -19,7 +19,7 @@
 CONTROL_BYTES = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 FRAMING_HEADERS = frozenset({b"content-length", b"transfer-encoding", b"host", b"expect"})
 CONTINUE = HTTPStatus.CONTINUE.value
-OK = HTTPStatus.OK.value  # the first status that is not interim
+OK = HTTPStatus.OK.value  # First status that is not interim
 
 
 class InvalidMessageError(Exception):
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageLimits:
-    """Size limits of one message; a larger one is answered 431 or 413 and ends its connection."""
+    """Size limits of a message; a larger one gets 431 or 413 and ends its connection."""
 
     head_bytes: int = 16 * 1024
     body_bytes: int = 1024 * 1024
@@ -43,10 +43,10 @@
     """The client of a request, as seen by the connection that the request came on."""
 
     def has_left(self) -> bool:
-        """Whether it has disconnected, also where only the kernel knows it so far."""
+        """Whether it has disconnected, even if only the kernel knows it so far."""
 
     def end(self) -> None:
-        """Ends the connection and cancels all its requests, in a later turn of the event loop."""
+        """Ends the connection and cancels its requests, in a later iteration of the event loop."""
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
     peer: Peer | None = field(default=None, compare=False, repr=False)
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of a header, by its name in lower case; None where there is none."""
+        """The value of a header by its lower-case name, or None if there is none."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -73,7 +73,7 @@
 
 
 class Reader:
-    """Parses one direction of one connection; after an error it accepts no more bytes."""
+    """Parses one direction of a connection; after an error it accepts no more bytes."""
 
     def __init__(self, limits: MessageLimits, *, requests: bool) -> None:
         self.limits = limits
@@ -93,7 +93,7 @@
         """The messages that these bytes complete, oldest first.
 
         Raises:
-            InvalidMessageError: The bytes are not HTTP/1.1, or over the limits. The messages that
+            InvalidMessageError: The bytes are not HTTP/1.1, or exceed the limits. The messages that
                 were complete before are in `completed`.
         """
         if self._error:
@@ -102,22 +102,22 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._error = InvalidMessageError(501, "upgrades are not offered here")
+            self._error = InvalidMessageError(501, "protocol upgrades are not supported")
         except httptools.HttpParserCallbackError:
-            self._error = self._error or InvalidMessageError(400, "the message could not be read")
+            self._error = self._error or InvalidMessageError(400, "the message could not be parsed")
         except httptools.HttpParserError as error:
             self._error = self._error or InvalidMessageError(400, f"not HTTP/1.1: {error}")
         if not self._error and self.in_head:
             self._head_bytes += len(data)
             limit = self.limits.head_bytes
             if self._head_bytes > limit:
-                self._error = InvalidMessageError(431, f"the header is over {limit} bytes")
+                self._error = InvalidMessageError(431, f"the header exceeds {limit} bytes")
         if self._error:
             raise self._error
         return self.completed
 
     def _stop(self, status: int, detail: str) -> NoReturn:
-        """Records an error, unless there is one already, and raises it to stop the parser."""
+        """Records an error unless one is recorded already, and raises it to stop the parser."""
         error = InvalidMessageError(status, detail)
         self._error = self._error or error
         raise error
@@ -144,13 +144,13 @@
         """A header."""
         self._message.headers.append((name.lower(), value))
 
-    def on_headers_complete(self) -> None:  # noqa: C901 - one pass costs least, for each message
-        """The head is complete: all checks of it."""
+    def on_headers_complete(self) -> None:  # noqa: C901 - one pass keeps the cost per message low
+        """The head is complete; checks all of it."""
         message, parser, limits = self._message, self._parser, self.limits
         self.in_head = False
         version = parser.get_http_version()
         if version != "1.1":
-            self._stop(505, f"HTTP/{version} is not spoken here; HTTP/1.1 is")
+            self._stop(505, f"HTTP/{version} is not supported; expected HTTP/1.1")
         headers = message.headers
         framing: dict[bytes, bytes] = {}
         size = 0
@@ -158,42 +158,42 @@
             size += len(name) + len(value)
             if name in FRAMING_HEADERS:
                 if name in framing:
-                    self._stop(400, f"{name.decode()} is told twice")
+                    self._stop(400, f"duplicate {name.decode()} header")
                 framing[name] = value
         if size > limits.head_bytes or len(headers) > limits.header_lines:
-            detail = f"the header is over {limits.head_bytes} bytes or {limits.header_lines} lines"
+            detail = f"the header exceeds {limits.head_bytes} bytes or {limits.header_lines} lines"
             self._stop(431, detail)
         if CONTROL_BYTES.search(b"".join([value for _, value in headers])):
-            self._stop(400, "a header holds a control byte")
+            self._stop(400, "a header contains a control character")
         coding, length = framing.get(b"transfer-encoding"), framing.get(b"content-length")
         if coding is not None:
             self._check_transfer_encoding(coding, length)
         elif length is not None and int(length) > limits.body_bytes:
-            self._stop(413, f"the body is over {limits.body_bytes} bytes")
+            self._stop(413, f"the body exceeds {limits.body_bytes} bytes")
         message.keep_alive = parser.should_keep_alive()
         if not self.requests:
             message.status = parser.get_status_code()
             return
         message.method = parser.get_method()
         if b"host" not in framing:
-            self._stop(400, "exactly one Host header is expected")
+            self._stop(400, "exactly one Host header is required")
         expect = framing.get(b"expect")
         if expect is not None:
             if expect.lower() != b"100-continue":
-                self._stop(417, "only 100-continue can be expected")
+                self._stop(417, "100-continue is the only supported expectation")
             self.expects_continue = True
 
     def _check_transfer_encoding(self, coding: bytes, length: bytes | None) -> None:
         if length is not None:
-            self._stop(400, "both Content-Length and Transfer-Encoding")
+            self._stop(400, "Content-Length and Transfer-Encoding are both present")
         if coding.strip().lower() != b"chunked":
-            self._stop(501, "Transfer-Encoding other than chunked")
+            self._stop(501, "chunked is the only supported Transfer-Encoding")
 
     def on_body(self, body: bytes) -> None:
         """A part of the body."""
         self._body_bytes += len(body)
         if self._body_bytes > self.limits.body_bytes:
-            self._stop(413, f"the body is over {self.limits.body_bytes} bytes")
+            self._stop(413, f"the body exceeds {self.limits.body_bytes} bytes")
         self._chunks.append(body)
 
     def on_message_complete(self) -> None:
@@ -223,7 +223,7 @@
     headers: Iterable[tuple[bytes, bytes]],
     body: bytes = b"",
 ) -> bytes:
-    """A request with a sized body."""
+    """A request with Content-Length."""
     return _encode(b"%b %b HTTP/1.1\r\nhost: %b" % (method, target, host), headers, body)
 
 
@@ -233,10 +233,10 @@
 def response(
     status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes | None = b""
 ) -> bytes:
-    """A response with a sized body; without one where the caller's headers announce a body."""
+    """A response with Content-Length; without one if `body` is None, for a body that follows."""
     return _encode(b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b"")), headers, body)
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of a chunked body; the last chunk has no data."""
+    """One chunk of a chunked body; the last chunk is empty."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/martenlead/events/problem.py
+++ b/martenlead/events/problem.py
@@ -13,13 +13,13 @@
 
 
 def problem(
-    status: int, title: str, detail: str, *, retry_after_ns: int | None = None, **more: object
+    status: int, title: str, detail: str, *, retry_after_ns: int | None = None, **extensions: object
 ) -> Reply:
-    """A response with problem details; `more` are extension members.
+    """A response with problem details; `extensions` are its extension members.
 
-    `retry_after_ns` becomes `Retry-After` in whole seconds, rounded up as RFC 9110 has no parts
-    of a second. The member `retry_after_ms` and the header `martenlead-retry-after-ms` have it
-    exactly.
+    `retry_after_ns` becomes `Retry-After` in whole seconds, rounded up as RFC 9110 has no fractions
+    of a second. The member `retry_after_ms` and the header `martenlead-retry-after-ms` hold the
+    exact value.
     """
     headers: Headers = [(b"content-type", MEDIA_TYPE)]
     members: dict[str, object] = {
@@ -27,7 +27,7 @@
         "title": title,
         "status": status,
         "detail": detail,
-        **more,
+        **extensions,
     }
     if retry_after_ns is not None:
         exact_ms = f"{retry_after_ns / 1e6:.3f}"
--- a/martenlead/events/server.py
+++ b/martenlead/events/server.py
@@ -1,7 +1,7 @@
 """The server side of HTTP/1.1 on anyio: a listener, and the connections that it has accepted.
 
-connection.py serves one connection, drain.py closes them. A fault costs the connection that it
-happens on.
+connection.py serves a connection, drain.py closes connections. A fault ends only the connection on
+which it occurs.
 """
 
 from __future__ import annotations
@@ -38,23 +38,23 @@
 
         Args:
             handler: Answers a request.
-            limits: What clients may use.
-            make_error_reply: The response to an invalid message, or to a connection beyond the
-                limit, from the status and the reason.
-            make_fault_reply: The response where the handler, or what it returned, has failed.
-            earliest_arrival_ns: The earliest time at which what is read now can have arrived.
+            limits: Limits on what clients may use.
+            make_error_reply: Makes the response to an invalid message, or to a connection beyond
+                the limit, from the status and the reason.
+            make_fault_reply: Makes the response if the handler, or sending its reply, has failed.
+            earliest_arrival_ns: Returns the earliest time at which bytes read now can have arrived.
         """
         self.handler, self.limits = handler, limits
         self.make_error_reply, self.make_fault_reply = make_error_reply, make_fault_reply
         self.earliest_arrival_ns = earliest_arrival_ns
         self.connections: set[Connection] = set()
         self.is_draining = False
-        self.active_listeners = 0  # 0 again once all their connections have ended
+        self.active_listeners = 0  # 0 once all their connections have ended
         self._accepts_backlog = True
         self._stop = anyio.Event()
 
     async def serve(self, listener: StreamListener) -> None:
-        """Serves until `drain` is called, and returns when all connections have ended."""
+        """Serves until `drain` is called; returns when all connections have ended."""
         idle_closer = drain.IdleCloser(listener, self.connections)
         listener.on_full = idle_closer.note_full
         self.active_listeners += 1
@@ -76,7 +76,7 @@
         self._stop.set()
 
     def abort(self) -> None:
-        """Ends everything now, as a process that dies would."""
+        """Closes all connections at once, as if the process were killed."""
         self._accepts_backlog = False
         self.drain()
         for connection in list(self.connections):
@@ -96,7 +96,7 @@
             self.connections.discard(connection)
 
     def handle_fault(self, error: Exception) -> Reply:
-        """The response to a fault of ours, also where the one that is set for it fails."""
+        """The response to an internal error; a plain one if `make_fault_reply` fails too."""
         try:
             return self.make_fault_reply(error)
         except Exception:
--- a/martenlead/events/server_interface.py
+++ b/martenlead/events/server_interface.py
@@ -1,4 +1,4 @@
-"""What a server shares with its connections and handlers: responses, limits, the handler's type."""
+"""Types that a server shares with its connections and handlers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """The response of a handler; the body of a generator is sent in chunks as they come."""
+    """The response of a handler; what a generator yields as the body is sent in chunks."""
 
     status: int
     headers: Headers
@@ -24,28 +24,28 @@
 Handler = Callable[[Message, int], Awaitable[Reply]]
 """Takes a request and the time at which its last byte arrived (monotonic, ns).
 
-It is cancelled when the client has disconnected.
+It is cancelled when the client disconnects.
 """
 
 
 @dataclass(slots=True, frozen=True)
 class ServerLimits:
-    """What clients may use.
+    """Limits on what clients may use.
 
-    A connection beyond `max_connections` is answered 503 and closed. With `max_pipelined`
-    requests in flight no further request of a connection is begun.
+    A connection beyond `max_connections` is answered with 503 and closed. While `max_pipelined`
+    requests of a connection are in flight, it starts no further one.
     """
 
     message: MessageLimits = MessageLimits()  # noqa: RUF009 - it is frozen
     max_connections: int = 2048
     max_pipelined: int = 32
     idle_timeout_ns: int = 60 * SECOND_NS
-    receive_timeout_ns: int = 10 * SECOND_NS  # from a message's first byte to its last
-    write_timeout_ns: int = 10 * SECOND_NS  # for a client that does not read
+    receive_timeout_ns: int = 10 * SECOND_NS  # From the first byte of a message to the last
+    write_timeout_ns: int = 10 * SECOND_NS  # For a client that does not read its response
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """The part of a server that its connections need."""
 
     handler: Handler
     limits: ServerLimits
@@ -54,4 +54,4 @@
     is_draining: bool
 
     def handle_fault(self, error: Exception) -> Reply:
-        """Reports a fault of ours; the response to the client."""
+        """Reports an internal error; returns the response to the client."""
--- a/martenlead/events/stream_listener.py
+++ b/martenlead/events/stream_listener.py
@@ -1,4 +1,4 @@
-"""A listener whose accepted sockets are anyio streams, for every program that speaks on them."""
+"""A listener that accepts connections as anyio streams, shared by all programs."""
 
 from __future__ import annotations
 
@@ -14,39 +14,40 @@
 from martenlead.system.listener import PROCESS_CLIENTS, ClientDescriptors, Listener, bind
 from martenlead.system.sockets import readable
 
-BIND_SECONDS = 8.0  # in which a fault of binding may pass; programs have to be ready within 10 s
-RECEIVE_BUFFER_BYTES = 32_768  # of the kernel: the event loop reads all of it at once
-ACCEPTED_PER_TURN = 1  # so that each request of a burst is decided on what came before it
-POLL_SECONDS = 0.001  # between two looks at what the kernel or the event loop is about to accept
+BIND_SECONDS = 8.0  # Time for a bind error to pass; programs have to be ready within 10 s
+RECEIVE_BUFFER_BYTES = 32_768  # Size of the kernel's buffer; the event loop reads all of it at once
+# With 1, the decision on each request of a burst takes the requests before it into account.
+ACCEPTED_PER_TURN = 1
+POLL_SECONDS = 0.001  # Interval of checks for connections that are about to be accepted
 
 Handler = Callable[[SocketStream], Awaitable[None]]
 
 
 class StreamListener:
-    """Accepts while the process has descriptors for clients, and gives each connection a task.
+    """Accepts while the process has descriptors for clients; each connection has its own task.
 
-    A fault of one connection costs that connection alone.
+    A fault in one connection ends that connection only.
     """
 
     def __init__(self, sock: socket.socket, clients: ClientDescriptors = PROCESS_CLIENTS) -> None:
         self.sock, self.clients = sock, clients
-        # called where a connection waits to be accepted and has no room
+        # Called when a connection waits to be accepted and there is no room for it
         self.on_full: Callable[[], None] = lambda: None
-        self.open_connections = 0  # connections of this listener
+        self.open_connections = 0  # Connections of this listener only
         self._log = structlog.get_logger()
         self._listener: Listener | None = None
         self._closed = anyio.Event()
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The port of the listening socket."""
         return int(self.sock.getsockname()[1])
 
     async def serve(self, handler: Handler, task_group: TaskGroup | None = None) -> None:
         """Accepts until it is closed or cancelled.
 
-        A connection ends with its `handler`. Handlers run in `task_group`, else in a group that
-        ends with this call.
+        A connection is closed when its `handler` returns. Handlers run in `task_group`, or in a
+        task group that ends with this call.
         """
         if task_group is None:
             async with anyio.create_task_group() as own_group:
@@ -63,22 +64,22 @@
         listener.start()
         try:
             await self._closed.wait()
-            while listener.accepting:  # noqa: ASYNC110 - it has no event
+            while listener.accepting:  # noqa: ASYNC110 - the listener has no event for it
                 await anyio.sleep(POLL_SECONDS)
         finally:
             self.clients.remove_listener(listener.resume)
             listener.close()
 
     async def _connect(self, handler: Handler, group: TaskGroup, connection: socket.socket) -> None:
-        """Starts the handler of a connection that was accepted."""
+        """Starts the handler of an accepted connection."""
         try:
             stream = await SocketStream.from_socket(connection)
-        except ValueError:  # what anyio makes of a connection that was reset meanwhile
+        except ValueError:  # raised by anyio if the connection was reset in the meantime
             connection.close()
             return
         try:
             group.start_soon(self._handle, handler, stream)
-        except RuntimeError:  # the group has ended meanwhile
+        except RuntimeError:  # the task group has ended in the meantime
             await anyio.aclose_forcefully(stream)
             return
         self._take()
@@ -109,23 +110,23 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no connection is open or about to be."""
+        """Whether no connection is open or being accepted."""
         return not self.open_connections and (
             self._listener is None or not self._listener.accepting
         )
 
     @property
     def is_full(self) -> bool:
-        """Whether it waits for room, or for something that the machine lacks to accept with."""
+        """Whether accepting waits for room or for a resource that the machine lacks."""
         return self._listener is not None and self._listener.is_waiting
 
     async def accept_all(self) -> None:
-        """Returns once no connection waits to be accepted, or none can be."""
+        """Returns once no connection waits to be accepted, or the listener is closed."""
         while not self._closed.is_set() and readable(self.sock):  # noqa: ASYNC110 - the kernel's state
             await anyio.sleep(POLL_SECONDS)
 
     def close(self) -> None:
-        """Accepts nothing more; open connections stay."""
+        """Stops accepting; open connections stay open."""
         self._closed.set()
         if self._listener is None:
             self.sock.close()
@@ -133,18 +134,18 @@
             self._listener.close()
 
     async def aclose(self) -> None:
-        """Accepts nothing more, as anyio's resources do."""
+        """Stops accepting; the form of `close` that anyio's resources have."""
         self.close()
         await anyio.lowlevel.checkpoint()
 
 
 async def listen(host: str, port: int) -> tuple[StreamListener, int]:
-    """A listener and its port; port 0 takes a free one.
+    """Opens a listener; returns it and its port. Port 0 selects a free one.
 
-    It tries for a while where an error may pass. Raises OSError.
+    Errors that may pass are retried for `BIND_SECONDS`. Raises OSError.
     """
     sock = await bind((host, port), BIND_SECONDS, backlog=1024, waits_for_address=False)
-    # accepted sockets inherit this
+    # accepted sockets inherit this option
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     listener = StreamListener(sock)
     return listener, listener.port
