--- a/tests/test_cloudevent.py
+++ b/tests/test_cloudevent.py
@@ -1,4 +1,4 @@
-"""The event codec against its specification: both modes, both directions."""
+"""The event codec against its specification: binary and structured mode, encoding and decoding."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 )
 VALUES = TEXT | st.booleans() | st.integers(-(2**31), 2**31 - 1)
 EVENTS = st.builds(
-    lambda i, s, t, more, data, kind: Event(
-        {"specversion": "1.0", "id": i, "source": s, "type": t, **more},
+    lambda event_id, source, event_type, extensions, data, content_type: Event(
+        {"specversion": "1.0", "id": event_id, "source": source, "type": event_type, **extensions},
         data,
-        kind if data is not None else None,
+        content_type if data is not None else None,
     ),
     TEXT,
     TEXT,
@@ -44,30 +44,30 @@
 
 
 @given(EVENTS)
-def test_binary_mode_there_and_back(event: Event) -> None:
+def test_binary_mode_round_trip(event: Event) -> None:
     headers, body = encode_event(event)
-    back = decode_event(headers, body)
-    assert back.attributes == {name: event.text(name) for name in event.attributes}
-    assert (back.data, back.content_type) == (event.data, event.content_type)
+    decoded = decode_event(headers, body)
+    assert decoded.attributes == {name: event.text(name) for name in event.attributes}
+    assert (decoded.data, decoded.content_type) == (event.data, event.content_type)
 
 
 @given(EVENTS)
-def test_structured_mode_there_and_back_keeps_types(event: Event) -> None:
-    back = decode_event(
+def test_structured_mode_round_trip_keeps_types(event: Event) -> None:
+    decoded = decode_event(
         [(b"content-type", b"application/cloudevents+json; charset=utf-8")], encode_json_event(event)
     )
-    assert back == event
+    assert decoded == event
 
 
 @given(st.text(st.characters(exclude_categories=["Cs"])))
-def test_header_values_are_printable_ascii_and_come_back(text: str) -> None:
+def test_header_values_are_printable_ascii_and_decode_to_the_same_text(text: str) -> None:
     raw = encode_value(text)
     assert all(0x21 <= byte <= 0x7E for byte in raw)
     assert decode_value(raw, "x") == text
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_reach_a_traceback(data: bytes) -> None:
+def test_any_bytes_decode_or_raise_an_invalid_event_error(data: bytes) -> None:
     for headers in (
         [(b"content-type", b"application/cloudevents+json")],
         [(b"ce-id", data), (b"ce-specversion", b"1.0")],
@@ -79,7 +79,8 @@
             assert error.attribute is not None
 
 
-def structured(**members: object) -> Event:
+def decode_structured(**members: object) -> Event:
+    """Decodes an event in structured mode with these members besides the required ones."""
     base = {"specversion": "1.0", "id": "1", "source": "/s", "type": "t"}
     return decode_event(
         [(b"content-type", b"application/cloudevents+json")], json.dumps(base | members).encode()
@@ -87,13 +88,13 @@
 
 
 def test_data_in_the_json_format() -> None:
-    assert structured().data is None
-    assert structured(data={"a": 1}).data == b'{"a": 1}'
-    assert structured(data={"a": 1}).content_type == "application/json"
-    assert structured(data="<x/>", datacontenttype="application/xml").data == b"<x/>"
-    assert structured(data_base64="AAE=").data == b"\x00\x01"
-    assert structured(data=None).data == b"null"
-    assert structured(subject=None).text("subject") is None
+    assert decode_structured().data is None
+    assert decode_structured(data={"a": 1}).data == b'{"a": 1}'
+    assert decode_structured(data={"a": 1}).content_type == "application/json"
+    assert decode_structured(data="<x/>", datacontenttype="application/xml").data == b"<x/>"
+    assert decode_structured(data_base64="AAE=").data == b"\x00\x01"
+    assert decode_structured(data=None).data == b"null"
+    assert decode_structured(subject=None).text("subject") is None
 
 
 @pytest.mark.parametrize(
@@ -111,18 +112,18 @@
         ({"datacontenttype": 5}, "datacontenttype"),
     ],
 )
-def test_what_the_json_format_forbids(members: dict[str, object], attribute: str) -> None:
+def test_invalid_json_events_are_rejected(members: dict[str, object], attribute: str) -> None:
     with pytest.raises(InvalidEventError) as caught:
-        structured(**members)
+        decode_structured(**members)
     assert caught.value.attribute == attribute
 
 
 def test_quoted_and_doubly_encoded_header_values() -> None:
     assert decode_value(b'"a \\"b\\" %E2%82%AC"', "x") == 'a "b" €'
     assert decode_value(b"%2520", "x") == "%20"
-    for bad in (b"%", b"%f", b"%zz", b"%ff", b'"open'):
+    for invalid in (b"%", b"%f", b"%zz", b"%ff", b'"open'):
         with pytest.raises(InvalidEventError):
-            decode_value(bad, "x")
+            decode_value(invalid, "x")
 
 
 def test_absent_and_empty_data_differ() -> None:
@@ -133,29 +134,31 @@
 
 def test_times_are_rfc_3339() -> None:
     assert parse_time("2026-01-01T00:00:00.5Z") == parse_time("2026-01-01T01:00:00.5+01:00")
-    for bad in ("2026-01-01", "2026-01-01 00:00:00Z", "2026-13-01T00:00:00Z", "x"):
+    for invalid in ("2026-01-01", "2026-01-01 00:00:00Z", "2026-13-01T00:00:00Z", "x"):
         with pytest.raises(InvalidEventError):
-            parse_time(bad)
+            parse_time(invalid)
 
 
 @given(st.binary(max_size=300), st.lists(st.integers(1, 40), max_size=20), st.booleans())
-def test_a_message_cut_anywhere_is_the_same_message(body: bytes, cuts: list[int], chunked: bool) -> None:
+def test_messages_split_at_any_position_are_parsed_alike(
+    body: bytes, sizes: list[int], chunked: bool
+) -> None:
     if chunked:
-        parts = b"".join(chunk(body[n : n + 7]) for n in range(0, len(body), 7)) + chunk(b"")
-        data = b"POST /x HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n" + parts
+        chunks = b"".join(chunk(body[n : n + 7]) for n in range(0, len(body), 7)) + chunk(b"")
+        data = b"POST /x HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n" + chunks
     else:
         data = request(b"POST", b"/x", b"h", [(b"a", b"b")], body)
     data += request(b"GET", b"/y", b"h", [])
     reader = Reader(MessageLimits(), requests=True)
-    found, at = [], 0
-    for step in [*cuts, len(data)]:
-        found += reader.feed(data[at : at + step])
-        at += step
-    assert [(m.target, m.body) for m in found] == [(b"/x", body), (b"/y", b"")]
+    messages, position = [], 0
+    for size in [*sizes, len(data)]:
+        messages += reader.feed(data[position : position + size])
+        position += size
+    assert [(message.target, message.body) for message in messages] == [(b"/x", body), (b"/y", b"")]
 
 
 @given(st.binary(max_size=400))
-def test_any_bytes_are_messages_or_one_bad_message(data: bytes) -> None:
+def test_any_bytes_are_valid_messages_or_one_error(data: bytes) -> None:
     for requests in (True, False):
         reader = Reader(MessageLimits(head_bytes=100, body_bytes=100), requests=requests)
         try:
@@ -166,7 +169,7 @@
                 reader.feed(b"x")
 
 
-def test_interim_answers_are_passed_over() -> None:
+def test_interim_responses_are_skipped() -> None:
     reader = Reader(MessageLimits(), requests=False)
-    found = reader.feed(b"HTTP/1.1 100 Continue\r\n\r\n" + response(200, [], b"x"))
-    assert [(m.status, m.body) for m in found] == [(200, b"x")]
+    messages = reader.feed(b"HTTP/1.1 100 Continue\r\n\r\n" + response(200, [], b"x"))
+    assert [(message.status, message.body) for message in messages] == [(200, b"x")]
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The door's decisions: hand-written cases, and crowds of clients in virtual time."""
+"""Decisions of the admission controller: single cases, and many clients in virtual time."""
 
 from __future__ import annotations
 
@@ -21,335 +21,370 @@
 from martenlead.admission.units import NS_PER_MS, NS_PER_SECOND
 from support.crowd import Crowd, Customer
 
-TWO = {"a": 1.0, "b": 1.0}
+EQUAL_WEIGHTS = {"a": 1.0, "b": 1.0}
 
 
-class Door:
-    """A gate whose module has so many places."""
+class Harness:
+    """An admission controller for a policy with a fixed capacity, on a clock set by the test."""
 
-    def __init__(self, places: int, **limits: object) -> None:
+    def __init__(self, capacity: int, **limits: object) -> None:
         self.now = 0
-        self.places = places
-        self.inside: list[QueuedRequest] = []
-        told = AdmissionLimits(**limits)  # type: ignore[arg-type]
-        self.gate = AdmissionController(
-            told, lambda: self.now, Random(1), lambda _: len(self.inside) < self.places
+        self.capacity = capacity
+        self.in_service: list[QueuedRequest] = []
+        admission_limits = AdmissionLimits(**limits)  # type: ignore[arg-type]
+        self.controller = AdmissionController(
+            admission_limits, lambda: self.now, Random(1), lambda _: len(self.in_service) < self.capacity
         )
-        self.marks = 0
+        self.submitted = 0
 
-    def come(
+    def submit(
         self,
-        customer: str = "a",
+        tenant: str = "a",
         client: str = "c",
         *,
-        soft: int = 1000,
-        work: float = 0.1,
-        mark: int = 0,
-        again: bool = False,
-        model: str = "m",
-        size: int = 10,
-        brought: tuple[int, int] | None = None,
+        objective_ms: int = 1000,
+        work_seconds: float = 0.1,
+        trace_id: int = 0,
+        is_retry: bool = False,
+        function: str = "m",
+        size_bytes: int = 10,
+        reservation: tuple[int, int] | None = None,
     ) -> QueuedRequest:
-        self.marks += 1
-        end = self.now + soft * NS_PER_MS
-        number = mark or self.marks
+        """Submits a request; without `trace_id` it gets the number of the submission."""
+        self.submitted += 1
+        respond_by_ns = self.now + objective_ms * NS_PER_MS
+        used_trace_id = trace_id or self.submitted
         arriving = AdmissionRequest(
-            model, "o", customer, client, number, work, size, end, end, again, reservation=brought
+            function,
+            "o",
+            tenant,
+            client,
+            used_trace_id,
+            work_seconds,
+            size_bytes,
+            respond_by_ns,
+            respond_by_ns,
+            is_retry,
+            reservation=reservation,
         )
-        ticket = self.gate.submit(arriving)
-        if ticket.state is QueueState.ADMITTED:
-            self.inside.append(ticket)
-        return ticket
-
-    def end(self, ticket: QueuedRequest, end: ServiceResult = ServiceResult.SUCCEEDED) -> list[QueuedRequest]:
-        self.inside.remove(ticket)
-        changed = self.gate.complete(ticket, end)
-        entered = []
+        request = self.controller.submit(arriving)
+        if request.state is QueueState.ADMITTED:
+            self.in_service.append(request)
+        return request
+
+    def complete(
+        self, request: QueuedRequest, result: ServiceResult = ServiceResult.SUCCEEDED
+    ) -> list[QueuedRequest]:
+        """Ends a request in service; returns the waiting requests that are admitted in turn."""
+        self.in_service.remove(request)
+        changed = self.controller.complete(request, result)
+        admitted = []
         while changed:
-            more = []
-            for one in changed:
-                if one.state is QueueState.ADMITTED:
-                    self.inside.append(one)
-                    entered.append(one)
-                    more += self.gate.confirm_admission(one)
-            changed = more
-        return entered
-
-
-def test_where_the_module_has_room_nothing_waits() -> None:
-    door = Door(3)
-    tickets = [door.come() for _ in range(4)]
-    assert [t.state for t in tickets] == [QueueState.ADMITTED] * 3 + [QueueState.QUEUED]
-    assert door.end(tickets[0]) == [tickets[3]]
-    assert door.gate.waiting_requests == door.gate.waiting_bytes == 0
-
-
-def test_who_has_had_the_least_by_weight_is_next_and_by_work() -> None:
-    door = Door(1, weights={"a": 3.0, "b": 1.0})
-    first = door.come("a", soft=60_000)
+            next_changed = []
+            for changed_request in changed:
+                if changed_request.state is QueueState.ADMITTED:
+                    self.in_service.append(changed_request)
+                    admitted.append(changed_request)
+                    next_changed += self.controller.confirm_admission(changed_request)
+            changed = next_changed
+        return admitted
+
+
+def test_no_request_waits_while_the_policy_has_capacity() -> None:
+    harness = Harness(3)
+    requests = [harness.submit() for _ in range(4)]
+    assert [request.state for request in requests] == [QueueState.ADMITTED] * 3 + [QueueState.QUEUED]
+    assert harness.complete(requests[0]) == [requests[3]]
+    assert harness.controller.waiting_requests == harness.controller.waiting_bytes == 0
+
+
+def test_tenant_with_least_weighted_work_is_next() -> None:
+    harness = Harness(1, weights={"a": 3.0, "b": 1.0})
+    first = harness.submit("a", objective_ms=60_000)
     for _ in range(12):
-        door.come("a", soft=60_000)
-        door.come("b", soft=60_000, work=0.1)
-    order = ""
-    at = first
+        harness.submit("a", objective_ms=60_000)
+        harness.submit("b", objective_ms=60_000, work_seconds=0.1)
+    admitted_tenants = ""
+    current = first
     for _ in range(16):
-        (at,) = door.end(at)
-        order += at.tenant
-    assert order.count("a") == 12  # three of four
-    heavy = Door(1, weights=TWO)
-    at = heavy.come("a", soft=60_000)
+        (current,) = harness.complete(current)
+        admitted_tenants += current.tenant
+    assert admitted_tenants.count("a") == 12  # three in four
+    weighted_harness = Harness(1, weights=EQUAL_WEIGHTS)
+    current = weighted_harness.submit("a", objective_ms=60_000)
     for _ in range(30):
-        heavy.come("a", soft=60_000, work=0.1)
-        heavy.come("b", soft=60_000, work=1.0)
-    order = ""
+        weighted_harness.submit("a", objective_ms=60_000, work_seconds=0.1)
+        weighted_harness.submit("b", objective_ms=60_000, work_seconds=1.0)
+    admitted_tenants = ""
     for _ in range(22):
-        (at,) = heavy.end(at)
-        order += at.tenant
-    assert order.count("b") == 2  # a tenth of the tasks, half of the work
+        (current,) = weighted_harness.complete(current)
+        admitted_tenants += current.tenant
+    assert admitted_tenants.count("b") == 2  # a tenth of the requests, half of the work
 
 
-def test_in_a_customer_the_client_that_has_had_the_least_is_next() -> None:
-    door = Door(1, weights=TWO)
-    at = door.come("a", "flood", soft=60_000)
+def test_client_with_least_work_of_a_tenant_is_next() -> None:
+    harness = Harness(1, weights=EQUAL_WEIGHTS)
+    current = harness.submit("a", "flood", objective_ms=60_000)
     for _ in range(50):
-        door.come("a", "flood", soft=60_000)
-    small = [door.come("a", f"small-{n}", soft=60_000) for n in range(5)]
-    entered = []
+        harness.submit("a", "flood", objective_ms=60_000)
+    small_requests = [harness.submit("a", f"small-{n}", objective_ms=60_000) for n in range(5)]
+    admitted = []
     for _ in range(6):
-        (at,) = door.end(at)
-        entered.append(at)
-    assert set(small) <= set(entered)
-
-
-def test_what_can_not_be_in_time_is_turned_back_at_once_and_what_waits_when_it_can_not_any_more() -> None:
-    door = Door(1)
-    at = door.come()
-    for _ in range(20):  # ten a second get done, of 0.1 s each
-        door.now += 100 * NS_PER_MS
-        waits = door.come(soft=2000)
-        (at,) = door.end(at)
-        assert at is waits
-    fits = [door.come(soft=600) for _ in range(8)]
-    states = [t.state for t in fits]
+        (current,) = harness.complete(current)
+        admitted.append(current)
+    assert set(small_requests) <= set(admitted)
+
+
+def test_requests_that_cannot_be_answered_in_time_are_rejected_on_arrival_or_while_waiting() -> None:
+    harness = Harness(1)
+    current = harness.submit()
+    for _ in range(20):  # ten requests of 0.1 s each complete per second
+        harness.now += 100 * NS_PER_MS
+        waiting_request = harness.submit(objective_ms=2000)
+        (current,) = harness.complete(current)
+        assert current is waiting_request
+    burst = [harness.submit(objective_ms=600) for _ in range(8)]
+    states = [request.state for request in burst]
     assert states == sorted(states, key=[QueueState.QUEUED, QueueState.REJECTED].index)
     assert 2 <= states.count(QueueState.QUEUED) <= 6
-    ticket = fits[0]
-    door.now = ticket.start_by_ns
-    door.gate.expire(ticket)
-    assert (ticket.state, ticket.reason) == (QueueState.REJECTED, "it could not be answered in time")
-    assert ticket.retry_after_ns >= 100 * NS_PER_MS
+    request = burst[0]
+    harness.now = request.start_by_ns
+    harness.controller.expire(request)
+    assert (request.state, request.reason) == (QueueState.REJECTED, "it could not be answered in time")
+    assert request.retry_after_ns >= 100 * NS_PER_MS
 
 
-def test_appointments_are_one_after_the_other_and_kept_ones_go_first() -> None:
-    door = Door(1, waiting=1)
-    at = door.come(soft=60_000)
+def test_reservations_are_staggered_and_redeemed_ones_are_admitted_first() -> None:
+    harness = Harness(1, waiting=1)
+    current = harness.submit(objective_ms=60_000)
     for _ in range(20):
-        door.now += 100 * NS_PER_MS
-        waits = door.come(soft=60_000)
-        (at,) = door.end(at)
-        assert at is waits
-    door.come(soft=60_000)
-    back = [door.come(soft=60_000, mark=1000 + n) for n in range(10)]
-    waits_ = [t.retry_after_ns // NS_PER_MS for t in back]
-    assert waits_ == sorted(waits_)
-    assert waits_[-1] - waits_[0] > 1000  # at a part of ten a second
-    door.gate.limits = AdmissionLimits(waiting=100)
-    others = [door.come(soft=60_000) for _ in range(3)]
-    door.now += back[3].retry_after_ns
-    kept = door.come(soft=60_000, mark=1003, again=True)
-    assert kept.has_reservation
-    entered = []
+        harness.now += 100 * NS_PER_MS
+        waiting_request = harness.submit(objective_ms=60_000)
+        (current,) = harness.complete(current)
+        assert current is waiting_request
+    harness.submit(objective_ms=60_000)
+    rejected = [harness.submit(objective_ms=60_000, trace_id=1000 + n) for n in range(10)]
+    retry_after_ms = [request.retry_after_ns // NS_PER_MS for request in rejected]
+    assert retry_after_ms == sorted(retry_after_ms)
+    assert retry_after_ms[-1] - retry_after_ms[0] > 1000  # at a share of ten per second
+    harness.controller.limits = AdmissionLimits(waiting=100)
+    other_requests = [harness.submit(objective_ms=60_000) for _ in range(3)]
+    harness.now += rejected[3].retry_after_ns
+    returned = harness.submit(objective_ms=60_000, trace_id=1003, is_retry=True)
+    assert returned.has_reservation
+    admitted = []
     for _ in range(3):
-        (at,) = door.end(at)
-        entered.append(at)
-    assert entered[0] is kept
-    assert others[2] not in entered
-
-
-def test_who_comes_before_its_time_is_told_the_rest_of_it_and_repeats_have_a_budget() -> None:
-    door = Door(1, waiting=1)
-    door.come(soft=60_000)
-    door.come(soft=60_000)
-    back = door.come(soft=60_000, mark=77)
-    assert back.state is QueueState.REJECTED
-    door.now += back.retry_after_ns // 2
-    early = door.come(soft=60_000, mark=77, again=True)
+        (current,) = harness.complete(current)
+        admitted.append(current)
+    assert admitted[0] is returned
+    assert other_requests[2] not in admitted
+
+
+def test_early_returns_get_the_remaining_time_and_retries_have_a_budget() -> None:
+    harness = Harness(1, waiting=1)
+    harness.submit(objective_ms=60_000)
+    harness.submit(objective_ms=60_000)
+    rejected = harness.submit(objective_ms=60_000, trace_id=77)
+    assert rejected.state is QueueState.REJECTED
+    harness.now += rejected.retry_after_ns // 2
+    early = harness.submit(objective_ms=60_000, trace_id=77, is_retry=True)
     assert (early.state, early.reason) == (QueueState.REJECTED, "it was told to come later")
-    assert early.retry_after_ns <= back.retry_after_ns // 2 + 1
-    door.gate.limits = AdmissionLimits(waiting=1000)
-    states = [door.come(soft=60_000, mark=10_000 + n, again=True).reason for n in range(60)]
+    assert early.retry_after_ns <= rejected.retry_after_ns // 2 + 1
+    harness.controller.limits = AdmissionLimits(waiting=1000)
+    states = [
+        harness.submit(objective_ms=60_000, trace_id=10_000 + n, is_retry=True).reason for n in range(60)
+    ]
     assert states.count("its customer repeats too much") >= 30
 
 
-def test_an_appointment_from_another_door_is_kept_here_once_and_ahead_of_all_customers() -> None:
-    door = Door(1, weights=TWO)
-    at = door.come("a", soft=60_000)
-    others = [door.come("b", soft=60_000) for _ in range(5)]
-    span = door.now - 10 * NS_PER_MS, door.now + 2000 * NS_PER_MS
-    brought = door.come("a", soft=60_000, mark=500, again=True, brought=span)
-    assert (brought.has_reservation, brought.counts_as_retry) == (True, False)
-    again = door.come("a", soft=60_000, mark=500, again=True, brought=span)
-    assert (again.has_reservation, again.counts_as_retry) == (False, True)
-    assert door.end(at) == [brought]  # though "a" has had more than "b"
-    assert door.end(brought)[0] in others
-    early = door.come(
-        "a", mark=501, again=True, brought=(door.now + 5000 * NS_PER_MS, door.now + 9000 * NS_PER_MS)
+def test_reservation_of_another_dispatcher_is_redeemed_once_ahead_of_all_tenants() -> None:
+    harness = Harness(1, weights=EQUAL_WEIGHTS)
+    current = harness.submit("a", objective_ms=60_000)
+    other_requests = [harness.submit("b", objective_ms=60_000) for _ in range(5)]
+    window = harness.now - 10 * NS_PER_MS, harness.now + 2000 * NS_PER_MS
+    redeemed = harness.submit("a", objective_ms=60_000, trace_id=500, is_retry=True, reservation=window)
+    assert (redeemed.has_reservation, redeemed.counts_as_retry) == (True, False)
+    repeated = harness.submit("a", objective_ms=60_000, trace_id=500, is_retry=True, reservation=window)
+    assert (repeated.has_reservation, repeated.counts_as_retry) == (False, True)
+    assert harness.complete(current) == [redeemed]  # although "a" had more work admitted than "b"
+    assert harness.complete(redeemed)[0] in other_requests
+    early = harness.submit(
+        "a",
+        trace_id=501,
+        is_retry=True,
+        reservation=(harness.now + 5000 * NS_PER_MS, harness.now + 9000 * NS_PER_MS),
     )
     assert (early.state, early.reason, early.retry_after_ns) == (
         QueueState.REJECTED,
         "it was told to come later",
         7000 * NS_PER_MS,
     )
-    late = door.come(
-        "a", soft=60_000, mark=502, again=True, brought=(door.now - 9 * NS_PER_SECOND, door.now - NS_PER_MS)
+    late = harness.submit(
+        "a",
+        objective_ms=60_000,
+        trace_id=502,
+        is_retry=True,
+        reservation=(harness.now - 9 * NS_PER_SECOND, harness.now - NS_PER_MS),
     )
     assert not late.has_reservation
 
 
-def test_what_first_tries_leave_is_for_those_who_were_told_to_come() -> None:
-    """After a burst the return wave gets all that is free, and under a lasting overload a part."""
-    gaps = []
-    for new in (1, 9):  # first tries while ten get done
-        door = Door(1, waiting=1)
-        at = door.come(soft=60_000)
+def test_reservations_get_the_throughput_that_new_requests_leave() -> None:
+    """After a burst reservations get all free throughput, under a sustained overload only a share."""
+    spreads_ms = []
+    for new_requests in (1, 9):  # new requests per ten completed
+        harness = Harness(1, waiting=1)
+        current = harness.submit(objective_ms=60_000)
         for n in range(40):
-            door.now += 100 * NS_PER_MS
-            waits = door.come(soft=60_000, again=n % 10 >= new, mark=9000 + n)
-            door.gate.accounts[waits.tenant].retry_budget = 10
-            (at,) = door.end(at)
-        door.come(soft=60_000)
-        back = [door.come(soft=60_000, mark=1000 + n, again=True) for n in range(10)]
-        gaps.append((back[-1].retry_after_ns - back[0].retry_after_ns) // NS_PER_MS)
-    assert gaps[0] < 1400 < 2000 < gaps[1]
-
-
-def test_what_has_room_again_is_asked_for_first_where_it_was() -> None:
-    """Models that were last placed elsewhere are not asked for each time that something ends."""
-    door = Door(2)
-    asked: list[str] = []
-    where = {f"m{n}": f"runner {n % 2}" for n in range(20)}
-    door.gate.find_placement = lambda t: (
-        asked.append(t.function) or (where[t.function] if len(door.inside) < 2 else None)
+            harness.now += 100 * NS_PER_MS
+            waiting_request = harness.submit(
+                objective_ms=60_000, is_retry=n % 10 >= new_requests, trace_id=9000 + n
+            )
+            harness.controller.accounts[waiting_request.tenant].retry_budget = 10
+            (current,) = harness.complete(current)
+        harness.submit(objective_ms=60_000)
+        rejected = [harness.submit(objective_ms=60_000, trace_id=1000 + n, is_retry=True) for n in range(10)]
+        spreads_ms.append((rejected[-1].retry_after_ns - rejected[0].retry_after_ns) // NS_PER_MS)
+    assert spreads_ms[0] < 1400 < 2000 < spreads_ms[1]
+
+
+def test_freed_placement_is_offered_to_functions_last_placed_there() -> None:
+    """The policy is not asked about functions that were last placed elsewhere than the ended request."""
+    harness = Harness(2)
+    asked_functions: list[str] = []
+    placements = {f"m{n}": f"runner {n % 2}" for n in range(20)}
+    harness.controller.find_placement = lambda request: (
+        asked_functions.append(request.function)
+        or (placements[request.function] if len(harness.in_service) < 2 else None)
+    )
+    first, second = (
+        harness.submit(function="m0", objective_ms=60_000),
+        harness.submit(function="m1", objective_ms=60_000),
     )
-    first, second = door.come(model="m0", soft=60_000), door.come(model="m1", soft=60_000)
     for n in range(20):
-        door.gate.queues.use(f"m{n}").last_placement = where[f"m{n}"]
-        door.come(model=f"m{n}", soft=60_000)
-    asked.clear()
-    door.end(first)
-    assert {where[m] for m in asked} == {"runner 0"}
-    asked.clear()
-    door.end(second)
-    assert {where[m] for m in asked} == {"runner 1"}
-
-
-def test_a_word_of_no_room_after_all_is_an_honest_time_too() -> None:
-    door = Door(1)
-    ticket = door.come()
-    assert door.end(ticket, ServiceResult.NO_CAPACITY) == []
-    assert 500 * NS_PER_MS <= ticket.retry_after_ns <= 1700 * NS_PER_MS
-    assert ticket.trace_id in door.gate.reservations
-
-
-def test_bounds_of_tasks_and_bytes_and_a_client_that_leaves() -> None:
-    door = Door(1, waiting=5, bytes=1000)
-    at = door.come(soft=60_000)
-    some = [door.come(soft=60_000, size=300) for _ in range(5)]
-    assert [t.state for t in some] == [QueueState.QUEUED] * 3 + [QueueState.REJECTED] * 2
-    assert some[4].reason == "the door's queues are full"
-    door.gate.cancel(some[0])
-    assert (door.gate.waiting_requests, door.gate.waiting_bytes) == (2, 600)
-    assert door.end(at) == [some[1]]
-    door.inside.clear()
-    assert door.gate.complete(some[2], ServiceResult.OTHER) == []  # left as it was let in
-    assert door.gate.waiting_requests == 0
-
-
-def test_one_that_leaves_just_as_it_is_let_in_does_not_close_the_door() -> None:
-    door = Door(1)
-    at = door.come(soft=60_000)
-    first, second = door.come(soft=60_000), door.come(soft=60_000)
-    door.inside.remove(at)
-    assert door.gate.complete(at, ServiceResult.SUCCEEDED) == [first]
-    assert door.gate.unconfirmed is first
-    assert door.gate.complete(first, ServiceResult.OTHER) == [second]  # it never came to the module
-    door.inside.append(second)
-    assert door.gate.confirm_admission(second) == []
-    assert door.gate.unconfirmed is None
-
-
-def test_the_door_closes_and_nobody_is_left_waiting() -> None:
-    door = Door(1)
-    door.come(soft=60_000)
-    waits = [door.come(soft=60_000, model=f"m{n % 3}") for n in range(10)]
-    changed = door.gate.reject_all()
-    assert sorted(map(id, changed)) == sorted(map(id, waits))
-    assert all(t.state is QueueState.REJECTED and t.reason == "the dispatcher stops" for t in waits)
-    assert door.gate.waiting_requests == 0
+        harness.controller.queues.use(f"m{n}").last_placement = placements[f"m{n}"]
+        harness.submit(function=f"m{n}", objective_ms=60_000)
+    asked_functions.clear()
+    harness.complete(first)
+    assert {placements[function] for function in asked_functions} == {"runner 0"}
+    asked_functions.clear()
+    harness.complete(second)
+    assert {placements[function] for function in asked_functions} == {"runner 1"}
+
+
+def test_request_without_capacity_after_admission_gets_a_reservation() -> None:
+    harness = Harness(1)
+    request = harness.submit()
+    assert harness.complete(request, ServiceResult.NO_CAPACITY) == []
+    assert 500 * NS_PER_MS <= request.retry_after_ns <= 1700 * NS_PER_MS
+    assert request.trace_id in harness.controller.reservations
+
+
+def test_limits_of_waiting_requests_and_bytes_and_a_client_that_disconnects() -> None:
+    harness = Harness(1, waiting=5, bytes=1000)
+    current = harness.submit(objective_ms=60_000)
+    submitted = [harness.submit(objective_ms=60_000, size_bytes=300) for _ in range(5)]
+    assert [request.state for request in submitted] == [QueueState.QUEUED] * 3 + [QueueState.REJECTED] * 2
+    assert submitted[4].reason == "the door's queues are full"
+    harness.controller.cancel(submitted[0])
+    assert (harness.controller.waiting_requests, harness.controller.waiting_bytes) == (2, 600)
+    assert harness.complete(current) == [submitted[1]]
+    harness.in_service.clear()
+    # its client disconnects as it is admitted
+    assert harness.controller.complete(submitted[2], ServiceResult.OTHER) == []
+    assert harness.controller.waiting_requests == 0
+
+
+def test_client_that_disconnects_on_admission_does_not_block_the_next_request() -> None:
+    harness = Harness(1)
+    current = harness.submit(objective_ms=60_000)
+    first, second = harness.submit(objective_ms=60_000), harness.submit(objective_ms=60_000)
+    harness.in_service.remove(current)
+    assert harness.controller.complete(current, ServiceResult.SUCCEEDED) == [first]
+    assert harness.controller.unconfirmed is first
+    assert harness.controller.complete(first, ServiceResult.OTHER) == [second]  # it never reached the policy
+    harness.in_service.append(second)
+    assert harness.controller.confirm_admission(second) == []
+    assert harness.controller.unconfirmed is None
+
+
+def test_shutdown_rejects_all_waiting_requests() -> None:
+    harness = Harness(1)
+    harness.submit(objective_ms=60_000)
+    waiting_requests = [harness.submit(objective_ms=60_000, function=f"m{n % 3}") for n in range(10)]
+    changed = harness.controller.reject_all()
+    assert sorted(map(id, changed)) == sorted(map(id, waiting_requests))
+    assert all(
+        request.state is QueueState.REJECTED and request.reason == "the dispatcher stops"
+        for request in waiting_requests
+    )
+    assert harness.controller.waiting_requests == 0
 
 
 def test_a_hundred_thousand_names_in_a_minute_take_bounded_memory() -> None:
-    door = Door(0, waiting=500, bytes=100_000)
-    chance = Random(1)
+    harness = Harness(0, waiting=500, bytes=100_000)
+    random = Random(1)
     for n in range(100_000):
-        door.now += 600_000
-        door.come(f"customer-{n}", f"client-{chance.random()}", model=f"model-{n % 9000}", mark=n + 1)
-    gate = door.gate
-    assert len(gate.accounts) <= TENANT_BUCKETS
-    assert all(len(a.client_work_seconds) <= CLIENT_BUCKETS for a in gate.accounts.values())
-    assert len(gate.reservations) <= MAX_RESERVATIONS
-    assert len(gate.queues) <= MAX_FUNCTION_QUEUES + 4
-    assert len(gate.heavy_hitters.counts) <= 64
-    assert gate.waiting_requests <= 500
-
-
-def test_the_heaviest_are_known_by_name() -> None:
-    heavy = HeavyHitters(20)
-    chance = Random(2)
+        harness.now += 600_000
+        harness.submit(
+            f"customer-{n}", f"client-{random.random()}", function=f"model-{n % 9000}", trace_id=n + 1
+        )
+    controller = harness.controller
+    assert len(controller.accounts) <= TENANT_BUCKETS
+    assert all(len(account.client_work_seconds) <= CLIENT_BUCKETS for account in controller.accounts.values())
+    assert len(controller.reservations) <= MAX_RESERVATIONS
+    assert len(controller.queues) <= MAX_FUNCTION_QUEUES + 4
+    assert len(controller.heavy_hitters.counts) <= 64
+    assert controller.waiting_requests <= 500
+
+
+def test_most_frequent_names_are_tracked() -> None:
+    heavy_hitters = HeavyHitters(20)
+    random = Random(2)
     for n in range(20_000):
-        heavy.add("flood" if chance.random() < 0.2 else f"name-{n}")
-    (name, part), *_ = heavy.heaviest(3)
+        heavy_hitters.add("flood" if random.random() < 0.2 else f"name-{n}")
+    (name, share), *_ = heavy_hitters.heaviest(3)
     assert name == "flood"
-    assert 0.19 < part < 0.27
+    assert 0.19 < share < 0.27
     assert hash_bucket("x", 64, 1) == hash_bucket("x", 64, 1)
     assert len({hash_bucket("x", 1 << 30, salt) for salt in range(5)}) == 5
 
 
-# -- crowds
+# -- many clients in virtual time
 
 
-def test_at_any_load_the_places_are_used_and_who_comes_when_told_is_served() -> None:
-    told = []
+def test_capacity_is_used_and_reservations_are_honored_at_any_load() -> None:
+    goodput_by_load = []
     for load in (0.5, 1.0, 1.5, 3.0):
-        crowd = Crowd(10, [Customer("a", load * 70), Customer("b", load * 30)], weights=TWO)
+        crowd = Crowd(10, [Customer("a", load * 70), Customer("b", load * 30)], weights=EQUAL_WEIGHTS)
         crowd.run(30)
         goodput = sum(crowd.in_time.values()) / 30
-        told.append(goodput)
+        goodput_by_load.append(goodput)
         assert goodput >= 0.95 * min(100, load * 100)
         assert not crowd.came or crowd.met / crowd.came >= 0.9
-    assert told[3] >= 0.9 * told[1]
+    assert goodput_by_load[3] >= 0.9 * goodput_by_load[1]
 
 
-def test_one_client_at_a_hundred_times_its_share_takes_nothing_from_the_others() -> None:
-    parts = []
+def test_client_at_a_hundred_times_its_share_does_not_slow_other_tenants() -> None:
+    shares_in_time = []
     for queues in (False, True):
         customers = [Customer("a", 300, clients=20, flood=0.85), Customer("b", 30)]
-        crowd = Crowd(10, customers, queues=queues, weights=TWO)
+        crowd = Crowd(10, customers, queues=queues, weights=EQUAL_WEIGHTS)
         crowd.run(30)
-        parts.append(crowd.part("b"))
-    assert parts[1] > 0.95 > 0.6 > parts[0]
+        shares_in_time.append(crowd.part("b"))
+    assert shares_in_time[1] > 0.95 > 0.6 > shares_in_time[0]
 
 
-def test_shares_three_to_one_with_tasks_ten_times_as_heavy() -> None:
+def test_weights_of_three_to_one_hold_for_requests_with_ten_times_the_work() -> None:
     customers = [Customer("a", 300, 0.05, clients=50), Customer("b", 30, 0.5, soft=2.0, clients=50)]
     crowd = Crowd(10, customers, weights={"a": 3.0, "b": 1.0})
     crowd.run(60)
-    done = crowd.work_in_time
-    assert 2.0 < done["a"] / done["b"] < 4.0
-    assert done["a"] + done["b"] > 0.8 * 10 * 60
+    work_in_time = crowd.work_in_time
+    assert 2.0 < work_in_time["a"] / work_in_time["b"] < 4.0
+    assert work_in_time["a"] + work_in_time["b"] > 0.8 * 10 * 60
 
 
-def test_a_burst_of_ten_times_and_its_return_wave() -> None:
+def test_tenfold_burst_and_its_retries() -> None:
     crowd = Crowd(10, [Customer("a", 50)], weights={"a": 1.0})
     crowd.run(5)
     for _ in range(1500):
@@ -359,20 +394,20 @@
         )
     crowd.run(35)
     assert crowd.met / crowd.came > 0.9
-    worst = min(crowd.series[s] for s in range(5, 25))
-    assert worst > 40  # a part is kept for those who were told when to come, and half comes anew
+    least_per_second = min(crowd.series[s] for s in range(5, 25))
+    assert least_per_second > 40  # a share is reserved for rejected requests, and half of the load is new
     assert crowd.part("a") > 0.8
 
 
-def test_clients_that_heed_nothing_lose_to_those_that_do() -> None:
-    heeds, not_ = Customer("a", 100, clients=40), Customer("b", 100, clients=40, honours=0.0, tries=12)
-    crowd = Crowd(10, [heeds, not_], weights=TWO)
+def test_clients_that_honor_retry_after_do_no_worse_than_others() -> None:
+    honoring, ignoring = Customer("a", 100, clients=40), Customer("b", 100, clients=40, honours=0.0, tries=12)
+    crowd = Crowd(10, [honoring, ignoring], weights=EQUAL_WEIGHTS)
     crowd.run(40)
     assert crowd.part("a") >= crowd.part("b") - 0.02
     assert crowd.met / crowd.came > 0.9
 
 
-def test_all_places_are_gone_for_five_seconds_and_come_back() -> None:
+def test_throughput_recovers_after_five_seconds_without_capacity() -> None:
     crowd = Crowd(10, [Customer("a", 80)], weights={"a": 1.0})
     crowd.run(5)
     crowd.places["m"] = 0
@@ -393,28 +428,32 @@
     ),
     st.integers(0, 12),
 )
-def test_whatever_comes_counts_are_right_and_nothing_is_left_over(
-    seed: int, mixes: list[tuple[int, float, float]], places: int
+def test_counters_are_consistent_and_no_request_is_left_over(
+    seed: int, loads: list[tuple[int, float, float]], capacity: int
 ) -> None:
-    """Work and time left that lie, too: soft limits far below the work that is told."""
+    """Includes false declarations: latency objectives far below the declared work."""
     customers = [
-        Customer(f"c{n}", rate, work, soft, model=f"m{n % 2}", honours=0.5)
-        for n, (rate, work, soft) in enumerate(mixes)
+        Customer(f"c{index}", rate, work, soft, model=f"m{index % 2}", honours=0.5)
+        for index, (rate, work, soft) in enumerate(loads)
     ]
-    crowd = Crowd(places, customers, seed=seed, waiting=50)
+    crowd = Crowd(capacity, customers, seed=seed, waiting=50)
     crowd.run(3)
     for customer in customers:
         customer.rate = 0
         customer.tries = 1
     crowd.run(200)
-    gate = crowd.gate
-    assert gate is not None
-    assert gate.waiting_requests == gate.waiting_bytes == len(crowd.about) == 0
-    assert gate.unconfirmed is None
+    controller = crowd.gate
+    assert controller is not None
+    assert controller.waiting_requests == controller.waiting_bytes == len(crowd.about) == 0
+    assert controller.unconfirmed is None
     assert all(
-        not q.waiting_requests and not q.in_service and not q.tenant_queues and not q.waiting_work_seconds
-        for q in gate.queues.values()
+        not queue.waiting_requests
+        and not queue.in_service
+        and not queue.tenant_queues
+        and not queue.waiting_work_seconds
+        for queue in controller.queues.values()
     )
     assert all(
-        not a.waiting_requests and not a.queues and not a.waiting_work_seconds for a in gate.accounts.values()
+        not account.waiting_requests and not account.queues and not account.waiting_work_seconds
+        for account in controller.accounts.values()
     )
--- a/tests/test_http_server_answers.py
+++ b/tests/test_http_server_answers.py
@@ -1,4 +1,7 @@
-"""The HTTP server answers what it has read before a connection closes, and a fault costs one connection."""
+"""The HTTP server answers all requests that it has read before it closes a connection.
+
+A fault of one connection does not affect the others.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +24,9 @@
 
 pytestmark = pytest.mark.anyio
 
-GET = b"GET /%d HTTP/1.1\r\nhost: e\r\n\r\n"
-LAST = b"GET /%d HTTP/1.1\r\nhost: e\r\nconnection: close\r\n\r\n"
-NOTICED_SECONDS = 0.1  # within which a client's end has to be known
+GET_REQUEST = b"GET /%d HTTP/1.1\r\nhost: e\r\n\r\n"
+CLOSING_REQUEST = b"GET /%d HTTP/1.1\r\nhost: e\r\nconnection: close\r\n\r\n"
+NOTICED_SECONDS = 0.1  # Time in which a disconnect has to be noticed
 
 
 @pytest.fixture(params=[False, True], ids=["asyncio", "uvloop"])
@@ -31,417 +34,435 @@
     return "asyncio", {"use_uvloop": request.param}
 
 
-class Play:
-    """A server whose handler answers with the target, or as the test says."""
+class ServerHarness:
+    """A server whose handler responds with the target, or as set in `answer`."""
 
     def __init__(self, limits: ServerLimits) -> None:
         self.port = 0
-        self.begun: list[bytes] = []
+        self.started: list[bytes] = []
         self.cancelled: list[bytes] = []
         self.faults: list[BaseException] = []
         self.answer: Callable[[Message], Awaitable[Reply]] = self.echo
-        self.go_on = anyio.Event()
-        self.ended = anyio.Event()
-        self.server = Server(self.handle, limits, make_error_reply=bad, make_fault_reply=self.crashed)
+        self.release = anyio.Event()
+        self.stopped = anyio.Event()
+        self.server = Server(
+            self.handle, limits, make_error_reply=make_error_reply, make_fault_reply=self.make_fault_reply
+        )
 
     async def echo(self, message: Message) -> Reply:
         return Reply(200, [], message.target)
 
-    async def waiting(self, message: Message) -> Reply:
-        await self.go_on.wait()
+    async def wait_then_echo(self, message: Message) -> Reply:
+        await self.release.wait()
         return Reply(200, [], message.target)
 
     async def handle(self, message: Message, _now: int) -> Reply:
-        self.begun.append(message.target)
+        self.started.append(message.target)
         try:
             return await self.answer(message)
         except anyio.get_cancelled_exc_class():
             self.cancelled.append(message.target)
             raise
 
-    def crashed(self, error: BaseException) -> Reply:
+    def make_fault_reply(self, error: BaseException) -> Reply:
         self.faults.append(error)
         return Reply(500, [], b"fault")
 
     def connect(self) -> socket.socket:
-        """Without a turn of the event loop: the machine alone has accepted it."""
+        """Connects without running the event loop: only the kernel has accepted the connection."""
         return socket.create_connection(("127.0.0.1", self.port))
 
 
-def bad(status: int, why: str) -> Reply:
-    return Reply(status, [], why.encode())
+def make_error_reply(status: int, detail: str) -> Reply:
+    """A response with the detail as its body."""
+    return Reply(status, [], detail.encode())
 
 
 @asynccontextmanager
-async def served(limits: ServerLimits | None = None) -> AsyncIterator[Play]:
-    p = Play(limits or ServerLimits())
-    listener, p.port = await listen("127.0.0.1", 0)
+async def running_server(limits: ServerLimits | None = None) -> AsyncIterator[ServerHarness]:
+    """Runs a server on a free port."""
+    harness = ServerHarness(limits or ServerLimits())
+    listener, harness.port = await listen("127.0.0.1", 0)
 
     async def serve() -> None:
-        await p.server.serve(listener)
-        p.ended.set()
+        await harness.server.serve(listener)
+        harness.stopped.set()
 
     async with anyio.create_task_group() as group:
         group.start_soon(serve)
         await anyio.sleep(0.01)
-        yield p
+        yield harness
         group.cancel_scope.cancel()
 
 
-async def whole(client: socket.socket, seconds: float = 5) -> bytes:
-    """All that comes until the connection ends; a reset raises."""
+async def read_until_closed(client: socket.socket, seconds: float = 5) -> bytes:
+    """Returns all bytes until the connection ends; a reset raises."""
     client.setblocking(False)
-    found = b""
+    received = b""
     with anyio.fail_after(seconds):
         while True:
             try:
-                part = client.recv(65_536)
+                data = client.recv(65_536)
             except BlockingIOError:
                 await anyio.sleep(0.002)
                 continue
-            if not part:
+            if not data:
                 client.close()
-                return found
-            found += part
+                return received
+            received += data
 
 
-async def part(client: socket.socket, wanted: bytes) -> bytes:
-    """What comes until these bytes do."""
+async def read_until(client: socket.socket, expected: bytes) -> bytes:
+    """Returns all bytes up to a read that completes the expected ones."""
     client.setblocking(False)
-    found = b""
+    received = b""
     with anyio.fail_after(5):
-        while wanted not in found:
+        while expected not in received:
             try:
-                found += client.recv(65_536)
+                received += client.recv(65_536)
             except BlockingIOError:
                 await anyio.sleep(0.002)
-    return found
+    return received
+
 
+async def idle_connection(harness: ServerHarness) -> Connection:
+    """Returns the only connection once its requests are answered.
 
-async def idle_connection(p: Play) -> Connection:
-    """The one that there is, once its requests are answered: its client may have read the last answer in the
-    turn before the server is done with writing it."""
-    (connection,) = p.server.connections
+    Its client may have read the last response just before the server is done with writing it.
+    """
+    (connection,) = harness.server.connections
     await until(lambda: not connection.slots and not connection.write_started_ns)
     return connection
 
 
-def arrived(client: socket.socket) -> None:
-    """Loopback delivers as it sends: what the client wrote waits at the server."""
+def check_delivered(client: socket.socket) -> None:
+    """Checks that sent bytes wait at the server: loopback delivers them as they are sent."""
     assert select.select([], [client], [], 1)[1]
 
 
 # -- a drain
 
 
-async def test_what_waits_in_the_backlog_as_a_drain_begins_is_answered() -> None:
-    async with served() as p:
-        clients = [p.connect() for _ in range(20)]
-        for at, client in enumerate(clients):
-            client.sendall(GET % at)
-        p.server.drain()
-        for at, client in enumerate(clients):
-            found = await whole(client)
-            assert found.startswith(b"HTTP/1.1 200") and found.endswith(b"/%d" % at)
+async def test_requests_in_the_backlog_when_a_drain_begins_are_answered() -> None:
+    async with running_server() as harness:
+        clients = [harness.connect() for _ in range(20)]
+        for number, client in enumerate(clients):
+            client.sendall(GET_REQUEST % number)
+        harness.server.drain()
+        for number, client in enumerate(clients):
+            received = await read_until_closed(client)
+            assert received.startswith(b"HTTP/1.1 200") and received.endswith(b"/%d" % number)
         with anyio.fail_after(2):
-            await p.ended.wait()
+            await harness.stopped.wait()
 
 
-async def test_what_lies_unread_as_a_drain_begins_is_answered() -> None:
-    async with served() as p:
-        client = p.connect()
-        client.sendall(GET % 1)
-        await part(client, b"/1")
+async def test_an_unread_request_when_a_drain_begins_is_answered() -> None:
+    async with running_server() as harness:
+        client = harness.connect()
+        client.sendall(GET_REQUEST % 1)
+        await read_until(client, b"/1")
         client.setblocking(True)
-        client.sendall(GET % 2)
-        p.server.drain()
-        found = await whole(client)
-        assert found.startswith(b"HTTP/1.1 200") and found.endswith(b"/2")
+        client.sendall(GET_REQUEST % 2)
+        harness.server.drain()
+        received = await read_until_closed(client)
+        assert received.startswith(b"HTTP/1.1 200") and received.endswith(b"/2")
 
 
-async def test_a_request_just_behind_its_connection_is_answered_in_a_drain() -> None:
-    async with served() as p:
-        client = p.connect()
-        await until(lambda: p.server.connections)
-        p.server.drain()
+async def test_the_first_request_of_a_new_connection_is_answered_in_a_drain() -> None:
+    async with running_server() as harness:
+        client = harness.connect()
+        await until(lambda: harness.server.connections)
+        harness.server.drain()
         await anyio.sleep(0.05)
         client.setblocking(True)
-        client.sendall(GET % 1)
-        assert (await whole(client)).endswith(b"/1")
+        client.sendall(GET_REQUEST % 1)
+        assert (await read_until_closed(client)).endswith(b"/1")
 
 
-async def test_a_drain_says_that_it_closes_with_the_last_response_alone() -> None:
-    """A client that is told of a close reads no further response."""
-    async with served() as p:
-        p.answer = p.waiting
-        client = p.connect()
-        client.sendall(GET % 1 + GET % 2 + GET % 3)
-        await until(lambda: len(p.begun) == 3)
-        p.server.drain()
-        p.go_on.set()
-        found = await whole(client)
-        assert found.count(b"HTTP/1.1 200") == 3
-        assert b"connection: close" not in found[: found.index(b"/2")]
-        assert found.count(b"connection: close") == 1 and found.endswith(b"/3")
+async def test_only_the_last_response_of_a_drain_announces_the_close() -> None:
+    """A client that reads `Connection: close` expects no further response."""
+    async with running_server() as harness:
+        harness.answer = harness.wait_then_echo
+        client = harness.connect()
+        client.sendall(GET_REQUEST % 1 + GET_REQUEST % 2 + GET_REQUEST % 3)
+        await until(lambda: len(harness.started) == 3)
+        harness.server.drain()
+        harness.release.set()
+        received = await read_until_closed(client)
+        assert received.count(b"HTTP/1.1 200") == 3
+        assert b"connection: close" not in received[: received.index(b"/2")]
+        assert received.count(b"connection: close") == 1 and received.endswith(b"/3")
 
 
 @pytest.mark.parametrize("count", [3, 40])
-async def test_requests_that_wait_for_one_before_them_are_answered_in_a_drain(count: int) -> None:
-    """They were read, and none of them was begun."""
-    async with served(ServerLimits(max_pipelined=1)) as p:
-        p.answer = p.waiting
-        client = p.connect()
-        client.sendall(b"".join(GET % at for at in range(count)))
-        await until(lambda: p.begun)
-        p.server.drain()
-        p.go_on.set()
-        found = await whole(client)
-        assert found.count(b"HTTP/1.1 200") == count and found.count(b"connection: close") == 1
+async def test_pipelined_requests_that_have_not_started_are_answered_in_a_drain(count: int) -> None:
+    """All of them were read, but only the first one was started."""
+    async with running_server(ServerLimits(max_pipelined=1)) as harness:
+        harness.answer = harness.wait_then_echo
+        client = harness.connect()
+        client.sendall(b"".join(GET_REQUEST % number for number in range(count)))
+        await until(lambda: harness.started)
+        harness.server.drain()
+        harness.release.set()
+        received = await read_until_closed(client)
+        assert received.count(b"HTTP/1.1 200") == count and received.count(b"connection: close") == 1
 
 
 async def test_an_idle_connection_ends_in_a_drain() -> None:
-    async with served() as p:
-        client = p.connect()
-        client.sendall(GET % 1)
-        await part(client, b"/1")
-        p.server.drain()
-        assert await whole(client, 1) == b""
-        await until(p.ended.is_set)
+    async with running_server() as harness:
+        client = harness.connect()
+        client.sendall(GET_REQUEST % 1)
+        await read_until(client, b"/1")
+        harness.server.drain()
+        assert await read_until_closed(client, 1) == b""
+        await until(harness.stopped.is_set)
 
 
-# -- a full table, and idle connections
+# -- the connection limit, and idle connections
 
 
-async def test_a_connection_beyond_the_limit_reads_why_though_it_had_asked() -> None:
-    async with served(ServerLimits(max_connections=1)) as p:
-        p.answer = p.waiting
-        first = p.connect()
-        first.sendall(GET % 1)
-        await until(lambda: p.begun)
+async def test_a_connection_beyond_the_limit_gets_the_reason_even_after_sending_a_request() -> None:
+    async with running_server(ServerLimits(max_connections=1)) as harness:
+        harness.answer = harness.wait_then_echo
+        first_client = harness.connect()
+        first_client.sendall(GET_REQUEST % 1)
+        await until(lambda: harness.started)
         for _ in range(5):
-            client = p.connect()
+            client = harness.connect()
             client.sendall(b"POST / HTTP/1.1\r\nhost: e\r\ncontent-length: 300000\r\n\r\n" + b"x" * 300_000)
-            found = await whole(client)
-            assert found.startswith(b"HTTP/1.1 503") and b"more than 1 connections" in found
-        p.go_on.set()
-        assert (await part(first, b"/1")).startswith(b"HTTP/1.1 200")
-        first.close()
+            received = await read_until_closed(client)
+            assert received.startswith(b"HTTP/1.1 503") and b"more than 1 connections" in received
+        harness.release.set()
+        assert (await read_until(first_client, b"/1")).startswith(b"HTTP/1.1 200")
+        first_client.close()
 
 
-async def test_a_503_that_cannot_be_written_costs_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client has reset the connection by then. It ended the server."""
-    real, failed = Connection.write, []
+async def test_a_503_that_cannot_be_written_affects_no_other_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against an error that ended the server: the client has reset the connection before."""
+    original_write, failed = Connection.write, []
 
-    async def write(own: Connection, reply: Reply, is_last: bool) -> None:
+    async def write(connection: Connection, reply: Reply, is_last: bool) -> None:
         if reply.status == 503:
             failed.append(reply)
             raise anyio.BrokenResourceError
-        await real(own, reply, is_last)
+        await original_write(connection, reply, is_last)
 
     monkeypatch.setattr(Connection, "write", write)
-    async with served(ServerLimits(max_connections=1)) as p:
-        first = p.connect()
-        first.sendall(GET % 1)
-        await part(first, b"/1")
-        p.connect().close()
+    async with running_server(ServerLimits(max_connections=1)) as harness:
+        first_client = harness.connect()
+        first_client.sendall(GET_REQUEST % 1)
+        await read_until(first_client, b"/1")
+        harness.connect().close()
         await until(lambda: failed)
-        first.setblocking(True)
-        first.sendall(GET % 2)
-        await part(first, b"/2")
-        first.close()
+        first_client.setblocking(True)
+        first_client.sendall(GET_REQUEST % 2)
+        await read_until(first_client, b"/2")
+        first_client.close()
 
 
-async def test_a_connection_beyond_the_limit_that_is_reset_costs_no_other() -> None:
-    async with served(ServerLimits(max_connections=1)) as p:
-        first = p.connect()
-        first.sendall(GET % 1)
-        await part(first, b"/1")
+async def test_a_connection_beyond_the_limit_that_is_reset_affects_no_other_connection() -> None:
+    async with running_server(ServerLimits(max_connections=1)) as harness:
+        first_client = harness.connect()
+        first_client.sendall(GET_REQUEST % 1)
+        await read_until(first_client, b"/1")
         for _ in range(10):
-            stream = await anyio.connect_tcp("127.0.0.1", p.port)
+            stream = await anyio.connect_tcp("127.0.0.1", harness.port)
             linger(stream)
             await anyio.aclose_forcefully(stream)
         await anyio.sleep(0.05)
-        first.setblocking(True)
-        first.sendall(GET % 2)
-        await part(first, b"/2")
-        first.close()
-
-
-async def test_an_idle_connection_ends_unless_a_request_lies_unread_on_it() -> None:
-    async with served() as p:
-        client = p.connect()
-        client.sendall(GET % 1)
-        await part(client, b"/1")
-        connection = await idle_connection(p)
+        first_client.setblocking(True)
+        first_client.sendall(GET_REQUEST % 2)
+        await read_until(first_client, b"/2")
+        first_client.close()
+
+
+async def test_an_idle_connection_is_closed_unless_it_has_an_unread_request() -> None:
+    async with running_server() as harness:
+        client = harness.connect()
+        client.sendall(GET_REQUEST % 1)
+        await read_until(client, b"/1")
+        connection = await idle_connection(harness)
         client.setblocking(True)
-        client.sendall(GET % 2)
-        arrived(client)
-        connection.close_if_overdue(monotonic_ns() + 3600 * SECOND_NS)  # in the turn before it is read
-        await part(client, b"/2")
-        await idle_connection(p)
+        client.sendall(GET_REQUEST % 2)
+        check_delivered(client)
+        connection.close_if_overdue(monotonic_ns() + 3600 * SECOND_NS)  # before the event loop reads it
+        await read_until(client, b"/2")
+        await idle_connection(harness)
         connection.close_if_overdue(monotonic_ns() + 3600 * SECOND_NS)
-        assert await whole(client) == b""
+        assert await read_until_closed(client) == b""
 
 
-async def test_a_request_read_in_the_turn_that_its_connection_ends_in_is_answered(
+async def test_a_request_read_in_the_iteration_that_closes_its_connection_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The event loop has its bytes, and the task that reads has not run: the socket looks empty."""
-    async with served() as p:
-        client = p.connect()
-        client.sendall(GET % 1)
-        await part(client, b"/1")
-        connection = await idle_connection(p)
+    """The event loop has read its bytes and the reading task has not run yet: the socket looks empty."""
+    async with running_server() as harness:
+        client = harness.connect()
+        client.sendall(GET_REQUEST % 1)
+        await read_until(client, b"/1")
+        connection = await idle_connection(harness)
         protocol = connection.stream._protocol  # type: ignore[attr-defined]
-        protocol.data_received(GET % 2)
+        protocol.data_received(GET_REQUEST % 2)
         assert connection.close_if_idle(monotonic_ns())
-        found = await whole(client)
-        assert found.startswith(b"HTTP/1.1 200") and found.endswith(b"/2")
-        assert b"connection: close" in found
+        received = await read_until_closed(client)
+        assert received.startswith(b"HTTP/1.1 200") and received.endswith(b"/2")
+        assert b"connection: close" in received
 
 
-async def test_idle_connections_give_way_and_those_with_requests_do_not(
+async def test_idle_connections_are_closed_for_new_ones_and_busy_ones_are_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("martenlead.events.stream_listener.PROCESS_CLIENTS.limit", lambda: 0)
-    async with served() as p:  # room for LEAST_CONNECTIONS
-        p.answer = p.waiting
-        busy = [p.connect() for _ in range(2)]
-        for at, client in enumerate(busy):
-            client.sendall(GET % at)
-        await until(lambda: len(p.begun) == 2)
-        idle = [p.connect() for _ in range(10)]
-        late = p.connect()
-        late.sendall(GET % 9)
+    async with running_server() as harness:  # room for LEAST_CONNECTIONS only
+        harness.answer = harness.wait_then_echo
+        busy_clients = [harness.connect() for _ in range(2)]
+        for number, client in enumerate(busy_clients):
+            client.sendall(GET_REQUEST % number)
+        await until(lambda: len(harness.started) == 2)
+        idle_clients = [harness.connect() for _ in range(10)]
+        late_client = harness.connect()
+        late_client.sendall(GET_REQUEST % 9)
         with anyio.fail_after(3):
-            while b"/9" not in p.begun:
+            while b"/9" not in harness.started:
                 await anyio.sleep(0.01)
-        p.go_on.set()
-        for at, client in enumerate(busy):
-            assert (await part(client, b"/%d" % at)).startswith(b"HTTP/1.1 200")
-        assert (await part(late, b"/9")).startswith(b"HTTP/1.1 200")
-        for client in (*busy, *idle, late):
+        harness.release.set()
+        for number, client in enumerate(busy_clients):
+            assert (await read_until(client, b"/%d" % number)).startswith(b"HTTP/1.1 200")
+        assert (await read_until(late_client, b"/9")).startswith(b"HTTP/1.1 200")
+        for client in (*busy_clients, *idle_clients, late_client):
             client.close()
 
 
-# -- bad requests, and faults
+# -- invalid requests, and faults
 
 
-async def test_good_requests_before_a_bad_one_in_one_read_are_answered_in_order() -> None:
-    async with served() as p:
-        p.answer = p.waiting
-        client = p.connect()
-        client.sendall(GET % 1 + GET % 2 + b"NO HTTP\r\n\r\n")
-        await until(lambda: len(p.begun) == 2)
+async def test_valid_requests_before_an_invalid_one_in_one_read_are_answered_in_order() -> None:
+    async with running_server() as harness:
+        harness.answer = harness.wait_then_echo
+        client = harness.connect()
+        client.sendall(GET_REQUEST % 1 + GET_REQUEST % 2 + b"NO HTTP\r\n\r\n")
+        await until(lambda: len(harness.started) == 2)
         await anyio.sleep(0.05)
-        p.go_on.set()
-        found = await whole(client)
-        assert found.index(b"/1") < found.index(b"/2") < found.index(b"HTTP/1.1 400")
-        assert found.count(b"HTTP/1.1 200") == 2 and found.count(b"connection: close") == 1
+        harness.release.set()
+        received = await read_until_closed(client)
+        assert received.index(b"/1") < received.index(b"/2") < received.index(b"HTTP/1.1 400")
+        assert received.count(b"HTTP/1.1 200") == 2 and received.count(b"connection: close") == 1
 
 
-async def test_nothing_is_said_behind_the_response_to_a_last_request() -> None:
-    async with served() as p:
-        client = p.connect()
-        client.sendall(LAST % 1 + b"NO HTTP\r\n\r\n")
-        found = await whole(client)
-        assert found.count(b"HTTP/1.1") == 1 and found.endswith(b"/1")
+async def test_nothing_is_sent_after_the_response_to_a_closing_request() -> None:
+    async with running_server() as harness:
+        client = harness.connect()
+        client.sendall(CLOSING_REQUEST % 1 + b"NO HTTP\r\n\r\n")
+        received = await read_until_closed(client)
+        assert received.count(b"HTTP/1.1") == 1 and received.endswith(b"/1")
 
 
-async def test_a_fault_of_a_handler_is_answered_and_the_connection_goes_on() -> None:
-    async def failing(message: Message) -> Reply:
+async def test_a_fault_of_a_handler_is_answered_and_the_connection_stays_open() -> None:
+    async def failing_handler(message: Message) -> Reply:
         raise KeyError(message.target.decode())
 
-    async with served() as p:
-        client = p.connect()
-        p.answer = failing
-        client.sendall(GET % 1)
-        assert (await part(client, b"fault")).startswith(b"HTTP/1.1 500")
-        p.answer = p.echo
+    async with running_server() as harness:
+        client = harness.connect()
+        harness.answer = failing_handler
+        client.sendall(GET_REQUEST % 1)
+        assert (await read_until(client, b"fault")).startswith(b"HTTP/1.1 500")
+        harness.answer = harness.echo
         client.setblocking(True)
-        client.sendall(GET % 2)
-        assert (await part(client, b"/2")).startswith(b"HTTP/1.1 200")
+        client.sendall(GET_REQUEST % 2)
+        assert (await read_until(client, b"/2")).startswith(b"HTTP/1.1 200")
         client.close()
 
 
-async def test_a_fault_in_the_answer_to_a_fault_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def failing(_message: Message) -> Reply:
+async def test_a_fault_while_reporting_a_fault_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def failing_handler(_message: Message) -> Reply:
         raise KeyError("first")
 
-    def crashed(_error: BaseException) -> Reply:
+    def make_fault_reply(_error: BaseException) -> Reply:
         raise KeyError("second")
 
-    async with served() as p:
-        p.answer, p.server.make_fault_reply = failing, crashed
-        client = p.connect()
-        client.sendall(LAST % 1)
-        assert (await whole(client)).startswith(b"HTTP/1.1 500")
-        p.answer = p.echo
-        other = p.connect()
-        other.sendall(LAST % 2)
-        assert (await whole(other)).endswith(b"/2")
+    async with running_server() as harness:
+        harness.answer, harness.server.make_fault_reply = failing_handler, make_fault_reply
+        client = harness.connect()
+        client.sendall(CLOSING_REQUEST % 1)
+        assert (await read_until_closed(client)).startswith(b"HTTP/1.1 500")
+        harness.answer = harness.echo
+        other_client = harness.connect()
+        other_client.sendall(CLOSING_REQUEST % 2)
+        assert (await read_until_closed(other_client)).endswith(b"/2")
 
 
 async def test_a_reply_that_cannot_be_written_is_answered_as_a_fault() -> None:
-    async def unwritable(_message: Message) -> Reply:
+    async def unwritable_handler(_message: Message) -> Reply:
         return Reply(200, [(b"x", "a str")], b"")  # type: ignore[list-item]
 
-    async with served() as p:
-        p.answer = unwritable
-        client = p.connect()
-        client.sendall(GET % 1)
-        assert (await part(client, b"\r\n\r\n")).startswith(b"HTTP/1.1 500")
-        assert [type(error) for error in p.faults] == [TypeError]
+    async with running_server() as harness:
+        harness.answer = unwritable_handler
+        client = harness.connect()
+        client.sendall(GET_REQUEST % 1)
+        assert (await read_until(client, b"\r\n\r\n")).startswith(b"HTTP/1.1 500")
+        assert [type(error) for error in harness.faults] == [TypeError]
         client.close()
 
 
-async def test_a_body_that_fails_within_ends_its_connection_alone() -> None:
-    """Its client can tell that it is not whole. The server of other connections goes on."""
+async def test_a_body_that_fails_midway_ends_only_its_connection() -> None:
+    """Its client can tell that the body is incomplete. Other connections are still served."""
 
-    async def parts() -> AsyncGenerator[bytes]:
+    async def failing_body() -> AsyncGenerator[bytes]:
         yield b"first"
         raise RuntimeError("second")
 
-    async def failing(message: Message) -> Reply:
-        return Reply(200, [], parts()) if message.target == b"/1" else await p.waiting(message)
+    async def failing_handler(message: Message) -> Reply:
+        return (
+            Reply(200, [], failing_body())
+            if message.target == b"/1"
+            else await harness.wait_then_echo(message)
+        )
 
-    async with served() as p:
-        p.answer = failing
-        other = p.connect()
-        other.sendall(GET % 2)
-        client = p.connect()
-        client.sendall(GET % 1)
-        found = await whole(client)
-        assert b"first" in found and not found.endswith(b"0\r\n\r\n")
-        assert [type(error) for error in p.faults] == [RuntimeError]
-        p.go_on.set()
-        assert (await part(other, b"/2")).startswith(b"HTTP/1.1 200")
-        other.close()
+    async with running_server() as harness:
+        harness.answer = failing_handler
+        other_client = harness.connect()
+        other_client.sendall(GET_REQUEST % 2)
+        client = harness.connect()
+        client.sendall(GET_REQUEST % 1)
+        received = await read_until_closed(client)
+        assert b"first" in received and not received.endswith(b"0\r\n\r\n")
+        assert [type(error) for error in harness.faults] == [RuntimeError]
+        harness.release.set()
+        assert (await read_until(other_client, b"/2")).startswith(b"HTTP/1.1 200")
+        other_client.close()
 
 
-# -- a client that leaves
+# -- clients that disconnect
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["closed", "reset"])
-@pytest.mark.parametrize("more", [0, 1, 4, 12])
-async def test_a_client_that_leaves_while_no_request_may_be_begun_is_noticed(reset: bool, more: int) -> None:
-    """With as many requests as may be pipelined no more was read, and its end did not show: neither at once
-    nor behind more bytes than the kernel takes."""
-    pipelined = 4
-    async with served(ServerLimits(MessageLimits(head_bytes=2 * READ_BYTES), max_pipelined=pipelined)) as p:
-        p.answer = p.waiting
-        stream = await anyio.connect_tcp("127.0.0.1", p.port)
-        await stream.send(b"".join(GET % at for at in range(pipelined + 2)))
-        for at in range(more):
+@pytest.mark.parametrize("further_requests", [0, 1, 4, 12])
+async def test_a_disconnect_while_no_request_may_start_is_noticed(reset: bool, further_requests: int) -> None:
+    """Guards against a disconnect that stays unnoticed while the pipeline is full and nothing more is read.
+
+    The disconnect comes at once, or after more bytes than the kernel buffers.
+    """
+    pipeline_limit = 4
+    async with running_server(
+        ServerLimits(MessageLimits(head_bytes=2 * READ_BYTES), max_pipelined=pipeline_limit)
+    ) as harness:
+        harness.answer = harness.wait_then_echo
+        stream = await anyio.connect_tcp("127.0.0.1", harness.port)
+        await stream.send(b"".join(GET_REQUEST % number for number in range(pipeline_limit + 2)))
+        for number in range(further_requests):
             await stream.send(
-                (GET % (pipelined + at)).replace(b"\r\n\r\n", b"\r\nx: %b\r\n\r\n" % (b"x" * READ_BYTES))
+                (GET_REQUEST % (pipeline_limit + number)).replace(
+                    b"\r\n\r\n", b"\r\nx: %b\r\n\r\n" % (b"x" * READ_BYTES)
+                )
             )
-        await until(lambda: len(p.begun) == pipelined)
+        await until(lambda: len(harness.started) == pipeline_limit)
         if reset:
             linger(stream)
         await anyio.aclose_forcefully(stream)
         with anyio.fail_after(NOTICED_SECONDS):
-            while len(p.cancelled) < pipelined:
+            while len(harness.cancelled) < pipeline_limit:
                 await anyio.sleep(0.002)
-        assert len(p.begun) == pipelined
-        await until(lambda: not p.server.connections)
+        assert len(harness.started) == pipeline_limit
+        await until(lambda: not harness.server.connections)
--- a/tests/test_token.py
+++ b/tests/test_token.py
@@ -1,4 +1,4 @@
-"""Appointments that travel: what one door gave is read by another, and nothing else is."""
+"""Reservation tokens: one that a dispatcher issued is accepted by another, and no other text is."""
 
 from __future__ import annotations
 
@@ -8,44 +8,44 @@
 from martenlead.admission import reservation_token as token
 
 SECRET = b"sixteen letters.."
-marks = st.tuples(st.text(max_size=20), st.text(max_size=20))
-times = st.integers(0, 10**13)
+request_ids = st.tuples(st.text(max_size=20), st.text(max_size=20))
+times_ms = st.integers(0, 10**13)
 
 
 @settings(derandomize=True)
-@given(marks, times, st.integers(0, 10**6))
-def test_what_was_given_is_taken(mark: tuple[str, str], since: int, span: int) -> None:
-    told = token.issue(SECRET, mark, since, since + span)
-    assert len(told) <= token.MAX_TOKEN_LENGTH
-    assert token.verify(SECRET, mark, told, since) == (
-        (since, since + span) if span <= token.MAX_AHEAD_MS else None
+@given(request_ids, times_ms, st.integers(0, 10**6))
+def test_issued_token_is_accepted(request_id: tuple[str, str], since_ms: int, length_ms: int) -> None:
+    issued = token.issue(SECRET, request_id, since_ms, since_ms + length_ms)
+    assert len(issued) <= token.MAX_TOKEN_LENGTH
+    assert token.verify(SECRET, request_id, issued, since_ms) == (
+        (since_ms, since_ms + length_ms) if length_ms <= token.MAX_AHEAD_MS else None
     )
 
 
 @settings(derandomize=True)
-@given(marks, marks, times, st.binary(min_size=16, max_size=20))
-def test_it_is_one_tasks_and_one_deployments(
-    mark: tuple[str, str], other: tuple[str, str], since: int, secret: bytes
+@given(request_ids, request_ids, times_ms, st.binary(min_size=16, max_size=20))
+def test_token_is_valid_for_one_request_and_one_secret(
+    request_id: tuple[str, str], other_id: tuple[str, str], since_ms: int, secret: bytes
 ) -> None:
-    told = token.issue(SECRET, mark, since, since + 2000)
-    assert (token.verify(SECRET, other, told, since) is not None) == (mark == other)
-    assert (token.verify(secret, mark, told, since) is not None) == (secret == SECRET)
+    issued = token.issue(SECRET, request_id, since_ms, since_ms + 2000)
+    assert (token.verify(SECRET, other_id, issued, since_ms) is not None) == (request_id == other_id)
+    assert (token.verify(secret, request_id, issued, since_ms) is not None) == (secret == SECRET)
 
 
 @settings(derandomize=True)
 @given(st.integers(0, 70), st.integers(0, 255))
-def test_a_byte_that_was_changed_is_found(at: int, byte: int) -> None:
-    told = token.issue(SECRET, ("/portal", "7"), 1000, 3000)
-    bad = told[: at % len(told)] + chr(byte) + told[at % len(told) + 1 :]
-    assert bad == told or token.verify(SECRET, ("/portal", "7"), bad, 1000) is None
+def test_changed_byte_is_detected(position: int, byte: int) -> None:
+    issued = token.issue(SECRET, ("/portal", "7"), 1000, 3000)
+    changed = issued[: position % len(issued)] + chr(byte) + issued[position % len(issued) + 1 :]
+    assert changed == issued or token.verify(SECRET, ("/portal", "7"), changed, 1000) is None
 
 
 @settings(derandomize=True)
 @given(st.text())
-def test_nonsense_is_no_appointment(text: str) -> None:
+def test_arbitrary_text_is_rejected(text: str) -> None:
     assert token.verify(SECRET, ("/portal", "7"), text, 1000) is None
 
 
-def test_two_tasks_whose_names_run_together_are_told_apart() -> None:
-    told = token.issue(SECRET, ("/a", "bc"), 0, 10)
-    assert token.verify(SECRET, ("/ab", "c"), told, 0) is None
+def test_requests_whose_source_and_id_join_to_the_same_text_are_distinguished() -> None:
+    issued = token.issue(SECRET, ("/a", "bc"), 0, 10)
+    assert token.verify(SECRET, ("/ab", "c"), issued, 0) is None
