--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -1,5 +1,7 @@
-"""The time that a worker is told is at most what the client has left, also where its request lay unread while
-the event loop was busy, or waited for a connection. For the node and for the edge."""
+"""The time left that a worker gets is at most what the client has left, for the node and for the edge.
+
+Time counts as well while a request is unread because the event loop is busy, or waits for a connection.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +25,13 @@
 pytestmark = pytest.mark.anyio
 
 MS = 1_000_000
-BLOCKED = (
-    0.6  # s in which the event loop does nothing: more than the policy then sets aside by itself, and SLACK
-)
-SLACK = 150  # ms
-LEAST = 450  # ms that may be kept back of it: the policy's reserve at most, and its margin
-STEADY = 0.1  # s, in which the loop is on time
-WAIT = 1500  # ms
-ONE_ATTEMPT = "unsafe"  # a class whose attempt is given all the time that is left
+# Stall of the event loop in s; longer than the time that the policy reserves after it, plus SLACK.
+BLOCKED = 0.6
+SLACK = 150  # Tolerance in ms
+MAX_RESERVE = 450  # Most time in ms that the policy keeps back: its reserve and its margin
+STEADY = 0.1  # Time in s in which the event loop runs without a stall
+WAIT = 1500  # Time in ms that a client has
+ONE_ATTEMPT = "unsafe"  # Request class whose only attempt gets all the time left
 
 
 @pytest.fixture(params=[False, True], ids=["asyncio", "uvloop"])
@@ -39,7 +40,7 @@
 
 
 @pytest.mark.parametrize("new", [False, True], ids=["open connection", "new connection"])
-async def test_the_node_counts_the_time_that_a_request_lay_unread(new: bool, tmp_path: Path) -> None:
+async def test_the_node_counts_the_time_that_a_request_is_unread(new: bool, tmp_path: Path) -> None:
     stated: list[int] = []
 
     async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
@@ -54,7 +55,7 @@
             client.close()
             client = socket.create_connection(("127.0.0.1", p.port))
         client.sendall(caller.task(ONE_ATTEMPT, wait=WAIT))
-        time.sleep(BLOCKED)  # the loop is busy, before it reads
+        time.sleep(BLOCKED)  # the event loop is blocked before it reads
         with anyio.fail_after(5):
             while not stated:
                 await anyio.sleep(0.002)
@@ -62,7 +63,7 @@
         client.close()
 
 
-async def test_the_node_counts_the_wait_for_a_place(tmp_path: Path) -> None:
+async def test_the_node_counts_the_wait_in_the_backlog(tmp_path: Path) -> None:
     stated: list[int] = []
 
     async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
@@ -71,15 +72,15 @@
 
     async with play(tmp_path, {"a": [noting]}) as p:
         door = p.node.listener
-        door.connection_limit, places = -EXTRA_DESCRIPTORS, door.connection_limit
+        door.connection_limit, original_limit = -EXTRA_DESCRIPTORS, door.connection_limit
         client, idle = await p.client(), await p.client()
         await client.ask(ONE_ATTEMPT, wait=WAIT)
-        await anyio.sleep(BLOCKED)  # in the backlog
+        await anyio.sleep(BLOCKED)  # the connections wait in the backlog
         assert not door.clients
-        door.connection_limit = places
+        door.connection_limit = original_limit
         door.on_connection_closed()
         assert word(await client.answer()) == "satisfied"
-        for other in (client, idle):  # what they send now has waited for nothing
+        for other in (client, idle):  # requests sent now have not waited
             assert await other.call(ONE_ATTEMPT, wait=WAIT, id=f"{len(stated) + 9:016x}") == "satisfied"
         late, *prompt = stated
         assert late <= WAIT - BLOCKED * 1000 + SLACK
@@ -107,7 +108,7 @@
         assert stated[0] <= WAIT - BLOCKED * 1000 + 1
 
 
-async def test_the_edge_counts_the_time_that_a_request_lay_unread() -> None:
+async def test_the_edge_counts_the_time_that_a_request_is_unread() -> None:
     stated: list[int] = []
 
     async def noting(runner: Any, stream: Any, message: Any) -> None:
@@ -117,7 +118,7 @@
     async with fleet({"a": [noting]}) as f:
         client = socket.create_connection(("127.0.0.1", f.port))
         await anyio.sleep(STEADY)
-        client.sendall(event(WAIT))
+        client.sendall(encode_request(WAIT))
         time.sleep(BLOCKED)
         with anyio.fail_after(5):
             while not stated:
@@ -142,7 +143,7 @@
 
         client = socket.create_connection(("127.0.0.1", f.port))
         monkeypatch.setattr(Pool, "_connect", late)
-        client.sendall(event(WAIT))
+        client.sendall(encode_request(WAIT))
         with anyio.fail_after(5):
             while not stated:
                 await anyio.sleep(0.002)
@@ -150,7 +151,7 @@
         client.close()
 
 
-WAYS = {  # the settings of the edge, and how many requests are sent
+DELAYS = {  # Settings of the edge, and the number of requests
     "unread on a new connection": ({}, 1),
     "in pieces": ({}, 1),
     "in pieces, of an expiry time": ({}, 1),
@@ -160,11 +161,11 @@
 }
 
 
-@pytest.mark.parametrize("way", WAYS)
-async def test_the_edge_counts_the_time_on_the_way_to_a_worker(way: str, monkeypatch: Any) -> None:
+@pytest.mark.parametrize("delay", DELAYS)
+async def test_the_edge_counts_all_delays_before_a_worker(delay: str, monkeypatch: Any) -> None:
     sent: list[float] = []
-    stated: list[tuple[float, float]] = []  # the time left by what a worker is told, and by the clock, ms
-    settings, count = WAYS[way]
+    stated: list[tuple[float, float]] = []  # Time left in ms as stated to a worker, and by the clock
+    settings, count = DELAYS[delay]
 
     async def noting(runner: Any, stream: Any, message: Any) -> None:
         left = WAIT - (time.monotonic() - sent[len(stated)]) * 1000
@@ -177,35 +178,35 @@
         f.group.start_soon(f.door.run)
         await anyio.sleep(STEADY)
         client = socket.create_connection(("127.0.0.1", f.port))
-        if "new" not in way:
+        if "new" not in delay:
             await anyio.sleep(STEADY)
         expiry = time.time_ns() // 1_000_000 + WAIT
-        told = event(None if "expiry" in way else WAIT, expiry if "expiry" in way else None)
-        await send(f, way, client, told, sent, monkeypatch)
+        told = encode_request(None if "expiry" in delay else WAIT, expiry if "expiry" in delay else None)
+        await send_with_delay(f, delay, client, told, sent, monkeypatch)
         with anyio.fail_after(5):
             while len(stated) < count:
                 await anyio.sleep(0.002)
         client.close()
-        for said, left in stated:
-            assert left - LEAST <= said <= left + SLACK
+        for stated_ms, left in stated:
+            assert left - MAX_RESERVE <= stated_ms <= left + SLACK
 
 
-async def send(
-    f: Fleet, way: str, client: socket.socket, told: bytes, sent: list[float], monkeypatch: Any
+async def send_with_delay(
+    f: Fleet, delay: str, client: socket.socket, told: bytes, sent: list[float], monkeypatch: Any
 ) -> None:
-    """Sends it on that way; notes when."""
+    """Sends the request with the delay of this case and records when."""
     sent.append(time.monotonic())
-    match way:
+    match delay:
         case "unread on a new connection":
             client.sendall(told)
             time.sleep(BLOCKED)
         case "in pieces" | "in pieces, of an expiry time":
             client.sendall(told[:-1])
             await anyio.sleep(BLOCKED)
-            if "expiry" in way:
+            if "expiry" in delay:
                 client.sendall(told[-1:])
             else:
-                sent[0] = time.monotonic()  # its time counts from its last byte, which lies unread
+                sent[0] = time.monotonic()  # its time counts from its last byte, which is unread
                 client.sendall(told[-1:])
                 time.sleep(BLOCKED)
         case "a further attempt":
@@ -213,9 +214,10 @@
             client.sendall(told)
         case "a wait at the gate":
             assert f.door.admission_controller is not None
-            room, opens = f.door.admission_controller.find_placement, sent[0] + BLOCKED / 2  # within its aim
+            # the controller finds no placement until `opens`, which is within the latency objective
+            find_placement, opens = f.door.admission_controller.find_placement, sent[0] + BLOCKED / 2
             f.door.admission_controller.find_placement = lambda ticket: (
-                room(ticket) if time.monotonic() > opens else None
+                find_placement(ticket) if time.monotonic() > opens else None
             )
             client.sendall(told)
         case "unread behind a full pipeline":
@@ -226,7 +228,8 @@
                 sent.append(time.monotonic())
 
 
-def event(left: int | None, expiry_ms: int | None = None) -> bytes:
+def encode_request(left: int | None, expiry_ms: int | None = None) -> bytes:
+    """A request to the edge with a time left in ms or with an expiry time in ms of Unix time."""
     attributes = {"specversion": "1.0", "id": "t1", "source": "/c", "type": "notice", "model": "m"}
     if left is not None:
         attributes["timeleftms"] = str(left)
@@ -238,18 +241,18 @@
     return http.request(b"POST", b"/", b"edge", headers, b"{}")
 
 
-def test_the_earliest_arrival_is_the_sample_before_the_last_one_where_the_loop_stalled() -> None:
+def test_earliest_arrival_after_a_stall_is_the_sample_before_it() -> None:
     lag = EventLoopLag(lambda: 0, 0, lambda _: None)
-    assert lag.earliest_arrival(5 * MS) == 5 * MS  # nothing is known
+    assert lag.earliest_arrival(5 * MS) == 5 * MS  # no samples yet
     lag._samples.extend([100 * MS, 110 * MS, 520 * MS, 530 * MS])
-    assert lag.earliest_arrival(112 * MS) == 112 * MS  # it was on time
-    assert lag.earliest_arrival(519 * MS) == 100 * MS  # sockets before timers: read before the sample
-    assert lag.earliest_arrival(521 * MS) == 110 * MS  # timers before sockets
+    assert lag.earliest_arrival(112 * MS) == 112 * MS  # the sample was on time
+    assert lag.earliest_arrival(519 * MS) == 100 * MS  # sockets before timers, read before the sample
+    assert lag.earliest_arrival(521 * MS) == 110 * MS  # timers before sockets, read after it
     assert lag.earliest_arrival(531 * MS) == 531 * MS
     assert lag.earliest_arrival(520 * MS + UNREMARKABLE_WAIT_NS) == 520 * MS + UNREMARKABLE_WAIT_NS
 
 
-async def test_what_follows_a_full_read_may_have_come_with_it(tmp_path: Path, monkeypatch: Any) -> None:
+async def test_bytes_after_a_full_read_may_have_arrived_with_it(tmp_path: Path, monkeypatch: Any) -> None:
     async with play(tmp_path) as p:
         await p.client()
         while not p.node.listener.clients:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -147,11 +147,11 @@
     states = [request.state for request in burst]
     assert states == sorted(states, key=[QueueState.QUEUED, QueueState.REJECTED].index)
     assert 2 <= states.count(QueueState.QUEUED) <= 6
-    request = burst[0]
-    harness.now = request.start_by_ns
-    harness.controller.expire(request)
-    assert (request.state, request.reason) == (QueueState.REJECTED, "it could not be answered in time")
-    assert request.retry_after_ns >= 100 * NS_PER_MS
+    expired = burst[0]
+    harness.now = expired.start_by_ns
+    harness.controller.expire(expired)
+    assert (expired.state, expired.reason) == (QueueState.REJECTED, "it could not be answered in time")
+    assert expired.retry_after_ns >= 100 * NS_PER_MS
 
 
 def test_reservations_are_staggered_and_redeemed_ones_are_admitted_first() -> None:
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,7 +1,7 @@
-"""Trouble at workers or with other clients frees no request of its final answer, in the node and in the edge.
+"""Each request gets its final response despite faulty workers or other clients, in the node and in the edge.
 
-Workers hang, refuse all connections, or are not listed; another client floods, or never reads what it is
-answered; and all of these at once. Whoever asks meanwhile has each answer in its time, and exactly one.
+Workers hang, refuse all connections, or are not listed; another client floods, or never reads its responses;
+all of these are combined. A well-behaved client gets exactly one response to each request, in time.
 """
 
 from __future__ import annotations
@@ -25,28 +25,28 @@
 
 pytestmark = pytest.mark.anyio
 
-WAIT = 0.4  # s that each client waits for its answer
-LATEST = 0.5  # s after that: an answer that comes later counts as lost
+WAIT = 0.4  # Time in s that each client has
+LATEST = 0.5  # Time in s after that, after which a response counts as lost
 REQUESTS = 15
-BETWEEN = 0.05  # s between two requests
-OPEN = 32  # requests of one connection that may be open, by the protocol
-FLOODS = 4  # connections of the client that floods
-FLOOD, FLOOD_EVERY = 100, 0.05  # requests of each of them that are written at once, and how often, s
-UNREAD = 600  # requests of the client that never reads
-LARGE = "QUFB" * 4_000  # a body in base64, so that unread answers fill the buffers of both machines
-QUOTA = 20.0  # requests a second of the tenant that floods
-OVER_SHARE = 0.2  # what a request over its tenant's quota is worth, as a part
-RUN = 0.02  # s that a worker takes
-SERVED = 1 / 2  # of who asks within its quota, where workers are well
+BETWEEN = 0.05  # Time in s between two requests
+OPEN = 32  # Limit of the protocol on open requests of a connection
+FLOODS = 4  # Connections of the client that floods
+FLOOD, FLOOD_EVERY = 100, 0.05  # Requests of each connection per write, and seconds between writes
+UNREAD = 600  # Requests of the client that never reads
+LARGE = "QUFB" * 4_000  # Base64 body; unread responses fill the socket buffers of both sides
+QUOTA = 20.0  # Requests per second of the tenant that floods
+OVER_SHARE = 0.2  # Relative value of a request over its tenant's quota
+RUN = 0.02  # Service time of a worker in s
+SERVED = 1 / 2  # Least share of successes within the quota if the workers are healthy
 
 WORKERS = ("well", "hung", "refusing", "not listed")
 CLIENTS = ("none", "floods", "never reads")
-TROUBLE = [(w, c) for w in WORKERS for c in CLIENTS if (w, c) != ("well", "none")]
+FAULTS = [(w, c) for w in WORKERS for c in CLIENTS if (w, c) != ("well", "none")]
 
 
 @pytest.fixture
 def anyio_backend() -> Any:
-    """All sides share one process: what it loses to the machine counts for none of them."""
+    """Process time: all sides share one process, and its waits for a core count for none of them."""
     return PROCESS_TIME
 
 
@@ -55,30 +55,31 @@
     follow_loop_time(monkeypatch)
 
 
-class AtWorkers:
-    """How many requests of whom workers have had, in all and at once."""
+class RequestsAtWorkers:
+    """Requests that workers have received by tenant: in total, now, and at most at the same time."""
 
     def __init__(self) -> None:
-        self.all: Counter[str] = Counter()
-        self.now: Counter[str] = Counter()
-        self.most: Counter[str] = Counter()
+        self.total: Counter[str] = Counter()
+        self.concurrent: Counter[str] = Counter()
+        self.max_concurrent: Counter[str] = Counter()
 
-    def begun(self, whose: str) -> None:
-        self.all[whose] += 1
-        self.now[whose] += 1
-        self.most[whose] = max(self.most[whose], self.now[whose])
+    def start(self, tenant: str) -> None:
+        self.total[tenant] += 1
+        self.concurrent[tenant] += 1
+        self.max_concurrent[tenant] = max(self.max_concurrent[tenant], self.concurrent[tenant])
 
-    def ended(self, whose: str) -> None:
-        self.now[whose] -= 1
+    def end(self, tenant: str) -> None:
+        self.concurrent[tenant] -= 1
 
 
 # -- the node
 
 TENANTS = [{"name": "acme", "quota-per-s": 1000.0}, {"name": "noisy", "quota-per-s": QUOTA}]
-NOISY = 0x10_0000  # ids of the clients that make trouble are over this
+NOISY = 0x10_0000  # Request ids of the faulty clients are at least this
 
 
-async def ask_for_long(asker: Asker, method: str) -> None:
+async def send_requests(asker: Asker, method: str) -> None:
+    """Sends all requests of the well-behaved client and waits for the responses."""
     for _ in range(REQUESTS):
         await asker.ask(method, wait=round(WAIT * 1000))
         await anyio.sleep(BETWEEN)
@@ -86,12 +87,12 @@
 
 
 async def flood_node(p: Play) -> None:
-    """A hundred written at once on each connection, again and again, and all answers are read."""
+    """Repeatedly writes a hundred requests at once on each connection, and reads all responses."""
 
     async def connection(number: int) -> None:
         caller = await p.client()
         caller.number = NOISY * (number + 1)
-        p.group.start_soon(drain, caller.stream)
+        p.group.start_soon(read_and_discard, caller.stream)
         with suppress(*BROKEN):
             while True:
                 wait = round(WAIT * 1000)
@@ -103,23 +104,26 @@
             group.start_soon(connection, number)
 
 
-async def watch_open(p: Play, most: Counter[str]) -> None:
-    """The most requests of each tenant that the node holds at once, looked at every few ms."""
+async def watch_open(p: Play, max_pending: Counter[str]) -> None:
+    """Records the most requests of each tenant that the node has pending, sampled every few ms."""
     while True:
-        held = Counter(str(held.incoming.tenant) for held in p.node.dispatcher.pending_requests.values())
-        for tenant, count in held.items():
-            most[tenant] = max(most[tenant], count)
+        pending = Counter(
+            str(pending.incoming.tenant) for pending in p.node.dispatcher.pending_requests.values()
+        )
+        for tenant, count in pending.items():
+            max_pending[tenant] = max(max_pending[tenant], count)
         await anyio.sleep(0.005)
 
 
-async def drain(stream: SocketStream) -> None:
+async def read_and_discard(stream: SocketStream) -> None:
+    """Reads until the connection ends."""
     with suppress(*BROKEN):
         while True:
             await stream.receive()
 
 
 async def never_read_node(p: Play) -> None:
-    """Its answers wait in the machine and in the node."""
+    """Sends requests and reads no response: these wait in the socket buffers and in the node."""
     caller = await p.client()
     caller.number = NOISY
     for _ in range(UNREAD // 10):
@@ -128,16 +132,19 @@
 
 
 @asynccontextmanager
-async def troubled_node(tmp_path: Path, workers: str, at_workers: AtWorkers) -> AsyncIterator[Play]:
+async def node_with_faults(
+    tmp_path: Path, workers: str, at_workers: RequestsAtWorkers
+) -> AsyncIterator[Play]:
+    """Starts a node whose workers have one of the faults in `WORKERS`."""
     answers = in_turn(done)
 
     async def counted(runner: Any, stream: SocketStream, told: dict[str, Any]) -> None:
-        whose = "noisy" if int(told["txn"], 16) >= NOISY else "acme"
-        at_workers.begun(whose)
+        tenant = "noisy" if int(told["txn"], 16) >= NOISY else "acme"
+        at_workers.start(tenant)
         if workers == "hung":
-            return  # it has it for good
+            return  # it never responds
         await anyio.sleep(RUN)
-        at_workers.ended(whose)
+        at_workers.end(tenant)
         await answers(runner, stream, told)
 
     parts = {"a": [counted], "b": [counted]}
@@ -160,20 +167,20 @@
 
 
 @pytest.mark.parametrize("method", ["safe", "keyed", "unsafe"])
-@pytest.mark.parametrize(("workers", "clients"), TROUBLE)
-async def test_the_node_answers_who_asks_in_its_time_whatever_happens_to_others(
+@pytest.mark.parametrize(("workers", "clients"), FAULTS)
+async def test_the_node_answers_in_time_despite_faulty_workers_and_clients(
     workers: str, clients: str, method: str, tmp_path: Path
 ) -> None:
-    at_workers = AtWorkers()
-    async with troubled_node(tmp_path, workers, at_workers) as p:
+    at_workers = RequestsAtWorkers()
+    async with node_with_faults(tmp_path, workers, at_workers) as p:
         asker = Asker(await p.client())
         p.group.start_soon(asker.read)
-        most_open: Counter[str] = Counter()
-        p.group.start_soon(watch_open, p, most_open)
+        max_pending_requests: Counter[str] = Counter()
+        p.group.start_soon(watch_open, p, max_pending_requests)
         async with anyio.create_task_group() as group:
             if clients in NODE_CLIENTS:
                 group.start_soon(NODE_CLIENTS[clients], p)
-            await ask_for_long(asker, method)
+            await send_requests(asker, method)
             group.cancel_scope.cancel()
         assert asker.has_one_answer_each(), (asker.asked, asker.answers)
         assert max(asker.latencies()) < WAIT + LATEST
@@ -182,16 +189,16 @@
         else:
             assert asker.words() <= {"turned back", "error -32000"}
         connections = FLOODS if clients == "floods" else 1
-        assert most_open["noisy"] <= OPEN * connections
-        assert workers == "hung" or at_workers.most["noisy"] <= OPEN * connections
-        assert (at_workers.all["noisy"] > 0) == (clients != "none" and workers in ("well", "hung"))
+        assert max_pending_requests["noisy"] <= OPEN * connections
+        assert workers == "hung" or at_workers.max_concurrent["noisy"] <= OPEN * connections
+        assert (at_workers.total["noisy"] > 0) == (clients != "none" and workers in ("well", "hung"))
 
 
 # -- the edge
 
 
 async def post(pool: Pool, ident: str, kind: str, customer: str, wait: float) -> int:
-    """One request; the status of its answer."""
+    """Sends one request; returns the status of its response."""
     attributes: dict[str, Any] = {
         "specversion": "1.0",
         "id": ident,
@@ -207,13 +214,14 @@
     return exchange.message.status
 
 
-async def large(_runner: Runner, stream: SocketStream, _message: http.Message) -> None:
+async def respond_with_large_body(_runner: Runner, stream: SocketStream, _message: http.Message) -> None:
     event = Event({"specversion": "1.0", "id": "r", "source": "/r", "type": "t"}, b"x" * 12_000, "text/plain")
     headers, body = encode_event(event)
     await stream.send(http.response(200, [*headers, (b"martenlead-copy", b"warm")], body))
 
 
 async def flood_edge(f: Fleet) -> None:
+    """Sends requests on as many connections as the flooding client may have requests open."""
     pool = Pool("127.0.0.1", f.port, connection_limit=FLOODS * OPEN, connect_timeout_ns=10_000_000_000)
 
     async def client(number: int) -> None:
@@ -226,7 +234,7 @@
 
 
 async def never_read_edge(f: Fleet) -> None:
-    """Pipelined requests, and nothing is read."""
+    """Sends pipelined requests and reads no response."""
     async with await anyio.connect_tcp("127.0.0.1", f.port) as stream:
         for number in range(UNREAD):
             attributes: dict[str, Any] = {
@@ -252,15 +260,17 @@
 
 
 @asynccontextmanager
-async def troubled_edge(workers: str, at_workers: AtWorkers) -> AsyncIterator[Fleet]:
+async def edge_with_faults(workers: str, at_workers: RequestsAtWorkers) -> AsyncIterator[Fleet]:
+    """Starts an edge whose workers have one of the faults in `WORKERS`."""
+
     async def counted(runner: Runner, stream: SocketStream, message: http.Message) -> None:
-        whose = "noisy" if (message.header(b"ce-id") or b"").startswith(b"noisy") else "acme"
-        at_workers.begun(whose)
+        tenant = "noisy" if (message.header(b"ce-id") or b"").startswith(b"noisy") else "acme"
+        at_workers.start(tenant)
         if workers == "hung":
-            return  # it has it for good
+            return  # it never responds
         await anyio.sleep(RUN)
-        at_workers.ended(whose)
-        await (large if whose == "noisy" else satisfied)(runner, stream, message)
+        at_workers.end(tenant)
+        await (respond_with_large_body if tenant == "noisy" else satisfied)(runner, stream, message)
 
     async with fleet({"a": [counted], "b": [counted]}, customers=CUSTOMERS, over_share=OVER_SHARE) as f:
         if workers == "refusing":
@@ -274,12 +284,12 @@
 
 
 @pytest.mark.parametrize("kind", ["estimate", "notice"])
-@pytest.mark.parametrize(("workers", "clients"), TROUBLE)
-async def test_the_edge_answers_who_asks_in_its_time_whatever_happens_to_others(
+@pytest.mark.parametrize(("workers", "clients"), FAULTS)
+async def test_the_edge_answers_in_time_despite_faulty_workers_and_clients(
     workers: str, clients: str, kind: str
 ) -> None:
-    at_workers = AtWorkers()
-    async with troubled_edge(workers, at_workers) as f:
+    at_workers = RequestsAtWorkers()
+    async with edge_with_faults(workers, at_workers) as f:
         pool = Pool("127.0.0.1", f.port, connect_timeout_ns=10_000_000_000)
         statuses: list[int] = []
         async with anyio.create_task_group() as group:
@@ -296,5 +306,5 @@
         else:
             assert set(statuses) <= {429, 502, 503, 504}, statuses
         connections = FLOODS if clients == "floods" else 1
-        assert workers == "hung" or at_workers.most["noisy"] <= OPEN * connections
-        assert (at_workers.all["noisy"] > 0) == (clients != "none" and workers in ("well", "hung"))
+        assert workers == "hung" or at_workers.max_concurrent["noisy"] <= OPEN * connections
+        assert (at_workers.total["noisy"] > 0) == (clients != "none" and workers in ("well", "hung"))
--- a/tests/test_long_outages.py
+++ b/tests/test_long_outages.py
@@ -1,4 +1,4 @@
-"""Trouble after a long quiet time, and a long outage of discovery while workers restart, drain and go."""
+"""Faults after a long idle time, and a long outage of discovery while workers restart, drain and leave."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 pytestmark = pytest.mark.anyio
 
-LATEST = 0.5  # s after its time: an answer that comes later counts as lost
+LATEST = 0.5  # Time in s after the deadline, after which a response counts as lost
 DRAINING, GONE = 1, 2
 
 
@@ -28,9 +28,9 @@
     await anyio.aclose_forcefully(stream)
 
 
-# -- trouble after a long quiet time
+# -- faults after a long idle time
 
-QUIET = 3600 * SECOND
+IDLE_TIME = 3600 * SECOND
 WORKERS, REPLACED = 10, 6
 
 
@@ -48,7 +48,7 @@
 
 
 def replace_six_in_ten(fleet: Fleet) -> None:
-    """As many as the bench replaces within some seconds; here at once."""
+    """Replaces as many as the bench does within some seconds, here all at once."""
     fleet.lose(range(REPLACED))
     fleet.up |= set(range(100, 100 + REPLACED))
     for dispatcher in fleet.dispatchers:
@@ -56,7 +56,8 @@
         dispatcher.tell(lines(range(100, 100 + REPLACED), since=fleet.now))
 
 
-TROUBLES: dict[str, tuple[Callable[[Fleet], None], bool]] = {  # and whether all can be served
+# The fault, and whether all requests can be served during it
+FAULTS: dict[str, tuple[Callable[[Fleet], None], bool]] = {
     "half of the workers lost": (lose_half, False),
     "all workers lost": (lose_all, False),
     "half of the workers drain": (drain_half, True),
@@ -65,13 +66,13 @@
 
 
 @pytest.mark.parametrize("known", [False, True], ids=["functions unknown", "functions known"])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_trouble_that_begins_after_an_hour_of_quiet_leaves_no_request_unanswered(
-    trouble: str, known: bool
-) -> None:
-    """In virtual time. Nothing goes to a worker that was told as draining or gone, and once the workers are
-    well again all is served."""
-    happens, served = TROUBLES[trouble]
+@pytest.mark.parametrize("trouble", FAULTS)
+def test_a_fault_after_an_idle_hour_leaves_no_request_unanswered(trouble: str, known: bool) -> None:
+    """Runs in virtual time.
+
+    No attempt goes to a worker that is draining or gone, and after recovery all requests are served.
+    """
+    begin_fault, can_be_served = FAULTS[trouble]
     virtual = Fleet(range(WORKERS))
     for seed in range(3):
         dispatcher = Dispatcher(virtual, seed + 1)
@@ -79,17 +80,17 @@
         dispatcher.begin()
     if known:
         call_all(virtual, 20)
-    virtual.run_for(QUIET)
-    happens(virtual)
+    virtual.run_for(IDLE_TIME)
+    begin_fault(virtual)
     before = [len(d.attempts) for d in virtual.dispatchers]
     finals = [d.finals.copy() for d in virtual.dispatchers]
     call_all(virtual, 40)
     virtual.run_for(2 * PATIENCE)
     for dispatcher, sent, ended in zip(virtual.dispatchers, before, finals, strict=True):
         assert (dispatcher.finals - ended).total() == 40
-        if served:
+        if can_be_served:
             assert (dispatcher.finals - ended)["satisfied"] >= 36
-            gone = range(WORKERS // 2 if happens is drain_half else REPLACED)
+            gone = range(WORKERS // 2 if begin_fault is drain_half else REPLACED)
             assert not {attempt.mark for attempt in dispatcher.attempts[sent:]} & set(gone)
     virtual.up |= set(range(WORKERS))
     virtual.run_for(60 * SECOND)
@@ -103,18 +104,18 @@
 
 
 def call_all(virtual: Fleet, count: int) -> None:
-    """So many calls at each dispatcher, over some functions, one every 50 ms."""
+    """Sends `count` calls to each dispatcher over five functions, one every 50 ms."""
     for number in range(count):
         for dispatcher in virtual.dispatchers:
             dispatcher.call(number % 5)
         virtual.run_for(SECOND // 20)
 
 
-# -- discovery is out, and workers restart, drain and go meanwhile
+# -- workers restart, drain and leave during an outage of discovery
 
 
 class FailingJournal(Journal):
-    """A journal service that can be out: it refuses connections, and has closed those that it had."""
+    """A journal service that can fail: it then closes its connections and refuses new ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -127,7 +128,7 @@
             with anyio.CancelScope() as self.running:
                 await listener.serve(self.connected)
 
-    async def goes_out(self) -> None:
+    async def fail(self) -> None:
         self.running.cancel()
         for stream in self.streams:
             with suppress(*BROKEN):
@@ -135,12 +136,12 @@
         self.streams = []
 
 
-OUTAGE = 2.5  # s
-LEFT = 500  # ms of each request
+OUTAGE_SECONDS = 2.5  # Length of the outage in s
+REQUEST_TIME_MS = 500  # Time of each request in ms
 
 
 async def end_process(runner: Runner) -> None:
-    """Its listener is closed, and its connections are reset."""
+    """Closes the listener of a worker and resets its connections."""
     await runner.listener.aclose()
     for stream in runner.streams:
         with suppress(*BROKEN, AttributeError):
@@ -150,7 +151,7 @@
 
 @pytest.mark.parametrize("method", ["safe", "unsafe"])
 @pytest.mark.parametrize("stops", [False, True], ids=["stays", "stops as it returns"])
-async def test_an_outage_of_discovery_with_restarts_and_drains_costs_no_request_its_answer(
+async def test_an_outage_of_discovery_with_restarts_and_drains_leaves_no_request_unanswered(
     stops: bool, method: str, tmp_path: Path
 ) -> None:
     journal = FailingJournal()
@@ -164,20 +165,20 @@
         async def ask() -> None:
             while not asker.ended and not p.node.is_stopping and not over.is_set():
                 with suppress(*BROKEN):
-                    await asker.ask(method, wait=LEFT, key=f"{asker.caller.number % 7:016x}")
+                    await asker.ask(method, wait=REQUEST_TIME_MS, key=f"{asker.caller.number % 7:016x}")
                 await anyio.sleep(0.02)
 
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
             await anyio.sleep(0.1)
-            await journal.goes_out()
-            await anyio.sleep(OUTAGE / 2)
+            await journal.fail()
+            await anyio.sleep(OUTAGE_SECONDS / 2)
             a, b = p.runners["a"], p.runners["b"]
             await end_process(b)
             await end_process(a)
             await p.runner("a", in_turn(done), port=a.port)
             await p.runner("d", in_turn(done))
-            await anyio.sleep(OUTAGE / 2)
+            await anyio.sleep(OUTAGE_SECONDS / 2)
             await journal.tell(
                 p.record("a", started=1),
                 record(ord("b"), b.port, GONE),
@@ -196,7 +197,7 @@
             over.set()
         await until(lambda: len(asker.answers) >= len(asker.asked), within=3)
         assert asker.has_one_answer_each()
-        assert max(asker.latencies()) < LEFT / 1000 + LATEST
+        assert max(asker.latencies()) < REQUEST_TIME_MS / 1000 + LATEST
         assert not any(line[:4] in ("b DO", "c DO") for line in p.log[known:])
         if not stops:
             assert any(line[:4] in ("a DO", "d DO") for line in p.log[known:])
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -1,8 +1,7 @@
-"""What production adds to the days of the bench, where no other test forces it.
+"""Conditions of production that the days of the bench lack and no other test covers.
 
-Workers end, reset or forget connections that rest; attempts fail at once; requests have very little time
-left; trouble begins after a long quiet time; discovery is out for long while workers restart, drain and go,
-and the node itself is stopped.
+Workers close, reset or forget idle connections; attempts fail at once; requests have very little time left;
+requests cross the end of an idle connection.
 """
 
 from __future__ import annotations
@@ -45,13 +44,13 @@
 
 pytestmark = pytest.mark.anyio
 
-LATEST = 0.5  # s after its time: an answer that comes later counts as lost
+LATEST = 0.5  # Time in s after the deadline, after which a response counts as lost
 METHODS = ("safe", "keyed", "unsafe")
 DRAINING, GONE = 1, 2
 
 
-def faults(p: Play) -> int:
-    """Exceptions of ours that the node has met."""
+def count_faults(p: Play) -> int:
+    """The number of internal faults that the node has counted."""
     return sum(count for (kind, _), count in p.node.dispatcher.counts.items() if kind == "fault")
 
 
@@ -64,12 +63,14 @@
     await anyio.aclose_forcefully(stream)
 
 
-# -- workers end, reset or forget connections that rest
+# -- workers close, reset or forget idle connections
 
 
-class Forgetful:
-    """A worker that serves, until it is told to forget its connections: what comes on one of them then is
-    reset, or gets no word, and never runs."""
+class ForgetfulWorker:
+    """A worker that serves requests until it is made to forget its connections.
+
+    A request on a forgotten connection never runs: the connection is reset, or there is no response.
+    """
 
     def __init__(self, word: Part) -> None:
         self.word = word
@@ -94,7 +95,7 @@
         runner.streams = []
 
 
-RESTS = {
+CONNECTION_ENDS = {
     "close": silent,
     "reset": silent,
     "forget and reset": raw(b"", reset=True),
@@ -103,12 +104,12 @@
 
 
 @pytest.mark.parametrize("method", METHODS)
-@pytest.mark.parametrize("how", RESTS)
-async def test_a_worker_that_ends_or_forgets_resting_connections_costs_at_most_the_first_request(
+@pytest.mark.parametrize("how", CONNECTION_ENDS)
+async def test_a_worker_that_ends_or_forgets_idle_connections_fails_at_most_one_request(
     how: str, method: str, tmp_path: Path
 ) -> None:
-    """Where the end can be seen none is lost; a forgotten connection costs one request, and no second run."""
-    worker = Forgetful(RESTS[how])
+    """If the node can notice the end no request fails, otherwise at most one; none runs twice."""
+    worker = ForgetfulWorker(CONNECTION_ENDS[how])
     async with play(tmp_path, {"a": [worker]}) as p:
         client = await p.client()
         for number in (1, 2, 3):
@@ -124,13 +125,15 @@
         for number in (5, 6, 7):
             assert await client.call(method, once=once(method, number)) == "satisfied"
         assert set(worker.ran.values()) == {1}
-        assert faults(p) == 0
+        assert count_faults(p) == 0
 
 
 @pytest.mark.parametrize(("kind", "expected"), [("estimate", {200, 503}), ("notice", {502, 504})])
-async def test_a_worker_of_the_edge_that_forgets_a_resting_connection(kind: str, expected: set[int]) -> None:
-    """Reset at the next byte, so that it may have run: what may be repeated is served or rejected, all else
-    has failed after one attempt."""
+async def test_a_worker_of_the_edge_that_forgets_an_idle_connection(kind: str, expected: set[int]) -> None:
+    """It is reset at the next byte, so that the request may have run.
+
+    A request that may run twice is served or rejected; any other fails after one attempt.
+    """
     forgotten: list[Any] = []
 
     async def forgetful(runner: EdgeRunner, stream: SocketStream, message: http.Message) -> None:
@@ -154,7 +157,7 @@
 
 # -- attempts that fail at once
 
-FAILS: dict[str, tuple[Part, bool]] = {  # and whether it proves that nothing ran
+FAILURES: dict[str, tuple[Part, bool]] = {  # The response, and whether it proves that nothing ran
     "errors": (says("BROKE"), False),
     "full": (says("WAIT", ""), True),
     "misses": (says("LACK", ""), True),
@@ -163,16 +166,16 @@
     "resets": (raw(b"", reset=True), False),
     "noise": (raw(b"\xff\xfe\n"), False),
 }
-AT_ONCE = 20  # requests, in one write
+AT_ONCE = 20  # Requests that each client sends at once
 
 
 @pytest.mark.parametrize("hedged", [False, True])
-@pytest.mark.parametrize("how", FAILS)
-async def test_retries_and_hedged_requests_that_all_fail_at_once_end_in_one_answer_each(
+@pytest.mark.parametrize("how", FAILURES)
+async def test_requests_whose_attempts_all_fail_at_once_get_one_response_each(
     how: str, hedged: bool, tmp_path: Path
 ) -> None:
-    """Within the limit on attempts, and without a second run of what must not run twice."""
-    part, never_ran = FAILS[how]
+    """Attempts stay within their limit, and requests that must not run twice do not."""
+    part, never_ran = FAILURES[how]
     allowed = SETTINGS["allowed"] | {"may-duplicate": hedged}
     workers = {name: [in_turn(part)] for name in "abcd"}
     async with play(tmp_path, workers, settings=SETTINGS | {"allowed": allowed}) as p:
@@ -191,14 +194,14 @@
         unsafe = {f"{2 * AT_ONCE + number + 1:02x}" for number in range(AT_ONCE)}
         if not never_ran:
             assert max((attempts[number] for number in unsafe), default=0) <= 1
-        assert faults(p) == 0
+        assert count_faults(p) == 0
         await until(lambda: not p.node.dispatcher._in_flight and not p.node.dispatcher.pending_requests)
 
 
 # -- requests with very little time left
 
-LITTLE = (1, 2, 5, 10, 20)  # ms
-DROPPED_UNDER = 25  # ms that a worker needs left, or it drops the request without a word
+LITTLE = (1, 2, 5, 10, 20)  # Time left in ms
+DROPPED_UNDER = 25  # Time left in ms below which a worker drops a request without a response
 
 
 answers = in_turn(done)
@@ -212,11 +215,10 @@
 @pytest.mark.parametrize("anyio_backend", [PROCESS_TIME], ids=["process time"])
 @pytest.mark.parametrize("method", METHODS)
 @pytest.mark.parametrize("left", LITTLE)
-async def test_requests_with_little_time_that_workers_drop_have_one_answer_each_as_have_all_others(
+async def test_requests_with_little_time_that_workers_drop_and_all_others_get_one_response_each(
     left: int, method: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In time that stands still where the machine gives this process no core: half a second of that would
-    make an answer late."""
+    """Runs in process time: half a second in which this process gets no core would make a response late."""
     follow_loop_time(monkeypatch)
     async with play(tmp_path, {"a": [drops_late_ones], "b": [drops_late_ones]}) as p:
         hurried, usual = Asker(await p.client()), Asker(await p.client(), first=1000)
@@ -235,11 +237,11 @@
         assert max(hurried.latencies()) < left / 1000 + LATEST
         assert max(usual.latencies()) < 1.5 + LATEST
         await until(lambda: not p.node.dispatcher._in_flight)
-        assert faults(p) == 0
+        assert count_faults(p) == 0
 
 
 @pytest.mark.parametrize("left", LITTLE)
-async def test_requests_to_the_edge_with_little_time_that_workers_drop_have_one_answer_each(
+async def test_requests_to_the_edge_with_little_time_that_workers_drop_get_one_response_each(
     left: int,
 ) -> None:
     async def drops(runner: EdgeRunner, stream: SocketStream, message: http.Message) -> None:
@@ -255,11 +257,11 @@
             assert (await f.call("notice"))[0] == 200
 
 
-HURRIED = 3  # in a row, each with 20 ms left, and each dropped
+HURRIED = 3  # Dropped requests in a row, each with 20 ms left
 
 
 def test_a_worker_that_drops_requests_with_little_time_stays_in_use() -> None:
-    """That it says nothing to them proves nothing of it: who comes next is sent there. In virtual time."""
+    """Such a missing response proves nothing about the worker: it gets the next request. In virtual time."""
     play = VirtualPlay(runners="a")
     play.served(12)
     for number in range(HURRIED):
@@ -272,7 +274,7 @@
     assert [play.names[sent.request] for sent in play.hand_offs] == ["usual"], play.lines
 
 
-# -- requests that cross the end of a resting connection
+# -- requests that cross the end of an idle connection
 
 
 def request(ident: str) -> bytes:
@@ -288,13 +290,17 @@
     return http.request(b"POST", b"/", b"edge", headers, body)
 
 
-async def rest_and_cross(port: int, door: Any, end: Callable[[Any], None]) -> tuple[bytes, bytes]:
-    """The head and the body of the answer to a request whose bytes lie in the machine as `end` ends its
-    resting connection."""
+async def end_idle_connection_with_request(
+    port: int, door: Any, end: Callable[[Any], None]
+) -> tuple[bytes, bytes]:
+    """Sends a request that is unread in the kernel when `end` ends its idle connection.
+
+    Returns the head and the body of the response.
+    """
     async with await anyio.connect_tcp("127.0.0.1", port) as stream:
         await stream.send(request("first"))
         assert b" 200 " in (await stream.receive()).split(b"\r\n")[0]
-        await anyio.sleep(0.05)  # it rests
+        await anyio.sleep(0.05)  # the connection is idle
         (own,) = door.server.connections
         os.write(stream.extra(SocketAttribute.raw_socket).fileno(), request("crosses"))
         end(own)
@@ -305,9 +311,9 @@
 
 
 async def test_a_request_unread_at_the_end_of_an_idle_connection_of_the_edge_is_served() -> None:
-    """Its bytes have come whole before the edge decides to end the connection, and are not read yet."""
+    """All its bytes have arrived before the edge decides to end the connection, and are not read yet."""
     async with fleet() as f:
-        head, _ = await rest_and_cross(
+        head, _ = await end_idle_connection_with_request(
             f.port,
             f.door,
             lambda own: own.close_if_overdue(own.last_read_ns + own.limits.idle_timeout_ns + 1),
@@ -315,10 +321,10 @@
         assert b" 200 " in head.split(b"\r\n")[0]
 
 
-async def test_a_request_unread_as_the_edge_begins_to_drain_is_rejected_with_retry_after() -> None:
-    """As each request that the edge reads once it drains, and with nothing sent on for it."""
+async def test_a_request_unread_when_the_edge_begins_to_drain_is_rejected_with_retry_after() -> None:
+    """Like each request that the edge reads while it drains; no attempt is sent for it."""
     async with fleet() as f:
-        head, body = await rest_and_cross(f.port, f.door, lambda _own: f.door.drain())
+        head, body = await end_idle_connection_with_request(f.port, f.door, lambda _own: f.door.drain())
         assert head.startswith(b"HTTP/1.1 503 ")
         assert b"\r\nretry-after: " in head.lower()
         assert json.loads(body)["final"] == "turned back"
@@ -329,8 +335,8 @@
 # -- the scripted journal
 
 
-async def test_the_journal_tells_events_that_come_at_once_one_by_one(tmp_path: Path) -> None:
-    """Two writers on one stream were a fault of the rig, which ended the journal."""
+async def test_the_scripted_journal_sends_concurrent_events_one_by_one(tmp_path: Path) -> None:
+    """Guards against two writers on one stream, which ended the scripted journal service."""
     async with play(tmp_path) as p:
         async with anyio.create_task_group() as group:
             for _ in range(3):
@@ -339,7 +345,7 @@
 
 
 async def test_streams_of_the_scripted_peers_take_several_writers_at_once(tmp_path: Path) -> None:
-    """As a test and the journal's own heartbeat: each waits for the one before it, and all arrive whole."""
+    """A test and the journal's heartbeat may write at the same time: all messages arrive complete."""
     async with play(tmp_path, {"a": [raw(b""), done]}) as p:
         await until(lambda: p.journal.streams)
         client = await p.client()
@@ -351,4 +357,4 @@
                 group.start_soon(p.journal.streams[0].send, beat)
                 group.start_soon(p.runners["a"].streams[0].send, unknown)
         assert await (await p.client()).call("safe", id="b" * 16) == "satisfied"
-        assert (len(p.journal.asked), faults(p)) == (1, 0)
+        assert (len(p.journal.asked), count_faults(p)) == (1, 0)
--- a/tests/test_shutdown_faults.py
+++ b/tests/test_shutdown_faults.py
@@ -1,7 +1,8 @@
-"""Trouble through the whole of a shutdown, with deadlines of 0.3 s, where a kill may come 1 s after SIGTERM.
+"""Faults during a shutdown, with deadlines of 0.3 s and a kill 1 s after SIGTERM.
 
-Workers hang, lists come slowly, and new configurations come in quick succession. Each request has exactly one
-answer, in its time and before the kill, and no attempt goes to a worker that was told as draining.
+Workers hang, endpoint lists arrive slowly, and the configuration is reloaded in quick succession. Each
+request gets exactly one response, in its time and before the kill, and no attempt goes to a worker that is
+known to be draining.
 """
 
 from __future__ import annotations
@@ -36,11 +37,11 @@
 pytestmark = pytest.mark.anyio
 
 DEADLINE = 0.3  # s
-FADED_LAG = 20_000_000  # ns, of the event loop
-LATEST = 0.5  # s after its time: an answer that comes later counts as lost
-KILL = DEADLINE + 0.7  # s after SIGTERM
-LAST_CONNECTION, LAST_REQUEST = 0.4, 0.6  # s after SIGTERM, by the protocol
-BETWEEN = 0.04  # s between two requests of a client
+FADED_LAG = 20_000_000  # Event loop lag in ns from which a stall counts as over
+LATEST = 0.5  # Time in s after the deadline, after which a response counts as lost
+KILL = DEADLINE + 0.7  # Time of the kill in s after SIGTERM
+LAST_CONNECTION, LAST_REQUEST = 0.4, 0.6  # Limits of the protocol in s after SIGTERM
+BETWEEN = 0.04  # Time in s between two requests of a client
 SETTINGS = with_deadlines(DEADLINE)
 METHODS = ("safe", "keyed", "unsafe")
 DRAINING = 1
@@ -49,7 +50,7 @@
 
 @pytest.fixture
 def anyio_backend() -> Any:
-    """A stop of this process is no time of the deadlines, the kill and the lists that tests are about."""
+    """Virtual time, so that pauses of this process do not count against deadlines, kill and lists."""
     return VIRTUAL_TIME
 
 
@@ -59,31 +60,34 @@
 
 
 def is_up(p: Play, name: str) -> bool:
-    box = p.node.dispatcher.workers.get(f"s-{ord(name):08x}")
-    return box is not None and box.is_up
+    """Whether the node sends requests to the worker with this name."""
+    worker = p.node.dispatcher.workers.get(f"s-{ord(name):08x}")
+    return worker is not None and worker.is_up
 
 
 class Crowd:
-    """Clients that go on asking, and what they were answered."""
+    """Clients that keep sending requests, and the responses that they got."""
 
     def __init__(self, p: Play) -> None:
         self.p = p
         self.askers: list[Asker] = []
 
     async def join(self) -> Asker:
+        """Connects another client."""
         asker = Asker(await self.p.client(), first=10_000 * len(self.askers))
         self.askers.append(asker)
         self.p.group.start_soon(asker.read)
         return asker
 
     async def ask_until(self, end: float, method: str) -> None:
-        """Each in its turn on its own connection, up to a time of the loop."""
+        """Each client sends on its own connection in turn, until a time of the event loop."""
         while anyio.current_time() < end:
             for asker in self.askers:
                 await asker.ask(method, wait=round(DEADLINE * 1000), key=f"{len(asker.asked) % 5:016x}")
             await anyio.sleep(BETWEEN)
 
     def check(self, killed_at: float | None = None) -> None:
+        """Checks that each request got one response, in time and before the kill."""
         for asker in self.askers:
             assert asker.asked and asker.has_one_answer_each(), (asker.asked, asker.answers)
             assert max(asker.latencies()) < DEADLINE + LATEST
@@ -93,9 +97,12 @@
 
 @asynccontextmanager
 async def shutdown(p: Play, method: str) -> AsyncIterator[Crowd]:
-    """Two clients that ask before SIGTERM, after it and until it allows no more; one comes late. What is in
-    the block happens meanwhile, from SIGTERM on. A stall of the event loop as the node started is waited for
-    to fade: three times the lag is kept free before a deadline, and of 0.3 s that may be all."""
+    """Sends SIGTERM while clients send requests, and checks their responses after the block.
+
+    Two clients send requests before SIGTERM and until requests are no longer accepted; one connects late.
+    The block runs from SIGTERM on. First the event loop lag from the start of the node has to fade: three
+    times the lag is kept free before a deadline, which may be all of 0.3 s.
+    """
     await until(lambda: p.node.dispatcher.event_loop_lag.tick_ns < FADED_LAG, within=5)
     crowd = Crowd(p)
     await crowd.join()
@@ -119,19 +126,21 @@
 # -- workers that hang
 
 
-async def hangs_in_its_answer(_runner: Any, stream: SocketStream, told: dict[str, Any]) -> None:
+async def hangs_within_response(_runner: Any, stream: SocketStream, told: dict[str, Any]) -> None:
     await stream.send(b'{"m":"DONE","txn":"%b","props":{' % told["txn"].encode())
 
 
-HANGS = {"silent": silent, "an answer that stops": hangs_in_its_answer}
+HANGING_WORKERS = {"silent": silent, "an answer that stops": hangs_within_response}
 
 
 @pytest.mark.parametrize("method", METHODS)
-@pytest.mark.parametrize("how", HANGS)
-async def test_workers_that_hang_through_a_whole_shutdown_leave_no_request_without_its_answer(
+@pytest.mark.parametrize("how", HANGING_WORKERS)
+async def test_workers_that_hang_during_a_shutdown_leave_no_request_unanswered(
     how: str, method: str, tmp_path: Path
 ) -> None:
-    async with play(tmp_path, {"a": [HANGS[how]], "b": [HANGS[how]]}, settings=SETTINGS) as p:
+    async with play(
+        tmp_path, {"a": [HANGING_WORKERS[how]], "b": [HANGING_WORKERS[how]]}, settings=SETTINGS
+    ) as p:
         async with shutdown(p, method) as crowd:
             pass
         assert p.did()
@@ -139,7 +148,7 @@
 
 
 @pytest.mark.parametrize("method", METHODS)
-async def test_one_worker_that_hangs_through_a_shutdown_costs_the_others_requests_no_answer(
+async def test_one_worker_that_hangs_during_a_shutdown_does_not_affect_the_other(
     method: str, tmp_path: Path
 ) -> None:
     async with play(tmp_path, {"a": [silent], "b": [after(10, answers)]}, settings=SETTINGS) as p:
@@ -149,8 +158,8 @@
         assert served
 
 
-async def test_workers_to_which_no_connection_comes_up_through_a_shutdown(tmp_path: Path) -> None:
-    """What waits for a connection was never sent: each request is rejected, in its time."""
+async def test_workers_that_cannot_be_connected_during_a_shutdown(tmp_path: Path) -> None:
+    """Attempts that wait for a connection were never sent: each request is rejected in its time."""
     async with play(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
 
         async def never(conn: Any) -> None:
@@ -164,11 +173,11 @@
         assert p.did() == []
 
 
-# -- lists that come slowly
+# -- endpoint lists that arrive slowly
 
 
 class SlowJournal(Journal):
-    """Answers late, and each frame byte by byte."""
+    """A journal service that responds late, or sends each frame byte by byte."""
 
     def __init__(self, late: float, pause: float) -> None:
         super().__init__()
@@ -192,21 +201,20 @@
             await anyio.sleep(self.pause or 0.05)
 
     def add(self, *records: bytes, kind: int = 2) -> None:
+        """Adds an event to those that clients get."""
         self.events.append(frame(len(self.events) + 2, kind, *records))
 
 
-SLOW: dict[str, Callable[[], SlowJournal]] = {
+SLOW_JOURNALS: dict[str, Callable[[], SlowJournal]] = {
     "byte by byte": lambda: SlowJournal(0.0, 0.004),
     "answers late": lambda: SlowJournal(0.5, 0.0),
     "both": lambda: SlowJournal(0.3, 0.004),
 }
 
 
-@pytest.mark.parametrize("how", SLOW)
-async def test_lists_that_come_slowly_hold_up_no_request_and_are_obeyed_once_they_are_whole(
-    how: str, tmp_path: Path
-) -> None:
-    journal = SLOW[how]()
+@pytest.mark.parametrize("how", SLOW_JOURNALS)
+async def test_slow_endpoint_lists_delay_no_request_and_apply_once_complete(how: str, tmp_path: Path) -> None:
+    journal = SLOW_JOURNALS[how]()
     parts = {"a": [after(5, answers)], "b": [after(5, answers)]}
     async with play(tmp_path, parts, journal, settings=SETTINGS) as p:
         crowd = Crowd(p)
@@ -220,15 +228,13 @@
         assert not any(line.startswith("a DO") for line in p.log[before:])
         await until(lambda: len(crowd.askers[0].answers) == len(crowd.askers[0].asked))
         crowd.check()
-        assert len(journal.asked) == 1  # slow is not silent: it is not asked again
+        assert len(journal.asked) == 1  # a slow service is not silent: the node does not reconnect
 
 
-@pytest.mark.parametrize("how", SLOW)
-async def test_a_slow_list_that_tells_of_a_drain_during_a_shutdown_is_obeyed(
-    how: str, tmp_path: Path
-) -> None:
-    """Its drain is told as the stop begins; until its list is whole the worker is not known to drain."""
-    journal = SLOW[how]()
+@pytest.mark.parametrize("how", SLOW_JOURNALS)
+async def test_a_drain_in_a_slow_endpoint_list_applies_during_a_shutdown(how: str, tmp_path: Path) -> None:
+    """The drain is announced as the shutdown begins; it takes effect once the list is complete."""
+    journal = SLOW_JOURNALS[how]()
     known: list[int] = []
     async with play(tmp_path, {"a": [answers], "b": [answers]}, journal, settings=SETTINGS) as p:
         async with shutdown(p, "unsafe"):
@@ -236,18 +242,20 @@
             with anyio.move_on_after(KILL):
                 await until(lambda: not is_up(p, "a"))
                 known.append(len(p.log))
-        assert known, "the drain was not known before the end"
+        assert known, "the node did not learn of the drain before it stopped"
         assert not any(line.startswith("a DO") for line in p.log[known[0] :])
 
 
 # -- new configurations in quick succession
 
-RELOADS, SUCCESSION = 10, 0.1  # within so many s
+RELOADS, SUCCESSION = 10, 0.1  # Number of reloads, and the time in s for all of them
 
 
 async def reload_often(p: Play, drained: str) -> list[Journal]:
-    """Ten configurations in 100 ms, each with another journal service, every third one unreadable. The last
-    journal service alone tells of the drain."""
+    """Reloads ten configurations in 100 ms, each with another journal service; every third is unreadable.
+
+    Only the last journal service announces the drain.
+    """
     journals = [Journal() for _ in range(RELOADS)]
     for journal in journals:
         journal.events = list(p.journal.events)
@@ -264,15 +272,15 @@
     return journals
 
 
-async def follows_the_last(p: Play, journals: list[Journal], drained: str) -> int:
-    """Once the last journal service's news are known: the length of the log then."""
-    await until(lambda: not is_up(p, drained), within=4)  # when it counts as told at the latest
+async def wait_for_last_journal(p: Play, journals: list[Journal], drained: str) -> int:
+    """Waits until the drain announced by the last journal service is known; returns the length of the log."""
+    await until(lambda: not is_up(p, drained), within=4)  # the latest time at which it has to be known
     known = len(p.log)
     assert p.node.discovery.address[1] == journals[-1].port
     return known
 
 
-async def test_ten_configurations_in_100_ms_leave_the_last_in_force_and_touch_no_request(
+async def test_ten_reloads_in_100_ms_apply_the_last_one_and_affect_no_request(
     tmp_path: Path,
 ) -> None:
     async with play(tmp_path, {"a": [after(30, answers)], "b": [after(30, answers)]}, settings=SETTINGS) as p:
@@ -281,7 +289,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(crowd.ask_until, anyio.current_time() + 0.8, "unsafe")
             journals = await reload_often(p, "a")
-            known = await follows_the_last(p, journals, "a")
+            known = await wait_for_last_journal(p, journals, "a")
         (asker,) = crowd.askers
         await until(lambda: len(asker.answers) == len(asker.asked))
         crowd.check()
@@ -290,18 +298,18 @@
         assert not any(line.startswith("a DO") for line in p.log[known:])
 
 
-async def test_ten_configurations_in_100_ms_during_a_shutdown(tmp_path: Path) -> None:
+async def test_ten_reloads_in_100_ms_during_a_shutdown(tmp_path: Path) -> None:
     async with play(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
         async with shutdown(p, "unsafe") as crowd:
             journals = await reload_often(p, "a")
-            known = await follows_the_last(p, journals, "a")
+            known = await wait_for_last_journal(p, journals, "a")
         assert not any(line.startswith("a DO") for line in p.log[known:])
         assert {word for asker in crowd.askers for word in asker.words()} == {"satisfied"}
 
 
-async def test_ten_configurations_while_all_workers_hang_and_the_node_stops(tmp_path: Path) -> None:
+async def test_ten_reloads_while_all_workers_hang_during_a_shutdown(tmp_path: Path) -> None:
     async with play(tmp_path, {"a": [silent], "b": [silent]}, settings=SETTINGS) as p:
         async with shutdown(p, "safe"):
             journals = await reload_often(p, "a")
-            known = await follows_the_last(p, journals, "a")
+            known = await wait_for_last_journal(p, journals, "a")
         assert not any(line.startswith("a DO") for line in p.log[known:])
--- a/tests/test_stalled_loop.py
+++ b/tests/test_stalled_loop.py
@@ -1,7 +1,7 @@
-"""What clients are told where the event loop stood still over a deadline.
+"""Responses after the event loop was stalled past a deadline.
 
-All that is due is done in the turn after a stall, the input of sockets first. Its order must not decide
-whether an attempt that was never sent counts as one that may have run.
+After a stall everything that is due runs in one iteration of the event loop, socket input first. The order
+must not decide whether an attempt that was never sent counts as one that may have run.
 """
 
 from __future__ import annotations
@@ -28,24 +28,27 @@
 DEADLINE_MS = 1500
 
 
-def keep_connections_from_coming_up(p: Play) -> None:
+def prevent_connections(p: Play) -> None:
+    """Makes the node wait forever for connections to workers."""
+
     async def connect(_connection: Any) -> None:
         await anyio.sleep_forever()
 
     p.node.worker_client._connect = connect  # type: ignore[method-assign]
 
 
-def is_waiting_for_a_connection(p: Play) -> bool:
+def is_waiting_for_connection(p: Play) -> bool:
     connections = p.node.worker_client.connections
     return any(c.transport is None and c.outstanding_calls for c in connections)
 
 
-def put(client: Caller, data: bytes) -> None:
-    """Into the socket's buffer, before the loop turns again."""
+def write_at_once(client: Caller, data: bytes) -> None:
+    """Writes into the socket's buffer without running the event loop."""
     os.write(client.stream.extra(SocketAttribute.raw_socket).fileno(), data)
 
 
 def stall(seconds: float) -> None:
+    """Advances the virtual time as if the event loop had been blocked."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
     loop.stall(seconds)
@@ -56,14 +59,14 @@
 async def test_a_request_that_was_never_sent_is_rejected_after_a_stall_over_its_deadline(
     method: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a failure in place of a rejection: another client's input resumes the policy first."""
+    """Guards against a failure instead of a rejection: another client's input resumes the policy first."""
     follow_loop_time(monkeypatch)
     async with play(tmp_path) as p:
-        keep_connections_from_coming_up(p)
+        prevent_connections(p)
         client, other = await p.client(), await p.client()
         await client.ask(method, **KEY[method])
-        await until(lambda: is_waiting_for_a_connection(p))
-        put(other, other.task(id="00000000000000bb"))
+        await until(lambda: is_waiting_for_connection(p))
+        write_at_once(other, other.task(id="00000000000000bb"))
         stall(DEADLINE_MS / 1000)
         assert word(await client.answer()) == "turned back"
         assert p.did() == []
@@ -74,13 +77,13 @@
 async def test_a_request_that_was_never_sent_is_rejected_before_the_kill(
     method: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a failure in place of a rejection for what has more time left than the process."""
+    """Guards against a failure instead of a rejection if a request has more time left than the process."""
     follow_loop_time(monkeypatch)
     async with play(tmp_path, settings=SETTINGS | with_deadlines(9.0)) as p:
-        keep_connections_from_coming_up(p)
+        prevent_connections(p)
         client = await p.client()
         await client.ask(method, wait=9000, **KEY[method])
-        await until(lambda: is_waiting_for_a_connection(p))
+        await until(lambda: is_waiting_for_connection(p))
         os.kill(os.getpid(), signal.SIGTERM)
         assert word(await client.answer()) == "turned back"
         assert p.did() == []
@@ -88,7 +91,7 @@
 
 @pytest.mark.parametrize("kind", ("estimate", "post", "notice"))
 async def test_the_edge_rejects_what_was_never_sent_after_a_stall_over_its_deadline(kind: str) -> None:
-    """Guards against 504 in place of 503: another client's input resumes the policy first."""
+    """Guards against 504 instead of 503: another client's input resumes the policy first."""
     async with fleet({"a": [satisfied]}, limits={"connect_ms": 5000}) as f:
         is_connecting = anyio.Event()
 
@@ -99,10 +102,10 @@
         for worker in f.dispatcher.workers.values():
             worker.connections.pool._connect = connect
         key = {"repeatkey": "k"} if kind == "post" else {}
-        told: list[tuple[int, dict[str, object]]] = []
+        responses: list[tuple[int, dict[str, object]]] = []
 
         async def call() -> None:
-            told.append(await f.call(kind, left=1000, **key))
+            responses.append(await f.call(kind, left=1000, **key))
 
         async with anyio.create_task_group() as group:
             group.start_soon(call)
@@ -114,5 +117,5 @@
             os.write(other.extra(SocketAttribute.raw_socket).fileno(), request)
             time.sleep(1.0)
         await other.aclose()
-        assert [(status, answer["final"]) for status, answer in told] == [(503, "turned back")]
+        assert [(status, answer["final"]) for status, answer in responses] == [(503, "turned back")]
         assert f.ran() == []
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -1,7 +1,7 @@
-"""System calls that fail as Linux documents it, one case for every call site and error.
+"""System calls that fail with the errors that Linux documents, one case for each call site and error.
 
-While the fault lasts each request gets one final answer in time, and service is back after it. Under asyncio
-the faults stand below the event loop, under uvloop above it (support/socket_faults.py).
+During the fault each request gets one final response in time, and afterwards service recovers. Faults are
+injected below the event loop under asyncio and above it under uvloop (support/socket_faults.py).
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from martenlead.events.client import ExchangeEnd, Pool, read_lines
 from martenlead.events.http import request
 from martenlead.events.server import listen
-from martenlead.node import client_connection as door
-from martenlead.planner import frames as fr
+from martenlead.node import client_connection
+from martenlead.planner import frames
 from martenlead.policy.types import Result
 from martenlead.system.sockets import has_ended, readable
 from support.fleet import fleet, satisfied, until
@@ -47,28 +47,27 @@
     errno.ENETUNREACH,
     errno.EHOSTUNREACH,
 )
-"""What accept, socket, connect and bind may answer for a moment."""
+"""Temporary errors of accept, socket, connect and bind."""
 BROKEN = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EPIPE)
-"""How a broken connection may show as it is read or written."""
+"""Errors of a broken connection on a read or a write."""
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-"""Of our own, as a connection is asked for: they say nothing of the peer."""
+"""Shortages of this machine on a connect; they say nothing about the peer."""
 CONNECTING = (*OPENING, errno.ECONNREFUSED, errno.ETIMEDOUT)
-LONG = 1_400.0  # ms that a request has: more than its faults last
+LONG = 1_400.0  # Time of a request in ms, longer than its faults last
 FINAL = ("satisfied", "turned back", "error -32000")
 
 
-def name(number: int) -> str:
+def error_name(number: int) -> str:
+    """The symbolic name of an errno, as the id of a test."""
     return errno.errorcode[number]
 
 
-opening = pytest.mark.parametrize("number", OPENING, ids=name)
-connecting = pytest.mark.parametrize("number", CONNECTING, ids=name)
-broken = pytest.mark.parametrize("number", BROKEN, ids=name)
-temporary = pytest.mark.parametrize("number", (errno.ENOBUFS, errno.ENOMEM), ids=name)
-asyncio_alone = pytest.mark.parametrize(
-    "anyio_backend", [("asyncio", {"use_uvloop": False})], ids=["asyncio"]
-)
-"""For calls that uvloop makes itself, below what a test can reach."""
+opening = pytest.mark.parametrize("number", OPENING, ids=error_name)
+connecting = pytest.mark.parametrize("number", CONNECTING, ids=error_name)
+broken = pytest.mark.parametrize("number", BROKEN, ids=error_name)
+temporary = pytest.mark.parametrize("number", (errno.ENOBUFS, errno.ENOMEM), ids=error_name)
+asyncio_only = pytest.mark.parametrize("anyio_backend", [("asyncio", {"use_uvloop": False})], ids=["asyncio"])
+"""For system calls that a test cannot intercept under uvloop."""
 
 
 @pytest.fixture(params=[False, True], ids=["asyncio", "uvloop"])
@@ -78,11 +77,12 @@
 
 @pytest.fixture
 def connect_call(anyio_backend: Any) -> str:
-    """Where a connection that is asked for can be made to fail."""
+    """The call in which a new connection can be made to fail."""
     return "create_connection" if anyio_backend[1]["use_uvloop"] else "connect"
 
 
 def is_uvloop(anyio_backend: Any) -> bool:
+    """Whether a test runs under uvloop."""
     return bool(anyio_backend[1]["use_uvloop"])
 
 
@@ -123,9 +123,9 @@
 """
 
 
-@asyncio_alone
-async def test_the_node_gives_up_at_once_for_an_address_it_may_not_have(tmp_path: Path) -> None:
-    """With one line that says why, and the status of a start that failed."""
+@asyncio_only
+async def test_the_node_exits_at_once_if_it_may_not_bind_its_address(tmp_path: Path) -> None:
+    """It logs one line with the reason and exits with the status of a failed start."""
     async with play(tmp_path) as p:
         path = p.path
     environment = {**os.environ, "ROUTER_CONFIG": str(path)}
@@ -134,13 +134,14 @@
             [sys.executable, "-c", FORBIDDEN], cwd=ROOT, env=environment, check=False, stderr=subprocess.PIPE
         )
     read_lines = ended.stderr.decode().splitlines()
-    said = [line for line in read_lines if '"level": "info"' not in line]  # its list of workers
-    assert (ended.returncode, len(said)) == (2, 1), read_lines
-    assert "listener_failed" in said[0] and "Permission denied" in said[0]
+    # the node logs its list of workers with level info
+    problems = [line for line in read_lines if '"level": "info"' not in line]
+    assert (ended.returncode, len(problems)) == (2, 1), read_lines
+    assert "listener_failed" in problems[0] and "Permission denied" in problems[0]
 
 
 @opening
-async def test_a_program_of_http_binds_once_the_fault_has_passed(number: int) -> None:
+async def test_an_http_server_binds_once_the_fault_has_passed(number: int) -> None:
     faults = SocketFaults()
     faults.add("bind", number, times=2)
     with faults.installed(), anyio.fail_after(5):
@@ -162,7 +163,7 @@
 
 
 @opening
-async def test_a_program_of_http_accepts_once_the_fault_has_passed(number: int) -> None:
+async def test_an_http_server_accepts_once_the_fault_has_passed(number: int) -> None:
     faults = SocketFaults()
     with faults.installed():
         async with fleet() as f:
@@ -184,17 +185,17 @@
         async with play(tmp_path, {"a": [done]}) as p:
             client = await p.client()
             faults.add(connect_call, number, to_port(p.runners["a"].port))
-            heard = await order(p)
-            assert heard.result is (Result.NOT_SENT if number in SHORTAGES else Result.UNREACHABLE)
+            reply = await send_load_request(p)
+            assert reply.result is (Result.NOT_SENT if number in SHORTAGES else Result.UNREACHABLE)
             assert await client.call("unsafe", wait=LONG) in FINAL
             assert not p.did() and faults.failed[connect_call]
-            assert sum(way.open_connections for way in p.node.worker_client.pools) == 0
+            assert sum(pool.open_connections for pool in p.node.worker_client.pools) == 0
             faults.end()
             await until_served(client)
 
 
-@pytest.mark.parametrize("number", SHORTAGES, ids=name)
-async def test_what_we_lack_ourselves_is_not_held_against_a_worker(
+@pytest.mark.parametrize("number", SHORTAGES, ids=error_name)
+async def test_a_shortage_of_this_machine_does_not_count_against_a_worker(
     tmp_path: Path, number: int, connect_call: str
 ) -> None:
     faults = SocketFaults()
@@ -209,9 +210,9 @@
             assert await client.call("unsafe", wait=LONG) == "satisfied"
 
 
-@pytest.mark.parametrize("number", (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), ids=name)
-@asyncio_alone
-async def test_a_socket_to_a_worker_that_cannot_be_had_proves_that_nothing_ran(
+@pytest.mark.parametrize("number", (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), ids=error_name)
+@asyncio_only
+async def test_a_socket_to_a_worker_that_cannot_be_created_proves_that_nothing_ran(
     tmp_path: Path, number: int
 ) -> None:
     faults = SocketFaults()
@@ -219,10 +220,10 @@
         async with play(tmp_path, {"a": [done]}) as p:
             client = await p.client()
             faults.add("socket", number)
-            assert (await order(p)).result is Result.NOT_SENT
+            assert (await send_load_request(p)).result is Result.NOT_SENT
             assert await client.call("unsafe", wait=LONG) in FINAL
             assert not p.did() and faults.failed["socket"]
-            assert sum(way.open_connections for way in p.node.worker_client.pools) == 0
+            assert sum(pool.open_connections for pool in p.node.worker_client.pools) == 0
             faults.end()
             await until_served(client)
 
@@ -231,7 +232,7 @@
 async def test_a_connection_to_a_worker_that_breaks_under_a_request_may_have_run(
     tmp_path: Path, number: int, anyio_backend: Any
 ) -> None:
-    """A request that may not run twice is not sent again, one that may is."""
+    """A request that must not run twice is not sent again; one that may run twice is."""
     faults = SocketFaults()
     with faults.installed():
         async with play(tmp_path, {"a": [raw(b""), done], "b": [done]}) as p:
@@ -241,14 +242,14 @@
             await client.ask("unsafe", wait=LONG)
             await until(p.did)
             (conn,) = [
-                c for way in p.node.worker_client.pools for c in way.connections if c.outstanding_calls
+                c for pool in p.node.worker_client.pools for c in pool.connections if c.outstanding_calls
             ]
             if is_uvloop(anyio_backend):
                 break_transport(conn, conn.transport, number)
             else:
                 faults.add("recv", number, to_port(conn.pool.port), times=1)
                 stream = next(r for r in p.runners.values() if r.port == conn.pool.port).streams[-1]
-                await stream.send(answer("FIT", "0"))  # something to be read
+                await stream.send(answer("FIT", "0"))  # makes the connection readable
             assert word(await client.answer()) == "error -32000"
             assert len(p.did()) == 1
             assert conn not in conn.pool.connections
@@ -257,8 +258,8 @@
 
 
 @broken
-async def test_a_write_to_a_worker_that_fails_costs_one_attempt(tmp_path: Path, number: int) -> None:
-    """Where not a byte has left it proves that nothing ran, so that the client may ask again."""
+async def test_a_write_to_a_worker_that_fails_uses_one_attempt(tmp_path: Path, number: int) -> None:
+    """If no byte was sent, the request cannot have run, so that the client may retry it."""
     faults = SocketFaults()
     with faults.installed():
         async with play(tmp_path, {"a": [done], "b": [done]}) as p:
@@ -269,7 +270,7 @@
             assert faults.failed["send"] == 2 and not p.did()
             faults.end()
             await until_served(client)
-            assert all(conn.transport for way in p.node.worker_client.pools for conn in way.connections)
+            assert all(conn.transport for pool in p.node.worker_client.pools for conn in pool.connections)
 
 
 @temporary
@@ -286,13 +287,11 @@
             faults.add("send", number, to_worker, times=20, share=0.2 if bytes_leave else 1.0)
             assert await client.call("unsafe", wait=LONG) == "satisfied"
             assert faults.failed["send"] and len(p.did()) == 1
-            assert [way.connections_opened for way in p.node.worker_client.pools] == [1]
+            assert [pool.connections_opened for pool in p.node.worker_client.pools] == [1]
 
 
 @temporary
-async def test_what_takes_a_request_back_leaves_before_its_connection_ends(
-    tmp_path: Path, number: int
-) -> None:
+async def test_a_cancellation_is_sent_before_its_connection_ends(tmp_path: Path, number: int) -> None:
     faults = SocketFaults()
     with faults.installed():
         async with play(tmp_path, {"a": [raw(b"")]}) as p:
@@ -309,7 +308,7 @@
 async def test_a_request_that_the_machine_never_has_memory_for_is_proven_not_to_have_run(
     tmp_path: Path, number: int
 ) -> None:
-    """And says nothing of its worker."""
+    """It does not count against its worker either."""
     faults = SocketFaults()
     with faults.installed():
         async with play(tmp_path) as p:
@@ -321,31 +320,33 @@
             assert ends == {"not sent": 1}
 
 
-HALF = b'{"m":"DONE","txn":"%TXN%","pro'
+PARTIAL_RESPONSE = b'{"m":"DONE","txn":"%TXN%","pro'
 
 
 async def half_close(_runner: Any, stream: Any, _message: dict[str, Any]) -> None:
+    """Closes the sending side without a response."""
     await stream.send_eof()
 
 
-async def half_close_within(_runner: Any, stream: Any, _message: dict[str, Any]) -> None:
-    await stream.send(HALF)
+async def half_close_within_response(_runner: Any, stream: Any, _message: dict[str, Any]) -> None:
+    """Closes the sending side in the middle of the response."""
+    await stream.send(PARTIAL_RESPONSE)
     await stream.send_eof()
 
 
 ENDINGS = {
     "reset": raw(b"", reset=True),
-    "reset within the answer": raw(HALF, reset=True),
+    "reset within the answer": raw(PARTIAL_RESPONSE, reset=True),
     "close": raw(b"", end=True),
-    "close within the answer": raw(HALF, end=True),
+    "close within the answer": raw(PARTIAL_RESPONSE, end=True),
     "half-close": half_close,
-    "half-close within the answer": half_close_within,
+    "half-close within the answer": half_close_within_response,
 }
 
 
 @pytest.mark.parametrize("ending", ENDINGS)
 async def test_a_worker_that_ends_a_connection_under_a_request(tmp_path: Path, ending: str) -> None:
-    """What may run twice is sent to the other worker, what may not is answered as failed; nothing waits."""
+    """Requests that may run twice go to the other worker, others fail; none is left waiting."""
     async with play(tmp_path, {"a": [done], "b": [done]}) as p:
         client = await p.client()
         for runner in p.runners.values():
@@ -358,13 +359,13 @@
         with anyio.fail_after(LONG / 1000):
             assert await client.call("safe", wait=LONG) in FINAL
         await until_served(client)
-        assert all(conn.transport for way in p.node.worker_client.pools for conn in way.connections)
+        assert all(conn.transport for pool in p.node.worker_client.pools for conn in pool.connections)
 
 
-async def test_reads_and_writes_of_one_byte_change_no_request_and_no_answer(
+async def test_reads_and_writes_of_one_byte_change_no_request_and_no_response(
     tmp_path: Path, anyio_backend: Any
 ) -> None:
-    """Of clients, workers and discovery; under uvloop the peers dribble instead."""
+    """For clients, workers and discovery; under uvloop the peers send single bytes instead."""
     faults = SocketFaults()
 
     async def dribbled(_runner: Any, stream: Any, message: dict[str, Any]) -> None:
@@ -383,18 +384,18 @@
             assert is_uvloop(anyio_backend) or (faults.shortened["recv"] and faults.shortened["send"])
 
 
-async def order(p: Any) -> Any:
-    """Asks worker "a" how many replicas it has, over a connection of its own; what is heard."""
-    heard: list[Any] = []
-    known = p.node.dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0)
-    (box,) = p.node.dispatcher.workers.values()
-    p.node.worker_client.send_load_request(box, known, 0, heard.append)
-    await until(lambda: heard)
-    return heard[0]
+async def send_load_request(p: Any) -> Any:
+    """Sends a load request to worker "a" over a connection of its own, and returns the result."""
+    results: list[Any] = []
+    function = p.node.dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0)
+    (worker,) = p.node.dispatcher.workers.values()
+    p.node.worker_client.send_load_request(worker, function, 0, results.append)
+    await until(lambda: results)
+    return results[0]
 
 
 async def until_served(client: Any) -> None:
-    """Within the time that a worker may be left alone after faults."""
+    """Calls until a request succeeds, within the longest time that a worker is avoided after faults."""
     with anyio.fail_after(8):
         while await client.call("safe", wait=LONG, id=f"{client.number + 4096:016x}") != "satisfied":
             await anyio.sleep(0.05)
@@ -404,7 +405,7 @@
 
 
 @broken
-async def test_a_client_whose_connection_breaks_costs_the_others_nothing(
+async def test_a_client_whose_connection_breaks_does_not_affect_others(
     tmp_path: Path, number: int, anyio_backend: Any
 ) -> None:
     faults = SocketFaults()
@@ -428,10 +429,13 @@
 
 @temporary
 @pytest.mark.parametrize("bytes_leave", [False, True], ids=["nothing leaves", "single bytes leave"])
-async def test_answers_that_the_machine_has_no_memory_for_leave_later(
+async def test_responses_that_the_machine_has_no_memory_for_are_sent_later(
     tmp_path: Path, number: int, bytes_leave: bool
 ) -> None:
-    """In their order, each once, and the connection goes on. One that then ends has its answer, too."""
+    """Responses arrive in order and once, and the connection stays open.
+
+    A connection that ends afterwards gets its error response as well.
+    """
     faults = SocketFaults()
     faults.short_selects = lambda call, subject: from_port(p.port)(call, subject)
     with faults.installed():
@@ -454,11 +458,11 @@
 
 
 @temporary
-async def test_answers_that_never_leave_are_bounded_in_bytes_and_time(
+async def test_unsent_responses_are_bounded_in_bytes_and_time(
     tmp_path: Path, number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(door, "WRITE_BUFFER_BYTES", 100)
-    monkeypatch.setattr(door, "STALLED_CLIENT_TIMEOUT_NS", 1_000_000_000)
+    monkeypatch.setattr(client_connection, "WRITE_BUFFER_BYTES", 100)
+    monkeypatch.setattr(client_connection, "STALLED_CLIENT_TIMEOUT_NS", 1_000_000_000)
     faults = SocketFaults()
     with faults.installed():
         async with play(tmp_path) as p:
@@ -476,9 +480,9 @@
             await until(lambda: not p.node.listener.count_descriptors())
 
 
-@pytest.mark.parametrize("number", (errno.EAGAIN, *BROKEN), ids=name)
-async def test_the_read_of_unread_bytes_fails(tmp_path: Path, number: int) -> None:
-    """Without bytes the event loop reads them later; a broken connection ends, and costs no other client."""
+@pytest.mark.parametrize("number", (errno.EAGAIN, *BROKEN), ids=error_name)
+async def test_reading_unread_bytes_may_fail(tmp_path: Path, number: int) -> None:
+    """After EAGAIN the event loop reads later; a broken connection ends and affects no other client."""
     faults = SocketFaults()
     with faults.installed():
         async with play(tmp_path) as p:
@@ -496,7 +500,7 @@
 
 
 @broken
-async def test_a_client_of_http_whose_connection_breaks_costs_the_others_nothing(
+async def test_an_http_client_whose_connection_breaks_does_not_affect_others(
     number: int, anyio_backend: Any
 ) -> None:
     faults = SocketFaults()
@@ -521,7 +525,7 @@
 
 
 @connecting
-async def test_discovery_is_asked_again_until_a_connection_can_be_made(
+async def test_the_node_retries_discovery_until_it_can_connect(
     tmp_path: Path, number: int, connect_call: str
 ) -> None:
     faults = SocketFaults()
@@ -541,8 +545,10 @@
 
 
 @broken
-@asyncio_alone
-async def test_discovery_whose_connection_breaks_is_asked_again(tmp_path: Path, number: int) -> None:
+@asyncio_only
+async def test_the_node_reconnects_to_discovery_after_a_broken_connection(
+    tmp_path: Path, number: int
+) -> None:
     faults = SocketFaults()
     with faults.installed():
         async with play(tmp_path) as p:
@@ -555,7 +561,8 @@
 # -- the HTTP pool
 
 
-def whole(pool: Pool) -> bool:
+def has_no_busy_slot(pool: Pool) -> bool:
+    """Whether all open connections of the pool are idle."""
     return pool.open_connections == len(pool._idle)
 
 
@@ -575,13 +582,13 @@
                 if number in SHORTAGES
                 else (ExchangeEnd.REFUSED, ExchangeEnd.CONNECT_TIMEOUT)
             )
-            assert exchange.end in expected and whole(pool)
-            assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and whole(pool)
+            assert exchange.end in expected and has_no_busy_slot(pool)
+            assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and has_no_busy_slot(pool)
 
 
 @broken
 @pytest.mark.parametrize("call", ["send", "recv"])
-@asyncio_alone
+@asyncio_only
 async def test_a_pool_whose_connection_breaks_may_have_sent_and_keeps_no_slot(number: int, call: str) -> None:
     faults = SocketFaults()
     with faults.installed():
@@ -589,14 +596,14 @@
             faults.add(call, number, to_port(f.port), times=1)
             pool = Pool("127.0.0.1", f.port, connection_limit=1)
             data = request(b"GET", b"/nothing", b"e", [])
-            assert (await pool.exchange(data)).end is ExchangeEnd.CLOSED and whole(pool)
-            assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and whole(pool)
+            assert (await pool.exchange(data)).end is ExchangeEnd.CLOSED and has_no_busy_slot(pool)
+            assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and has_no_busy_slot(pool)
 
 
-async def test_a_connection_of_a_pool_that_cannot_be_looked_at_keeps_no_slot(
+async def test_a_pooled_connection_that_cannot_be_checked_keeps_no_slot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It has ended, and no descriptor is left to look whether bytes came before."""
+    """The connection has ended, and no descriptor is free to check whether bytes came before."""
 
     def dup(_number: int) -> int:
         raise OSError(errno.EMFILE, "Too many open files")
@@ -610,31 +617,31 @@
         await until(lambda: not f.door.server.connections)
         await anyio.sleep(0.02)
         monkeypatch.setattr(os, "dup", dup)
-        assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and whole(pool)
+        assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and has_no_busy_slot(pool)
 
 
-async def test_a_probe_that_fails_as_no_error_of_a_socket_costs_the_probe(
+async def test_a_probe_that_fails_with_no_socket_error_ends_only_the_probe(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It ran in the link's group, and ended the program."""
+    """Guards against a probe in the task group of the link whose error ended the program."""
     async with fleet({"a": [satisfied]}) as f:
-        (box,) = f.dispatcher.workers.values()
-        failed = anyio.Event()
+        (worker,) = f.dispatcher.workers.values()
+        has_failed = anyio.Event()
 
         async def exchange(*_arguments: Any) -> Any:
-            failed.set()
+            has_failed.set()
             raise RuntimeError("of the event loop")
 
-        monkeypatch.setattr(box.connections.pool, "exchange", exchange)
-        await f.dispatcher.link._probe(box, 1_000_000_000)  # type: ignore[attr-defined]
-        assert failed.is_set()
+        monkeypatch.setattr(worker.connections.pool, "exchange", exchange)
+        await f.dispatcher.link._probe(worker, 1_000_000_000)  # type: ignore[attr-defined]
+        assert has_failed.is_set()
 
 
-# -- the roster of HTTP, and planners
+# -- the endpoint list over HTTP, and planners
 
 
 @connecting
-async def test_the_roster_of_http_is_asked_again_until_a_connection_can_be_made(
+async def test_the_edge_retries_its_endpoint_list_until_it_can_connect(
     number: int, connect_call: str
 ) -> None:
     faults = SocketFaults()
@@ -649,8 +656,8 @@
             assert f.dispatcher.counts["roster", "lost"] == lost + 2
 
 
-async def test_a_roster_whose_connection_never_comes_up_is_given_up_in_its_time() -> None:
-    """It waited for as long as the machine tries, more than two minutes."""
+async def test_an_endpoint_list_that_cannot_be_connected_times_out() -> None:
+    """Guards against a wait for as long as the kernel retries a connect, more than two minutes."""
     with unreachable_listener() as listener, anyio.fail_after(2), pytest.raises(TimeoutError):
         async with aclosing(
             read_lines(*listener.getsockname(), b"", silence_timeout_seconds=0.2, max_line_bytes=1)
@@ -659,9 +666,7 @@
 
 
 @connecting
-async def test_a_planner_is_asked_again_until_a_connection_can_be_made(
-    number: int, connect_call: str
-) -> None:
+async def test_the_edge_retries_a_planner_until_it_can_connect(number: int, connect_call: str) -> None:
     faults = SocketFaults()
     with faults.installed():
         async with planner() as (_, port):
@@ -675,34 +680,38 @@
 async def test_an_error_that_no_socket_raises_ends_a_link_to_a_planner_and_not_the_edge(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Event loops raise a RuntimeError where a connection ends in the turn that it is made in."""
-    real, failed = anyio.connect_tcp, []
+    """Event loops raise a RuntimeError if a connection ends in the iteration that opens it."""
+    original_connect, failed_ports = anyio.connect_tcp, []
 
     async def connect(host: str, port: int) -> Any:
-        if port == planner_port and len(failed) < 2:
-            failed.append(port)
+        if port == planner_port and len(failed_ports) < 2:
+            failed_ports.append(port)
             raise RuntimeError("the handler is closed")
-        return await real(host, port)
+        return await original_connect(host, port)
 
     async with planner() as (_, planner_port):
         monkeypatch.setattr(anyio, "connect_tcp", connect)
         async with planned([planner_port]) as (f, side):
             await answered(f)
             await until(side.session.is_leased, within=5)
-            assert len(failed) == 2
+            assert len(failed_ports) == 2
+
 
+async def test_a_fault_in_one_link_of_a_planner_ends_only_that_link(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Only the loss of its link can end the lease of the other edge here, as it outlasts the test.
 
-async def test_a_fault_in_one_link_of_a_planner_costs_that_link(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The fault is printed with its traceback, which may hold the event loop for longer than a lease lasts in
-    other tests: here one outlasts the test, so that only the loss of its link can end it."""
+    With the lease of other tests, printing the traceback may block the event loop for longer than it lasts.
+    """
     lease = {"lease_ms": 60_000}
-    async with planner() as (one, port), planned([port], name="first", **lease) as (f, first):
+    async with planner() as (planner_server, port), planned([port], name="first", **lease) as (f, first):
         await until(first.session.is_leased, within=5)
         with monkeypatch.context() as patch:
-            patch.setattr(one, "get_session", fault)
+            patch.setattr(planner_server, "get_session", raise_fault)
             stream = await anyio.connect_tcp("127.0.0.1", port)
             await stream.send(
-                fr.encode_frame(fr.Hello(fr.LOWEST_VERSION, fr.HIGHEST_VERSION, "second", "0", "0"))
+                frames.encode_frame(
+                    frames.Hello(frames.LOWEST_VERSION, frames.HIGHEST_VERSION, "second", "0", "0")
+                )
             )
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                 await stream.receive()
@@ -710,19 +719,20 @@
         assert first.session.is_leased() and first.counts["links lost"] == 0
 
 
-def fault(_edge: str) -> Any:
-    raise KeyError("a fault of ours")
+def raise_fault(_edge: str) -> Any:
+    """Fails as a bug of the planner would."""
+    raise KeyError("an internal fault")
 
 
 # -- waits
 
 
-@asyncio_alone
-async def test_a_look_at_a_socket_that_fails_ends_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """poll may fail for want of memory. Something is taken to wait to be read then: nothing is closed for
-    having been idle, and an attempt leaves once its client's bytes were asked for."""
+@asyncio_only
+async def test_a_poll_that_fails_ends_no_connection(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """If poll fails for lack of memory, the socket counts as readable.
+
+    No connection is closed as idle then, and an attempt is sent after a read of its client's connection.
+    """
 
     class Poll:
         def register(self, *_arguments: Any) -> None: ...
@@ -741,8 +751,8 @@
         assert len(p.did()) == 2
 
 
-async def test_signals_that_interrupt_every_wait_cost_no_request(tmp_path: Path) -> None:
-    """Each real one ends a system call with EINTR."""
+async def test_signals_that_interrupt_every_wait_fail_no_request(tmp_path: Path) -> None:
+    """Each signal interrupts a system call with EINTR."""
     before = signal.signal(signal.SIGALRM, lambda _number, _frame: None)
     async with play(tmp_path) as p:
         signal.setitimer(signal.ITIMER_REAL, 0.002, 0.002)
@@ -755,14 +765,14 @@
             signal.signal(signal.SIGALRM, before)
 
 
-# -- all at once
+# -- random faults
 
 
 @pytest.mark.parametrize("seed", range(3))
-async def test_each_request_has_one_final_answer_while_calls_fail_at_random(
+async def test_each_request_has_one_final_response_while_calls_fail_at_random(
     tmp_path: Path, seed: int, connect_call: str
 ) -> None:
-    """A fifth of all calls to workers, to discovery and of the listener fails, by seeded draws."""
+    """About a fifth of the calls to workers, to discovery and of the listener fail, chosen by a seed."""
     faults, chance = SocketFaults(seed), Random(seed)
     with faults.installed():
         parts = [chance.choice([done, done, done, *ENDINGS.values()]) for _ in range(100)]
