--- a/martenlead/admission/controller.py
+++ b/martenlead/admission/controller.py
@@ -71,7 +71,7 @@
 CLIENT_BUCKETS, TENANT_BUCKETS = 64, 64
 HEAVY_HITTER_COUNTERS, REPORTED_HEAVY_HITTERS = 64, 5
 DECAY_INTERVAL_NS = 5 * NS_PER_SECOND
-MAX_CAPACITY_CHECKS = 16  # Calls of `find_placement` in one call of `admit_waiting`
+MAX_CAPACITY_CHECKS = 16  # Calls of `find_placement` per `admit_waiting`; others wait for the next
 
 StatusValue = int | float | list[tuple[str, float]] | None
 
--- a/martenlead/events/connection.py
+++ b/martenlead/events/connection.py
@@ -96,7 +96,7 @@
         self._job: tuple[Message, int, _ResponseSlot] | None = None
         self._has_job = anyio.Event()
         self._is_answerer_idle = False
-        self._socket: Any = None  # `Any`: the type depends on the event loop
+        self._socket: Any = None  # `Any`: the event loop's own type, see system/sockets.py
         with suppress(AttributeError):  # a reset connection has no socket any more
             self._socket = stream.extra(SocketAttribute.raw_socket)
 
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -64,11 +64,13 @@
         self.max_concurrent: Counter[str] = Counter()
 
     def start(self, tenant: str) -> None:
+        """Counts a request that a worker received."""
         self.total[tenant] += 1
         self.concurrent[tenant] += 1
         self.max_concurrent[tenant] = max(self.max_concurrent[tenant], self.concurrent[tenant])
 
     def end(self, tenant: str) -> None:
+        """Counts a request that a worker has finished."""
         self.concurrent[tenant] -= 1
 
 
--- a/tests/test_long_outages.py
+++ b/tests/test_long_outages.py
@@ -24,6 +24,7 @@
 
 
 async def reset(stream: SocketStream) -> None:
+    """Closes a connection with a reset."""
     linger(stream)
     await anyio.aclose_forcefully(stream)
 
@@ -129,6 +130,7 @@
                 await listener.serve(self.connected)
 
     async def fail(self) -> None:
+        """Stops the listener and closes all connections."""
         self.running.cancel()
         for stream in self.streams:
             with suppress(*BROKEN):
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -55,10 +55,12 @@
 
 
 def once(method: str, number: int) -> str | None:
+    """The deduplication id of a keyed request; None for other methods."""
     return f"{number:032x}" if method == "keyed" else None
 
 
 async def reset(stream: SocketStream) -> None:
+    """Closes a connection with a reset."""
     linger(stream)
     await anyio.aclose_forcefully(stream)
 
@@ -84,7 +86,8 @@
         self.ran[told["txn"]] += 1
         await done(runner, stream, told)
 
-    async def rest_ends(self, how: str, runner: Runner) -> None:
+    async def end_idle_connections(self, how: str, runner: Runner) -> None:
+        """Closes, resets or forgets the open connections."""
         for stream in runner.streams:
             if how == "close":
                 await stream.aclose()
@@ -114,7 +117,7 @@
         client = await p.client()
         for number in (1, 2, 3):
             assert await client.call(method, once=once(method, number)) == "satisfied"
-        await worker.rest_ends(how, p.runners["a"])
+        await worker.end_idle_connections(how, p.runners["a"])
         began = anyio.current_time()
         first = await client.call(method, wait=600, once=once(method, 4))
         assert anyio.current_time() - began < 0.6 + LATEST
@@ -208,6 +211,7 @@
 
 
 async def drops_late_ones(runner: Runner, stream: SocketStream, told: dict[str, Any]) -> None:
+    """Responds unless the request has less time left than `DROPPED_UNDER`."""
     if told["props"]["ttl"] >= DROPPED_UNDER:
         await answers(runner, stream, told)
 
@@ -278,6 +282,7 @@
 
 
 def request(ident: str) -> bytes:
+    """A request of the class `estimate` to the edge."""
     attributes: dict[str, Any] = {
         "specversion": "1.0",
         "id": ident,
--- a/tests/test_shutdown_faults.py
+++ b/tests/test_shutdown_faults.py
@@ -36,7 +36,7 @@
 
 pytestmark = pytest.mark.anyio
 
-DEADLINE = 0.3  # s
+DEADLINE = 0.3  # Time of each request in s
 FADED_LAG = 20_000_000  # Event loop lag in ns from which a stall counts as over
 LATEST = 0.5  # Time in s after the deadline, after which a response counts as lost
 KILL = DEADLINE + 0.7  # Time of the kill in s after SIGTERM
@@ -246,7 +246,7 @@
         assert not any(line.startswith("a DO") for line in p.log[known[0] :])
 
 
-# -- new configurations in quick succession
+# -- configuration reloads in quick succession
 
 RELOADS, SUCCESSION = 10, 0.1  # Number of reloads, and the time in s for all of them
 
--- a/tests/test_stalled_loop.py
+++ b/tests/test_stalled_loop.py
@@ -38,6 +38,7 @@
 
 
 def is_waiting_for_connection(p: Play) -> bool:
+    """Whether a call to a worker waits for its connection to open."""
     connections = p.node.worker_client.connections
     return any(c.transport is None and c.outstanding_calls for c in connections)
 
