--- a/tests/apart.py
+++ b/tests/apart.py
@@ -1,6 +1,6 @@
 """A real dispatcher in a process of its own, under a limit of descriptors that is set in that process alone.
 
-Its peers are in this process, as in tests/nodes.py; its journal service is down until `serve_at`.
+Its peers are in this process, as in tests/nodes.py; its journal service is down until `serve_journal` runs.
 """
 
 from __future__ import annotations
@@ -18,80 +18,86 @@
 from anyio.abc import Process
 
 from support.peers import PeerListener, unused_port
-from tests.nodes import BROKEN, Journal, Play, done, message
+from tests.nodes import CONNECTION_ERRORS, NodeRig, ScriptedJournal, message, succeed
 
-DESCRIPTORS = 96
+DESCRIPTOR_LIMIT = 96
 ROOT = Path(__file__).parent.parent
-LIMITED = f"ulimit -n {DESCRIPTORS}; exec {sys.executable} -m martenlead.node"
-PING = message({"jsonrpc": "2.0", "id": 1, "method": "ping", "params": {}})
+NODE_COMMAND = f"ulimit -n {DESCRIPTOR_LIMIT}; exec {sys.executable} -m martenlead.node"
+PING_REQUEST = message({"jsonrpc": "2.0", "id": 1, "method": "ping", "params": {}})
 
 
-class Apart(Play):
-    """Peers in this process, the node in its own."""
+class NodeProcess(NodeRig):
+    """A node in a process of its own, and its scripted peers in this one."""
 
     process: Process
 
     async def start(self) -> None:
-        environment = {**os.environ, "ROUTER_CONFIG": str(self.path)}
+        """Starts the node with the configuration that was written last."""
+        environment = {**os.environ, "ROUTER_CONFIG": str(self.config_path)}
         self.process = await anyio.open_process(
-            ["/bin/sh", "-c", LIMITED], cwd=ROOT, env=environment, stdout=None, stderr=None
+            ["/bin/sh", "-c", NODE_COMMAND], cwd=ROOT, env=environment, stdout=None, stderr=None
         )
 
     async def kill(self) -> None:
-        with suppress(ProcessLookupError):  # it has ended by itself
+        """Kills the node, unless it has ended, and waits for its end."""
+        with suppress(ProcessLookupError):  # the process has ended by itself
             self.process.send_signal(signal.SIGKILL)
         with anyio.CancelScope(shield=True):
             await self.process.wait()
 
-    def held(self) -> int:
-        """Descriptors that the node has open."""
+    def open_descriptors(self) -> int:
+        """Returns how many descriptors the node has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
-    def connect(self, count: int) -> list[socket.socket]:
-        """At once, whether the node accepts them yet or not."""
-        made = [socket.socket() for _ in range(count)]
-        for one in made:
+    def connect_sockets(self, count: int) -> list[socket.socket]:
+        """Begins so many connections to the node at once, whether it accepts them yet or not."""
+        sockets = [socket.socket() for _ in range(count)]
+        for one in sockets:
             one.setblocking(False)
             one.connect_ex(("127.0.0.1", self.port))
-        return made
+        return sockets
 
-    async def came_up(self, within: float) -> None:
-        """Asks for it as a platform does: until it answers that it is up."""
+    async def wait_until_up(self, within: float) -> None:
+        """Sends pings, as a platform does, until the node answers that it is up. Fails after `within`
+        seconds."""
         with anyio.fail_after(within):
             while not await self.is_up():
                 await anyio.sleep(0.01)
 
     async def is_up(self) -> bool:
+        """Whether the node answers a ping and says that it is up."""
         try:
-            client = await self.client()
-            await client.send(PING)
-            told = await client.answer()
+            client = await self.connect_client()
+            await client.send(PING_REQUEST)
+            response = await client.receive_response()
             await client.stream.aclose()
-        except BROKEN:
+        except CONNECTION_ERRORS:
             return False
-        return told is not None and bool(told["result"]["up"])
+        return response is not None and bool(response["result"]["up"])
 
 
 @asynccontextmanager
-async def apart(tmp_path: Path, runners: str = "a", **more: Any) -> AsyncIterator[Apart]:
-    """A node that has been started. It is ended as the test ends."""
-    p = Apart()
-    p.path = tmp_path / "config.json"
-    p.port, p.journal.port = unused_port(), unused_port()
-    async with anyio.create_task_group() as p.group:
-        for name in runners:
-            await p.runner(name, done)
-        p.write(p.journal.port, limits={"cores": 1.0, "memory_mb": 64, "sockets": DESCRIPTORS}, **more)
-        await p.start()
+async def run_node_process(tmp_path: Path, workers: str = "a", **entries: Any) -> AsyncIterator[NodeProcess]:
+    """Starts a node with a scripted worker for each letter of `workers`, and kills it as the test ends."""
+    rig = NodeProcess()
+    rig.config_path = tmp_path / "config.json"
+    rig.port, rig.journal.port = unused_port(), unused_port()
+    async with anyio.create_task_group() as rig.task_group:
+        for name in workers:
+            await rig.start_worker(name, succeed)
+        rig.write_config(
+            rig.journal.port, limits={"cores": 1.0, "memory_mb": 64, "sockets": DESCRIPTOR_LIMIT}, **entries
+        )
+        await rig.start()
         try:
-            yield p
+            yield rig
         finally:
-            await p.kill()
-        p.group.cancel_scope.cancel()
+            await rig.kill()
+        rig.task_group.cancel_scope.cancel()
 
 
-async def serve_at(journal: Journal) -> None:
-    """The journal service comes back, at the address that it had."""
+async def serve_journal(journal: ScriptedJournal) -> None:
+    """Starts the journal service at the address that the node's configuration has."""
     listener = PeerListener(journal.port)
     assert listener.port == journal.port
-    await listener.serve(journal.connected)
+    await listener.serve(journal.serve_connection)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,31 +27,31 @@
 from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests.nodes import (
     SETTINGS,
-    Caller,
-    Part,
-    Play,
+    Behaviour,
+    Client,
+    NodeRig,
     answer,
-    done,
     frame,
-    linger,
     message,
-    play,
+    outcome_of,
     record,
-    says,
+    reset_on_close,
+    respond_with,
+    run_node,
     silent,
+    succeed,
     with_deadlines,
-    word,
 )
 
 pytestmark = pytest.mark.anyio
 ORDERS = SETTINGS | {"family-info": SETTINGS["family-info"] | {"placement-calls": True}}
-full = says("WAIT", "")
+full = respond_with("WAIT", "")
 METHODS = ("safe", "keyed", "unsafe")
 virtual_time = pytest.mark.parametrize("anyio_backend", [VIRTUAL_TIME], ids=["virtual time"])
 LONG = 60.0  # s that a request has which no test waits for the end of
 
 
-def late(p: Play) -> anyio.Event:
+def late(p: NodeRig) -> anyio.Event:
     """From now on connections to runners come up once this is set."""
     gate, real = anyio.Event(), p.node.worker_client._connect
 
@@ -63,7 +63,7 @@
     return gate
 
 
-def once(event: anyio.Event, part: Part) -> Part:
+def once(event: anyio.Event, part: Behaviour) -> Behaviour:
     """Plays that part when this is known to have happened."""
 
     async def played(runner: Any, stream: Any, told: dict[str, Any]) -> None:
@@ -73,7 +73,7 @@
     return played
 
 
-def waiting(p: Play) -> list[Any]:
+def waiting(p: NodeRig) -> list[Any]:
     """What waits for a connection that is not up."""
     conns = [conn for way in p.node.worker_client.pools for conn in way.connections if conn.transport is None]
     return [sent for conn in conns for sent in conn.outstanding_calls.values()]
@@ -84,22 +84,22 @@
     return message(about | ({} if own is None else {"id": own}))
 
 
-async def leave(client: Caller, how: str) -> None:
+async def leave(client: Client, how: str) -> None:
     match how:
         case "abort":
-            await client.send(abort(client.number))
+            await client.send(abort(client.last_number))
         case "half close":
             await client.stream.send_eof()
         case "close":
             await client.stream.aclose()
         case "reset":
-            linger(client.stream)
+            reset_on_close(client.stream)
             await anyio.aclose_forcefully(client.stream)
 
 
-def put(client: Caller) -> None:
+def put(client: Client) -> None:
     """A task that lies in the machine before the loop turns again."""
-    os.write(client.stream.extra(SocketAttribute.raw_socket).fileno(), client.task())
+    os.write(client.stream.extra(SocketAttribute.raw_socket).fileno(), client.encode_request())
 
 
 LEAVES = ("abort", "half close", "close", "reset")
@@ -110,16 +110,16 @@
 
 @pytest.mark.parametrize("how", LEAVES)
 async def test_left_while_the_connection_comes_up(how: str, tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         gate = late(p)
-        client = await p.client()
-        await client.ask("unsafe")
+        client = await p.connect_client()
+        await client.send_request("unsafe")
         await until(lambda: waiting(p))
         await leave(client, how)
         await until(lambda: p.node.dispatcher.counts["final", "left"])
         gate.set()
-        assert await (await p.client()).call(id="00000000000000bb") == "satisfied"
-        assert p.did() == ["a DO bb"]
+        assert await (await p.connect_client()).call(id="00000000000000bb") == "satisfied"
+        assert p.received() == ["a DO bb"]
 
 
 @pytest.mark.parametrize("how", LEAVES)
@@ -127,16 +127,16 @@
     """The runner turns it away once its client is known to have left: there it may not go elsewhere."""
     gone = anyio.Event()
 
-    async with play(tmp_path, {"a": [once(gone, full), done], "b": [once(gone, full), done]}) as p:
-        client = await p.client()
-        await client.ask()
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [once(gone, full), succeed], "b": [once(gone, full), succeed]}) as p:
+        client = await p.connect_client()
+        await client.send_request()
+        await until(p.received)
         await leave(client, how)
         await until(lambda: p.node.dispatcher.counts["final", "left"])
         gone.set()
         await until(lambda: not p.node.dispatcher._in_flight)
-        assert await (await p.client()).call(id="00000000000000bb") == "satisfied"
-        assert sorted(line[-2:] for line in p.did()) == ["01", "bb"]
+        assert await (await p.connect_client()).call(id="00000000000000bb") == "satisfied"
+        assert sorted(line[-2:] for line in p.received()) == ["01", "bb"]
 
 
 @pytest.mark.parametrize("about", [1, "1", "00000000000000aa"])
@@ -146,17 +146,17 @@
     """Called off, it would go on at most runners all the same, and they would be taken for free."""
     gone = anyio.Event()
 
-    async with play(tmp_path, {"a": [once(gone, done), done]}) as p:
-        client = await p.client()
-        await client.ask(id="00000000000000aa")
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [once(gone, succeed), succeed]}) as p:
+        client = await p.connect_client()
+        await client.send_request(id="00000000000000aa")
+        await until(p.received)
         await client.send(abort(about))
         await until(lambda: not p.node.dispatcher.pending_requests)
         assert len(p.node.dispatcher._in_flight) == 1  # the runner is not free
         gone.set()
         await until(lambda: not p.node.dispatcher._in_flight)
         assert await client.call() == "satisfied"  # the next answer is the next task's
-        assert (client.number, p.did("UNDO"), p.runners["a"].connections) == (2, [], 1)
+        assert (client.last_number, p.received("UNDO"), p.workers["a"].connection_count) == (2, [], 1)
 
 
 @virtual_time
@@ -164,33 +164,33 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     follow_loop_time(monkeypatch)  # a stop of this process may be longer than the request's wait
-    async with play(tmp_path) as p:
-        client = await p.client()
-        tasks = [client.task(id=f"{n:016x}") for n in range(1, 31)]
-        await client.send(b"".join([*tasks, *(abort(n) for n in range(1, 31)), client.task()]))
-        assert (await client.answer() or {})["id"] == 31
-        assert (p.did(), p.node.dispatcher.counts["final", "left"]) == (["a DO 1f"], 0)
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
+        tasks = [client.encode_request(id=f"{n:016x}") for n in range(1, 31)]
+        await client.send(b"".join([*tasks, *(abort(n) for n in range(1, 31)), client.encode_request()]))
+        assert (await client.receive_response() or {})["id"] == 31
+        assert (p.received(), p.node.dispatcher.counts["final", "left"]) == (["a DO 1f"], 0)
         assert await client.call(id=f"{7:016x}") == "error -32602"  # it was spent all the same
 
 
 async def test_an_abort_for_what_is_unknown_answered_or_anothers_does_nothing(tmp_path: Path) -> None:
     gone = anyio.Event()
 
-    async with play(tmp_path, {"a": [once(gone, done)]}) as p:
-        one, two = await p.client(), await p.client()
-        await one.ask(id="00000000000000aa")
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [once(gone, succeed)]}) as p:
+        one, two = await p.connect_client(), await p.connect_client()
+        await one.send_request(id="00000000000000aa")
+        await until(p.received)
         for about in (1, 7, "00000000000000aa", "", -1, "x" * 50):
             await two.send(abort(about))
         assert await two.call("nothing") == "error -32601"  # all of them were read
         for about in (None, [1], {}):
-            three = await p.client()
+            three = await p.connect_client()
             await three.send(abort(about))
-            assert word(await three.answer()) == "error -32600"
-            assert await three.answer() is None
+            assert outcome_of(await three.receive_response()) == "error -32600"
+            assert await three.receive_response() is None
         assert len(p.node.dispatcher.pending_requests) == 1
         gone.set()
-        assert word(await one.answer()) == "satisfied"
+        assert outcome_of(await one.receive_response()) == "satisfied"
         await one.send(abort(1))
         assert await one.call() == "satisfied"
 
@@ -200,17 +200,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     follow_loop_time(monkeypatch)  # they count for a latency objective, which a stop may outlast
-    async with play(tmp_path, {"a": [silent], "b": [silent]}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [silent], "b": [silent]}) as p:
+        client = await p.connect_client()
         for box in p.node.dispatcher.workers.values():
             box.policy_worker.concurrency_limit = 100.0
         for n in range(100):
-            await client.ask(wait=1900)
+            await client.send_request(wait=1900)
             if n < 32:  # one by one, so that none is taken back in its own read
-                await until(lambda n=n: len(p.did()) == n + 1)  # type: ignore[misc]
+                await until(lambda n=n: len(p.received()) == n + 1)  # type: ignore[misc]
                 await client.send(abort(n + 1))
-        told = [word(await client.answer()) for _ in range(68)]
-        assert (set(told), len(p.did())) == ({"turned back"}, 32)
+        told = [outcome_of(await client.receive_response()) for _ in range(68)]
+        assert (set(told), len(p.received())) == ({"turned back"}, 32)
 
 
 async def test_answered_tasks_count_as_open_until_their_answers_have_reached_the_client(
@@ -220,16 +220,18 @@
     monkeypatch.setattr(
         "martenlead.node.request_handler.RESPONSE_TRANSIT_NS", 1 << 62
     )  # no answer ever reaches it
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         for box in p.node.dispatcher.workers.values():
             box.policy_worker.concurrency_limit = 100.0
         told = []
         for _ in range(5):
             for _ in range(20):
-                await client.ask()
-            told += [word(await client.answer()) for _ in range(20)]  # all was read, and is over
-        assert (told.count("satisfied"), told.count("turned back"), len(p.did())) == (32, 68, 32)
+                await client.send_request()
+            told += [
+                outcome_of(await client.receive_response()) for _ in range(20)
+            ]  # all was read, and is over
+        assert (told.count("satisfied"), told.count("turned back"), len(p.received())) == (32, 68, 32)
 
 
 async def test_a_client_that_does_not_read_is_heard_when_it_leaves(tmp_path: Path) -> None:
@@ -237,35 +239,37 @@
 
     for how in ("abort", "half close"):
         gone = anyio.Event()
-        async with play(tmp_path, {"a": [once(gone, full), done], "b": [once(gone, full), done]}) as p:
-            client = await p.client()
+        async with run_node(
+            tmp_path, {"a": [once(gone, full), succeed], "b": [once(gone, full), succeed]}
+        ) as p:
+            client = await p.connect_client()
             await until(lambda p=p: p.node.listener.clients)  # type: ignore[misc]
             (own,) = p.node.listener.clients
-            await client.ask()
-            await until(p.did)
+            await client.send_request()
+            await until(p.received)
             own.write(b" " * 8_000_000)  # more than the machine's buffers hold
             await until(lambda own=own: own.write_blocked_since_ns)  # type: ignore[misc]
             await leave(client, how)
             await until(lambda p=p: p.node.dispatcher.counts["final", "left"])  # type: ignore[misc]
             gone.set()
             await until(lambda p=p: not p.node.dispatcher._in_flight)  # type: ignore[misc]
-            assert (how, len(p.did())) == (how, 1)
+            assert (how, len(p.received())) == (how, 1)
 
 
 async def test_a_client_that_asks_for_ever_more_and_reads_nothing_is_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("martenlead.node.client_connection.STALLED_CLIENT_TIMEOUT_NS", 1 << 62)
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         await until(lambda: p.node.listener.clients)
         (own,) = p.node.listener.clients
         own.write(b" " * 8_000_000)
         await until(lambda: own.write_blocked_since_ns)
         for _ in range(17):
-            await client.ask()
+            await client.send_request()
         await until(lambda: not p.node.listener.clients)
-        assert p.did() == []
+        assert p.received() == []
 
 
 # -- connections to runners
@@ -274,7 +278,7 @@
 async def test_up_in_the_same_turn_as_its_time_out(tmp_path: Path) -> None:
     """What was told as never sent must not be written: here it went to both runners."""
     for method in METHODS:
-        async with play(tmp_path, {"a": [done], "b": [done]}) as p:
+        async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
             real, first = p.node.worker_client._connect, []
 
             async def connect(conn: Any, real: Any = real, first: list[Any] = first) -> None:
@@ -290,17 +294,17 @@
                 await real(conn)
 
             p.node.worker_client._connect = connect  # type: ignore[method-assign]
-            client = await p.client()
+            client = await p.connect_client()
             told = await client.call(method, once="0" * 32 if method == "keyed" else None)
-            assert (method, told, len(p.did())) == (method, "satisfied", 1)
-            other = p.runners["a" if p.did()[0][0] == "b" else "b"]
-            await until(lambda other=other: other.connections and not other.open)  # type: ignore[misc]
-            assert len(p.did()) == 1
+            assert (method, told, len(p.received())) == (method, "satisfied", 1)
+            other = p.workers["a" if p.received()[0][0] == "b" else "b"]
+            await until(lambda other=other: other.connection_count and not other.open_connections)  # type: ignore[misc]
+            assert len(p.received()) == 1
 
 
 async def test_up_and_timed_out_as_the_loop_turns(tmp_path: Path) -> None:
     """Whichever the loop serves first: at most one runner has it, or it is told as maybe run."""
-    async with play(tmp_path, {"a": [done], "b": [done]}) as p:
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
         real = p.node.worker_client._connect
 
         async def connect(conn: Any) -> None:
@@ -308,9 +312,9 @@
             await real(conn)
 
         p.node.worker_client._connect = connect  # type: ignore[method-assign]
-        told = await (await p.client()).call("unsafe")
+        told = await (await p.connect_client()).call("unsafe")
         await until(lambda: not p.node.dispatcher._in_flight)
-        assert len(p.did()) == (told == "satisfied") or told.startswith("error")
+        assert len(p.received()) == (told == "satisfied") or told.startswith("error")
 
 
 @pytest.mark.parametrize("state", [1, 2])
@@ -318,21 +322,21 @@
 async def test_its_runner_drains_or_goes_while_the_connection_comes_up(
     what: str, state: int, tmp_path: Path
 ) -> None:
-    async with play(tmp_path, settings=ORDERS) as p:
+    async with run_node(tmp_path, settings=ORDERS) as p:
         dispatcher = p.node.dispatcher
         await until(lambda: p.journal.streams)
         (box,) = dispatcher.workers.values()
         heard: list[Any] = []
         gate = late(p)
-        client = await p.client()
+        client = await p.connect_client()
         if what == "order":
             p.node.worker_client.send_load_request(
                 box, dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0), 1, heard.append
             )
         else:
-            await client.ask("unsafe")
+            await client.send_request("unsafe")
         await until(lambda: waiting(p))
-        await p.journal.tell(p.record("a", state=state))
+        await p.journal.publish(p.worker_record("a", state=state))
         await until(lambda: not box.is_up)
         if state == 2:  # gone: at once, not when a connection to it would have come up
             await until(lambda: not waiting(p), within=1)
@@ -341,39 +345,43 @@
             await until(lambda: heard)
             assert heard[0].result in (Result.NOT_SENT, Result.UNREACHABLE)
         else:
-            assert word(await client.answer()) == "turned back"  # it is proven not to have run
+            assert (
+                outcome_of(await client.receive_response()) == "turned back"
+            )  # it is proven not to have run
         await until(lambda: not waiting(p))
-        await until(lambda: p.runners["a"].open == 0 or state == 1)
+        await until(lambda: p.workers["a"].open_connections == 0 or state == 1)
         assert p.log == []
 
 
 async def test_a_new_runner_at_the_address_gets_nothing_that_waited_for_the_old_one(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         await until(lambda: p.journal.streams)
         gate = late(p)
-        client = await p.client()
-        await client.ask("unsafe", id="00000000000000aa")
+        client = await p.connect_client()
+        await client.send_request("unsafe", id="00000000000000aa")
         await until(lambda: waiting(p))
-        port = p.runners["a"].port
-        await p.journal.tell(record(ord("a"), port, state=2), record(ord("n"), port))
+        port = p.workers["a"].port
+        await p.journal.publish(record(ord("a"), port, state=2), record(ord("n"), port))
         await until(lambda: "s-0000006e" in p.node.dispatcher.workers)
         gate.set()
-        assert word(await client.answer()) in ("turned back", "satisfied")
+        assert outcome_of(await client.receive_response()) in ("turned back", "satisfied")
         assert await client.call("unsafe", id="00000000000000bb") == "satisfied"
-        assert [line for line in p.did() if "aa" in line] == p.did()[:-1]
-        assert len(p.did()) <= 2
+        assert [line for line in p.received() if "aa" in line] == p.received()[:-1]
+        assert len(p.received()) <= 2
 
 
 async def test_gone_and_back_in_one_event_is_another_process(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [done]}) as p:
+    async with run_node(tmp_path, {"a": [succeed]}) as p:
         await until(lambda: p.journal.streams)
-        client = await p.client()
+        client = await p.connect_client()
         assert await client.call() == "satisfied"
         (old,) = p.node.dispatcher.workers.values()
-        await p.journal.tell(p.record("a", state=1), p.record("a", state=2), p.record("a"))
+        await p.journal.publish(
+            p.worker_record("a", state=1), p.worker_record("a", state=2), p.worker_record("a")
+        )
         await until(lambda: p.node.dispatcher.workers.get("s-00000061") not in (None, old))
         assert await client.call() == "satisfied"
-        assert (old.is_gone, old.is_up, p.runners["a"].connections) == (True, False, 2)
+        assert (old.is_gone, old.is_up, p.workers["a"].connection_count) == (True, False, 2)
         assert len(p.node.dispatcher.workers) == len(p.node.dispatcher.by_policy_worker) == 1
 
 
@@ -385,12 +393,12 @@
 
     async def first(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         streams.append(stream)
-        await says("BROKE", "")(runner, stream, told)
+        await respond_with("BROKE", "")(runner, stream, told)
 
     async def second(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         await streams[0].send(answer("WAIT", told["txn"]) + answer("FIT", "0"))
         await until(lambda: "FIT" in read)
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
     read: list[str] = []
     real = worker_protocol.parse_response
@@ -399,32 +407,32 @@
         read.append((told := real(line, most)).word)
         return told
 
-    async with play(tmp_path, {"a": [first, second]}) as p:
+    async with run_node(tmp_path, {"a": [first, second]}) as p:
         monkeypatch.setattr("martenlead.node.upstream_connection.parse_response", note)
-        client = await p.client()
+        client = await p.connect_client()
         told = await client.call("keyed", once="0" * 32, wait=1900)
-        assert (told, len(p.did()), p.runners["a"].connections) == ("satisfied", 2, 2)
+        assert (told, len(p.received()), p.workers["a"].connection_count) == ("satisfied", 2, 2)
         assert p.node.dispatcher.counts["hand-off", "full"] == 0
 
 
 async def test_closed_by_the_runner_is_not_written_to_in_the_same_turn(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [silent, done]}) as p:
-        client = await p.client()
-        await client.ask("unsafe", id="00000000000000aa")
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [silent, succeed]}) as p:
+        client = await p.connect_client()
+        await client.send_request("unsafe", id="00000000000000aa")
+        await until(p.received)
         ((conn,),) = (way.connections for way in p.node.worker_client.pools)
         p.node.worker_client.connection_limit = 1  # no second connection beside a busy one
         conn.eof_received()  # its loss is told at the end of this turn, at the earliest
         assert conn not in conn.pool.connections
-        assert word(await client.answer()) == "error -32000"  # it may have run
+        assert outcome_of(await client.receive_response()) == "error -32000"  # it may have run
         assert await client.call("unsafe", id="00000000000000bb") == "satisfied"
 
 
 async def test_a_runner_that_does_not_read_gets_no_more(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [silent]}) as p:
-        client = await p.client()
-        await client.ask(id="00000000000000aa", wait=1900)
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [silent]}) as p:
+        client = await p.connect_client()
+        await client.send_request(id="00000000000000aa", wait=1900)
+        await until(p.received)
         (conn,) = (c for way in p.node.worker_client.pools for c in way.connections if c.outstanding_calls)
         conn.pause_writing()  # as the transport says once its buffer is full
         p.node.worker_client.connection_limit = 1  # nor a second one: it is told as not sent
@@ -437,8 +445,8 @@
     tmp_path: Path,
 ) -> None:
     """What is written to it is dropped, and an unrepeatable task would be scrapped for nothing."""
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         assert await client.call("unsafe") == "satisfied"
         ((conn,),) = (way.connections for way in p.node.worker_client.pools)
         conn.transport.abort()  # as an error does that the loop meets: told at the end of this turn
@@ -448,10 +456,10 @@
 
 
 async def test_a_busy_connection_that_the_loop_has_closed_gets_no_more(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [silent]}) as p:
-        client = await p.client()
-        await client.ask("unsafe")
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [silent]}) as p:
+        client = await p.connect_client()
+        await client.send_request("unsafe")
+        await until(p.received)
         ((conn,),) = (way.connections for way in p.node.worker_client.pools)
         p.node.worker_client.connection_limit = 1  # no second connection beside a busy one
         assert p.node.worker_client._choose_connection(conn.pool, []) is conn
@@ -459,7 +467,7 @@
         assert (
             conn in conn.pool.connections and p.node.worker_client._choose_connection(conn.pool, []) is None
         )
-        assert word(await client.answer()) == "error -32000"
+        assert outcome_of(await client.receive_response()) == "error -32000"
 
 
 async def test_lines_that_the_machine_does_not_take_never_leave_later(tmp_path: Path) -> None:
@@ -470,7 +478,7 @@
     runner.bind(("127.0.0.1", 0))
     runner.listen()
     at = runner.getsockname()[1]
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         gate, real = anyio.Event(), p.node.worker_client._connect
 
         async def connect(conn: Any) -> None:
@@ -487,19 +495,19 @@
         p.node.worker_client._connect = connect  # type: ignore[method-assign]
         p.node.worker_client.connection_limit = 1  # one connection to it
         await until(lambda: p.journal.streams)
-        await p.journal.tell(p.record("a", state=2), record(ord("b"), at))
+        await p.journal.publish(p.worker_record("a", state=2), record(ord("b"), at))
         await until(lambda: "s-00000062" in p.node.dispatcher.workers)
         box = p.node.dispatcher.workers["s-00000062"]
         box.policy_worker.concurrency_limit = 100.0
-        client = await p.client()
+        client = await p.connect_client()
         for _ in range(2):
-            await client.ask("unsafe", blob="QUFB" * 5000, wait=1900)
+            await client.send_request("unsafe", blob="QUFB" * 5000, wait=1900)
         await until(lambda: len(waiting(p)) == 2)
         gate.set()
-        told = await client.answer()
-        assert (word(told), (told or {})["id"]) == ("turned back", 2)  # it is proven not to have run
+        told = await client.receive_response()
+        assert (outcome_of(told), (told or {})["id"]) == ("turned back", 2)  # it is proven not to have run
         assert await client.call("unsafe", wait=1900) == "turned back"
-        await p.journal.tell(record(ord("b"), at, state=1))
+        await p.journal.publish(record(ord("b"), at, state=1))
         await until(lambda: not box.is_up)
         stream, _ = runner.accept()
         stream.setblocking(False)
@@ -517,14 +525,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop raises more than OSError where a transport goes in the turn that it came in."""
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         loop = asyncio.get_running_loop()
         real = loop.create_connection
 
         async def fails(*_args: Any, **_more: Any) -> Any:
             raise RuntimeError("the handler is closed")
 
-        client = await p.client()
+        client = await p.connect_client()
         monkeypatch.setattr(loop, "create_connection", fails)
         assert await client.call("unsafe") == "turned back"
         monkeypatch.setattr(loop, "create_connection", real)
@@ -536,19 +544,19 @@
 
 
 async def test_a_task_that_came_before_the_sweep_in_the_same_turn(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         assert await client.call() == "satisfied"
         (own,) = p.node.listener.clients
         own.last_read_ns -= 60_000_000_000  # idle for long
         put(client)
         p.node.listener.close_overdue_connections()  # in this very turn
-        assert word(await client.answer()) == "satisfied"
+        assert outcome_of(await client.receive_response()) == "satisfied"
 
 
 async def test_a_task_that_came_before_its_place_was_given_away(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         assert await client.call() == "satisfied"
         p.node.listener.connection_limit = 1
         put(client)
@@ -560,7 +568,7 @@
         assert new.graceful_close and not own.graceful_close and not own.is_closed  # the new one gives way
         del p.node.listener.clients[new]
         new.is_closed = True
-        assert word(await client.answer()) == "satisfied"
+        assert outcome_of(await client.receive_response()) == "satisfied"
         assert own in p.node.listener.clients and not own.graceful_close
 
 
@@ -572,15 +580,15 @@
 ) -> None:
     """It comes after the loop has looked for the last time, and before the listener is closed."""
     monkeypatch.setattr("martenlead.node.serve.ACCEPT_AFTER_SIGTERM_SECONDS", 0.2)
-    caller, came = Caller(None), []  # type: ignore[arg-type]
+    caller, came = Client(None), []  # type: ignore[arg-type]
 
     def within(seconds: float) -> Any:
         if not came:
             came.append(socket.create_connection(("127.0.0.1", p.port)))
-            came[0].send(caller.task())
+            came[0].send(caller.encode_request())
         return timeouts.time_limit(seconds)
 
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         monkeypatch.setattr("martenlead.node.serve.time_limit", within)
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: came)
@@ -591,7 +599,7 @@
                 await anyio.wait_readable(came[0])
                 got += (data := came[0].recv(4096))
                 assert data
-        await until(lambda: p.ended)
+        await until(lambda: p.node_ended)
         came[0].close()
 
 
@@ -600,8 +608,8 @@
 ) -> None:
     """They come as the last held task is known to be over."""
     monkeypatch.setattr("martenlead.node.serve.ACCEPT_AFTER_SIGTERM_SECONDS", 0.2)
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         assert await client.call() == "satisfied"
 
         class Empty(dict[Any, Any]):
@@ -615,8 +623,8 @@
 
         p.node.dispatcher.pending_requests = Empty()
         os.kill(os.getpid(), signal.SIGTERM)
-        assert word(await client.answer()) == "satisfied"
-        await until(lambda: p.ended)
+        assert outcome_of(await client.receive_response()) == "satisfied"
+        await until(lambda: p.node_ended)
 
 
 async def test_the_roster_moves_while_the_stop_goes_on(
@@ -626,24 +634,24 @@
     gone = anyio.Event()
     monkeypatch.setattr("martenlead.node.serve.KILL_DEADLINE_LIMIT_SECONDS", LONG)
 
-    async with play(tmp_path, {"a": [once(gone, done)]}, settings=with_deadlines(LONG)) as p:
-        client = await p.client()
-        await client.ask(wait=round(LONG * 1000))
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [once(gone, succeed)]}, settings=with_deadlines(LONG)) as p:
+        client = await p.connect_client()
+        await client.send_request(wait=round(LONG * 1000))
+        await until(p.received)
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: p.node.is_stopping)
         os.kill(os.getpid(), signal.SIGTERM)  # a second one changes nothing
         before, moved = p.journal, type(p.journal)()
         moved.events = before.events
-        p.group.start_soon(moved.serve)
+        p.task_group.start_soon(moved.serve)
         await until(lambda: moved.port)
-        p.write(moved.port)
+        p.write_config(moved.port)
         os.kill(os.getpid(), signal.SIGHUP)
-        await until(lambda: moved.asked)
-        assert not p.ended
+        await until(lambda: moved.resume_positions)
+        assert not p.node_ended
         gone.set()
-        assert word(await client.answer()) == "satisfied"
-        await until(lambda: p.ended)
+        assert outcome_of(await client.receive_response()) == "satisfied"
+        await until(lambda: p.node_ended)
 
 
 @virtual_time
@@ -652,14 +660,14 @@
 ) -> None:
     follow_loop_time(monkeypatch)
     classes = [c | {"give-up": 30.0} for c in SETTINGS["classes"]]
-    async with play(tmp_path, {"a": [silent]}, settings=SETTINGS | {"classes": classes}) as p:
-        client = await p.client()
-        await client.ask(wait=30_000)
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [silent]}, settings=SETTINGS | {"classes": classes}) as p:
+        client = await p.connect_client()
+        await client.send_request(wait=30_000)
+        await until(p.received)
         start = anyio.current_time()
         os.kill(os.getpid(), signal.SIGTERM)
-        assert word(await client.answer()) == "turned back"
-        await until(lambda: p.ended)
+        assert outcome_of(await client.receive_response()) == "turned back"
+        await until(lambda: p.node_ended)
         assert 3.4 < anyio.current_time() - start < 3.7
 
 
@@ -676,28 +684,28 @@
         return real(at, **more)
 
     old = real(("127.0.0.1", 0))
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         p.port = old.getsockname()[1]
-        p.write(p.journal.port)
+        p.write_config(p.journal.port)
         monkeypatch.setattr("martenlead.node.serve.socket.create_server", create)
         started = anyio.Event()
-        p.group.start_soon(type(p.node)(p.path).serve, started.set)
+        p.task_group.start_soon(type(p.node)(p.config_path).serve, started.set)
         await until(lambda: tries)  # and found it taken
         old.close()
         await until(started.is_set)
-        assert await (await p.client()).call() == "satisfied"
+        assert await (await p.connect_client()).call() == "satisfied"
         monkeypatch.setattr("martenlead.node.serve.KILL_DEADLINE_LIMIT_SECONDS", -1.5)
         with pytest.raises(ExceptionGroup) as raised:  # whoever has it keeps it: an end, and why
-            await type(p.node)(p.path).serve()
+            await type(p.node)(p.config_path).serve()
         assert raised.group_contains(OSError, match="in use")
         assert len(tries) > 4
 
 
 async def test_a_stop_that_was_asked_for_before_the_node_could_hear_it(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: p.ended)
-        node = type(p.node)(p.path)
+        await until(lambda: p.node_ended)
+        node = type(p.node)(p.config_path)
         with anyio.fail_after(5):
             await node.serve(early_signals=[signal.SIGHUP, signal.SIGTERM, signal.SIGTERM])
         assert node.is_stopping
@@ -710,54 +718,54 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("martenlead.node.discovery.SILENCE_TIMEOUT_SECONDS", 0.3)
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         await until(lambda: p.journal.streams)
-        p.journal.beats = False
+        p.journal.sends_heartbeats = False
         event = frame(2, 2, *(record(n, 9) for n in range(100, 200)))
         start, stream = anyio.current_time(), p.journal.streams[0]
         for at in range(len(event)):
-            if len(p.journal.asked) > 1:
+            if len(p.journal.resume_positions) > 1:
                 break
             try:
                 await stream.send(event[at : at + 1])
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
                 break
             await anyio.sleep(0.02)
-        await until(lambda: len(p.journal.asked) > 1)
+        await until(lambda: len(p.journal.resume_positions) > 1)
         assert anyio.current_time() - start < 1.5
 
 
 async def test_a_number_that_the_journal_skips_for_good_does_not_stop_the_roster(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         await until(lambda: p.journal.streams)
-        await p.runner("b", done)
-        p.journal.events = [b"", frame(3, 2, p.record("b"))]  # there is no event 2
+        await p.start_worker("b", succeed)
+        p.journal.events = [b"", frame(3, 2, p.worker_record("b"))]  # there is no event 2
         await p.journal.streams[0].send(p.journal.events[1])
         await until(lambda: len(p.node.dispatcher.workers) == 2)
-        assert (p.journal.asked[:2], p.node.discovery.endpoint_list.version) == ([1, 1], 3)
+        assert (p.journal.resume_positions[:2], p.node.discovery.endpoint_list.version) == ([1, 1], 3)
 
 
 async def test_an_empty_frame_that_is_ahead_of_the_list_has_it_asked_for_again(tmp_path: Path) -> None:
     """Connected, in time, and silent about what it has: drains would be heard of with the next event only."""
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         await until(lambda: p.journal.streams)
-        await p.runner("b", done)
-        p.journal.events.append(frame(2, 2, p.record("b")))  # never sent on the open connection
+        await p.start_worker("b", succeed)
+        p.journal.events.append(frame(2, 2, p.worker_record("b")))  # never sent on the open connection
         await until(lambda: len(p.node.dispatcher.workers) == 2)  # its next empty frame says so
-        assert p.journal.asked == [1, 1]
+        assert p.journal.resume_positions == [1, 1]
         await p.journal.streams[-1].send(frame(9, 0))  # ahead for good: asked once more, not for ever
-        await until(lambda: len(p.journal.asked) == 3)
+        await until(lambda: len(p.journal.resume_positions) == 3)
         await p.journal.streams[-1].send(frame(9, 0) + frame(9, 0))
-        await p.runner("c", done)
-        await p.journal.tell(p.record("c"))
+        await p.start_worker("c", succeed)
+        await p.journal.publish(p.worker_record("c"))
         await until(lambda: len(p.node.dispatcher.workers) == 3)
-        assert len(p.journal.asked) == 3
+        assert len(p.journal.resume_positions) == 3
 
 
 async def test_the_journal_moves_while_it_is_being_connected_to(tmp_path: Path) -> None:
     full = socket.socket()  # a machine that accepts nothing: connections to it stay half made
     full.bind(("127.0.0.1", 0))
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         await until(lambda: p.journal.streams)
         connecting: list[Any] = []
         real = anyio.connect_tcp
@@ -773,9 +781,9 @@
             p.node.discovery.change_address(full.getsockname())
             await until(lambda: connecting)
             p.node.discovery.change_address(("127.0.0.1", p.journal.port))  # in the middle of it
-            await until(lambda: len(p.journal.asked) > 1, within=0.4)
-        await p.runner("b", done)
-        await p.journal.tell(p.record("b"))
+            await until(lambda: len(p.journal.resume_positions) > 1, within=0.4)
+        await p.start_worker("b", succeed)
+        await p.journal.publish(p.worker_record("b"))
         await until(lambda: len(p.node.dispatcher.workers) == 2)
     full.close()
 
@@ -805,10 +813,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It never came up, which proves that nothing ran; with descriptors again, the next one does."""
-    async with play(tmp_path, {"a": [done], "b": [done]}) as p:
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
         loop = asyncio.get_running_loop()
         real = loop.create_connection
-        client = await p.client()
+        client = await p.connect_client()
 
         async def none_left(*_args: Any, **_more: Any) -> Any:
             raise OSError(errno.EMFILE, "Too many open files")
@@ -817,7 +825,7 @@
         assert await client.call("unsafe", id="00000000000000aa") == "turned back"
         monkeypatch.setattr(loop, "create_connection", real)
         assert await client.call("unsafe", id="00000000000000bb") == "satisfied"
-        assert [line[-2:] for line in p.did()] == ["bb"]
+        assert [line[-2:] for line in p.received()] == ["bb"]
 
 
 async def test_two_nodes_in_one_process_share_nothing(tmp_path: Path) -> None:
@@ -828,13 +836,13 @@
     }
     (tmp_path / "1").mkdir()
     (tmp_path / "2").mkdir()
-    async with play(tmp_path / "1") as one, play(tmp_path / "2", settings=other) as two:
-        first, second = await one.client(), await two.client()
+    async with run_node(tmp_path / "1") as one, run_node(tmp_path / "2", settings=other) as two:
+        first, second = await one.connect_client(), await two.connect_client()
         assert await first.call("safe") == "satisfied"
         assert await second.call("safe") == "error -32601"
         assert await second.call("lookup") == "error -32602"  # its customer is the other's
         assert await second.call("lookup", id=f"{1:016x}", tenant="other") == "satisfied"
-        assert [len(p.did()) for p in (one, two)] == [1, 1]
+        assert [len(p.received()) for p in (one, two)] == [1, 1]
         assert [len(p.node.listener.requests.finished_ids) for p in (one, two)] == [1, 1]
         assert one.node.dispatcher.deadlines_ns != two.node.dispatcher.deadlines_ns
         policies = [p.node.dispatcher.policy_boundary._policy for p in (one, two)]
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -18,7 +18,7 @@
 from martenlead.events.client import Pool
 from martenlead.node.client_acceptor import EXTRA_DESCRIPTORS
 from support.fleet import Fleet, after, fleet, full, satisfied
-from tests.nodes import SETTINGS, Caller, done, play, word
+from tests.nodes import SETTINGS, Client, outcome_of, run_node, succeed
 
 pytestmark = pytest.mark.anyio
 
@@ -44,16 +44,16 @@
 
     async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         stated.append(told["props"]["ttl"])
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
-    async with play(tmp_path, {"a": [noting]}) as p:
-        caller = Caller(None)  # type: ignore[arg-type]
+    async with run_node(tmp_path, {"a": [noting]}) as p:
+        caller = Client(None)  # type: ignore[arg-type]
         client = socket.create_connection(("127.0.0.1", p.port))
         await anyio.sleep(STEADY)
         if new:
             client.close()
             client = socket.create_connection(("127.0.0.1", p.port))
-        client.sendall(caller.task(ONE_ATTEMPT, wait=WAIT))
+        client.sendall(caller.encode_request(ONE_ATTEMPT, wait=WAIT))
         time.sleep(BLOCKED)  # the loop is busy, before it reads
         with anyio.fail_after(5):
             while not stated:
@@ -67,18 +67,18 @@
 
     async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         stated.append(told["props"]["ttl"])
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
-    async with play(tmp_path, {"a": [noting]}) as p:
+    async with run_node(tmp_path, {"a": [noting]}) as p:
         door = p.node.listener
         door.connection_limit, places = -EXTRA_DESCRIPTORS, door.connection_limit
-        client, idle = await p.client(), await p.client()
-        await client.ask(ONE_ATTEMPT, wait=WAIT)
+        client, idle = await p.connect_client(), await p.connect_client()
+        await client.send_request(ONE_ATTEMPT, wait=WAIT)
         await anyio.sleep(BLOCKED)  # in the backlog
         assert not door.clients
         door.connection_limit = places
         door.on_connection_closed()
-        assert word(await client.answer()) == "satisfied"
+        assert outcome_of(await client.receive_response()) == "satisfied"
         for other in (client, idle):  # what they send now has waited for nothing
             assert await other.call(ONE_ATTEMPT, wait=WAIT, id=f"{len(stated) + 9:016x}") == "satisfied"
         late, *prompt = stated
@@ -91,11 +91,11 @@
 
     async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         stated.append(told["props"]["ttl"])
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
     allowed = SETTINGS["allowed"] | {"connect-timeout": 1.0}
-    async with play(tmp_path, {"a": [noting]}, settings=SETTINGS | {"allowed": allowed}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [noting]}, settings=SETTINGS | {"allowed": allowed}) as p:
+        client = await p.connect_client()
         real = p.node.worker_client._connect
 
         async def late(conn: Any) -> None:
@@ -250,8 +250,8 @@
 
 
 async def test_what_follows_a_full_read_may_have_come_with_it(tmp_path: Path, monkeypatch: Any) -> None:
-    async with play(tmp_path) as p:
-        await p.client()
+    async with run_node(tmp_path) as p:
+        await p.connect_client()
         while not p.node.listener.clients:
             await asyncio.sleep(0.002)
         (own,) = p.node.listener.clients
--- a/tests/test_forwarded_request.py
+++ b/tests/test_forwarded_request.py
@@ -9,7 +9,7 @@
 import pytest
 
 from support.fleet import until
-from tests.nodes import SETTINGS, done, play, word
+from tests.nodes import SETTINGS, outcome_of, run_node, succeed
 
 pytestmark = pytest.mark.anyio
 
@@ -23,13 +23,15 @@
 
     async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         received.append(told)
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
-    async with play(tmp_path, {"a": [noting]}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [noting]}) as p:
+        client = await p.connect_client()
         for method, once in (("keyed", KEY), ("safe", None)):
-            await client.ask(method, id=f"9b1f03aa5c7e2d4{client.number}", key=FUNCTION, blob=BODY, once=once)
-            assert (await client.answer() or {})["result"] == {"blob": BODY}
+            await client.send_request(
+                method, id=f"9b1f03aa5c7e2d4{client.last_number}", key=FUNCTION, blob=BODY, once=once
+            )
+            assert (await client.receive_response() or {})["result"] == {"blob": BODY}
         first, second = received
         assert 0 < first["props"].pop("ttl") <= 1500
         assert 0 < second["props"].pop("ttl") <= 1500
@@ -42,11 +44,11 @@
 async def test_an_idle_connection_is_closed_before_the_worker_would(tmp_path: Path) -> None:
     """One line written as the worker closes may have run. The next request has a connection of its own."""
     allowed = SETTINGS["allowed"] | {"conn-idle": IDLE_LIMIT}
-    async with play(tmp_path, {"a": [done]}, settings=SETTINGS | {"allowed": allowed}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [succeed]}, settings=SETTINGS | {"allowed": allowed}) as p:
+        client = await p.connect_client()
         assert await client.call("unsafe") == "satisfied"
         await anyio.sleep(0.5 * IDLE_LIMIT + 0.01)  # the sweep may not have come by
-        await client.ask("unsafe")
-        assert word(await client.answer()) == "satisfied"
-        assert p.runners["a"].connections == 2
-        await until(lambda: p.runners["a"].open == 0, within=5)
+        await client.send_request("unsafe")
+        assert outcome_of(await client.receive_response()) == "satisfied"
+        assert p.workers["a"].connection_count == 2
+        await until(lambda: p.workers["a"].open_connections == 0, within=5)
--- a/tests/test_http_server_answers.py
+++ b/tests/test_http_server_answers.py
@@ -17,7 +17,7 @@
 from martenlead.events.server import Reply, Server, ServerLimits, listen
 from martenlead.events.server_interface import SECOND_NS
 from support.fleet import until
-from tests.nodes import linger
+from tests.nodes import reset_on_close
 
 pytestmark = pytest.mark.anyio
 
@@ -258,7 +258,7 @@
         await part(first, b"/1")
         for _ in range(10):
             stream = await anyio.connect_tcp("127.0.0.1", p.port)
-            linger(stream)
+            reset_on_close(stream)
             await anyio.aclose_forcefully(stream)
         await anyio.sleep(0.05)
         first.setblocking(True)
@@ -438,7 +438,7 @@
             )
         await until(lambda: len(p.begun) == pipelined)
         if reset:
-            linger(stream)
+            reset_on_close(stream)
         await anyio.aclose_forcefully(stream)
         with anyio.fail_after(NOTICED_SECONDS):
             while len(p.cancelled) < pipelined:
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -21,7 +21,15 @@
 from martenlead.events.cloudevent import Event, encode_event
 from support.fleet import Fleet, Runner, fleet, satisfied, until
 from support.virtual_time import PROCESS_TIME, follow_loop_time
-from tests.nodes import BROKEN, SETTINGS, Asker, Play, done, in_turn, play
+from tests.nodes import (
+    CONNECTION_ERRORS,
+    SETTINGS,
+    NodeRig,
+    PipeliningClient,
+    one_at_a_time,
+    run_node,
+    succeed,
+)
 
 pytestmark = pytest.mark.anyio
 
@@ -78,24 +86,26 @@
 NOISY = 0x10_0000  # ids of the clients that make trouble are over this
 
 
-async def ask_for_long(asker: Asker, method: str) -> None:
+async def ask_for_long(asker: PipeliningClient, method: str) -> None:
     for _ in range(REQUESTS):
-        await asker.ask(method, wait=round(WAIT * 1000))
+        await asker.send_request(method, wait=round(WAIT * 1000))
         await anyio.sleep(BETWEEN)
-    await until(lambda: len(asker.answers) >= len(asker.asked), within=3)
+    await until(lambda: len(asker.responses) >= len(asker.sent_at), within=3)
 
 
-async def flood_node(p: Play) -> None:
+async def flood_node(p: NodeRig) -> None:
     """A hundred written at once on each connection, again and again, and all answers are read."""
 
     async def connection(number: int) -> None:
-        caller = await p.client()
-        caller.number = NOISY * (number + 1)
-        p.group.start_soon(drain, caller.stream)
-        with suppress(*BROKEN):
+        caller = await p.connect_client()
+        caller.last_number = NOISY * (number + 1)
+        p.task_group.start_soon(drain, caller.stream)
+        with suppress(*CONNECTION_ERRORS):
             while True:
                 wait = round(WAIT * 1000)
-                await caller.send(b"".join(caller.task(tenant="noisy", wait=wait) for _ in range(FLOOD)))
+                await caller.send(
+                    b"".join(caller.encode_request(tenant="noisy", wait=wait) for _ in range(FLOOD))
+                )
                 await anyio.sleep(FLOOD_EVERY)
 
     async with anyio.create_task_group() as group:
@@ -103,7 +113,7 @@
             group.start_soon(connection, number)
 
 
-async def watch_open(p: Play, most: Counter[str]) -> None:
+async def watch_open(p: NodeRig, most: Counter[str]) -> None:
     """The most requests of each tenant that the node holds at once, looked at every few ms."""
     while True:
         held = Counter(str(held.incoming.tenant) for held in p.node.dispatcher.pending_requests.values())
@@ -113,23 +123,23 @@
 
 
 async def drain(stream: SocketStream) -> None:
-    with suppress(*BROKEN):
+    with suppress(*CONNECTION_ERRORS):
         while True:
             await stream.receive()
 
 
-async def never_read_node(p: Play) -> None:
+async def never_read_node(p: NodeRig) -> None:
     """Its answers wait in the machine and in the node."""
-    caller = await p.client()
-    caller.number = NOISY
+    caller = await p.connect_client()
+    caller.last_number = NOISY
     for _ in range(UNREAD // 10):
-        with suppress(*BROKEN), anyio.move_on_after(0.05):
-            await caller.send(b"".join(caller.task(tenant="noisy", blob=LARGE) for _ in range(10)))
+        with suppress(*CONNECTION_ERRORS), anyio.move_on_after(0.05):
+            await caller.send(b"".join(caller.encode_request(tenant="noisy", blob=LARGE) for _ in range(10)))
 
 
 @asynccontextmanager
-async def troubled_node(tmp_path: Path, workers: str, at_workers: AtWorkers) -> AsyncIterator[Play]:
-    answers = in_turn(done)
+async def troubled_node(tmp_path: Path, workers: str, at_workers: AtWorkers) -> AsyncIterator[NodeRig]:
+    answers = one_at_a_time(succeed)
 
     async def counted(runner: Any, stream: SocketStream, told: dict[str, Any]) -> None:
         whose = "noisy" if int(told["txn"], 16) >= NOISY else "acme"
@@ -142,18 +152,18 @@
 
     parts = {"a": [counted], "b": [counted]}
     settings = SETTINGS | {"orgs": TENANTS, "over-share-worth": OVER_SHARE}
-    async with play(tmp_path, parts, settings=settings) as p:
+    async with run_node(tmp_path, parts, settings=settings) as p:
         if workers == "refusing":
-            for runner in p.runners.values():
+            for runner in p.workers.values():
                 await runner.listener.aclose()
         if workers == "not listed":
             await until(lambda: p.journal.streams)
-            await p.journal.tell(kind=1)
+            await p.journal.publish(kind=1)
             await until(lambda: not any(box.is_up for box in p.node.dispatcher.workers.values()))
         yield p
 
 
-NODE_CLIENTS: dict[str, Callable[[Play], Awaitable[None]]] = {
+NODE_CLIENTS: dict[str, Callable[[NodeRig], Awaitable[None]]] = {
     "floods": flood_node,
     "never reads": never_read_node,
 }
@@ -166,21 +176,21 @@
 ) -> None:
     at_workers = AtWorkers()
     async with troubled_node(tmp_path, workers, at_workers) as p:
-        asker = Asker(await p.client())
-        p.group.start_soon(asker.read)
+        asker = PipeliningClient(await p.connect_client())
+        p.task_group.start_soon(asker.read_responses)
         most_open: Counter[str] = Counter()
-        p.group.start_soon(watch_open, p, most_open)
+        p.task_group.start_soon(watch_open, p, most_open)
         async with anyio.create_task_group() as group:
             if clients in NODE_CLIENTS:
                 group.start_soon(NODE_CLIENTS[clients], p)
             await ask_for_long(asker, method)
             group.cancel_scope.cancel()
-        assert asker.has_one_answer_each(), (asker.asked, asker.answers)
+        assert asker.has_one_response_each(), (asker.sent_at, asker.responses)
         assert max(asker.latencies()) < WAIT + LATEST
         if workers == "well":
-            assert [w for _, w, _ in asker.answers].count("satisfied") >= REQUESTS * SERVED, asker.answers
+            assert [w for _, w, _ in asker.responses].count("satisfied") >= REQUESTS * SERVED, asker.responses
         else:
-            assert asker.words() <= {"turned back", "error -32000"}
+            assert asker.outcomes() <= {"turned back", "error -32000"}
         connections = FLOODS if clients == "floods" else 1
         assert most_open["noisy"] <= OPEN * connections
         assert workers == "hung" or at_workers.most["noisy"] <= OPEN * connections
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -15,7 +15,7 @@
 import pytest
 
 from support.fleet import until
-from tests.nodes import done, play, record
+from tests.nodes import record, run_node, succeed
 
 pytestmark = pytest.mark.anyio
 
@@ -62,11 +62,11 @@
 async def test_a_connection_that_never_comes_up_proves_that_nothing_ran(tmp_path: Path) -> None:
     """A non-idempotent request goes to another worker, once, well within its time."""
     with unreachable_listener() as listener:
-        async with play(tmp_path, {"a": [done]}) as p:
+        async with run_node(tmp_path, {"a": [succeed]}) as p:
             await until(lambda: p.journal.streams)
-            await p.journal.tell(record(ord("c"), listener.getsockname()[1]))
+            await p.journal.publish(record(ord("c"), listener.getsockname()[1]))
             await until(lambda: WORKER in p.node.dispatcher.workers)
-            client = await p.client()
+            client = await p.connect_client()
             dispatcher = p.node.dispatcher
             started = anyio.current_time()
             sent = 0
@@ -74,17 +74,19 @@
                 sent += 1
                 assert await client.call("unsafe", key=f"{sent:016x}", wait=1900) == "satisfied"
             assert CONNECT_TIMEOUT <= anyio.current_time() - started < 1.9
-            assert len(p.did()) == sent
+            assert len(p.received()) == sent
 
 
 async def test_a_connection_that_comes_up_after_its_limit_gets_nothing(tmp_path: Path) -> None:
     """The request was told as never sent by then."""
     with unreachable_listener() as listener:
-        async with play(tmp_path, {"a": [done]}) as p:
+        async with run_node(tmp_path, {"a": [succeed]}) as p:
             await until(lambda: p.journal.streams)
-            await p.journal.tell(p.record("a", state=1), record(ord("c"), listener.getsockname()[1]))
+            await p.journal.publish(
+                p.worker_record("a", state=1), record(ord("c"), listener.getsockname()[1])
+            )
             await until(lambda: WORKER in p.node.dispatcher.workers)
-            client = await p.client()
+            client = await p.connect_client()
             assert await client.call("unsafe", wait=1900) == "turned back"
             assert await bytes_received(listener, SYN_RETRANSMISSION + 0.3) == b""
-            assert p.did() == []
+            assert p.received() == []
--- a/tests/test_long_outages.py
+++ b/tests/test_long_outages.py
@@ -14,7 +14,17 @@
 
 from martenlead.policy import types as io
 from support.fleet import until
-from tests.nodes import BROKEN, Asker, Journal, Runner, done, in_turn, linger, play, record
+from tests.nodes import (
+    CONNECTION_ERRORS,
+    PipeliningClient,
+    ScriptedJournal,
+    ScriptedWorker,
+    one_at_a_time,
+    record,
+    reset_on_close,
+    run_node,
+    succeed,
+)
 from tests.virtual_fleet import PATIENCE, SECOND, Dispatcher, Fleet, lines
 
 pytestmark = pytest.mark.anyio
@@ -24,7 +34,7 @@
 
 
 async def reset(stream: SocketStream) -> None:
-    linger(stream)
+    reset_on_close(stream)
     await anyio.aclose_forcefully(stream)
 
 
@@ -113,7 +123,7 @@
 # -- discovery is out, and workers restart, drain and go meanwhile
 
 
-class FailingJournal(Journal):
+class FailingJournal(ScriptedJournal):
     """A journal service that can be out: it refuses connections, and has closed those that it had."""
 
     def __init__(self) -> None:
@@ -125,12 +135,12 @@
         self.port = listener.extra(SocketAttribute.local_port)
         async with listener:
             with anyio.CancelScope() as self.running:
-                await listener.serve(self.connected)
+                await listener.serve(self.serve_connection)
 
     async def goes_out(self) -> None:
         self.running.cancel()
         for stream in self.streams:
-            with suppress(*BROKEN):
+            with suppress(*CONNECTION_ERRORS):
                 await stream.aclose()
         self.streams = []
 
@@ -139,11 +149,11 @@
 LEFT = 500  # ms of each request
 
 
-async def end_process(runner: Runner) -> None:
+async def end_process(runner: ScriptedWorker) -> None:
     """Its listener is closed, and its connections are reset."""
     await runner.listener.aclose()
     for stream in runner.streams:
-        with suppress(*BROKEN, AttributeError):
+        with suppress(*CONNECTION_ERRORS, AttributeError):
             await reset(stream)
     runner.streams = []
 
@@ -154,17 +164,17 @@
     stops: bool, method: str, tmp_path: Path
 ) -> None:
     journal = FailingJournal()
-    async with play(tmp_path, {name: [in_turn(done)] for name in "abc"}, journal) as p:
+    async with run_node(tmp_path, {name: [one_at_a_time(succeed)] for name in "abc"}, journal) as p:
         await until(lambda: journal.streams)
-        asker = Asker(await p.client())
-        p.group.start_soon(asker.read)
+        asker = PipeliningClient(await p.connect_client())
+        p.task_group.start_soon(asker.read_responses)
 
         over = anyio.Event()
 
         async def ask() -> None:
-            while not asker.ended and not p.node.is_stopping and not over.is_set():
-                with suppress(*BROKEN):
-                    await asker.ask(method, wait=LEFT, key=f"{asker.caller.number % 7:016x}")
+            while not asker.connection_ended and not p.node.is_stopping and not over.is_set():
+                with suppress(*CONNECTION_ERRORS):
+                    await asker.send_request(method, wait=LEFT, key=f"{asker.client.last_number % 7:016x}")
                 await anyio.sleep(0.02)
 
         async with anyio.create_task_group() as group:
@@ -172,33 +182,33 @@
             await anyio.sleep(0.1)
             await journal.goes_out()
             await anyio.sleep(OUTAGE / 2)
-            a, b = p.runners["a"], p.runners["b"]
+            a, b = p.workers["a"], p.workers["b"]
             await end_process(b)
             await end_process(a)
-            await p.runner("a", in_turn(done), port=a.port)
-            await p.runner("d", in_turn(done))
+            await p.start_worker("a", one_at_a_time(succeed), port=a.port)
+            await p.start_worker("d", one_at_a_time(succeed))
             await anyio.sleep(OUTAGE / 2)
-            await journal.tell(
-                p.record("a", started=1),
+            await journal.publish(
+                p.worker_record("a", started=1),
                 record(ord("b"), b.port, GONE),
-                p.record("c", DRAINING),
-                p.record("d", started=1),
+                p.worker_record("c", DRAINING),
+                p.worker_record("d", started=1),
             )
-            p.group.start_soon(journal.serve)
+            p.task_group.start_soon(journal.serve)
             boxes = p.node.dispatcher.workers
             await until(lambda: not boxes["s-00000063"].is_up, within=4)
             known = len(p.log)
             if stops:
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: p.ended, within=5)
+                await until(lambda: p.node_ended, within=5)
             else:
                 await anyio.sleep(0.5)
             over.set()
-        await until(lambda: len(asker.answers) >= len(asker.asked), within=3)
-        assert asker.has_one_answer_each()
+        await until(lambda: len(asker.responses) >= len(asker.sent_at), within=3)
+        assert asker.has_one_response_each()
         assert max(asker.latencies()) < LEFT / 1000 + LATEST
         assert not any(line[:4] in ("b DO", "c DO") for line in p.log[known:])
         if not stops:
             assert any(line[:4] in ("a DO", "d DO") for line in p.log[known:])
-        satisfied_share = [word for _, word, _ in asker.answers].count("satisfied") / len(asker.answers)
+        satisfied_share = [word for _, word, _ in asker.responses].count("satisfied") / len(asker.responses)
         assert satisfied_share > 0.8
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,7 +11,20 @@
 import pytest
 
 from support.fleet import until
-from tests.nodes import SETTINGS, after, answer, done, linger, message, play, raw, record, says, silent, word
+from tests.nodes import (
+    SETTINGS,
+    after_delay,
+    answer,
+    message,
+    outcome_of,
+    record,
+    reset_on_close,
+    respond_with,
+    run_node,
+    send_bytes,
+    silent,
+    succeed,
+)
 
 pytestmark = pytest.mark.anyio
 RATION = {"load-period": 10.0, "loads-anyway": 2, "loads-per-request": 0.3}  # without, no tasks are counted
@@ -19,46 +32,49 @@
 
 
 async def test_a_ping_and_a_task_from_end_to_end(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         await client.send(message({"jsonrpc": "2.0", "id": 1, "method": "ping", "params": {}}))
-        assert await client.answer() == {"jsonrpc": "2.0", "id": 1, "result": {"up": True}}
-        client.number = 1
-        await client.ask(id="00000000000000aa", wait=2000, props="memory_mb:512;lanes:2;load_ms:640")
-        assert await client.answer() == {"jsonrpc": "2.0", "id": 2, "result": {"blob": "Ym9keQ=="}}
-        assert p.did() == ["a DO aa"]
+        assert await client.receive_response() == {"jsonrpc": "2.0", "id": 1, "result": {"up": True}}
+        client.last_number = 1
+        await client.send_request(id="00000000000000aa", wait=2000, props="memory_mb:512;lanes:2;load_ms:640")
+        assert await client.receive_response() == {"jsonrpc": "2.0", "id": 2, "result": {"blob": "Ym9keQ=="}}
+        assert p.received() == ["a DO aa"]
 
 
 async def test_answers_come_in_any_order_over_one_connection(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [after(300, done), done]}) as p:
-        client = await p.client()
-        await client.ask(blob="c2xvdw==")
-        await until(p.did)
-        await client.ask(blob="ZmFzdA==")
-        told = [await client.answer(), await client.answer()]
+    async with run_node(tmp_path, {"a": [after_delay(300, succeed), succeed]}) as p:
+        client = await p.connect_client()
+        await client.send_request(blob="c2xvdw==")
+        await until(p.received)
+        await client.send_request(blob="ZmFzdA==")
+        told = [await client.receive_response(), await client.receive_response()]
         assert [(t or {})["id"] for t in told] == [2, 1]
         assert [(t or {})["result"]["blob"] for t in told] == ["ZmFzdA==", "c2xvdw=="]
 
 
 # what a runner does, and for each kind of task: how often it went out (to two runners) and its end
 ENDS: dict[str, tuple[Any, dict[str, tuple[int, str]]]] = {
-    "LACK": (says("LACK", ""), {"safe": (2, "satisfied"), "unsafe": (2, "satisfied")}),
-    "WAIT": (says("WAIT", ""), {"safe": (2, "satisfied"), "unsafe": (2, "satisfied")}),
-    "PAST": (says("PAST", ""), {"safe": (2, "satisfied"), "unsafe": (2, "satisfied")}),
+    "LACK": (respond_with("LACK", ""), {"safe": (2, "satisfied"), "unsafe": (2, "satisfied")}),
+    "WAIT": (respond_with("WAIT", ""), {"safe": (2, "satisfied"), "unsafe": (2, "satisfied")}),
+    "PAST": (respond_with("PAST", ""), {"safe": (2, "satisfied"), "unsafe": (2, "satisfied")}),
     "BROKE": (
-        says("BROKE", ""),
+        respond_with("BROKE", ""),
         {"safe": (2, "satisfied"), "keyed": (2, "satisfied"), "unsafe": (1, "error -32000")},
     ),
-    "a close": (raw(b"", end=True), {"safe": (2, "satisfied"), "unsafe": (1, "error -32000")}),
-    "a reset": (raw(b"", reset=True), {"safe": (2, "satisfied"), "unsafe": (1, "error -32000")}),
-    "noise": (raw(b"\x00\xff noise\n"), {"safe": (2, "satisfied"), "unsafe": (1, "error -32000")}),
-    "an endless line": (raw(b"x" * 200_000), {"safe": (2, "satisfied"), "unsafe": (1, "error -32000")}),
-    "an unknown word": (raw(answer("TELL", "%TXN%")), {"unsafe": (1, "error -32000")}),
-    "bad base64": (raw(answer("DONE", "%TXN%", raw="a=b")), {"unsafe": (1, "error -32000")}),
-    "cut short": (raw(b'{"m":"DONE","txn":"%TXN%"', end=True), {"unsafe": (1, "error -32000")}),
-    "no object": (raw(b"[1]\n"), {"unsafe": (1, "error -32000")}),
+    "a close": (send_bytes(b"", end=True), {"safe": (2, "satisfied"), "unsafe": (1, "error -32000")}),
+    "a reset": (send_bytes(b"", reset=True), {"safe": (2, "satisfied"), "unsafe": (1, "error -32000")}),
+    "noise": (send_bytes(b"\x00\xff noise\n"), {"safe": (2, "satisfied"), "unsafe": (1, "error -32000")}),
+    "an endless line": (
+        send_bytes(b"x" * 200_000),
+        {"safe": (2, "satisfied"), "unsafe": (1, "error -32000")},
+    ),
+    "an unknown word": (send_bytes(answer("TELL", "%TXN%")), {"unsafe": (1, "error -32000")}),
+    "bad base64": (send_bytes(answer("DONE", "%TXN%", raw="a=b")), {"unsafe": (1, "error -32000")}),
+    "cut short": (send_bytes(b'{"m":"DONE","txn":"%TXN%"', end=True), {"unsafe": (1, "error -32000")}),
+    "no object": (send_bytes(b"[1]\n"), {"unsafe": (1, "error -32000")}),
     "a figure that is none": (
-        raw(b'{"m":"DONE","txn":"%TXN%","props":{"instances":"1e999"}}\n'),
+        send_bytes(b'{"m":"DONE","txn":"%TXN%","props":{"instances":"1e999"}}\n'),
         {"unsafe": (1, "error -32000")},
     ),
 }
@@ -71,58 +87,60 @@
         first = [part]
 
         async def either(runner: Any, stream: Any, told: Any, first: list[Any] = first) -> None:
-            await (first.pop() if first else done)(runner, stream, told)
+            await (first.pop() if first else succeed)(runner, stream, told)
 
-        async with play(tmp_path, {"a": [either], "b": [either]}) as p:
-            client = await p.client()
+        async with run_node(tmp_path, {"a": [either], "b": [either]}) as p:
+            client = await p.connect_client()
             once = "0" * 32 if method == "keyed" else None
             assert (method, await client.call(method, once=once)) == (method, end)
-            assert (method, len(p.did())) == (method, times)
+            assert (method, len(p.received())) == (method, times)
 
 
 async def test_a_silent_runner_is_taken_back_in_time_and_its_connection_gets_nothing_new(
     tmp_path: Path,
 ) -> None:
-    async with play(tmp_path, {"a": [silent, done]}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [silent, succeed]}) as p:
+        client = await p.connect_client()
         start = anyio.current_time()
         assert await client.call("unsafe", wait=1000) == "error -32000"
         assert anyio.current_time() - start < 1.3
-        await until(lambda: p.did("UNDO"))
+        await until(lambda: p.received("UNDO"))
         assert await client.call("unsafe") == "satisfied"
-        assert p.runners["a"].connections == 2
+        assert p.workers["a"].connection_count == 2
 
 
 async def test_a_late_answer_a_second_one_and_one_under_a_strange_id_are_passed_over(tmp_path: Path) -> None:
-    twice = raw(answer("DONE", "ffffffffffffffff", raw="eA==") + 2 * answer("DONE", "%TXN%", raw="YQ=="))
-    async with play(tmp_path, {"a": [after(1250, done), twice, done]}) as p:
-        client = await p.client()
+    twice = send_bytes(
+        answer("DONE", "ffffffffffffffff", raw="eA==") + 2 * answer("DONE", "%TXN%", raw="YQ==")
+    )
+    async with run_node(tmp_path, {"a": [after_delay(1250, succeed), twice, succeed]}) as p:
+        client = await p.connect_client()
         assert await client.call("unsafe", wait=1000) == "error -32000"
-        await client.ask(id="00000000000000bb")
-        assert (await client.answer() or {})["result"] == {"blob": "YQ=="}
+        await client.send_request(id="00000000000000bb")
+        assert (await client.receive_response() or {})["result"] == {"blob": "YQ=="}
         await anyio.sleep(0.4)
         assert await client.call() == "satisfied"
 
 
 async def test_a_refused_connection_proves_that_nothing_ran(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [done], "b": [done]}) as p:
-        await p.runners["a"].listener.aclose()
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
+        await p.workers["a"].listener.aclose()
+        client = await p.connect_client()
         told = [await client.call("unsafe", key=f"{n:016x}") for n in range(6)]
         assert set(told) <= {"satisfied", "turned back"}  # a further hand-off only where there is credit
         assert told[0] == "satisfied"
-        assert {line[0] for line in p.did()} == {"b"}
+        assert {line[0] for line in p.received()} == {"b"}
 
 
 async def test_a_connection_that_was_reset_while_idle_is_not_written_to(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         for _ in range(3):
             assert await client.call("unsafe") == "satisfied"
-            stream = p.runners["a"].streams.pop()
-            linger(stream)
+            stream = p.workers["a"].streams.pop()
+            reset_on_close(stream)
             await anyio.aclose_forcefully(stream)
-        assert len(p.did()) == 3
+        assert len(p.received()) == 3
 
 
 FIELDS: dict[str, tuple[str, dict[str, Any]]] = {
@@ -151,18 +169,18 @@
 @pytest.mark.parametrize("what", FIELDS)
 async def test_a_task_that_keeps_no_form_is_refused_under_its_number(what: str, tmp_path: Path) -> None:
     expected, more = FIELDS[what]
-    async with play(tmp_path) as p:
-        client = await p.client()
-        await client.ask(**more)
-        told = await client.answer()
-        assert (word(told), (told or {})["id"]) == (expected, 1)
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
+        await client.send_request(**more)
+        told = await client.receive_response()
+        assert (outcome_of(told), (told or {})["id"]) == (expected, 1)
         assert await client.call() == "satisfied"
-        assert len(p.did()) == 1
+        assert len(p.received()) == 1
 
 
 async def test_an_unknown_offering_is_an_error(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        assert await (await p.client()).call("nothing") == "error -32601"
+    async with run_node(tmp_path) as p:
+        assert await (await p.connect_client()).call("nothing") == "error -32601"
 
 
 UNREADABLE = {
@@ -187,47 +205,49 @@
 
 @pytest.mark.parametrize("what", UNREADABLE)
 async def test_what_cannot_be_read_is_told_and_the_connection_ends(what: str, tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         await client.send(UNREADABLE[what])
-        assert word(await client.answer()) in ("error -32600", "error -32700", "closed")
-        assert await client.answer() is None
-        assert await (await p.client()).call() == "satisfied"
+        assert outcome_of(await client.receive_response()) in ("error -32600", "error -32700", "closed")
+        assert await client.receive_response() is None
+        assert await (await p.connect_client()).call() == "satisfied"
 
 
 async def test_numbers_and_ids_that_are_open_are_not_taken_twice(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [after(300, done)]}) as p:
-        one, two = await p.client(), await p.client()
-        await one.ask(id="00000000000000aa")
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [after_delay(300, succeed)]}) as p:
+        one, two = await p.connect_client(), await p.connect_client()
+        await one.send_request(id="00000000000000aa")
+        await until(p.received)
         assert await two.call(id="00000000000000aa", blob="eA==") == "error -32602"
-        await one.ask(id="00000000000000bb")
-        one.number -= 1
-        await one.ask(id="00000000000000cc")
-        told = [word(await one.answer()) for _ in range(4)]
+        await one.send_request(id="00000000000000bb")
+        one.last_number -= 1
+        await one.send_request(id="00000000000000cc")
+        told = [outcome_of(await one.receive_response()) for _ in range(4)]
         assert told == ["error -32600", "satisfied", "satisfied", "closed"]  # what was read has its answer
-        assert p.did() == ["a DO aa", "a DO bb"]
+        assert p.received() == ["a DO aa", "a DO bb"]
 
 
 async def test_an_id_that_was_answered_is_not_taken_again(tmp_path: Path) -> None:
     """Of hundreds under one id each was turned back at once, and the next taken: orders beyond the ration."""
-    async with play(tmp_path, {"a": [says("WAIT", "")]}, settings=RATIONED) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [respond_with("WAIT", "")]}, settings=RATIONED) as p:
+        client = await p.connect_client()
         told = [await client.call(id="00000000000000aa") for _ in range(18)]
         assert told == ["turned back", *["error -32602"] * 17]
-        assert await client.answer() is None
+        assert await client.receive_response() is None
         assert len(p.node.dispatcher.policy_boundary._policy.load_budget.request_times_ns) == 1
         p.node.listener.requests.request_limit = 3  # as many as may be held are remembered
-        assert [await (await p.client()).call(id=f"{n:016x}") for n in range(5)] == ["turned back"] * 5
+        assert [await (await p.connect_client()).call(id=f"{n:016x}") for n in range(5)] == [
+            "turned back"
+        ] * 5
         assert list(p.node.listener.requests.finished_ids) == [f"{n:016x}" for n in range(2, 5)]
 
 
 async def test_more_than_may_be_open_on_a_connection_is_turned_back(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [after(200, done)], "b": [after(200, done)]}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [after_delay(200, succeed)], "b": [after_delay(200, succeed)]}) as p:
+        client = await p.connect_client()
         for _ in range(200):
-            await client.ask(wait=1900)
-        told = [word(await client.answer()) for _ in range(200)]
+            await client.send_request(wait=1900)
+        told = [outcome_of(await client.receive_response()) for _ in range(200)]
         assert set(told) <= {"satisfied", "turned back"}
         assert "satisfied" in told
         await until(lambda: not p.node.dispatcher.pending_requests)
@@ -238,12 +258,12 @@
 async def test_hundreds_in_one_read_are_not_taken_because_each_is_answered_at_once(tmp_path: Path) -> None:
     """What was taken is what orders are rationed by."""
     nobody = {"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": []}}]}
-    async with play(tmp_path, known=nobody, settings=RATIONED) as p:
-        client = await p.client()
+    async with run_node(tmp_path, known=nobody, settings=RATIONED) as p:
+        client = await p.connect_client()
         await until(lambda: p.node.listener.clients)
         (own,) = p.node.listener.clients
-        own.data_received(b"".join(client.task() for _ in range(200)))
-        told = [await client.answer() or {} for _ in range(200)]
+        own.data_received(b"".join(client.encode_request() for _ in range(200)))
+        told = [await client.receive_response() or {} for _ in range(200)]
         assert [t["error"]["message"] for t in told[31:]] == [
             "no runner may take it now",
             *["too much is open"] * 168,
@@ -257,21 +277,21 @@
 
 
 async def test_silent_connections_end_and_cost_no_one_a_place(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        mute = [await p.client() for _ in range(130)]
+    async with run_node(tmp_path) as p:
+        mute = [await p.connect_client() for _ in range(130)]
         await mute[-1].send(b"Content-Le")
-        speaks = await p.client()
+        speaks = await p.connect_client()
         assert await speaks.call() == "satisfied"
         assert len(p.node.listener.clients) <= p.node.listener.connection_limit
-        assert await mute[0].answer(within=3) is None
-        assert await mute[-1].answer(within=3) is None
+        assert await mute[0].receive_response(within=3) is None
+        assert await mute[-1].receive_response(within=3) is None
 
 
 async def test_hundreds_taken_back_at_once_leave_nothing_behind(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [silent]}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [silent]}) as p:
+        client = await p.connect_client()
         for _ in range(30):
-            await client.ask()
+            await client.send_request()
         await client.stream.aclose()
         await until(lambda: not p.node.dispatcher.pending_requests and not p.node.listener.clients)
         assert not p.node.listener.requests.open_requests
@@ -280,50 +300,50 @@
 
 async def test_a_client_that_reads_nothing_is_left(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("martenlead.node.client_connection.STALLED_CLIENT_TIMEOUT_NS", 200_000_000)
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         ping = message({"jsonrpc": "2.0", "id": 1, "method": "ping", "params": {}})
         with pytest.raises((anyio.BrokenResourceError, TimeoutError)):
             while True:
                 with anyio.fail_after(5):
                     await client.send(ping * 1000)
         await until(lambda: not p.node.listener.clients and not p.node.listener.closing)
-        assert await (await p.client()).call() == "satisfied"
+        assert await (await p.connect_client()).call() == "satisfied"
 
 
 async def test_the_journal_is_followed_through_breaks_silence_and_repeats(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("martenlead.node.discovery.SILENCE_TIMEOUT_SECONDS", 0.5)
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         dispatcher, journal = p.node.dispatcher, p.journal
         await until(lambda: journal.streams)
-        await p.runner("b", done)
-        await journal.tell(p.record("b"), cut=20)  # broken off in the middle
+        await p.start_worker("b", succeed)
+        await journal.publish(p.worker_record("b"), cut=20)  # broken off in the middle
         await journal.streams.pop().aclose()
         await until(lambda: len(dispatcher.workers) == 2 and journal.streams)
         await journal.streams[0].send(journal.events[0] + b"\xff\xff\xff\xff")  # twice, then noise
-        await until(lambda: len(journal.asked) == 3 and len(journal.streams) == 2)
+        await until(lambda: len(journal.resume_positions) == 3 and len(journal.streams) == 2)
         journal.streams.clear()
-        journal.beats = False  # silent
-        await p.runner("c", done)
-        await journal.tell(p.record("c"))
+        journal.sends_heartbeats = False  # silent
+        await p.start_worker("c", succeed)
+        await journal.publish(p.worker_record("c"))
         await until(lambda: "s-00000063" in dispatcher.workers)
-        assert journal.asked == [1, 1, 2, 2]
+        assert journal.resume_positions == [1, 1, 2, 2]
         assert [box.endpoint.state for box in dispatcher.workers.values()] == ["up"] * 3
 
 
 async def test_a_runner_that_is_gone_is_forgotten_and_its_address_is_another_ones(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         assert await client.call() == "satisfied"
-        old, way = p.runners["a"], next(iter(p.node.dispatcher.workers.values())).connections
+        old, way = p.workers["a"], next(iter(p.node.dispatcher.workers.values())).connections
         await until(lambda: p.journal.streams)
-        await p.journal.tell(record(ord("a"), old.port, state=2))
+        await p.journal.publish(record(ord("a"), old.port, state=2))
         await until(lambda: not p.node.dispatcher.workers)
         assert await client.call() == "turned back"
-        await until(lambda: old.open == 0)
-        await p.journal.tell(record(ord("n"), old.port))
+        await until(lambda: old.open_connections == 0)
+        await p.journal.publish(record(ord("n"), old.port))
         await until(lambda: p.node.dispatcher.workers)
         assert await client.call() == "satisfied"
         assert way not in p.node.worker_client.pools
@@ -331,59 +351,61 @@
 
 
 async def test_a_configuration_anew_moves_the_journal_and_touches_no_task(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [after(400, done)]}) as p:
-        client = await p.client()
-        await client.ask()
-        await until(p.did)
-        p.path.write_text("{")
+    async with run_node(tmp_path, {"a": [after_delay(400, succeed)]}) as p:
+        client = await p.connect_client()
+        await client.send_request()
+        await until(p.received)
+        p.config_path.write_text("{")
         os.kill(os.getpid(), signal.SIGHUP)
         await anyio.sleep(0.05)
         before = p.journal
         moved = p.journal = type(before)()
-        p.group.start_soon(moved.serve)
+        p.task_group.start_soon(moved.serve)
         await until(lambda: moved.port)
         moved.events = before.events
-        p.write(moved.port)
+        p.write_config(moved.port)
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: moved.streams)
-        await p.runner("b", done)
-        await moved.tell(p.record("b"))
+        await p.start_worker("b", succeed)
+        await moved.publish(p.worker_record("b"))
         await until(lambda: len(p.node.dispatcher.workers) == 2)
-        assert word(await client.answer()) == "satisfied"
+        assert outcome_of(await client.receive_response()) == "satisfied"
 
 
 async def test_a_stop_takes_who_still_comes_answers_all_and_ends(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [after(600, done)]}) as p:
-        client = await p.client()
-        await client.ask(wait=1900)
-        await until(p.did)
+    async with run_node(tmp_path, {"a": [after_delay(600, succeed)]}) as p:
+        client = await p.connect_client()
+        await client.send_request(wait=1900)
+        await until(p.received)
         os.kill(os.getpid(), signal.SIGTERM)
         await anyio.sleep(0.3)
-        late = await p.client()
-        await late.ask(id="00000000000000aa", wait=1900)
-        assert [word(await client.answer()), word(await late.answer())] == ["satisfied"] * 2
-        await until(lambda: p.ended)
+        late = await p.connect_client()
+        await late.send_request(id="00000000000000aa", wait=1900)
+        assert [outcome_of(await client.receive_response()), outcome_of(await late.receive_response())] == [
+            "satisfied"
+        ] * 2
+        await until(lambda: p.node_ended)
 
 
 async def test_models_beyond_the_bound_take_the_place_of_the_longest_unused(tmp_path: Path) -> None:
-    async with play(tmp_path, limits={"cores": 1.0, "memory_mb": 2, "sockets": 256}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, limits={"cores": 1.0, "memory_mb": 2, "sockets": 256}) as p:
+        client = await p.connect_client()
         for n in range(150):
             assert await client.call(key=f"{n:016x}") == "satisfied"
         assert len(p.node.dispatcher.functions_by_name) == len(p.node.dispatcher.by_policy_function) == 100
 
 
 async def test_two_hand_offs_of_one_task_to_one_runner_are_not_confused(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [says("BROKE", ""), after(100, done)]}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [respond_with("BROKE", ""), after_delay(100, succeed)]}) as p:
+        client = await p.connect_client()
         assert await client.call("keyed", once="0" * 32, wait=1900) == "satisfied"
-        assert len(p.did()) == 2
+        assert len(p.received()) == 2
         await until(lambda: not p.node.dispatcher._in_flight)
 
 
 async def test_what_a_task_holds_is_let_go_with_its_answer(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         seen: list[Any] = []
         take = p.node.dispatcher.accept
         p.node.dispatcher.accept = lambda *a, **k: seen.append(take(*a, **k)) or seen[-1]  # type: ignore
--- a/tests/test_platform_limits.py
+++ b/tests/test_platform_limits.py
@@ -17,7 +17,7 @@
 from anyio.abc import Process, SocketAttribute
 
 from support.fleet import until
-from tests.nodes import Play, done, message
+from tests.nodes import NodeRig, message, succeed
 
 pytestmark = pytest.mark.anyio
 
@@ -34,26 +34,26 @@
 
 
 @asynccontextmanager
-async def dispatcher(tmp_path: Path) -> AsyncIterator[tuple[Play, Process]]:
+async def dispatcher(tmp_path: Path) -> AsyncIterator[tuple[NodeRig, Process]]:
     """One process of the program under the filter, with a worker and a journal service."""
-    p = Play()
-    p.path = tmp_path / "config.json"
-    async with anyio.create_task_group() as p.group:
-        await p.runner("a", done)
-        p.group.start_soon(p.journal.serve)
+    p = NodeRig()
+    p.config_path = tmp_path / "config.json"
+    async with anyio.create_task_group() as p.task_group:
+        await p.start_worker("a", succeed)
+        p.task_group.start_soon(p.journal.serve)
         await until(lambda: p.journal.port)
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         p.port = listener.extra(SocketAttribute.local_port)
         await listener.aclose()
-        p.write(p.journal.port)
-        environment = {**os.environ, "ROUTER_CONFIG": str(p.path)}
+        p.write_config(p.journal.port)
+        environment = {**os.environ, "ROUTER_CONFIG": str(p.config_path)}
         async with await anyio.open_process([*FILTER, run_command()], cwd=ROOT, env=environment) as process:
             try:
                 yield p, process
             finally:
                 if process.returncode is None:
                     process.kill()
-        p.group.cancel_scope.cancel()
+        p.task_group.cancel_scope.cancel()
 
 
 async def logged(process: Process, event: str) -> None:
@@ -79,11 +79,11 @@
 async def test_served_from_start_to_end_with_these_system_calls_refused(tmp_path: Path) -> None:
     async with dispatcher(tmp_path) as (p, process):
         await logged(process, "node_started")
-        client = await p.client()
+        client = await p.connect_client()
         await client.send(message({"jsonrpc": "2.0", "id": 1, "method": "ping", "params": {}}))
-        ping: Any = await client.answer()
+        ping: Any = await client.receive_response()
         assert ping["result"] == {"up": True}
-        client.number = 1
+        client.last_number = 1
         assert [await client.call("unsafe", key=f"{n:016x}") for n in range(20)] == ["satisfied"] * 20
         process.send_signal(signal.SIGHUP)
         await logged(process, "config_reloaded")
@@ -111,4 +111,4 @@
         for family in ("tcp6", "udp", "udp6"):
             used = {line.split()[9] for line in Path(f"/proc/net/{family}").read_text().splitlines()[1:]}
             assert own.isdisjoint(used)
-        assert json.loads(p.path.read_text())["listen"].endswith(str(p.port))
+        assert json.loads(p.config_path.read_text())["listen"].endswith(str(p.port))
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -26,19 +26,19 @@
 from support.virtual_time import PROCESS_TIME, follow_loop_time
 from tests.nodes import (
     SETTINGS,
-    Asker,
-    Part,
-    Play,
-    Runner,
+    Behaviour,
+    NodeRig,
+    PipeliningClient,
+    ScriptedWorker,
     answer,
-    done,
     frame,
-    in_turn,
-    linger,
-    play,
-    raw,
-    says,
+    one_at_a_time,
+    reset_on_close,
+    respond_with,
+    run_node,
+    send_bytes,
     silent,
+    succeed,
 )
 from tests.play import MS, ONCE
 from tests.play import Play as VirtualPlay
@@ -50,7 +50,7 @@
 DRAINING, GONE = 1, 2
 
 
-def faults(p: Play) -> int:
+def faults(p: NodeRig) -> int:
     """Exceptions of ours that the node has met."""
     return sum(count for (kind, _), count in p.node.dispatcher.counts.items() if kind == "fault")
 
@@ -60,7 +60,7 @@
 
 
 async def reset(stream: SocketStream) -> None:
-    linger(stream)
+    reset_on_close(stream)
     await anyio.aclose_forcefully(stream)
 
 
@@ -71,19 +71,19 @@
     """A worker that serves, until it is told to forget its connections: what comes on one of them then is
     reset, or gets no word, and never runs."""
 
-    def __init__(self, word: Part) -> None:
+    def __init__(self, word: Behaviour) -> None:
         self.word = word
         self.forgotten: list[SocketStream] = []
         self.ran: Counter[str] = Counter()
 
-    async def __call__(self, runner: Runner, stream: SocketStream, told: dict[str, Any]) -> None:
+    async def __call__(self, runner: ScriptedWorker, stream: SocketStream, told: dict[str, Any]) -> None:
         if stream in self.forgotten:
             await self.word(runner, stream, told)
             return
         self.ran[told["txn"]] += 1
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
-    async def rest_ends(self, how: str, runner: Runner) -> None:
+    async def rest_ends(self, how: str, runner: ScriptedWorker) -> None:
         for stream in runner.streams:
             if how == "close":
                 await stream.aclose()
@@ -97,7 +97,7 @@
 RESTS = {
     "close": silent,
     "reset": silent,
-    "forget and reset": raw(b"", reset=True),
+    "forget and reset": send_bytes(b"", reset=True),
     "forget and say nothing": silent,
 }
 
@@ -109,11 +109,11 @@
 ) -> None:
     """Where the end can be seen none is lost; a forgotten connection costs one request, and no second run."""
     worker = Forgetful(RESTS[how])
-    async with play(tmp_path, {"a": [worker]}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [worker]}) as p:
+        client = await p.connect_client()
         for number in (1, 2, 3):
             assert await client.call(method, once=once(method, number)) == "satisfied"
-        await worker.rest_ends(how, p.runners["a"])
+        await worker.rest_ends(how, p.workers["a"])
         began = anyio.current_time()
         first = await client.call(method, wait=600, once=once(method, 4))
         assert anyio.current_time() - began < 0.6 + LATEST
@@ -154,14 +154,14 @@
 
 # -- attempts that fail at once
 
-FAILS: dict[str, tuple[Part, bool]] = {  # and whether it proves that nothing ran
-    "errors": (says("BROKE"), False),
-    "full": (says("WAIT", ""), True),
-    "misses": (says("LACK", ""), True),
-    "over": (says("PAST", ""), True),
-    "closes": (raw(b"", end=True), False),
-    "resets": (raw(b"", reset=True), False),
-    "noise": (raw(b"\xff\xfe\n"), False),
+FAILS: dict[str, tuple[Behaviour, bool]] = {  # and whether it proves that nothing ran
+    "errors": (respond_with("BROKE"), False),
+    "full": (respond_with("WAIT", ""), True),
+    "misses": (respond_with("LACK", ""), True),
+    "over": (respond_with("PAST", ""), True),
+    "closes": (send_bytes(b"", end=True), False),
+    "resets": (send_bytes(b"", reset=True), False),
+    "noise": (send_bytes(b"\xff\xfe\n"), False),
 }
 AT_ONCE = 20  # requests, in one write
 
@@ -174,19 +174,19 @@
     """Within the limit on attempts, and without a second run of what must not run twice."""
     part, never_ran = FAILS[how]
     allowed = SETTINGS["allowed"] | {"may-duplicate": hedged}
-    workers = {name: [in_turn(part)] for name in "abcd"}
-    async with play(tmp_path, workers, settings=SETTINGS | {"allowed": allowed}) as p:
+    workers = {name: [one_at_a_time(part)] for name in "abcd"}
+    async with run_node(tmp_path, workers, settings=SETTINGS | {"allowed": allowed}) as p:
         for place, method in enumerate(METHODS):
-            asker = Asker(await p.client(), first=place * AT_ONCE)
-            p.group.start_soon(asker.read)
+            asker = PipeliningClient(await p.connect_client(), first=place * AT_ONCE)
+            p.task_group.start_soon(asker.read_responses)
             for number in range(AT_ONCE):
                 keyed = {"once": once(method, place * AT_ONCE + number + 1)} if method == "keyed" else {}
-                await asker.ask(method, wait=800, key=f"{number:016x}", **keyed)
-            await until(lambda asker=asker: len(asker.answers) >= AT_ONCE, within=3)  # type: ignore[misc]
-            assert asker.has_one_answer_each()
-            assert asker.words() <= {"turned back", "error -32000"}
+                await asker.send_request(method, wait=800, key=f"{number:016x}", **keyed)
+            await until(lambda asker=asker: len(asker.responses) >= AT_ONCE, within=3)  # type: ignore[misc]
+            assert asker.has_one_response_each()
+            assert asker.outcomes() <= {"turned back", "error -32000"}
             assert max(asker.latencies()) < 0.8 + LATEST
-        attempts = Counter(line[-2:] for line in p.did())
+        attempts = Counter(line[-2:] for line in p.received())
         assert max(attempts.values()) <= SETTINGS["allowed"]["attempts-cap"]
         unsafe = {f"{2 * AT_ONCE + number + 1:02x}" for number in range(AT_ONCE)}
         if not never_ran:
@@ -201,10 +201,10 @@
 DROPPED_UNDER = 25  # ms that a worker needs left, or it drops the request without a word
 
 
-answers = in_turn(done)
+answers = one_at_a_time(succeed)
 
 
-async def drops_late_ones(runner: Runner, stream: SocketStream, told: dict[str, Any]) -> None:
+async def drops_late_ones(runner: ScriptedWorker, stream: SocketStream, told: dict[str, Any]) -> None:
     if told["props"]["ttl"] >= DROPPED_UNDER:
         await answers(runner, stream, told)
 
@@ -218,20 +218,23 @@
     """In time that stands still where the machine gives this process no core: half a second of that would
     make an answer late."""
     follow_loop_time(monkeypatch)
-    async with play(tmp_path, {"a": [drops_late_ones], "b": [drops_late_ones]}) as p:
-        hurried, usual = Asker(await p.client()), Asker(await p.client(), first=1000)
+    async with run_node(tmp_path, {"a": [drops_late_ones], "b": [drops_late_ones]}) as p:
+        hurried, usual = (
+            PipeliningClient(await p.connect_client()),
+            PipeliningClient(await p.connect_client(), first=1000),
+        )
         for asker in (hurried, usual):
-            p.group.start_soon(asker.read)
+            p.task_group.start_soon(asker.read_responses)
         for number in range(30):
             keyed = {"once": once(method, number + 1)} if method == "keyed" else {}
-            await hurried.ask(method, wait=left, key=f"{number % 3:016x}", **keyed)
+            await hurried.send_request(method, wait=left, key=f"{number % 3:016x}", **keyed)
             if number % 3 == 0:
                 keyed = {"once": once(method, number + 1001)} if method == "keyed" else {}
-                await usual.ask(method, key=f"{number % 3:016x}", **keyed)
+                await usual.send_request(method, key=f"{number % 3:016x}", **keyed)
             await anyio.sleep(0.01)
         for asker in (hurried, usual):
-            await until(lambda asker=asker: len(asker.answers) >= len(asker.asked))  # type: ignore[misc]
-            assert asker.has_one_answer_each(), (asker.asked, asker.answers)
+            await until(lambda asker=asker: len(asker.responses) >= len(asker.sent_at))  # type: ignore[misc]
+            assert asker.has_one_response_each(), (asker.sent_at, asker.responses)
         assert max(hurried.latencies()) < left / 1000 + LATEST
         assert max(usual.latencies()) < 1.5 + LATEST
         await until(lambda: not p.node.dispatcher._in_flight)
@@ -331,24 +334,24 @@
 
 async def test_the_journal_tells_events_that_come_at_once_one_by_one(tmp_path: Path) -> None:
     """Two writers on one stream were a fault of the rig, which ended the journal."""
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         async with anyio.create_task_group() as group:
             for _ in range(3):
-                group.start_soon(p.journal.tell, p.record("a"))
-        assert await (await p.client()).call("safe") == "satisfied"
+                group.start_soon(p.journal.publish, p.worker_record("a"))
+        assert await (await p.connect_client()).call("safe") == "satisfied"
 
 
 async def test_streams_of_the_scripted_peers_take_several_writers_at_once(tmp_path: Path) -> None:
     """As a test and the journal's own heartbeat: each waits for the one before it, and all arrive whole."""
-    async with play(tmp_path, {"a": [raw(b""), done]}) as p:
+    async with run_node(tmp_path, {"a": [send_bytes(b""), succeed]}) as p:
         await until(lambda: p.journal.streams)
-        client = await p.client()
-        await client.ask("safe")
-        await until(p.did)
+        client = await p.connect_client()
+        await client.send_request("safe")
+        await until(p.received)
         beat, unknown = frame(len(p.journal.events) + 1, 0), answer("FIT", "0")
         async with anyio.create_task_group() as group:
             for _ in range(5):
                 group.start_soon(p.journal.streams[0].send, beat)
-                group.start_soon(p.runners["a"].streams[0].send, unknown)
-        assert await (await p.client()).call("safe", id="b" * 16) == "satisfied"
-        assert (len(p.journal.asked), faults(p)) == (1, 0)
+                group.start_soon(p.workers["a"].streams[0].send, unknown)
+        assert await (await p.connect_client()).call("safe", id="b" * 16) == "satisfied"
+        assert (len(p.journal.resume_positions), faults(p)) == (1, 0)
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -9,14 +9,14 @@
 import anyio
 import pytest
 
-from tests.nodes import SETTINGS, Part, Play, after, done, play, says
+from tests.nodes import SETTINGS, Behaviour, NodeRig, after_delay, respond_with, run_node, succeed
 
 pytestmark = pytest.mark.anyio
 
 WINDOW = 0.3  # s
 SLACK = 0.05  # s, that the protocol adds to every time limit
 KEY = "0" * 32
-fails = says("BROKE", "")
+fails = respond_with("BROKE", "")
 
 
 def settings(group: str = "all") -> dict[str, Any]:
@@ -28,17 +28,17 @@
     return SETTINGS | {"classes": classes}
 
 
-def noting(arrivals: list[float], parts: list[Part]) -> Part:
+def noting(arrivals: list[float], parts: list[Behaviour]) -> Behaviour:
     """Plays the parts in turn, whichever worker is asked, and notes when each request arrived."""
 
     async def part(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         arrivals.append(anyio.current_time())
-        await (parts.pop(0) if parts else done)(runner, stream, told)
+        await (parts.pop(0) if parts else succeed)(runner, stream, told)
 
     return part
 
 
-def delay_connections(p: Play, seconds: Callable[[int], float]) -> None:
+def delay_connections(p: NodeRig, seconds: Callable[[int], float]) -> None:
     """The connection of that number, from 0, comes up so much later."""
     connect, made = p.node.worker_client._connect, []
 
@@ -54,9 +54,9 @@
 async def test_no_repeat_once_the_window_is_over(group: str, outcome: str, tmp_path: Path) -> None:
     """Where not all workers share the window, the client is not told to try again either."""
     arrivals: list[float] = []
-    part = noting(arrivals, [after(1000 * WINDOW, fails)])
-    async with play(tmp_path, {"a": [part], "b": [part]}, settings=settings(group)) as p:
-        client = await p.client()
+    part = noting(arrivals, [after_delay(1000 * WINDOW, fails)])
+    async with run_node(tmp_path, {"a": [part], "b": [part]}, settings=settings(group)) as p:
+        client = await p.connect_client()
         assert await client.call("keyed", once=KEY, wait=1900) == outcome
         assert len(arrivals) == 1
 
@@ -64,9 +64,9 @@
 async def test_no_repeat_leaves_once_the_window_ended_while_its_connection_came_up(tmp_path: Path) -> None:
     """Decided 0.1 s before the window ends, over a connection that needs 0.2 s."""
     arrivals: list[float] = []
-    part = noting(arrivals, [after(1000 * (WINDOW - 0.1), fails)])
-    async with play(tmp_path, {"a": [part], "b": [part]}, settings=settings()) as p:
+    part = noting(arrivals, [after_delay(1000 * (WINDOW - 0.1), fails)])
+    async with run_node(tmp_path, {"a": [part], "b": [part]}, settings=settings()) as p:
         delay_connections(p, lambda number: 0.2 if number else 0.0)
-        client = await p.client()
+        client = await p.connect_client()
         await client.call("keyed", once=KEY, wait=1900)
         assert arrivals[-1] - arrivals[0] <= WINDOW + SLACK
--- a/tests/test_request_timing.py
+++ b/tests/test_request_timing.py
@@ -10,7 +10,7 @@
 import pytest
 
 from support.fleet import until
-from tests.nodes import after, done, play, word
+from tests.nodes import after_delay, outcome_of, run_node, succeed
 
 pytestmark = pytest.mark.anyio
 
@@ -20,24 +20,24 @@
 
 async def test_the_time_of_a_request_in_pieces_is_counted_from_its_last_byte(tmp_path: Path) -> None:
     """The pieces take longer than the client waits, and another connection is served meanwhile."""
-    async with play(tmp_path, {"a": [after(50, done)]}) as p:
-        client, other = await p.client(), await p.client()
-        data = client.task("unsafe", id="00000000000000aa", wait=500)
+    async with run_node(tmp_path, {"a": [after_delay(50, succeed)]}) as p:
+        client, other = await p.connect_client(), await p.connect_client()
+        data = client.encode_request("unsafe", id="00000000000000aa", wait=500)
         size = -(-len(data) // PIECES)
         for start in range(0, len(data), size):
-            assert p.did() == []
+            assert p.received() == []
             await client.send(data[start : start + size])
             await anyio.sleep(PAUSE)
-        assert word(await client.answer()) == "satisfied"
+        assert outcome_of(await client.receive_response()) == "satisfied"
         assert await other.call(id="00000000000000bb") == "satisfied"
-        assert p.did() == ["a DO aa", "a DO bb"]
+        assert p.received() == ["a DO aa", "a DO bb"]
 
 
 async def test_pieces_of_many_requests_on_many_connections_do_not_mix(tmp_path: Path) -> None:
-    async with play(tmp_path) as p:
-        clients = [await p.client() for _ in range(5)]
+    async with run_node(tmp_path) as p:
+        clients = [await p.connect_client() for _ in range(5)]
         requests = [
-            b"".join(c.task(id=f"{10 * at + n:016x}", key=f"{at:016x}") for n in range(3))
+            b"".join(c.encode_request(id=f"{10 * at + n:016x}", key=f"{at:016x}") for n in range(3))
             for at, c in enumerate(clients)
         ]
         for start in range(0, max(map(len, requests)), 97):
@@ -45,23 +45,25 @@
                 if data[start : start + 97]:
                     await client.send(data[start : start + 97])
         for client in clients:
-            answers = [await client.answer() for _ in range(3)]
-            assert [word(answer) for answer in answers] == ["satisfied"] * 3
+            answers = [await client.receive_response() for _ in range(3)]
+            assert [outcome_of(answer) for answer in answers] == ["satisfied"] * 3
             assert sorted((answer or {})["id"] for answer in answers) == [1, 2, 3]
-        assert len(p.did()) == len(set(p.did())) == 15
+        assert len(p.received()) == len(set(p.received())) == 15
 
 
 async def test_requests_of_the_last_moments_of_a_planned_restart_are_served(tmp_path: Path) -> None:
     """New connections come until 0.4 s after SIGTERM, requests on open ones until 0.6 s."""
-    async with play(tmp_path, {"a": [after(100, done)]}) as p:
-        client = await p.client()
+    async with run_node(tmp_path, {"a": [after_delay(100, succeed)]}) as p:
+        client = await p.connect_client()
         assert await client.call(id="00000000000000aa") == "satisfied"
         started = anyio.current_time()
         os.kill(os.getpid(), signal.SIGTERM)
         await anyio.sleep_until(started + 0.4)
-        new = await p.client()
+        new = await p.connect_client()
         await anyio.sleep_until(started + 0.6)
-        await client.ask(id="00000000000000bb")
-        await new.ask(id="00000000000000cc")
-        assert [word(await client.answer()), word(await new.answer())] == ["satisfied"] * 2
-        await until(lambda: p.ended)
+        await client.send_request(id="00000000000000bb")
+        await new.send_request(id="00000000000000cc")
+        assert [outcome_of(await client.receive_response()), outcome_of(await new.receive_response())] == [
+            "satisfied"
+        ] * 2
+        await until(lambda: p.node_ended)
--- a/tests/test_shutdown_faults.py
+++ b/tests/test_shutdown_faults.py
@@ -20,16 +20,16 @@
 from support.fleet import until
 from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests.nodes import (
-    BROKEN,
-    Asker,
-    Journal,
-    Play,
-    after,
-    done,
+    CONNECTION_ERRORS,
+    NodeRig,
+    PipeliningClient,
+    ScriptedJournal,
+    after_delay,
     frame,
-    in_turn,
-    play,
+    one_at_a_time,
+    run_node,
     silent,
+    succeed,
     with_deadlines,
 )
 
@@ -44,7 +44,7 @@
 SETTINGS = with_deadlines(DEADLINE)
 METHODS = ("safe", "keyed", "unsafe")
 DRAINING = 1
-answers = in_turn(done)
+answers = one_at_a_time(succeed)
 
 
 @pytest.fixture
@@ -58,7 +58,7 @@
     follow_loop_time(monkeypatch)
 
 
-def is_up(p: Play, name: str) -> bool:
+def is_up(p: NodeRig, name: str) -> bool:
     box = p.node.dispatcher.workers.get(f"s-{ord(name):08x}")
     return box is not None and box.is_up
 
@@ -66,33 +66,35 @@
 class Crowd:
     """Clients that go on asking, and what they were answered."""
 
-    def __init__(self, p: Play) -> None:
+    def __init__(self, p: NodeRig) -> None:
         self.p = p
-        self.askers: list[Asker] = []
+        self.askers: list[PipeliningClient] = []
 
-    async def join(self) -> Asker:
-        asker = Asker(await self.p.client(), first=10_000 * len(self.askers))
+    async def join(self) -> PipeliningClient:
+        asker = PipeliningClient(await self.p.connect_client(), first=10_000 * len(self.askers))
         self.askers.append(asker)
-        self.p.group.start_soon(asker.read)
+        self.p.task_group.start_soon(asker.read_responses)
         return asker
 
     async def ask_until(self, end: float, method: str) -> None:
         """Each in its turn on its own connection, up to a time of the loop."""
         while anyio.current_time() < end:
             for asker in self.askers:
-                await asker.ask(method, wait=round(DEADLINE * 1000), key=f"{len(asker.asked) % 5:016x}")
+                await asker.send_request(
+                    method, wait=round(DEADLINE * 1000), key=f"{len(asker.sent_at) % 5:016x}"
+                )
             await anyio.sleep(BETWEEN)
 
     def check(self, killed_at: float | None = None) -> None:
         for asker in self.askers:
-            assert asker.asked and asker.has_one_answer_each(), (asker.asked, asker.answers)
+            assert asker.sent_at and asker.has_one_response_each(), (asker.sent_at, asker.responses)
             assert max(asker.latencies()) < DEADLINE + LATEST
             if killed_at is not None:
-                assert max(at for _, _, at in asker.answers) < killed_at
+                assert max(at for _, _, at in asker.responses) < killed_at
 
 
 @asynccontextmanager
-async def shutdown(p: Play, method: str) -> AsyncIterator[Crowd]:
+async def shutdown(p: NodeRig, method: str) -> AsyncIterator[Crowd]:
     """Two clients that ask before SIGTERM, after it and until it allows no more; one comes late. What is in
     the block happens meanwhile, from SIGTERM on. A stall of the event loop as the node started is waited for
     to fade: three times the lag is kept free before a deadline, and of 0.3 s that may be all."""
@@ -112,7 +114,7 @@
 
         group.start_soon(clients)
         yield crowd
-    await until(lambda: p.ended and all(asker.ended for asker in crowd.askers))
+    await until(lambda: p.node_ended and all(asker.connection_ended for asker in crowd.askers))
     crowd.check(start + KILL)
 
 
@@ -131,27 +133,27 @@
 async def test_workers_that_hang_through_a_whole_shutdown_leave_no_request_without_its_answer(
     how: str, method: str, tmp_path: Path
 ) -> None:
-    async with play(tmp_path, {"a": [HANGS[how]], "b": [HANGS[how]]}, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [HANGS[how]], "b": [HANGS[how]]}, settings=SETTINGS) as p:
         async with shutdown(p, method) as crowd:
             pass
-        assert p.did()
-        assert "satisfied" not in {word for asker in crowd.askers for word in asker.words()}
+        assert p.received()
+        assert "satisfied" not in {word for asker in crowd.askers for word in asker.outcomes()}
 
 
 @pytest.mark.parametrize("method", METHODS)
 async def test_one_worker_that_hangs_through_a_shutdown_costs_the_others_requests_no_answer(
     method: str, tmp_path: Path
 ) -> None:
-    async with play(tmp_path, {"a": [silent], "b": [after(10, answers)]}, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [silent], "b": [after_delay(10, answers)]}, settings=SETTINGS) as p:
         async with shutdown(p, method) as crowd:
             pass
-        served = [word for asker in crowd.askers for _, word, _ in asker.answers].count("satisfied")
+        served = [word for asker in crowd.askers for _, word, _ in asker.responses].count("satisfied")
         assert served
 
 
 async def test_workers_to_which_no_connection_comes_up_through_a_shutdown(tmp_path: Path) -> None:
     """What waits for a connection was never sent: each request is rejected, in its time."""
-    async with play(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
 
         async def never(conn: Any) -> None:
             await anyio.sleep(p.node.worker_client.settings.connect_timeout_ns / 1e9)
@@ -160,25 +162,25 @@
         p.node.worker_client._connect = never  # type: ignore[method-assign]
         async with shutdown(p, "unsafe") as crowd:
             pass
-        assert {word for asker in crowd.askers for word in asker.words()} == {"turned back"}
-        assert p.did() == []
+        assert {word for asker in crowd.askers for word in asker.outcomes()} == {"turned back"}
+        assert p.received() == []
 
 
 # -- lists that come slowly
 
 
-class SlowJournal(Journal):
+class SlowJournal(ScriptedJournal):
     """Answers late, and each frame byte by byte."""
 
     def __init__(self, late: float, pause: float) -> None:
         super().__init__()
         self.late, self.pause = late, pause
 
-    async def connected(self, stream: SocketStream) -> None:
+    async def serve_connection(self, stream: SocketStream) -> None:
         async with stream:
-            with suppress(*BROKEN):
+            with suppress(*CONNECTION_ERRORS):
                 told = int.from_bytes(await stream.receive(8), "big") - 1
-                self.asked.append(told + 1)
+                self.resume_positions.append(told + 1)
                 await anyio.sleep(self.late)
                 while True:
                     data = b"".join(self.events[told:]) or frame(len(self.events) + 1, 0)
@@ -207,20 +209,20 @@
     how: str, tmp_path: Path
 ) -> None:
     journal = SLOW[how]()
-    parts = {"a": [after(5, answers)], "b": [after(5, answers)]}
-    async with play(tmp_path, parts, journal, settings=SETTINGS) as p:
+    parts = {"a": [after_delay(5, answers)], "b": [after_delay(5, answers)]}
+    async with run_node(tmp_path, parts, journal, settings=SETTINGS) as p:
         crowd = Crowd(p)
         await crowd.join()
-        journal.add(p.record("a", state=DRAINING))
+        journal.add(p.worker_record("a", state=DRAINING))
         async with anyio.create_task_group() as group:
             group.start_soon(crowd.ask_until, anyio.current_time() + 1.2, "unsafe")
             await until(lambda: not is_up(p, "a"), within=4)
             before = len(p.log)
         assert any(line.startswith("b DO") for line in p.log[before:])
         assert not any(line.startswith("a DO") for line in p.log[before:])
-        await until(lambda: len(crowd.askers[0].answers) == len(crowd.askers[0].asked))
+        await until(lambda: len(crowd.askers[0].responses) == len(crowd.askers[0].sent_at))
         crowd.check()
-        assert len(journal.asked) == 1  # slow is not silent: it is not asked again
+        assert len(journal.resume_positions) == 1  # slow is not silent: it is not asked again
 
 
 @pytest.mark.parametrize("how", SLOW)
@@ -230,9 +232,9 @@
     """Its drain is told as the stop begins; until its list is whole the worker is not known to drain."""
     journal = SLOW[how]()
     known: list[int] = []
-    async with play(tmp_path, {"a": [answers], "b": [answers]}, journal, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [answers], "b": [answers]}, journal, settings=SETTINGS) as p:
         async with shutdown(p, "unsafe"):
-            journal.add(p.record("a", state=DRAINING))
+            journal.add(p.worker_record("a", state=DRAINING))
             with anyio.move_on_after(KILL):
                 await until(lambda: not is_up(p, "a"))
                 known.append(len(p.log))
@@ -245,26 +247,26 @@
 RELOADS, SUCCESSION = 10, 0.1  # within so many s
 
 
-async def reload_often(p: Play, drained: str) -> list[Journal]:
+async def reload_often(p: NodeRig, drained: str) -> list[ScriptedJournal]:
     """Ten configurations in 100 ms, each with another journal service, every third one unreadable. The last
     journal service alone tells of the drain."""
-    journals = [Journal() for _ in range(RELOADS)]
+    journals = [ScriptedJournal() for _ in range(RELOADS)]
     for journal in journals:
         journal.events = list(p.journal.events)
-        p.group.start_soon(journal.serve)
+        p.task_group.start_soon(journal.serve)
     await until(lambda: all(journal.port for journal in journals))
-    journals[-1].events.append(frame(len(p.journal.events) + 2, 2, p.record(drained, state=DRAINING)))
+    journals[-1].events.append(frame(len(p.journal.events) + 2, 2, p.worker_record(drained, state=DRAINING)))
     for count, journal in enumerate(journals):
         if count % 3 == 1:
-            p.path.write_text('{"journal":')
+            p.config_path.write_text('{"journal":')
         else:
-            p.write(journal.port, settings=SETTINGS)
+            p.write_config(journal.port, settings=SETTINGS)
         os.kill(os.getpid(), signal.SIGHUP)
         await anyio.sleep(SUCCESSION / RELOADS)
     return journals
 
 
-async def follows_the_last(p: Play, journals: list[Journal], drained: str) -> int:
+async def follows_the_last(p: NodeRig, journals: list[ScriptedJournal], drained: str) -> int:
     """Once the last journal service's news are known: the length of the log then."""
     await until(lambda: not is_up(p, drained), within=4)  # when it counts as told at the latest
     known = len(p.log)
@@ -275,7 +277,9 @@
 async def test_ten_configurations_in_100_ms_leave_the_last_in_force_and_touch_no_request(
     tmp_path: Path,
 ) -> None:
-    async with play(tmp_path, {"a": [after(30, answers)], "b": [after(30, answers)]}, settings=SETTINGS) as p:
+    async with run_node(
+        tmp_path, {"a": [after_delay(30, answers)], "b": [after_delay(30, answers)]}, settings=SETTINGS
+    ) as p:
         crowd = Crowd(p)
         await crowd.join()
         async with anyio.create_task_group() as group:
@@ -283,24 +287,24 @@
             journals = await reload_often(p, "a")
             known = await follows_the_last(p, journals, "a")
         (asker,) = crowd.askers
-        await until(lambda: len(asker.answers) == len(asker.asked))
+        await until(lambda: len(asker.responses) == len(asker.sent_at))
         crowd.check()
-        assert asker.words() == {"satisfied"}
+        assert asker.outcomes() == {"satisfied"}
         assert any(line.startswith("b DO") for line in p.log[known:])
         assert not any(line.startswith("a DO") for line in p.log[known:])
 
 
 async def test_ten_configurations_in_100_ms_during_a_shutdown(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
         async with shutdown(p, "unsafe") as crowd:
             journals = await reload_often(p, "a")
             known = await follows_the_last(p, journals, "a")
         assert not any(line.startswith("a DO") for line in p.log[known:])
-        assert {word for asker in crowd.askers for word in asker.words()} == {"satisfied"}
+        assert {word for asker in crowd.askers for word in asker.outcomes()} == {"satisfied"}
 
 
 async def test_ten_configurations_while_all_workers_hang_and_the_node_stops(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [silent], "b": [silent]}, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [silent], "b": [silent]}, settings=SETTINGS) as p:
         async with shutdown(p, "safe"):
             journals = await reload_often(p, "a")
             known = await follows_the_last(p, journals, "a")
--- a/tests/test_stalled_loop.py
+++ b/tests/test_stalled_loop.py
@@ -19,7 +19,7 @@
 
 from support.fleet import fleet, satisfied, until
 from support.virtual_time import VIRTUAL_TIME, VirtualTimeLoop, follow_loop_time
-from tests.nodes import SETTINGS, Caller, Play, play, with_deadlines, word
+from tests.nodes import SETTINGS, Client, NodeRig, outcome_of, run_node, with_deadlines
 
 pytestmark = pytest.mark.anyio
 virtual_time = pytest.mark.parametrize("anyio_backend", [VIRTUAL_TIME], ids=["virtual time"])
@@ -28,19 +28,19 @@
 DEADLINE_MS = 1500
 
 
-def keep_connections_from_coming_up(p: Play) -> None:
+def keep_connections_from_coming_up(p: NodeRig) -> None:
     async def connect(_connection: Any) -> None:
         await anyio.sleep_forever()
 
     p.node.worker_client._connect = connect  # type: ignore[method-assign]
 
 
-def is_waiting_for_a_connection(p: Play) -> bool:
+def is_waiting_for_a_connection(p: NodeRig) -> bool:
     connections = p.node.worker_client.connections
     return any(c.transport is None and c.outstanding_calls for c in connections)
 
 
-def put(client: Caller, data: bytes) -> None:
+def put(client: Client, data: bytes) -> None:
     """Into the socket's buffer, before the loop turns again."""
     os.write(client.stream.extra(SocketAttribute.raw_socket).fileno(), data)
 
@@ -58,15 +58,15 @@
 ) -> None:
     """Guards against a failure in place of a rejection: another client's input resumes the policy first."""
     follow_loop_time(monkeypatch)
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         keep_connections_from_coming_up(p)
-        client, other = await p.client(), await p.client()
-        await client.ask(method, **KEY[method])
+        client, other = await p.connect_client(), await p.connect_client()
+        await client.send_request(method, **KEY[method])
         await until(lambda: is_waiting_for_a_connection(p))
-        put(other, other.task(id="00000000000000bb"))
+        put(other, other.encode_request(id="00000000000000bb"))
         stall(DEADLINE_MS / 1000)
-        assert word(await client.answer()) == "turned back"
-        assert p.did() == []
+        assert outcome_of(await client.receive_response()) == "turned back"
+        assert p.received() == []
 
 
 @virtual_time
@@ -76,14 +76,14 @@
 ) -> None:
     """Guards against a failure in place of a rejection for what has more time left than the process."""
     follow_loop_time(monkeypatch)
-    async with play(tmp_path, settings=SETTINGS | with_deadlines(9.0)) as p:
+    async with run_node(tmp_path, settings=SETTINGS | with_deadlines(9.0)) as p:
         keep_connections_from_coming_up(p)
-        client = await p.client()
-        await client.ask(method, wait=9000, **KEY[method])
+        client = await p.connect_client()
+        await client.send_request(method, wait=9000, **KEY[method])
         await until(lambda: is_waiting_for_a_connection(p))
         os.kill(os.getpid(), signal.SIGTERM)
-        assert word(await client.answer()) == "turned back"
-        assert p.did() == []
+        assert outcome_of(await client.receive_response()) == "turned back"
+        assert p.received() == []
 
 
 @pytest.mark.parametrize("kind", ("estimate", "post", "notice"))
--- a/tests/test_stop_answers.py
+++ b/tests/test_stop_answers.py
@@ -13,8 +13,8 @@
 import anyio
 import pytest
 
-from tests.apart import PING, apart
-from tests.nodes import BROKEN, SETTINGS, Caller, done, silent, word
+from tests.apart import PING_REQUEST, run_node_process
+from tests.nodes import CONNECTION_ERRORS, SETTINGS, Client, outcome_of, silent, succeed
 
 pytestmark = pytest.mark.anyio
 
@@ -28,9 +28,9 @@
 class Asking:
     """A client that sends until its connection has ended, and reads all answers."""
 
-    def __init__(self, caller: Caller, first: int, pause: float) -> None:
+    def __init__(self, caller: Client, first: int, pause: float) -> None:
         self.caller, self.pause = caller, pause
-        caller.number = first
+        caller.last_number = first
         self.sent: dict[int, float] = {}
         self.answers: Counter[int] = Counter()
         self.words: Counter[str] = Counter()
@@ -39,17 +39,17 @@
     async def send(self) -> None:
         try:
             while not self.ended_at:
-                data = self.caller.task(wait=round(DEADLINE * 1000))
-                self.sent[self.caller.number] = anyio.current_time()
+                data = self.caller.encode_request(wait=round(DEADLINE * 1000))
+                self.sent[self.caller.last_number] = anyio.current_time()
                 await self.caller.send(data)
                 await anyio.sleep(self.pause)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             pass
 
     async def receive(self) -> None:
-        while (told := await self.caller.answer(within=10)) is not None:
+        while (told := await self.caller.receive_response(within=10)) is not None:
             self.answers[told["id"]] += 1
-            self.words[word(told)] += 1
+            self.words[outcome_of(told)] += 1
         self.ended_at = anyio.current_time()
 
     def lost(self) -> list[float]:
@@ -59,11 +59,11 @@
 
 @pytest.mark.parametrize("work", ["served", "workers hang"])
 async def test_each_request_is_answered_before_a_kill_after_one_second(work: str, tmp_path: Path) -> None:
-    async with apart(tmp_path, settings=SETTINGS | {"classes": CLASSES}) as p:
-        await p.came_up(10)
-        p.runners["a"].parts = [silent if work == "workers hang" else done]
+    async with run_node_process(tmp_path, settings=SETTINGS | {"classes": CLASSES}) as p:
+        await p.wait_until_up(10)
+        p.workers["a"].behaviours = [silent if work == "workers hang" else succeed]
         clients = [
-            Asking(await p.client(), at * 1_000_000, pause)
+            Asking(await p.connect_client(), at * 1_000_000, pause)
             for at, pause in enumerate([*PAUSES.values()] * 2, start=1)
         ]
         async with anyio.create_task_group() as group:
@@ -84,13 +84,13 @@
 
 async def test_a_client_that_reads_nothing_does_not_hold_up_the_end(tmp_path: Path) -> None:
     """What was written for it has not left as the process would end."""
-    async with apart(tmp_path, settings=SETTINGS | {"classes": CLASSES}) as p:
-        await p.came_up(10)
+    async with run_node_process(tmp_path, settings=SETTINGS | {"classes": CLASSES}) as p:
+        await p.wait_until_up(10)
         with socket.create_connection(("127.0.0.1", p.port)) as mute:
             mute.settimeout(0.1)
             with suppress(OSError):  # at some time the node reads no more of it
                 while True:
-                    mute.sendall(PING * 1000)
+                    mute.sendall(PING_REQUEST * 1000)
             stopped_at = anyio.current_time()
             p.process.send_signal(signal.SIGTERM)
             await p.process.wait()
@@ -98,9 +98,9 @@
 
 
 async def test_requests_that_come_too_late_to_be_served_are_refused(tmp_path: Path, monkeypatch: Any) -> None:
-    async with apart(tmp_path, settings=SETTINGS | {"classes": CLASSES}) as p:
-        await p.came_up(10)
-        client = Asking(await p.client(), 1_000_000, 0.001)
+    async with run_node_process(tmp_path, settings=SETTINGS | {"classes": CLASSES}) as p:
+        await p.wait_until_up(10)
+        client = Asking(await p.connect_client(), 1_000_000, 0.001)
         async with anyio.create_task_group() as group:
             group.start_soon(client.send)
             group.start_soon(client.receive)
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -30,7 +30,7 @@
 from support.fleet import fleet, satisfied, until
 from support.planned import answered, planned, planner
 from support.socket_faults import SocketFaults, break_transport, dribble, from_port, to_port
-from tests.nodes import Caller, answer, done, play, raw, word
+from tests.nodes import Client, answer, outcome_of, run_node, send_bytes, succeed
 from tests.test_late_connections import unreachable_listener
 
 pytestmark = pytest.mark.anyio
@@ -95,19 +95,19 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             with socket.socket() as probe:
                 probe.bind(("127.0.0.1", 0))
                 p.port = int(probe.getsockname()[1])
-            p.write(p.journal.port)
+            p.write_config(p.journal.port)
             faults.add("bind", number, to_port(p.port), times=2)
             faults.add("listen", number, from_port(p.port), times=1)
             started = anyio.Event()
-            p.group.start_soon(type(p.node)(p.path).serve, started.set)
+            p.task_group.start_soon(type(p.node)(p.config_path).serve, started.set)
             with anyio.fail_after(5):
                 await started.wait()
             assert faults.failed == {"bind": 2, "listen": 1}
-            assert await (await p.client()).call() == "satisfied"
+            assert await (await p.connect_client()).call() == "satisfied"
 
 
 FORBIDDEN = """
@@ -126,8 +126,8 @@
 @asyncio_alone
 async def test_the_node_gives_up_at_once_for_an_address_it_may_not_have(tmp_path: Path) -> None:
     """With one line that says why, and the status of a start that failed."""
-    async with play(tmp_path) as p:
-        path = p.path
+    async with run_node(tmp_path) as p:
+        path = p.config_path
     environment = {**os.environ, "ROUTER_CONFIG": str(path)}
     with anyio.fail_after(10):
         ended = await anyio.run_process(
@@ -153,12 +153,12 @@
 async def test_the_node_accepts_once_the_fault_has_passed(tmp_path: Path, number: int) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             faults.add("accept", number, from_port(p.port), times=3)
-            client = await p.client()
+            client = await p.connect_client()
             assert await client.call(wait=LONG) == "satisfied"
             assert faults.failed["accept"] == 3
-            assert await (await p.client()).call(id="a" * 16) == "satisfied"
+            assert await (await p.connect_client()).call(id="a" * 16) == "satisfied"
 
 
 @opening
@@ -181,13 +181,13 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [done]}) as p:
-            client = await p.client()
-            faults.add(connect_call, number, to_port(p.runners["a"].port))
+        async with run_node(tmp_path, {"a": [succeed]}) as p:
+            client = await p.connect_client()
+            faults.add(connect_call, number, to_port(p.workers["a"].port))
             heard = await order(p)
             assert heard.result is (Result.NOT_SENT if number in SHORTAGES else Result.UNREACHABLE)
             assert await client.call("unsafe", wait=LONG) in FINAL
-            assert not p.did() and faults.failed[connect_call]
+            assert not p.received() and faults.failed[connect_call]
             assert sum(way.open_connections for way in p.node.worker_client.pools) == 0
             faults.end()
             await until_served(client)
@@ -199,9 +199,9 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
-            client = await p.client()
-            faults.add(connect_call, number, to_port(p.runners["a"].port))
+        async with run_node(tmp_path) as p:
+            client = await p.connect_client()
+            faults.add(connect_call, number, to_port(p.workers["a"].port))
             for _ in range(3):
                 assert await client.call("unsafe", wait=LONG) == "turned back"
             assert faults.failed[connect_call] == 3
@@ -216,12 +216,12 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [done]}) as p:
-            client = await p.client()
+        async with run_node(tmp_path, {"a": [succeed]}) as p:
+            client = await p.connect_client()
             faults.add("socket", number)
             assert (await order(p)).result is Result.NOT_SENT
             assert await client.call("unsafe", wait=LONG) in FINAL
-            assert not p.did() and faults.failed["socket"]
+            assert not p.received() and faults.failed["socket"]
             assert sum(way.open_connections for way in p.node.worker_client.pools) == 0
             faults.end()
             await until_served(client)
@@ -234,12 +234,12 @@
     """A request that may not run twice is not sent again, one that may is."""
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [raw(b""), done], "b": [done]}) as p:
-            client = await p.client()
-            for runner in p.runners.values():
-                runner.parts = [raw(b""), done]
-            await client.ask("unsafe", wait=LONG)
-            await until(p.did)
+        async with run_node(tmp_path, {"a": [send_bytes(b""), succeed], "b": [succeed]}) as p:
+            client = await p.connect_client()
+            for runner in p.workers.values():
+                runner.behaviours = [send_bytes(b""), succeed]
+            await client.send_request("unsafe", wait=LONG)
+            await until(p.received)
             (conn,) = [
                 c for way in p.node.worker_client.pools for c in way.connections if c.outstanding_calls
             ]
@@ -247,10 +247,10 @@
                 break_transport(conn, conn.transport, number)
             else:
                 faults.add("recv", number, to_port(conn.pool.port), times=1)
-                stream = next(r for r in p.runners.values() if r.port == conn.pool.port).streams[-1]
+                stream = next(r for r in p.workers.values() if r.port == conn.pool.port).streams[-1]
                 await stream.send(answer("FIT", "0"))  # something to be read
-            assert word(await client.answer()) == "error -32000"
-            assert len(p.did()) == 1
+            assert outcome_of(await client.receive_response()) == "error -32000"
+            assert len(p.received()) == 1
             assert conn not in conn.pool.connections
             faults.end()
             await until_served(client)
@@ -261,12 +261,12 @@
     """Where not a byte has left it proves that nothing ran, so that the client may ask again."""
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [done], "b": [done]}) as p:
-            client = await p.client()
-            for runner in p.runners.values():
+        async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
+            client = await p.connect_client()
+            for runner in p.workers.values():
                 faults.add("send", number, to_port(runner.port), times=1)
             assert await client.call("unsafe", wait=LONG) == "turned back"
-            assert faults.failed["send"] == 2 and not p.did()
+            assert faults.failed["send"] == 2 and not p.received()
             faults.end()
             await until_served(client)
             assert all(conn.transport for way in p.node.worker_client.pools for conn in way.connections)
@@ -279,13 +279,13 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
-            client = await p.client()
-            to_worker = faults.short_selects = to_port(p.runners["a"].port)
+        async with run_node(tmp_path) as p:
+            client = await p.connect_client()
+            to_worker = faults.short_selects = to_port(p.workers["a"].port)
             faults.short_writes = bytes_leave
             faults.add("send", number, to_worker, times=20, share=0.2 if bytes_leave else 1.0)
             assert await client.call("unsafe", wait=LONG) == "satisfied"
-            assert faults.failed["send"] and len(p.did()) == 1
+            assert faults.failed["send"] and len(p.received()) == 1
             assert [way.connections_opened for way in p.node.worker_client.pools] == [1]
 
 
@@ -295,13 +295,13 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [raw(b"")]}) as p:
-            client = await p.client()
-            await client.ask("unsafe", wait=400)
-            await until(p.did)
-            faults.add("send", number, to_port(p.runners["a"].port), times=3)
-            assert word(await client.answer()) == "error -32000"
-            await until(lambda: p.did("UNDO") and not p.runners["a"].open)
+        async with run_node(tmp_path, {"a": [send_bytes(b"")]}) as p:
+            client = await p.connect_client()
+            await client.send_request("unsafe", wait=400)
+            await until(p.received)
+            faults.add("send", number, to_port(p.workers["a"].port), times=3)
+            assert outcome_of(await client.receive_response()) == "error -32000"
+            await until(lambda: p.received("UNDO") and not p.workers["a"].open_connections)
             assert faults.failed["send"] == 3
 
 
@@ -312,11 +312,11 @@
     """And says nothing of its worker."""
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
-            client = await p.client()
-            faults.add("send", number, to_port(p.runners["a"].port))
+        async with run_node(tmp_path) as p:
+            client = await p.connect_client()
+            faults.add("send", number, to_port(p.workers["a"].port))
             assert await client.call("unsafe", wait=400) == "turned back"
-            assert faults.failed["send"] > 1 and not p.did()
+            assert faults.failed["send"] > 1 and not p.received()
             ends = {how: n for (what, how), n in p.node.dispatcher.counts.items() if what == "hand-off"}
             assert ends == {"not sent": 1}
 
@@ -334,10 +334,10 @@
 
 
 ENDINGS = {
-    "reset": raw(b"", reset=True),
-    "reset within the answer": raw(HALF, reset=True),
-    "close": raw(b"", end=True),
-    "close within the answer": raw(HALF, end=True),
+    "reset": send_bytes(b"", reset=True),
+    "reset within the answer": send_bytes(HALF, reset=True),
+    "close": send_bytes(b"", end=True),
+    "close within the answer": send_bytes(HALF, end=True),
     "half-close": half_close,
     "half-close within the answer": half_close_within,
 }
@@ -346,15 +346,15 @@
 @pytest.mark.parametrize("ending", ENDINGS)
 async def test_a_worker_that_ends_a_connection_under_a_request(tmp_path: Path, ending: str) -> None:
     """What may run twice is sent to the other worker, what may not is answered as failed; nothing waits."""
-    async with play(tmp_path, {"a": [done], "b": [done]}) as p:
-        client = await p.client()
-        for runner in p.runners.values():
-            runner.parts = [ENDINGS[ending], done]
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
+        client = await p.connect_client()
+        for runner in p.workers.values():
+            runner.behaviours = [ENDINGS[ending], succeed]
         with anyio.fail_after(LONG / 1000):
             assert await client.call("unsafe", wait=LONG) == "error -32000"
-        assert len(p.did()) == 1
-        for runner in p.runners.values():
-            runner.parts = [ENDINGS[ending], done]
+        assert len(p.received()) == 1
+        for runner in p.workers.values():
+            runner.behaviours = [ENDINGS[ending], succeed]
         with anyio.fail_after(LONG / 1000):
             assert await client.call("safe", wait=LONG) in FINAL
         await until_served(client)
@@ -371,14 +371,18 @@
         await dribble(stream.send, answer("DONE", message["txn"], "resident", message["raw"]))
 
     with faults.installed():
-        async with play(tmp_path, {"a": [dribbled]}) as p:
+        async with run_node(tmp_path, {"a": [dribbled]}) as p:
             faults.short_reads = faults.short_writes = not is_uvloop(anyio_backend)
-            client = await p.client()
-            await dribble(client.send, client.task(wait=LONG))
-            found = await client.answer()
-            assert word(found) == "satisfied" and found is not None and found["result"]["blob"] == "Ym9keQ=="
-            await p.runner("b", done)
-            await p.journal.tell(p.record("b"))
+            client = await p.connect_client()
+            await dribble(client.send, client.encode_request(wait=LONG))
+            found = await client.receive_response()
+            assert (
+                outcome_of(found) == "satisfied"
+                and found is not None
+                and found["result"]["blob"] == "Ym9keQ=="
+            )
+            await p.start_worker("b", succeed)
+            await p.journal.publish(p.worker_record("b"))
             await until(lambda: len(p.node.dispatcher.workers) == 2, within=10)
             assert is_uvloop(anyio_backend) or (faults.shortened["recv"] and faults.shortened["send"])
 
@@ -409,10 +413,10 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [raw(b""), done]}) as p:
-            lost, other = await p.client(), await p.client()
-            await lost.ask(wait=LONG)
-            await until(p.did)
+        async with run_node(tmp_path, {"a": [send_bytes(b""), succeed]}) as p:
+            lost, other = await p.connect_client(), await p.connect_client()
+            await lost.send_request(wait=LONG)
+            await until(p.received)
             own = next(client for client in p.node.listener.clients if client.open_requests)
             if is_uvloop(anyio_backend):
                 break_transport(own, own.transport, number)
@@ -435,22 +439,22 @@
     faults = SocketFaults()
     faults.short_selects = lambda call, subject: from_port(p.port)(call, subject)
     with faults.installed():
-        async with play(tmp_path) as p:
-            client = await p.client()
+        async with run_node(tmp_path) as p:
+            client = await p.connect_client()
             if bytes_leave:
                 faults.short_writes = True
                 faults.add("send", number, from_port(p.port), share=0.2)
             else:
                 faults.add("send", number, from_port(p.port), times=5)
             for _ in range(3):
-                await client.ask(wait=LONG)
-            assert [word(await client.answer()) for _ in range(3)] == ["satisfied"] * 3
+                await client.send_request(wait=LONG)
+            assert [outcome_of(await client.receive_response()) for _ in range(3)] == ["satisfied"] * 3
             assert faults.failed["send"]
             assert await client.call() == "satisfied"
             faults.add("send", number, from_port(p.port), times=2)
             await client.send(b"no head\r\n\r\n")
-            assert word(await client.answer()) == "error -32600"
-            assert await client.answer() is None
+            assert outcome_of(await client.receive_response()) == "error -32600"
+            assert await client.receive_response() is None
 
 
 @temporary
@@ -461,15 +465,15 @@
     monkeypatch.setattr(door, "STALLED_CLIENT_TIMEOUT_NS", 1_000_000_000)
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
-            client = await p.client()
+        async with run_node(tmp_path) as p:
+            client = await p.connect_client()
             faults.add("send", number, from_port(p.port))
             for _ in range(2):
-                await client.ask(wait=LONG)
+                await client.send_request(wait=LONG)
             await until(lambda: any(own.write_blocked_since_ns for own in p.node.listener.clients))
             (own,) = p.node.listener.clients
             faults.end()
-            assert [word(await client.answer()) for _ in range(2)] == ["satisfied"] * 2
+            assert [outcome_of(await client.receive_response()) for _ in range(2)] == ["satisfied"] * 2
             assert not own.write_blocked_since_ns
             faults.add("send", number, from_port(p.port))
             assert await client.call() == "closed"
@@ -481,18 +485,18 @@
     """Without bytes the event loop reads them later; a broken connection ends, and costs no other client."""
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             with closing(socket.create_connection(("127.0.0.1", p.port))) as client:
                 await until(lambda: p.node.listener.clients)
                 (own,) = p.node.listener.clients
-                client.sendall(Caller.task(Caller(None), id="c" * 16))  # type: ignore[arg-type]
+                client.sendall(Client.encode_request(Client(None), id="c" * 16))  # type: ignore[arg-type]
                 faults.add("os.read", number, times=1)
                 own.read_unread_input()
                 assert faults.failed["os.read"] == 1
                 assert own.is_closed == (number != errno.EAGAIN)
                 if not own.is_closed:
-                    await until(p.did)
-                assert await (await p.client()).call(id="d" * 16) == "satisfied"
+                    await until(p.received)
+                assert await (await p.connect_client()).call(id="d" * 16) == "satisfied"
 
 
 @broken
@@ -526,17 +530,17 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             await until(lambda: p.journal.streams)
             faults.add(connect_call, number, to_port(p.journal.port), times=3)
             for stream in p.journal.streams:
                 await stream.aclose()
             p.journal.streams.clear()
             await until(lambda: faults.failed[connect_call] == 3)
-            client = await p.client()
+            client = await p.connect_client()
             assert await client.call() == "satisfied"
-            await p.runner("b", done)
-            await p.journal.tell(p.record("b"))
+            await p.start_worker("b", succeed)
+            await p.journal.publish(p.worker_record("b"))
             await until(lambda: len(p.node.dispatcher.workers) == 2, within=5)
 
 
@@ -545,11 +549,11 @@
 async def test_discovery_whose_connection_breaks_is_asked_again(tmp_path: Path, number: int) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             faults.add("recv", number, to_port(p.journal.port), times=1)
-            await until(lambda: len(p.journal.asked) == 2, within=5)
+            await until(lambda: len(p.journal.resume_positions) == 2, within=5)
             assert faults.failed["recv"] == 1
-            assert await (await p.client()).call() == "satisfied"
+            assert await (await p.connect_client()).call() == "satisfied"
 
 
 # -- the HTTP pool
@@ -730,24 +734,24 @@
         def poll(self, _wait: float) -> Any:
             raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
 
-    async with play(tmp_path) as p:
-        client = await p.client()
+    async with run_node(tmp_path) as p:
+        client = await p.connect_client()
         with monkeypatch.context() as patch:
             patch.setattr("martenlead.system.sockets.select.poll", Poll)
             with socket.socket() as any_socket:
                 assert readable(any_socket) and not has_ended(any_socket)
             assert await client.call(wait=LONG) == "satisfied"
         assert await client.call(wait=LONG) == "satisfied"
-        assert len(p.did()) == 2
+        assert len(p.received()) == 2
 
 
 async def test_signals_that_interrupt_every_wait_cost_no_request(tmp_path: Path) -> None:
     """Each real one ends a system call with EINTR."""
     before = signal.signal(signal.SIGALRM, lambda _number, _frame: None)
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         signal.setitimer(signal.ITIMER_REAL, 0.002, 0.002)
         try:
-            client = await p.client()
+            client = await p.connect_client()
             for _ in range(30):
                 assert await client.call(wait=LONG) == "satisfied"
         finally:
@@ -765,11 +769,11 @@
     """A fifth of all calls to workers, to discovery and of the listener fails, by seeded draws."""
     faults, chance = SocketFaults(seed), Random(seed)
     with faults.installed():
-        parts = [chance.choice([done, done, done, *ENDINGS.values()]) for _ in range(100)]
-        async with play(tmp_path, {"a": [done], "b": [done], "c": [done]}) as p:
-            p.runners["a"].parts = [*parts, done]
-            clients = [await p.client() for _ in range(4)]
-            ports = [*(runner.port for runner in p.runners.values()), p.journal.port]
+        parts = [chance.choice([succeed, succeed, succeed, *ENDINGS.values()]) for _ in range(100)]
+        async with run_node(tmp_path, {"a": [succeed], "b": [succeed], "c": [succeed]}) as p:
+            p.workers["a"].behaviours = [*parts, succeed]
+            clients = [await p.connect_client() for _ in range(4)]
+            ports = [*(runner.port for runner in p.workers.values()), p.journal.port]
             for number in OPENING:
                 faults.add("accept", number, from_port(p.port), share=0.02)
                 for port in ports:
@@ -783,7 +787,7 @@
             async def ask(at: int) -> None:
                 for count in range(25):
                     words.append(await clients[at].call(wait=LONG, id=f"{at:04x}{count:012x}"))
-                    late = await p.client()
+                    late = await p.connect_client()
                     words.append(await late.call(wait=LONG, id=f"{at + 16:04x}{count:012x}"))
                     await late.stream.aclose()
 
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -26,7 +26,7 @@
 from support.fleet import Fleet, fleet, satisfied, until
 from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests import nodes
-from tests.nodes import Play, done, play
+from tests.nodes import NodeRig, run_node, succeed
 from tests.test_worker_age import tell_between_beats
 
 pytestmark = pytest.mark.anyio
@@ -125,17 +125,19 @@
     return own if chance.random() < NEW else chance.randrange(FUNCTIONS)
 
 
-async def ask_node(p: Play, audit: Audit, number: int) -> None:
-    client = await p.client()
+async def ask_node(p: NodeRig, audit: Audit, number: int) -> None:
+    client = await p.connect_client()
     chance = Random(number)
     while not audit.stopped:
         sent = anyio.current_time()
         audit.sent.append(sent)
-        key = f"{function(chance, number, client.number):016x}"
-        await client.ask("safe", wait=round(DEADLINE * 1000), key=key, id=f"{number:04x}{client.number:012x}")
-        answer = await client.answer()
-        assert answer is not None and answer["id"] == client.number
-        word = {"satisfied": "succeeded", "turned back": "rejected"}[nodes.word(answer)]
+        key = f"{function(chance, number, client.last_number):016x}"
+        await client.send_request(
+            "safe", wait=round(DEADLINE * 1000), key=key, id=f"{number:04x}{client.last_number:012x}"
+        )
+        answer = await client.receive_response()
+        assert answer is not None and answer["id"] == client.last_number
+        word = {"satisfied": "succeeded", "turned back": "rejected"}[nodes.outcome_of(answer)]
         audit.outcomes.append((word, anyio.current_time() - sent))
         await anyio.sleep(PAUSE * (0.5 + chance.random()))
 
@@ -157,27 +159,27 @@
         "family-info": nodes.SETTINGS["family-info"] | family | {"loads-per-request": BUDGET_SHARE},
     }
     audit = Audit()
-    monkeypatch.setattr(nodes, "Play", lambda: play_of(audit))
-    async with play(tmp_path, {"a": [done], "b": [done], "d": [done]}, settings=settings) as p:
+    monkeypatch.setattr(nodes, "NodeRig", lambda: play_of(audit))
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed], "d": [succeed]}, settings=settings) as p:
         await until(lambda: p.node.discovery.worker_ages._confirmed_ns)
         async with anyio.create_task_group() as clients:
             for number in range(CLIENTS):
                 clients.start_soon(ask_node, p, audit, number)
             await anyio.sleep(0.6)
-            await p.runner("c", done)
+            await p.start_worker("c", succeed)
             audit.cold["c"] = anyio.current_time()
-            await tell_between_beats(p, p.record("c", started=wall.true() // MS))
+            await tell_between_beats(p, p.worker_record("c", started=wall.true() // MS))
             await anyio.sleep(1.2)
             audit.drained["a"] = anyio.current_time()
-            await tell_between_beats(p, p.record("a", state=1))
+            await tell_between_beats(p, p.worker_record("a", state=1))
             await anyio.sleep(0.9)
             audit.stopped = True
     assert wall.reads
     audit.check(workers=4)
 
 
-def play_of(audit: Audit) -> Play:
-    made = Play()
+def play_of(audit: Audit) -> NodeRig:
+    made = NodeRig()
     made.log = NodeLog(audit)
     return made
 
--- a/tests/test_worker_age.py
+++ b/tests/test_worker_age.py
@@ -18,7 +18,7 @@
 from martenlead.system import clocks
 from martenlead.upstream.endpoints import Endpoint, EndpointUpdate
 from support.fleet import until
-from tests.nodes import Play, done, play
+from tests.nodes import NodeRig, run_node, succeed
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -64,12 +64,12 @@
         return [None if line.age_ms is None else line.age_ms * MS for line in lines]
 
 
-async def tell_between_beats(p: Play, record: bytes) -> None:
+async def tell_between_beats(p: NodeRig, record: bytes) -> None:
     """Tells an event while no empty frame is being written: the service here cannot write two."""
-    p.journal.beats = False
+    p.journal.sends_heartbeats = False
     await anyio.sleep(0.02)
-    await p.journal.tell(record)
-    p.journal.beats = True
+    await p.journal.publish(record)
+    p.journal.sends_heartbeats = True
 
 
 def near(found: float | None, age: int) -> bool:
@@ -222,11 +222,11 @@
     """The journal service stamps by the true clock; the node's is stepped before its start."""
     true = clocks.wall_ns
     monkeypatch.setattr(clocks, "_read_wall", lambda read=clocks._read_wall: read() + step)
-    async with play(tmp_path, {"a": [done]}) as p:
-        await p.runner("b", done)
+    async with run_node(tmp_path, {"a": [succeed]}) as p:
+        await p.start_worker("b", succeed)
         source = p.node.discovery
         await until(lambda: source.worker_ages._confirmed_ns)
-        await tell_between_beats(p, p.record("b", started=(true() - step) // MS))
+        await tell_between_beats(p, p.worker_record("b", started=(true() - step) // MS))
         id = f"s-{ord('b'):08x}"
         await until(lambda: id in p.node.dispatcher.workers)
         box = p.node.dispatcher.workers[id]
--- a/tests/test_worker_connections.py
+++ b/tests/test_worker_connections.py
@@ -8,7 +8,7 @@
 import pytest
 
 from martenlead.node.connection_pool import ConnectionPool
-from tests.nodes import done, play
+from tests.nodes import run_node, succeed
 
 pytestmark = pytest.mark.anyio
 
@@ -23,10 +23,10 @@
 async def test_a_new_connection_and_a_sweep_do_not_look_at_all_workers(
     tmp_path: Path,
 ) -> None:
-    async with play(tmp_path, {"a": [done], "b": [done]}) as p:
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
         link = p.node.worker_client
         link.pools = Workers(link.pools)
-        client = await p.client()
+        client = await p.connect_client()
         assert await client.call("safe") == "satisfied"
         assert len(link.connections) == 1
         link.close_idle_connections()
@@ -34,9 +34,9 @@
 
 
 async def test_a_worker_that_is_gone_is_forgotten_with_its_last_connection(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [done]}) as p:
+    async with run_node(tmp_path, {"a": [succeed]}) as p:
         link = p.node.worker_client
-        client = await p.client()
+        client = await p.connect_client()
         assert await client.call("safe") == "satisfied"
         (way,) = link.pools
         link.retire_connections(way)
