--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross, in the bad order each time: one is held until the other is known to have happened.
+"""Races between two events, each in the harmful order: one event is delayed until the other has happened.
 
 Real connections through a running node; docs/design/node.md lists the crossings by these tests' names.
 """
@@ -44,50 +44,57 @@
 )
 
 pytestmark = pytest.mark.anyio
-ORDERS = SETTINGS | {"family-info": SETTINGS["family-info"] | {"placement-calls": True}}
-full = respond_with("WAIT", "")
+LOAD_REQUEST_SETTINGS = SETTINGS | {"family-info": SETTINGS["family-info"] | {"placement-calls": True}}
+reject_as_full = respond_with("WAIT", "")
 METHODS = ("safe", "keyed", "unsafe")
 virtual_time = pytest.mark.parametrize("anyio_backend", [VIRTUAL_TIME], ids=["virtual time"])
-LONG = 60.0  # s that a request has which no test waits for the end of
+LONG_DEADLINE_SECONDS = 60.0  # Longer than any test here waits
 
 
-def late(p: NodeRig) -> anyio.Event:
-    """From now on connections to runners come up once this is set."""
-    gate, real = anyio.Event(), p.node.worker_client._connect
+def delay_connections(rig: NodeRig) -> anyio.Event:
+    """Delays new connections to workers until the returned event is set."""
+    may_connect, real = anyio.Event(), rig.node.worker_client._connect
 
-    async def connect(conn: Any) -> None:
-        await gate.wait()
-        await real(conn)
+    async def connect(connection: Any) -> None:
+        await may_connect.wait()
+        await real(connection)
 
-    p.node.worker_client._connect = connect  # type: ignore[method-assign]
-    return gate
+    rig.node.worker_client._connect = connect  # type: ignore[method-assign]
+    return may_connect
 
 
-def once(event: anyio.Event, part: Behaviour) -> Behaviour:
-    """Plays that part when this is known to have happened."""
+def after_event(event: anyio.Event, behaviour: Behaviour) -> Behaviour:
+    """Returns a behaviour that waits for the event before it runs the given one."""
 
-    async def played(runner: Any, stream: Any, told: dict[str, Any]) -> None:
+    async def delayed(worker: Any, stream: Any, request: dict[str, Any]) -> None:
         await event.wait()
-        await part(runner, stream, told)
+        await behaviour(worker, stream, request)
 
-    return played
+    return delayed
 
 
-def waiting(p: NodeRig) -> list[Any]:
-    """What waits for a connection that is not up."""
-    conns = [conn for way in p.node.worker_client.pools for conn in way.connections if conn.transport is None]
-    return [sent for conn in conns for sent in conn.outstanding_calls.values()]
+def calls_waiting_for_connection(rig: NodeRig) -> list[Any]:
+    """Returns the calls that wait for a connection that is not up yet."""
+    connections = [
+        connection
+        for pool in rig.node.worker_client.pools
+        for connection in pool.connections
+        if connection.transport is None
+    ]
+    return [call for connection in connections for call in connection.outstanding_calls.values()]
 
 
-def abort(number: Any, own: int | None = None) -> bytes:
-    about = {"jsonrpc": "2.0", "method": "abort", "params": {"id": number}}
-    return message(about | ({} if own is None else {"id": own}))
+def encode_abort(number: Any, own_number: int | None = None) -> bytes:
+    """Returns a cancel of the request with this number or id, with a number of its own if one is given."""
+    cancel = {"jsonrpc": "2.0", "method": "abort", "params": {"id": number}}
+    return message(cancel | ({} if own_number is None else {"id": own_number}))
 
 
 async def leave(client: Client, how: str) -> None:
+    """Cancels the client's last request or ends its connection, in one of `LEAVE_METHODS`."""
     match how:
         case "abort":
-            await client.send(abort(client.last_number))
+            await client.send(encode_abort(client.last_number))
         case "half close":
             await client.stream.send_eof()
         case "close":
@@ -97,707 +104,779 @@
             await anyio.aclose_forcefully(client.stream)
 
 
-def put(client: Client) -> None:
-    """A task that lies in the machine before the loop turns again."""
+def send_at_once(client: Client) -> None:
+    """Writes a request into the socket's buffer before the event loop turns again."""
     os.write(client.stream.extra(SocketAttribute.raw_socket).fileno(), client.encode_request())
 
 
-LEAVES = ("abort", "half close", "close", "reset")
+LEAVE_METHODS = ("abort", "half close", "close", "reset")
 
 
-# -- a client leaves while its task waits
+# -- a client leaves while its request waits
 
 
-@pytest.mark.parametrize("how", LEAVES)
-async def test_left_while_the_connection_comes_up(how: str, tmp_path: Path) -> None:
-    async with run_node(tmp_path) as p:
-        gate = late(p)
-        client = await p.connect_client()
+@pytest.mark.parametrize("how", LEAVE_METHODS)
+async def test_client_leaves_while_the_connection_comes_up(how: str, tmp_path: Path) -> None:
+    """The request waits for the connection to its worker, and is never sent."""
+    async with run_node(tmp_path) as rig:
+        may_connect = delay_connections(rig)
+        client = await rig.connect_client()
         await client.send_request("unsafe")
-        await until(lambda: waiting(p))
+        await until(lambda: calls_waiting_for_connection(rig))
         await leave(client, how)
-        await until(lambda: p.node.dispatcher.counts["final", "left"])
-        gate.set()
-        assert await (await p.connect_client()).call(id="00000000000000bb") == "satisfied"
-        assert p.received() == ["a DO bb"]
-
-
-@pytest.mark.parametrize("how", LEAVES)
-async def test_left_while_a_hand_off_is_out_is_not_sent_on(how: str, tmp_path: Path) -> None:
-    """The runner turns it away once its client is known to have left: there it may not go elsewhere."""
-    gone = anyio.Event()
-
-    async with run_node(tmp_path, {"a": [once(gone, full), succeed], "b": [once(gone, full), succeed]}) as p:
-        client = await p.connect_client()
+        await until(lambda: rig.node.dispatcher.counts["final", "left"])
+        may_connect.set()
+        assert await (await rig.connect_client()).call(id="00000000000000bb") == "satisfied"
+        assert rig.received() == ["a DO bb"]
+
+
+@pytest.mark.parametrize("how", LEAVE_METHODS)
+async def test_client_leaves_during_an_attempt_and_no_further_one_is_sent(how: str, tmp_path: Path) -> None:
+    """The worker rejects the attempt after the node knows that the client has left: no other worker gets
+    it."""
+    has_left = anyio.Event()
+
+    async with run_node(
+        tmp_path,
+        {
+            "a": [after_event(has_left, reject_as_full), succeed],
+            "b": [after_event(has_left, reject_as_full), succeed],
+        },
+    ) as rig:
+        client = await rig.connect_client()
         await client.send_request()
-        await until(p.received)
+        await until(rig.received)
         await leave(client, how)
-        await until(lambda: p.node.dispatcher.counts["final", "left"])
-        gone.set()
-        await until(lambda: not p.node.dispatcher._in_flight)
-        assert await (await p.connect_client()).call(id="00000000000000bb") == "satisfied"
-        assert sorted(line[-2:] for line in p.received()) == ["01", "bb"]
+        await until(lambda: rig.node.dispatcher.counts["final", "left"])
+        has_left.set()
+        await until(lambda: not rig.node.dispatcher._in_flight)
+        assert await (await rig.connect_client()).call(id="00000000000000bb") == "satisfied"
+        assert sorted(line[-2:] for line in rig.received()) == ["01", "bb"]
 
 
-@pytest.mark.parametrize("about", [1, "1", "00000000000000aa"])
-async def test_an_abort_lets_what_is_out_end_and_its_answer_goes_to_nobody(
-    about: int | str, tmp_path: Path
+@pytest.mark.parametrize("number", [1, "1", "00000000000000aa"])
+async def test_a_cancel_lets_the_attempt_end_and_drops_its_response(
+    number: int | str, tmp_path: Path
 ) -> None:
-    """Called off, it would go on at most runners all the same, and they would be taken for free."""
-    gone = anyio.Event()
+    """Most workers would go on with a cancelled attempt, and the node would count them as idle."""
+    may_answer = anyio.Event()
 
-    async with run_node(tmp_path, {"a": [once(gone, succeed), succeed]}) as p:
-        client = await p.connect_client()
+    async with run_node(tmp_path, {"a": [after_event(may_answer, succeed), succeed]}) as rig:
+        client = await rig.connect_client()
         await client.send_request(id="00000000000000aa")
-        await until(p.received)
-        await client.send(abort(about))
-        await until(lambda: not p.node.dispatcher.pending_requests)
-        assert len(p.node.dispatcher._in_flight) == 1  # the runner is not free
-        gone.set()
-        await until(lambda: not p.node.dispatcher._in_flight)
-        assert await client.call() == "satisfied"  # the next answer is the next task's
-        assert (client.last_number, p.received("UNDO"), p.workers["a"].connection_count) == (2, [], 1)
+        await until(rig.received)
+        await client.send(encode_abort(number))
+        await until(lambda: not rig.node.dispatcher.pending_requests)
+        assert len(rig.node.dispatcher._in_flight) == 1  # the worker does not count as idle
+        may_answer.set()
+        await until(lambda: not rig.node.dispatcher._in_flight)
+        assert await client.call() == "satisfied"  # the next response is for the next request
+        assert (client.last_number, rig.received("UNDO"), rig.workers["a"].connection_count) == (2, [], 1)
 
 
 @virtual_time
-async def test_taken_back_in_the_read_that_it_came_in_is_never_sent(
+async def test_a_request_cancelled_in_its_own_read_is_never_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    follow_loop_time(monkeypatch)  # a stop of this process may be longer than the request's wait
-    async with run_node(tmp_path) as p:
-        client = await p.connect_client()
-        tasks = [client.encode_request(id=f"{n:016x}") for n in range(1, 31)]
-        await client.send(b"".join([*tasks, *(abort(n) for n in range(1, 31)), client.encode_request()]))
+    """Thirty requests, their cancels and one more request arrive together: only the last one reaches a
+    worker."""
+    follow_loop_time(monkeypatch)  # a pause of this process may outlast the request's deadline
+    async with run_node(tmp_path) as rig:
+        client = await rig.connect_client()
+        requests = [client.encode_request(id=f"{n:016x}") for n in range(1, 31)]
+        await client.send(
+            b"".join([*requests, *(encode_abort(n) for n in range(1, 31)), client.encode_request()])
+        )
         assert (await client.receive_response() or {})["id"] == 31
-        assert (p.received(), p.node.dispatcher.counts["final", "left"]) == (["a DO 1f"], 0)
-        assert await client.call(id=f"{7:016x}") == "error -32602"  # it was spent all the same
-
-
-async def test_an_abort_for_what_is_unknown_answered_or_anothers_does_nothing(tmp_path: Path) -> None:
-    gone = anyio.Event()
-
-    async with run_node(tmp_path, {"a": [once(gone, succeed)]}) as p:
-        one, two = await p.connect_client(), await p.connect_client()
-        await one.send_request(id="00000000000000aa")
-        await until(p.received)
-        for about in (1, 7, "00000000000000aa", "", -1, "x" * 50):
-            await two.send(abort(about))
-        assert await two.call("nothing") == "error -32601"  # all of them were read
-        for about in (None, [1], {}):
-            three = await p.connect_client()
-            await three.send(abort(about))
-            assert outcome_of(await three.receive_response()) == "error -32600"
-            assert await three.receive_response() is None
-        assert len(p.node.dispatcher.pending_requests) == 1
-        gone.set()
-        assert outcome_of(await one.receive_response()) == "satisfied"
-        await one.send(abort(1))
-        assert await one.call() == "satisfied"
+        assert (rig.received(), rig.node.dispatcher.counts["final", "left"]) == (["a DO 1f"], 0)
+        assert await client.call(id=f"{7:016x}") == "error -32602"  # the id counts as used all the same
+
+
+async def test_a_cancel_of_an_unknown_answered_or_foreign_request_does_nothing(tmp_path: Path) -> None:
+    """A cancel without a valid number or id is an error that ends the connection."""
+    may_answer = anyio.Event()
+
+    async with run_node(tmp_path, {"a": [after_event(may_answer, succeed)]}) as rig:
+        first, second = await rig.connect_client(), await rig.connect_client()
+        await first.send_request(id="00000000000000aa")
+        await until(rig.received)
+        for number in (1, 7, "00000000000000aa", "", -1, "x" * 50):
+            await second.send(encode_abort(number))
+        assert await second.call("nothing") == "error -32601"  # all of the cancels have been read
+        for number in (None, [1], {}):
+            third = await rig.connect_client()
+            await third.send(encode_abort(number))
+            assert outcome_of(await third.receive_response()) == "error -32600"
+            assert await third.receive_response() is None
+        assert len(rig.node.dispatcher.pending_requests) == 1
+        may_answer.set()
+        assert outcome_of(await first.receive_response()) == "satisfied"
+        await first.send(encode_abort(1))
+        assert await first.call() == "satisfied"
 
 
 @virtual_time
-async def test_taken_back_tasks_count_as_open_as_long_as_runners_may_be_at_them(
+async def test_cancelled_requests_count_as_open_while_workers_may_run_them(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    follow_loop_time(monkeypatch)  # they count for a latency objective, which a stop may outlast
-    async with run_node(tmp_path, {"a": [silent], "b": [silent]}) as p:
-        client = await p.connect_client()
-        for box in p.node.dispatcher.workers.values():
-            box.policy_worker.concurrency_limit = 100.0
+    """32 requests of a connection may be open: with all of them cancelled, further ones are still
+    rejected."""
+    follow_loop_time(monkeypatch)  # they count for one latency objective, which a pause may outlast
+    async with run_node(tmp_path, {"a": [silent], "b": [silent]}) as rig:
+        client = await rig.connect_client()
+        for worker in rig.node.dispatcher.workers.values():
+            worker.policy_worker.concurrency_limit = 100.0
         for n in range(100):
             await client.send_request(wait=1900)
-            if n < 32:  # one by one, so that none is taken back in its own read
-                await until(lambda n=n: len(p.received()) == n + 1)  # type: ignore[misc]
-                await client.send(abort(n + 1))
-        told = [outcome_of(await client.receive_response()) for _ in range(68)]
-        assert (set(told), len(p.received())) == ({"turned back"}, 32)
+            if n < 32:  # one by one, so that none is cancelled in the read in which it arrives
+                await until(lambda n=n: len(rig.received()) == n + 1)  # type: ignore[misc]
+                await client.send(encode_abort(n + 1))
+        outcomes = [outcome_of(await client.receive_response()) for _ in range(68)]
+        assert (set(outcomes), len(rig.received())) == ({"turned back"}, 32)
 
 
-async def test_answered_tasks_count_as_open_until_their_answers_have_reached_the_client(
+async def test_answered_requests_count_as_open_until_responses_reach_the_client(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Hundreds at once come in several reads: who wrote them had none of the answers between."""
-    monkeypatch.setattr(
-        "martenlead.node.request_handler.RESPONSE_TRANSIT_NS", 1 << 62
-    )  # no answer ever reaches it
-    async with run_node(tmp_path) as p:
-        client = await p.connect_client()
-        for box in p.node.dispatcher.workers.values():
-            box.policy_worker.concurrency_limit = 100.0
-        told = []
+    """Hundreds of requests written at once arrive in several reads: their client has received no response
+    in between."""
+    # no response ever counts as received
+    monkeypatch.setattr("martenlead.node.request_handler.RESPONSE_TRANSIT_NS", 1 << 62)
+    async with run_node(tmp_path) as rig:
+        client = await rig.connect_client()
+        for worker in rig.node.dispatcher.workers.values():
+            worker.policy_worker.concurrency_limit = 100.0
+        outcomes = []
         for _ in range(5):
             for _ in range(20):
                 await client.send_request()
-            told += [
-                outcome_of(await client.receive_response()) for _ in range(20)
-            ]  # all was read, and is over
-        assert (told.count("satisfied"), told.count("turned back"), len(p.received())) == (32, 68, 32)
+            # all requests were read and answered
+            outcomes += [outcome_of(await client.receive_response()) for _ in range(20)]
+        assert (outcomes.count("satisfied"), outcomes.count("turned back"), len(rig.received())) == (
+            32,
+            68,
+            32,
+        )
 
 
-async def test_a_client_that_does_not_read_is_heard_when_it_leaves(tmp_path: Path) -> None:
-    gone = anyio.Event()
+async def test_a_client_that_does_not_read_is_noticed_when_it_leaves(tmp_path: Path) -> None:
+    """The attempt that is open as it leaves is rejected by the worker, and not retried."""
+    has_left = anyio.Event()
 
     for how in ("abort", "half close"):
-        gone = anyio.Event()
+        has_left = anyio.Event()
         async with run_node(
-            tmp_path, {"a": [once(gone, full), succeed], "b": [once(gone, full), succeed]}
-        ) as p:
-            client = await p.connect_client()
-            await until(lambda p=p: p.node.listener.clients)  # type: ignore[misc]
-            (own,) = p.node.listener.clients
+            tmp_path,
+            {
+                "a": [after_event(has_left, reject_as_full), succeed],
+                "b": [after_event(has_left, reject_as_full), succeed],
+            },
+        ) as rig:
+            client = await rig.connect_client()
+            await until(lambda rig=rig: rig.node.listener.clients)  # type: ignore[misc]
+            (connection,) = rig.node.listener.clients
             await client.send_request()
-            await until(p.received)
-            own.write(b" " * 8_000_000)  # more than the machine's buffers hold
-            await until(lambda own=own: own.write_blocked_since_ns)  # type: ignore[misc]
+            await until(rig.received)
+            connection.write(b" " * 8_000_000)  # more than the kernel's socket buffers hold
+            await until(lambda connection=connection: connection.write_blocked_since_ns)  # type: ignore[misc]
             await leave(client, how)
-            await until(lambda p=p: p.node.dispatcher.counts["final", "left"])  # type: ignore[misc]
-            gone.set()
-            await until(lambda p=p: not p.node.dispatcher._in_flight)  # type: ignore[misc]
-            assert (how, len(p.received())) == (how, 1)
+            await until(lambda rig=rig: rig.node.dispatcher.counts["final", "left"])  # type: ignore[misc]
+            has_left.set()
+            await until(lambda rig=rig: not rig.node.dispatcher._in_flight)  # type: ignore[misc]
+            assert (how, len(rig.received())) == (how, 1)
 
 
-async def test_a_client_that_asks_for_ever_more_and_reads_nothing_is_left(
+async def test_a_client_that_keeps_sending_and_reads_nothing_is_disconnected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Each read while writing to the client is blocked counts as an error."""
     monkeypatch.setattr("martenlead.node.client_connection.STALLED_CLIENT_TIMEOUT_NS", 1 << 62)
-    async with run_node(tmp_path) as p:
-        client = await p.connect_client()
-        await until(lambda: p.node.listener.clients)
-        (own,) = p.node.listener.clients
-        own.write(b" " * 8_000_000)
-        await until(lambda: own.write_blocked_since_ns)
+    async with run_node(tmp_path) as rig:
+        client = await rig.connect_client()
+        await until(lambda: rig.node.listener.clients)
+        (connection,) = rig.node.listener.clients
+        connection.write(b" " * 8_000_000)
+        await until(lambda: connection.write_blocked_since_ns)
         for _ in range(17):
             await client.send_request()
-        await until(lambda: not p.node.listener.clients)
-        assert p.received() == []
+        await until(lambda: not rig.node.listener.clients)
+        assert rig.received() == []
 
 
-# -- connections to runners
+# -- connections to workers
 
 
-async def test_up_in_the_same_turn_as_its_time_out(tmp_path: Path) -> None:
-    """What was told as never sent must not be written: here it went to both runners."""
+async def test_connection_comes_up_in_the_same_turn_as_its_timeout(tmp_path: Path) -> None:
+    """A request that was reported as never sent must not be written, or both workers would get it."""
     for method in METHODS:
-        async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
-            real, first = p.node.worker_client._connect, []
-
-            async def connect(conn: Any, real: Any = real, first: list[Any] = first) -> None:
-                made = conn.connection_made
-                if not first:
-                    first.append(conn)
-
-                    def crossed(transport: Any) -> None:
-                        conn.close("no connection in time")  # the time-out is served first
-                        made(transport)
-
-                    conn.connection_made = crossed
-                await real(conn)
-
-            p.node.worker_client._connect = connect  # type: ignore[method-assign]
-            client = await p.connect_client()
-            told = await client.call(method, once="0" * 32 if method == "keyed" else None)
-            assert (method, told, len(p.received())) == (method, "satisfied", 1)
-            other = p.workers["a" if p.received()[0][0] == "b" else "b"]
+        async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as rig:
+            real, intercepted = rig.node.worker_client._connect, []
+
+            async def connect(
+                connection: Any, real: Any = real, intercepted: list[Any] = intercepted
+            ) -> None:
+                connection_made = connection.connection_made
+                if not intercepted:
+                    intercepted.append(connection)
+
+                    def expire_then_connect(transport: Any) -> None:
+                        """The connection expires as it comes up."""
+                        connection.close("no connection in time")  # the time-out is handled first
+                        connection_made(transport)
+
+                    connection.connection_made = expire_then_connect
+                await real(connection)
+
+            rig.node.worker_client._connect = connect  # type: ignore[method-assign]
+            client = await rig.connect_client()
+            outcome = await client.call(method, once="0" * 32 if method == "keyed" else None)
+            assert (method, outcome, len(rig.received())) == (method, "satisfied", 1)
+            other = rig.workers["a" if rig.received()[0][0] == "b" else "b"]
             await until(lambda other=other: other.connection_count and not other.open_connections)  # type: ignore[misc]
-            assert len(p.received()) == 1
+            assert len(rig.received()) == 1
 
 
-async def test_up_and_timed_out_as_the_loop_turns(tmp_path: Path) -> None:
-    """Whichever the loop serves first: at most one runner has it, or it is told as maybe run."""
-    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
-        real = p.node.worker_client._connect
+async def test_connection_comes_up_and_expires_during_one_stall(tmp_path: Path) -> None:
+    """Whichever event the loop handles first: at most one worker gets the request, or it is reported as
+    possibly run."""
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as rig:
+        real = rig.node.worker_client._connect
 
-        async def connect(conn: Any) -> None:
-            asyncio.get_running_loop().call_soon(time.sleep, 0.3)  # both are due once it turns again
-            await real(conn)
+        async def connect(connection: Any) -> None:
+            # both events are due when the loop turns again
+            asyncio.get_running_loop().call_soon(time.sleep, 0.3)
+            await real(connection)
 
-        p.node.worker_client._connect = connect  # type: ignore[method-assign]
-        told = await (await p.connect_client()).call("unsafe")
-        await until(lambda: not p.node.dispatcher._in_flight)
-        assert len(p.received()) == (told == "satisfied") or told.startswith("error")
+        rig.node.worker_client._connect = connect  # type: ignore[method-assign]
+        outcome = await (await rig.connect_client()).call("unsafe")
+        await until(lambda: not rig.node.dispatcher._in_flight)
+        assert len(rig.received()) == (outcome == "satisfied") or outcome.startswith("error")
 
 
 @pytest.mark.parametrize("state", [1, 2])
-@pytest.mark.parametrize("what", ["hand-off", "order"])
-async def test_its_runner_drains_or_goes_while_the_connection_comes_up(
+@pytest.mark.parametrize("what", ["attempt", "load request"])
+async def test_worker_drains_or_goes_while_the_connection_comes_up(
     what: str, state: int, tmp_path: Path
 ) -> None:
-    async with run_node(tmp_path, settings=ORDERS) as p:
-        dispatcher = p.node.dispatcher
-        await until(lambda: p.journal.streams)
-        (box,) = dispatcher.workers.values()
-        heard: list[Any] = []
-        gate = late(p)
-        client = await p.connect_client()
-        if what == "order":
-            p.node.worker_client.send_load_request(
-                box, dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0), 1, heard.append
+    """What waits for the connection is not sent, and counts as not run."""
+    async with run_node(tmp_path, settings=LOAD_REQUEST_SETTINGS) as rig:
+        dispatcher = rig.node.dispatcher
+        await until(lambda: rig.journal.streams)
+        (worker,) = dispatcher.workers.values()
+        results: list[Any] = []
+        may_connect = delay_connections(rig)
+        client = await rig.connect_client()
+        if what == "load request":
+            rig.node.worker_client.send_load_request(
+                worker, dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0), 1, results.append
             )
         else:
             await client.send_request("unsafe")
-        await until(lambda: waiting(p))
-        await p.journal.publish(p.worker_record("a", state=state))
-        await until(lambda: not box.is_up)
-        if state == 2:  # gone: at once, not when a connection to it would have come up
-            await until(lambda: not waiting(p), within=1)
-        gate.set()
-        if what == "order":
-            await until(lambda: heard)
-            assert heard[0].result in (Result.NOT_SENT, Result.UNREACHABLE)
+        await until(lambda: calls_waiting_for_connection(rig))
+        await rig.journal.publish(rig.worker_record("a", state=state))
+        await until(lambda: not worker.is_up)
+        if state == 2:  # gone: the call ends at once, not when its connection would have come up
+            await until(lambda: not calls_waiting_for_connection(rig), within=1)
+        may_connect.set()
+        if what == "load request":
+            await until(lambda: results)
+            assert results[0].result in (Result.NOT_SENT, Result.UNREACHABLE)
         else:
-            assert (
-                outcome_of(await client.receive_response()) == "turned back"
-            )  # it is proven not to have run
-        await until(lambda: not waiting(p))
-        await until(lambda: p.workers["a"].open_connections == 0 or state == 1)
-        assert p.log == []
-
-
-async def test_a_new_runner_at_the_address_gets_nothing_that_waited_for_the_old_one(tmp_path: Path) -> None:
-    async with run_node(tmp_path) as p:
-        await until(lambda: p.journal.streams)
-        gate = late(p)
-        client = await p.connect_client()
+            # it is proven not to have run
+            assert outcome_of(await client.receive_response()) == "turned back"
+        await until(lambda: not calls_waiting_for_connection(rig))
+        await until(lambda: rig.workers["a"].open_connections == 0 or state == 1)
+        assert rig.log == []
+
+
+async def test_a_new_worker_at_the_address_gets_nothing_that_waited_for_the_old_one(tmp_path: Path) -> None:
+    """The old worker goes and a new one is listed at its address while a connection comes up."""
+    async with run_node(tmp_path) as rig:
+        await until(lambda: rig.journal.streams)
+        may_connect = delay_connections(rig)
+        client = await rig.connect_client()
         await client.send_request("unsafe", id="00000000000000aa")
-        await until(lambda: waiting(p))
-        port = p.workers["a"].port
-        await p.journal.publish(record(ord("a"), port, state=2), record(ord("n"), port))
-        await until(lambda: "s-0000006e" in p.node.dispatcher.workers)
-        gate.set()
+        await until(lambda: calls_waiting_for_connection(rig))
+        port = rig.workers["a"].port
+        await rig.journal.publish(record(ord("a"), port, state=2), record(ord("n"), port))
+        await until(lambda: "s-0000006e" in rig.node.dispatcher.workers)
+        may_connect.set()
         assert outcome_of(await client.receive_response()) in ("turned back", "satisfied")
         assert await client.call("unsafe", id="00000000000000bb") == "satisfied"
-        assert [line for line in p.received() if "aa" in line] == p.received()[:-1]
-        assert len(p.received()) <= 2
+        assert [line for line in rig.received() if "aa" in line] == rig.received()[:-1]
+        assert len(rig.received()) <= 2
 
 
 async def test_gone_and_back_in_one_event_is_another_process(tmp_path: Path) -> None:
-    async with run_node(tmp_path, {"a": [succeed]}) as p:
-        await until(lambda: p.journal.streams)
-        client = await p.connect_client()
+    """The connections to the old process are not used for the new one."""
+    async with run_node(tmp_path, {"a": [succeed]}) as rig:
+        await until(lambda: rig.journal.streams)
+        client = await rig.connect_client()
         assert await client.call() == "satisfied"
-        (old,) = p.node.dispatcher.workers.values()
-        await p.journal.publish(
-            p.worker_record("a", state=1), p.worker_record("a", state=2), p.worker_record("a")
+        (old,) = rig.node.dispatcher.workers.values()
+        await rig.journal.publish(
+            rig.worker_record("a", state=1), rig.worker_record("a", state=2), rig.worker_record("a")
         )
-        await until(lambda: p.node.dispatcher.workers.get("s-00000061") not in (None, old))
+        await until(lambda: rig.node.dispatcher.workers.get("s-00000061") not in (None, old))
         assert await client.call() == "satisfied"
-        assert (old.is_gone, old.is_up, p.workers["a"].connection_count) == (True, False, 2)
-        assert len(p.node.dispatcher.workers) == len(p.node.dispatcher.by_policy_worker) == 1
+        assert (old.is_gone, old.is_up, rig.workers["a"].connection_count) == (True, False, 2)
+        assert len(rig.node.dispatcher.workers) == len(rig.node.dispatcher.by_policy_worker) == 1
 
 
-async def test_a_late_second_answer_is_not_taken_for_the_next_hand_offs(
+async def test_a_late_second_answer_is_not_taken_for_the_next_attempts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Both have one txn: over the same connection a second `WAIT` proved that the next had not run."""
-    streams: list[Any] = []
-
-    async def first(runner: Any, stream: Any, told: dict[str, Any]) -> None:
-        streams.append(stream)
-        await respond_with("BROKE", "")(runner, stream, told)
-
-    async def second(runner: Any, stream: Any, told: dict[str, Any]) -> None:
-        await streams[0].send(answer("WAIT", told["txn"]) + answer("FIT", "0"))
-        await until(lambda: "FIT" in read)
-        await succeed(runner, stream, told)
-
-    read: list[str] = []
+    """Both attempts have the same txn: over one connection a second `WAIT` would prove that the next had
+    not run."""
+    first_streams: list[Any] = []
+
+    async def fail_first(worker: Any, stream: Any, request: dict[str, Any]) -> None:
+        """Fails, and keeps the connection for the next attempt."""
+        first_streams.append(stream)
+        await respond_with("BROKE", "")(worker, stream, request)
+
+    async def repeat_then_succeed(worker: Any, stream: Any, request: dict[str, Any]) -> None:
+        """Sends a second answer on the first connection, waits until the node has read it, and succeeds."""
+        await first_streams[0].send(answer("WAIT", request["txn"]) + answer("FIT", "0"))
+        await until(lambda: "FIT" in words_read)
+        await succeed(worker, stream, request)
+
+    words_read: list[str] = []
     real = worker_protocol.parse_response
 
-    def note(line: bytes, most: int) -> Any:
-        read.append((told := real(line, most)).word)
-        return told
+    def record_word(line: bytes, size_limit: int) -> Any:
+        """Parses a line, and notes its word."""
+        words_read.append((response := real(line, size_limit)).word)
+        return response
 
-    async with run_node(tmp_path, {"a": [first, second]}) as p:
-        monkeypatch.setattr("martenlead.node.upstream_connection.parse_response", note)
-        client = await p.connect_client()
-        told = await client.call("keyed", once="0" * 32, wait=1900)
-        assert (told, len(p.received()), p.workers["a"].connection_count) == ("satisfied", 2, 2)
-        assert p.node.dispatcher.counts["hand-off", "full"] == 0
+    async with run_node(tmp_path, {"a": [fail_first, repeat_then_succeed]}) as rig:
+        monkeypatch.setattr("martenlead.node.upstream_connection.parse_response", record_word)
+        client = await rig.connect_client()
+        outcome = await client.call("keyed", once="0" * 32, wait=1900)
+        assert (outcome, len(rig.received()), rig.workers["a"].connection_count) == ("satisfied", 2, 2)
+        assert rig.node.dispatcher.counts["hand-off", "full"] == 0
 
 
-async def test_closed_by_the_runner_is_not_written_to_in_the_same_turn(tmp_path: Path) -> None:
-    async with run_node(tmp_path, {"a": [silent, succeed]}) as p:
-        client = await p.connect_client()
+async def test_a_connection_closed_by_the_worker_is_not_written_to_in_the_same_turn(tmp_path: Path) -> None:
+    """The next request would be lost on it: it gets a new connection."""
+    async with run_node(tmp_path, {"a": [silent, succeed]}) as rig:
+        client = await rig.connect_client()
         await client.send_request("unsafe", id="00000000000000aa")
-        await until(p.received)
-        ((conn,),) = (way.connections for way in p.node.worker_client.pools)
-        p.node.worker_client.connection_limit = 1  # no second connection beside a busy one
-        conn.eof_received()  # its loss is told at the end of this turn, at the earliest
-        assert conn not in conn.pool.connections
-        assert outcome_of(await client.receive_response()) == "error -32000"  # it may have run
+        await until(rig.received)
+        ((connection,),) = (pool.connections for pool in rig.node.worker_client.pools)
+        rig.node.worker_client.connection_limit = 1  # no second connection beside a busy one
+        connection.eof_received()  # connection_lost is called at the end of this turn, at the earliest
+        assert connection not in connection.pool.connections
+        assert outcome_of(await client.receive_response()) == "error -32000"  # the request may have run
         assert await client.call("unsafe", id="00000000000000bb") == "satisfied"
 
 
-async def test_a_runner_that_does_not_read_gets_no_more(tmp_path: Path) -> None:
-    async with run_node(tmp_path, {"a": [silent]}) as p:
-        client = await p.connect_client()
+async def test_a_worker_that_does_not_read_gets_no_more_requests(tmp_path: Path) -> None:
+    """A connection whose transport has paused writing is not chosen until it resumes."""
+    async with run_node(tmp_path, {"a": [silent]}) as rig:
+        client = await rig.connect_client()
         await client.send_request(id="00000000000000aa", wait=1900)
-        await until(p.received)
-        (conn,) = (c for way in p.node.worker_client.pools for c in way.connections if c.outstanding_calls)
-        conn.pause_writing()  # as the transport says once its buffer is full
-        p.node.worker_client.connection_limit = 1  # nor a second one: it is told as not sent
+        await until(rig.received)
+        (connection,) = (
+            candidate
+            for pool in rig.node.worker_client.pools
+            for candidate in pool.connections
+            if candidate.outstanding_calls
+        )
+        connection.pause_writing()  # the transport calls it when its buffer is full
+        rig.node.worker_client.connection_limit = 1  # no second connection: the request counts as not sent
         assert await client.call("unsafe") == "turned back"
-        conn.resume_writing()
-        assert p.node.worker_client._choose_connection(conn.pool, []) is conn
+        connection.resume_writing()
+        assert rig.node.worker_client._choose_connection(connection.pool, []) is connection
 
 
-async def test_a_connection_that_the_loop_has_closed_and_not_told_of_is_not_written_to(
+async def test_a_connection_whose_close_the_loop_has_not_reported_is_not_written_to(
     tmp_path: Path,
 ) -> None:
-    """What is written to it is dropped, and an unrepeatable task would be scrapped for nothing."""
-    async with run_node(tmp_path) as p:
-        client = await p.connect_client()
+    """What is written to it is dropped, so that a non-idempotent request would fail without need."""
+    async with run_node(tmp_path) as rig:
+        client = await rig.connect_client()
         assert await client.call("unsafe") == "satisfied"
-        ((conn,),) = (way.connections for way in p.node.worker_client.pools)
-        conn.transport.abort()  # as an error does that the loop meets: told at the end of this turn
-        assert conn in conn.pool.connections
-        assert p.node.worker_client._choose_connection(conn.pool, []) is not conn
+        ((connection,),) = (pool.connections for pool in rig.node.worker_client.pools)
+        connection.transport.abort()  # like an I/O error: connection_lost follows at the end of this turn
+        assert connection in connection.pool.connections
+        assert rig.node.worker_client._choose_connection(connection.pool, []) is not connection
         assert await client.call("unsafe") == "satisfied"
 
 
 async def test_a_busy_connection_that_the_loop_has_closed_gets_no_more(tmp_path: Path) -> None:
-    async with run_node(tmp_path, {"a": [silent]}) as p:
-        client = await p.connect_client()
+    """It is not chosen from the moment at which its transport is closing."""
+    async with run_node(tmp_path, {"a": [silent]}) as rig:
+        client = await rig.connect_client()
         await client.send_request("unsafe")
-        await until(p.received)
-        ((conn,),) = (way.connections for way in p.node.worker_client.pools)
-        p.node.worker_client.connection_limit = 1  # no second connection beside a busy one
-        assert p.node.worker_client._choose_connection(conn.pool, []) is conn
-        conn.transport.abort()
+        await until(rig.received)
+        ((connection,),) = (pool.connections for pool in rig.node.worker_client.pools)
+        rig.node.worker_client.connection_limit = 1  # no second connection beside a busy one
+        assert rig.node.worker_client._choose_connection(connection.pool, []) is connection
+        connection.transport.abort()
         assert (
-            conn in conn.pool.connections and p.node.worker_client._choose_connection(conn.pool, []) is None
+            connection in connection.pool.connections
+            and rig.node.worker_client._choose_connection(connection.pool, []) is None
         )
         assert outcome_of(await client.receive_response()) == "error -32000"
 
 
-async def test_lines_that_the_machine_does_not_take_never_leave_later(tmp_path: Path) -> None:
-    """Two wait for one connection, and the first fills it: the second is not left here, to leave when the
-    runner reads again, drained by then. Nor does a full connection get a third."""
-    runner = socket.socket()  # accepts, and reads nothing until it is told to
-    runner.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    runner.bind(("127.0.0.1", 0))
-    runner.listen()
-    at = runner.getsockname()[1]
-    async with run_node(tmp_path) as p:
-        gate, real = anyio.Event(), p.node.worker_client._connect
+async def test_lines_that_the_kernel_does_not_accept_are_never_sent_later(tmp_path: Path) -> None:
+    """Two requests wait for one connection, and the first fills it. The second must not stay in the
+    buffer, to be sent when the worker reads again and may be draining. The full connection gets no
+    third request either."""
+    worker_socket = socket.socket()  # accepts connections, and is read from at the end only
+    worker_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+    worker_socket.bind(("127.0.0.1", 0))
+    worker_socket.listen()
+    port = worker_socket.getsockname()[1]
+    async with run_node(tmp_path) as rig:
+        may_connect, real = anyio.Event(), rig.node.worker_client._connect
 
-        async def connect(conn: Any) -> None:
-            made = conn.connection_made
+        async def connect(connection: Any) -> None:
+            connection_made = connection.connection_made
 
-            def small(transport: Any) -> None:
+            def limit_send_buffer(transport: Any) -> None:
+                """Makes the send buffer so small that one request fills it."""
                 transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-                made(transport)
-
-            conn.connection_made = small
-            await gate.wait()
-            await real(conn)
-
-        p.node.worker_client._connect = connect  # type: ignore[method-assign]
-        p.node.worker_client.connection_limit = 1  # one connection to it
-        await until(lambda: p.journal.streams)
-        await p.journal.publish(p.worker_record("a", state=2), record(ord("b"), at))
-        await until(lambda: "s-00000062" in p.node.dispatcher.workers)
-        box = p.node.dispatcher.workers["s-00000062"]
-        box.policy_worker.concurrency_limit = 100.0
-        client = await p.connect_client()
+                connection_made(transport)
+
+            connection.connection_made = limit_send_buffer
+            await may_connect.wait()
+            await real(connection)
+
+        rig.node.worker_client._connect = connect  # type: ignore[method-assign]
+        rig.node.worker_client.connection_limit = 1  # a single connection to the worker
+        await until(lambda: rig.journal.streams)
+        await rig.journal.publish(rig.worker_record("a", state=2), record(ord("b"), port))
+        await until(lambda: "s-00000062" in rig.node.dispatcher.workers)
+        worker = rig.node.dispatcher.workers["s-00000062"]
+        worker.policy_worker.concurrency_limit = 100.0
+        client = await rig.connect_client()
         for _ in range(2):
             await client.send_request("unsafe", blob="QUFB" * 5000, wait=1900)
-        await until(lambda: len(waiting(p)) == 2)
-        gate.set()
-        told = await client.receive_response()
-        assert (outcome_of(told), (told or {})["id"]) == ("turned back", 2)  # it is proven not to have run
+        await until(lambda: len(calls_waiting_for_connection(rig)) == 2)
+        may_connect.set()
+        response = await client.receive_response()
+        # it is proven not to have run
+        assert (outcome_of(response), (response or {})["id"]) == ("turned back", 2)
         assert await client.call("unsafe", wait=1900) == "turned back"
-        await p.journal.publish(record(ord("b"), at, state=1))
-        await until(lambda: not box.is_up)
-        stream, _ = runner.accept()
+        await rig.journal.publish(record(ord("b"), port, state=1))
+        await until(lambda: not worker.is_up)
+        stream, _ = worker_socket.accept()
         stream.setblocking(False)
-        got = b""
-        while got.count(b"\n") < 2:  # the first, and that it is given up
+        received = b""
+        while received.count(b"\n") < 2:  # the first request and its cancel
             await anyio.wait_readable(stream)
-            got += (data := stream.recv(65536))
+            received += (data := stream.recv(65536))
             assert data
-        assert [line[6:8] for line in got.splitlines()] == [b"DO", b"UN"]
+        assert [line[6:8] for line in received.splitlines()] == [b"DO", b"UN"]
         stream.close()
-    runner.close()
+    worker_socket.close()
 
 
 async def test_a_fault_as_a_connection_is_made_costs_what_waits_for_it_and_no_more(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The event loop raises more than OSError where a transport goes in the turn that it came in."""
-    async with run_node(tmp_path) as p:
+    """The event loop raises errors other than OSError if a transport closes in the turn in which it was
+    made."""
+    async with run_node(tmp_path) as rig:
         loop = asyncio.get_running_loop()
         real = loop.create_connection
 
-        async def fails(*_args: Any, **_more: Any) -> Any:
+        async def raise_error(*_args: Any, **_options: Any) -> Any:
+            """Fails as the event loop does for a transport that is closed already."""
             raise RuntimeError("the handler is closed")
 
-        client = await p.connect_client()
-        monkeypatch.setattr(loop, "create_connection", fails)
+        client = await rig.connect_client()
+        monkeypatch.setattr(loop, "create_connection", raise_error)
         assert await client.call("unsafe") == "turned back"
         monkeypatch.setattr(loop, "create_connection", real)
         assert await client.call("unsafe") == "satisfied"
-        assert p.node.dispatcher.counts["fault", "RuntimeError"] == 1
+        assert rig.node.dispatcher.counts["fault", "RuntimeError"] == 1
 
 
 # -- clients' connections
 
 
-async def test_a_task_that_came_before_the_sweep_in_the_same_turn(tmp_path: Path) -> None:
-    async with run_node(tmp_path) as p:
-        client = await p.connect_client()
+async def test_a_request_that_came_before_the_sweep_in_the_same_turn(tmp_path: Path) -> None:
+    """A connection that looks idle is not closed by the sweep while a request lies unread in its socket."""
+    async with run_node(tmp_path) as rig:
+        client = await rig.connect_client()
         assert await client.call() == "satisfied"
-        (own,) = p.node.listener.clients
-        own.last_read_ns -= 60_000_000_000  # idle for long
-        put(client)
-        p.node.listener.close_overdue_connections()  # in this very turn
+        (connection,) = rig.node.listener.clients
+        connection.last_read_ns -= 60_000_000_000  # idle for 60 s
+        send_at_once(client)
+        rig.node.listener.close_overdue_connections()  # in the same turn as the write
         assert outcome_of(await client.receive_response()) == "satisfied"
 
 
-async def test_a_task_that_came_before_its_place_was_given_away(tmp_path: Path) -> None:
-    async with run_node(tmp_path) as p:
-        client = await p.connect_client()
+async def test_a_request_that_came_before_its_connection_would_be_closed(tmp_path: Path) -> None:
+    """A connection with unread input is not closed to make room for a new one."""
+    async with run_node(tmp_path) as rig:
+        client = await rig.connect_client()
         assert await client.call() == "satisfied"
-        p.node.listener.connection_limit = 1
-        put(client)
-        (own,) = p.node.listener.clients
-
-        new = ClientConnection(p.node.listener)
-        new.last_read_ns = 1 << 62
-        p.node.listener.add_connection(new)
-        assert new.graceful_close and not own.graceful_close and not own.is_closed  # the new one gives way
-        del p.node.listener.clients[new]
-        new.is_closed = True
+        rig.node.listener.connection_limit = 1
+        send_at_once(client)
+        (connection,) = rig.node.listener.clients
+
+        new_connection = ClientConnection(rig.node.listener)
+        new_connection.last_read_ns = 1 << 62
+        rig.node.listener.add_connection(new_connection)
+        # the new one is closed
+        assert new_connection.graceful_close and not connection.graceful_close and not connection.is_closed
+        del rig.node.listener.clients[new_connection]
+        new_connection.is_closed = True
         assert outcome_of(await client.receive_response()) == "satisfied"
-        assert own in p.node.listener.clients and not own.graceful_close
+        assert connection in rig.node.listener.clients and not connection.graceful_close
 
 
 # -- the stop
 
 
-async def test_what_the_machine_accepted_before_the_listener_goes_is_answered(
+async def test_connections_that_the_kernel_accepted_before_the_listener_closes_are_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It comes after the loop has looked for the last time, and before the listener is closed."""
+    """The connection arrives after the loop's last look at the listener, and before the listener is
+    closed."""
     monkeypatch.setattr("martenlead.node.serve.ACCEPT_AFTER_SIGTERM_SECONDS", 0.2)
-    caller, came = Client(None), []  # type: ignore[arg-type]
+    client, sockets = Client(None), []  # type: ignore[arg-type]
 
-    def within(seconds: float) -> Any:
-        if not came:
-            came.append(socket.create_connection(("127.0.0.1", p.port)))
-            came[0].send(caller.encode_request())
+    def connect_at_last_moment(seconds: float) -> Any:
+        """Opens a connection with a request, the first time it is called."""
+        if not sockets:
+            sockets.append(socket.create_connection(("127.0.0.1", rig.port)))
+            sockets[0].send(client.encode_request())
         return timeouts.time_limit(seconds)
 
-    async with run_node(tmp_path) as p:
-        monkeypatch.setattr("martenlead.node.serve.time_limit", within)
+    async with run_node(tmp_path) as rig:
+        monkeypatch.setattr("martenlead.node.serve.time_limit", connect_at_last_moment)
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: came)
-        came[0].setblocking(False)
-        got = b""
+        await until(lambda: sockets)
+        sockets[0].setblocking(False)
+        received = b""
         with anyio.fail_after(5):
-            while b"result" not in got:
-                await anyio.wait_readable(came[0])
-                got += (data := came[0].recv(4096))
+            while b"result" not in received:
+                await anyio.wait_readable(sockets[0])
+                received += (data := sockets[0].recv(4096))
                 assert data
-        await until(lambda: p.node_ended)
-        came[0].close()
+        await until(lambda: rig.node_ended)
+        sockets[0].close()
 
 
-async def test_bytes_of_a_client_that_lie_in_the_machine_as_the_stop_ends_are_read(
+async def test_client_input_in_the_kernel_as_the_stop_ends_is_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They come as the last held task is known to be over."""
+    """They arrive as the node finds that its last pending request is finished."""
     monkeypatch.setattr("martenlead.node.serve.ACCEPT_AFTER_SIGTERM_SECONDS", 0.2)
-    async with run_node(tmp_path) as p:
-        client = await p.connect_client()
+    async with run_node(tmp_path) as rig:
+        client = await rig.connect_client()
         assert await client.call() == "satisfied"
 
-        class Empty(dict[Any, Any]):
-            came = False
+        class SendWhenEmpty(dict[Any, Any]):
+            """Pending requests of the node; a request is sent at the moment at which the stopping node
+            finds none."""
+
+            has_sent = False
 
             def __bool__(self) -> bool:
-                if p.node.is_stopping and not len(self) and not Empty.came:
-                    Empty.came = True
-                    put(client)
+                if rig.node.is_stopping and not len(self) and not SendWhenEmpty.has_sent:
+                    SendWhenEmpty.has_sent = True
+                    send_at_once(client)
                 return len(self) > 0
 
-        p.node.dispatcher.pending_requests = Empty()
+        rig.node.dispatcher.pending_requests = SendWhenEmpty()
         os.kill(os.getpid(), signal.SIGTERM)
         assert outcome_of(await client.receive_response()) == "satisfied"
-        await until(lambda: p.node_ended)
+        await until(lambda: rig.node_ended)
 
 
-async def test_the_roster_moves_while_the_stop_goes_on(
+async def test_the_journal_address_changes_during_a_stop(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The request keeps the stop going until the roster has moved, however long that takes here."""
-    gone = anyio.Event()
-    monkeypatch.setattr("martenlead.node.serve.KILL_DEADLINE_LIMIT_SECONDS", LONG)
-
-    async with run_node(tmp_path, {"a": [once(gone, succeed)]}, settings=with_deadlines(LONG)) as p:
-        client = await p.connect_client()
-        await client.send_request(wait=round(LONG * 1000))
-        await until(p.received)
+    """An open request keeps the node from exiting until it follows the new journal service, however long
+    that takes."""
+    may_answer = anyio.Event()
+    monkeypatch.setattr("martenlead.node.serve.KILL_DEADLINE_LIMIT_SECONDS", LONG_DEADLINE_SECONDS)
+
+    async with run_node(
+        tmp_path, {"a": [after_event(may_answer, succeed)]}, settings=with_deadlines(LONG_DEADLINE_SECONDS)
+    ) as rig:
+        client = await rig.connect_client()
+        await client.send_request(wait=round(LONG_DEADLINE_SECONDS * 1000))
+        await until(rig.received)
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: p.node.is_stopping)
-        os.kill(os.getpid(), signal.SIGTERM)  # a second one changes nothing
-        before, moved = p.journal, type(p.journal)()
+        await until(lambda: rig.node.is_stopping)
+        os.kill(os.getpid(), signal.SIGTERM)  # a second SIGTERM changes nothing
+        before, moved = rig.journal, type(rig.journal)()
         moved.events = before.events
-        p.task_group.start_soon(moved.serve)
+        rig.task_group.start_soon(moved.serve)
         await until(lambda: moved.port)
-        p.write_config(moved.port)
+        rig.write_config(moved.port)
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: moved.resume_positions)
-        assert not p.node_ended
-        gone.set()
+        assert not rig.node_ended
+        may_answer.set()
         assert outcome_of(await client.receive_response()) == "satisfied"
-        await until(lambda: p.node_ended)
+        await until(lambda: rig.node_ended)
 
 
 @virtual_time
 async def test_what_cannot_end_before_the_kill_is_answered_before_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A request with a deadline after the expected SIGKILL is rejected before the process ends."""
     follow_loop_time(monkeypatch)
     classes = [c | {"give-up": 30.0} for c in SETTINGS["classes"]]
-    async with run_node(tmp_path, {"a": [silent]}, settings=SETTINGS | {"classes": classes}) as p:
-        client = await p.connect_client()
+    async with run_node(tmp_path, {"a": [silent]}, settings=SETTINGS | {"classes": classes}) as rig:
+        client = await rig.connect_client()
         await client.send_request(wait=30_000)
-        await until(p.received)
+        await until(rig.received)
         start = anyio.current_time()
         os.kill(os.getpid(), signal.SIGTERM)
         assert outcome_of(await client.receive_response()) == "turned back"
-        await until(lambda: p.node_ended)
+        await until(lambda: rig.node_ended)
         assert 3.4 < anyio.current_time() - start < 3.7
 
 
 @virtual_time
-async def test_the_address_is_taken_over_from_an_old_life_that_still_has_it(
+async def test_the_address_is_taken_over_from_an_old_process_that_still_has_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The node tries again to bind while the address is in use, and fails once its time is over."""
     follow_loop_time(monkeypatch)
-    tries: list[Any] = []
+    attempts: list[Any] = []
     real = socket.create_server
 
-    def create(at: tuple[str, int], **more: Any) -> Any:
-        tries.append(at)
-        return real(at, **more)
+    def create(address: tuple[str, int], **options: Any) -> Any:
+        """Counts the attempts to bind."""
+        attempts.append(address)
+        return real(address, **options)
 
-    old = real(("127.0.0.1", 0))
-    async with run_node(tmp_path) as p:
-        p.port = old.getsockname()[1]
-        p.write_config(p.journal.port)
+    old_listener = real(("127.0.0.1", 0))
+    async with run_node(tmp_path) as rig:
+        rig.port = old_listener.getsockname()[1]
+        rig.write_config(rig.journal.port)
         monkeypatch.setattr("martenlead.node.serve.socket.create_server", create)
         started = anyio.Event()
-        p.task_group.start_soon(type(p.node)(p.config_path).serve, started.set)
-        await until(lambda: tries)  # and found it taken
-        old.close()
+        rig.task_group.start_soon(type(rig.node)(rig.config_path).serve, started.set)
+        await until(lambda: attempts)  # and found the address in use
+        old_listener.close()
         await until(started.is_set)
-        assert await (await p.connect_client()).call() == "satisfied"
+        assert await (await rig.connect_client()).call() == "satisfied"
         monkeypatch.setattr("martenlead.node.serve.KILL_DEADLINE_LIMIT_SECONDS", -1.5)
-        with pytest.raises(ExceptionGroup) as raised:  # whoever has it keeps it: an end, and why
-            await type(p.node)(p.config_path).serve()
+        # the address stays in use: the start fails with the reason
+        with pytest.raises(ExceptionGroup) as raised:
+            await type(rig.node)(rig.config_path).serve()
         assert raised.group_contains(OSError, match="in use")
-        assert len(tries) > 4
+        assert len(attempts) > 4
 
 
-async def test_a_stop_that_was_asked_for_before_the_node_could_hear_it(tmp_path: Path) -> None:
-    async with run_node(tmp_path) as p:
+async def test_a_stop_signal_that_came_before_the_node_handled_signals(tmp_path: Path) -> None:
+    """Signals that arrived during the start are passed to the node, which stops."""
+    async with run_node(tmp_path) as rig:
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: p.node_ended)
-        node = type(p.node)(p.config_path)
+        await until(lambda: rig.node_ended)
+        node = type(rig.node)(rig.config_path)
         with anyio.fail_after(5):
             await node.serve(early_signals=[signal.SIGHUP, signal.SIGTERM, signal.SIGTERM])
         assert node.is_stopping
 
 
-# -- the roster
+# -- discovery
 
 
 async def test_a_frame_that_goes_on_byte_by_byte_is_silence(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """An event of which single bytes arrive does not delay the silence time-out: the node reconnects."""
     monkeypatch.setattr("martenlead.node.discovery.SILENCE_TIMEOUT_SECONDS", 0.3)
-    async with run_node(tmp_path) as p:
-        await until(lambda: p.journal.streams)
-        p.journal.sends_heartbeats = False
+    async with run_node(tmp_path) as rig:
+        await until(lambda: rig.journal.streams)
+        rig.journal.sends_heartbeats = False
         event = frame(2, 2, *(record(n, 9) for n in range(100, 200)))
-        start, stream = anyio.current_time(), p.journal.streams[0]
-        for at in range(len(event)):
-            if len(p.journal.resume_positions) > 1:
+        start, stream = anyio.current_time(), rig.journal.streams[0]
+        for position in range(len(event)):
+            if len(rig.journal.resume_positions) > 1:
                 break
             try:
-                await stream.send(event[at : at + 1])
+                await stream.send(event[position : position + 1])
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
                 break
             await anyio.sleep(0.02)
-        await until(lambda: len(p.journal.resume_positions) > 1)
+        await until(lambda: len(rig.journal.resume_positions) > 1)
         assert anyio.current_time() - start < 1.5
 
 
-async def test_a_number_that_the_journal_skips_for_good_does_not_stop_the_roster(tmp_path: Path) -> None:
-    async with run_node(tmp_path) as p:
-        await until(lambda: p.journal.streams)
-        await p.start_worker("b", succeed)
-        p.journal.events = [b"", frame(3, 2, p.worker_record("b"))]  # there is no event 2
-        await p.journal.streams[0].send(p.journal.events[1])
-        await until(lambda: len(p.node.dispatcher.workers) == 2)
-        assert (p.journal.resume_positions[:2], p.node.discovery.endpoint_list.version) == ([1, 1], 3)
-
-
-async def test_an_empty_frame_that_is_ahead_of_the_list_has_it_asked_for_again(tmp_path: Path) -> None:
-    """Connected, in time, and silent about what it has: drains would be heard of with the next event only."""
-    async with run_node(tmp_path) as p:
-        await until(lambda: p.journal.streams)
-        await p.start_worker("b", succeed)
-        p.journal.events.append(frame(2, 2, p.worker_record("b")))  # never sent on the open connection
-        await until(lambda: len(p.node.dispatcher.workers) == 2)  # its next empty frame says so
-        assert p.journal.resume_positions == [1, 1]
-        await p.journal.streams[-1].send(frame(9, 0))  # ahead for good: asked once more, not for ever
-        await until(lambda: len(p.journal.resume_positions) == 3)
-        await p.journal.streams[-1].send(frame(9, 0) + frame(9, 0))
-        await p.start_worker("c", succeed)
-        await p.journal.publish(p.worker_record("c"))
-        await until(lambda: len(p.node.dispatcher.workers) == 3)
-        assert len(p.journal.resume_positions) == 3
+async def test_a_number_that_the_journal_skips_for_good_does_not_stop_discovery(tmp_path: Path) -> None:
+    """After a gap the node asks once more for the missing event, and then goes on with the next."""
+    async with run_node(tmp_path) as rig:
+        await until(lambda: rig.journal.streams)
+        await rig.start_worker("b", succeed)
+        rig.journal.events = [b"", frame(3, 2, rig.worker_record("b"))]  # there is no event 2
+        await rig.journal.streams[0].send(rig.journal.events[1])
+        await until(lambda: len(rig.node.dispatcher.workers) == 2)
+        assert (rig.journal.resume_positions[:2], rig.node.discovery.endpoint_list.version) == ([1, 1], 3)
+
+
+async def test_a_heartbeat_ahead_of_the_list_makes_the_node_request_it_again(tmp_path: Path) -> None:
+    """The journal service sends heartbeats in time, and does not send an event that it has: without a new
+    request the node would learn of a drain only with the next event."""
+    async with run_node(tmp_path) as rig:
+        await until(lambda: rig.journal.streams)
+        await rig.start_worker("b", succeed)
+        rig.journal.events.append(frame(2, 2, rig.worker_record("b")))  # never sent on the open connection
+        await until(lambda: len(rig.node.dispatcher.workers) == 2)  # the next heartbeat has a higher number
+        assert rig.journal.resume_positions == [1, 1]
+        # a number that no event will have: one more request, not endless ones
+        await rig.journal.streams[-1].send(frame(9, 0))
+        await until(lambda: len(rig.journal.resume_positions) == 3)
+        await rig.journal.streams[-1].send(frame(9, 0) + frame(9, 0))
+        await rig.start_worker("c", succeed)
+        await rig.journal.publish(rig.worker_record("c"))
+        await until(lambda: len(rig.node.dispatcher.workers) == 3)
+        assert len(rig.journal.resume_positions) == 3
 
 
 async def test_the_journal_moves_while_it_is_being_connected_to(tmp_path: Path) -> None:
-    full = socket.socket()  # a machine that accepts nothing: connections to it stay half made
-    full.bind(("127.0.0.1", 0))
-    async with run_node(tmp_path) as p:
-        await until(lambda: p.journal.streams)
+    """The node gives up the connection that is coming up, and connects to the new address at once."""
+    unreachable = socket.socket()  # accepts nothing: connections to it stay half open
+    unreachable.bind(("127.0.0.1", 0))
+    async with run_node(tmp_path) as rig:
+        await until(lambda: rig.journal.streams)
         connecting: list[Any] = []
         real = anyio.connect_tcp
 
-        async def connect(*at: Any, **more: Any) -> Any:
-            connecting.append(at)
-            if at[1] == full.getsockname()[1]:
+        async def connect(*address: Any, **options: Any) -> Any:
+            connecting.append(address)
+            if address[1] == unreachable.getsockname()[1]:
                 await anyio.sleep_forever()
-            return await real(*at, **more)
+            return await real(*address, **options)
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr("martenlead.node.discovery.anyio.connect_tcp", connect)
-            p.node.discovery.change_address(full.getsockname())
+            rig.node.discovery.change_address(unreachable.getsockname())
             await until(lambda: connecting)
-            p.node.discovery.change_address(("127.0.0.1", p.journal.port))  # in the middle of it
-            await until(lambda: len(p.journal.resume_positions) > 1, within=0.4)
-        await p.start_worker("b", succeed)
-        await p.journal.publish(p.worker_record("b"))
-        await until(lambda: len(p.node.dispatcher.workers) == 2)
-    full.close()
+            rig.node.discovery.change_address(("127.0.0.1", rig.journal.port))  # while it is connecting
+            await until(lambda: len(rig.journal.resume_positions) > 1, within=0.4)
+        await rig.start_worker("b", succeed)
+        await rig.journal.publish(rig.worker_record("b"))
+        await until(lambda: len(rig.node.dispatcher.workers) == 2)
+    unreachable.close()
 
 
-# -- waits
+# -- timers
 
 
 async def test_a_wait_sets_one_timer_however_its_end_falls_between_two_ms(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Timers are rounded up to whole milliseconds, so that a wait does not end early and start a second
+    one."""
     timers: list[float] = []
     loop = asyncio.get_running_loop()
     real = loop.call_later
-    monkeypatch.setattr(loop, "call_later", lambda s, *a: timers.append(s) or real(s, *a))  # type: ignore
+    monkeypatch.setattr(loop, "call_later", lambda delay, *args: timers.append(delay) or real(delay, *args))  # type: ignore
     for seconds in (0.0004, 0.0024, 0.0101):
         before = time.monotonic()
         with timeouts.time_limit(seconds) as scope:
@@ -806,49 +885,59 @@
     assert timers == [0.001, 0.003, 0.011]
 
 
-# -- more than two
+# -- further cases
 
 
 async def test_no_descriptor_left_as_a_connection_is_made(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It never came up, which proves that nothing ran; with descriptors again, the next one does."""
-    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
+    """The connection never came up, which proves that nothing ran. Once descriptors are free, the next one
+    does."""
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as rig:
         loop = asyncio.get_running_loop()
         real = loop.create_connection
-        client = await p.connect_client()
+        client = await rig.connect_client()
 
-        async def none_left(*_args: Any, **_more: Any) -> Any:
+        async def raise_too_many_files(*_args: Any, **_options: Any) -> Any:
+            """Fails as without a free descriptor."""
             raise OSError(errno.EMFILE, "Too many open files")
 
-        monkeypatch.setattr(loop, "create_connection", none_left)
+        monkeypatch.setattr(loop, "create_connection", raise_too_many_files)
         assert await client.call("unsafe", id="00000000000000aa") == "turned back"
         monkeypatch.setattr(loop, "create_connection", real)
         assert await client.call("unsafe", id="00000000000000bb") == "satisfied"
-        assert [line[-2:] for line in p.received()] == ["bb"]
+        assert [line[-2:] for line in rig.received()] == ["bb"]
 
 
 async def test_two_nodes_in_one_process_share_nothing(tmp_path: Path) -> None:
-    """Other names, other limits, the same ids: what one is told never shows in the other."""
-    other = SETTINGS | {
+    """They have different names and limits and get the same ids: input to one never shows in the other."""
+    other_settings = SETTINGS | {
         "orgs": [{"name": "other", "quota-per-s": 5.0}],
         "classes": [{"name": "lookup", "effect": "read_like", "on-time": 0.1, "give-up": 0.25}],
     }
     (tmp_path / "1").mkdir()
     (tmp_path / "2").mkdir()
-    async with run_node(tmp_path / "1") as one, run_node(tmp_path / "2", settings=other) as two:
-        first, second = await one.connect_client(), await two.connect_client()
-        assert await first.call("safe") == "satisfied"
-        assert await second.call("safe") == "error -32601"
-        assert await second.call("lookup") == "error -32602"  # its customer is the other's
-        assert await second.call("lookup", id=f"{1:016x}", tenant="other") == "satisfied"
-        assert [len(p.received()) for p in (one, two)] == [1, 1]
-        assert [len(p.node.listener.requests.finished_ids) for p in (one, two)] == [1, 1]
-        assert one.node.dispatcher.deadlines_ns != two.node.dispatcher.deadlines_ns
-        policies = [p.node.dispatcher.policy_boundary._policy for p in (one, two)]
-        for part in (None, "state", "scaling", "tenant_shares", "load_budget", "placement", "attempts"):
-            found = [vars(policy if part is None else getattr(policy, part)) for policy in policies]
+    async with (
+        run_node(tmp_path / "1") as first_rig,
+        run_node(tmp_path / "2", settings=other_settings) as second_rig,
+    ):
+        first_client, second_client = await first_rig.connect_client(), await second_rig.connect_client()
+        assert await first_client.call("safe") == "satisfied"
+        assert await second_client.call("safe") == "error -32601"
+        # the tenant exists on the other node only
+        assert await second_client.call("lookup") == "error -32602"
+        assert await second_client.call("lookup", id=f"{1:016x}", tenant="other") == "satisfied"
+        assert [len(rig.received()) for rig in (first_rig, second_rig)] == [1, 1]
+        assert [len(rig.node.listener.requests.finished_ids) for rig in (first_rig, second_rig)] == [1, 1]
+        assert first_rig.node.dispatcher.deadlines_ns != second_rig.node.dispatcher.deadlines_ns
+        policies = [rig.node.dispatcher.policy_boundary._policy for rig in (first_rig, second_rig)]
+        for component in (None, "state", "scaling", "tenant_shares", "load_budget", "placement", "attempts"):
+            attributes = [
+                vars(policy if component is None else getattr(policy, component)) for policy in policies
+            ]
             shared = [
-                n for n, v in found[0].items() if isinstance(v, dict | list | deque) and v is found[1][n]
+                name
+                for name, value in attributes[0].items()
+                if isinstance(value, dict | list | deque) and value is attributes[1][name]
             ]
             assert shared == []
