--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,7 +1,8 @@
-"""A client that has closed or cancelled gets no attempt any more, also before the event loop has read it.
+"""No attempt is sent for a client that has closed or cancelled, even if the event loop has not read that yet.
 
-Each test puts the client's leaving into the machine without a turn of the loop between it and the attempt, as
-where the loop was busy for long. So no figure of time is needed: on the code before, the attempt leaves.
+Each test makes the client close or cancel without a turn of the event loop before the attempt, as happens
+when the loop has been busy for long. So no test depends on timing: without the check before an attempt it
+would be sent.
 """
 
 from __future__ import annotations
@@ -35,41 +36,45 @@
 )
 
 pytestmark = pytest.mark.anyio
-LEAVES = ("abort", "abort behind much", "half close", "close", "reset")
-READ_SIZE = 1024  # bytes of one read in these tests
-BEHIND = 400  # messages before an abort: several times what one turn of the loop reads then
-full = respond_with("WAIT", "")
+LEAVE_METHODS = ("abort", "abort behind other messages", "half close", "close", "reset")
+READ_BYTES = 1024  # Bytes of one read in these tests
+MESSAGES_BEFORE_ABORT = 400  # Several times what one turn of the event loop reads
+reject_as_full = respond_with("WAIT", "")
 
 
 @pytest.fixture(params=[False, True], ids=["asyncio", "uvloop"])
 def anyio_backend(request: Any) -> Any:
+    """Runs each test on asyncio and on uvloop."""
     return "asyncio", {"use_uvloop": request.param}
 
 
 @pytest.fixture(autouse=True)
 def small_reads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """So that a cancel may lie behind more than a turn reads, and all of it in the machine's buffers."""
-    monkeypatch.setattr("martenlead.node.client_connection.READ_BYTES", READ_SIZE)
+    """Makes the node read so little per turn that a cancel behind other messages stays in the kernel's
+    buffers."""
+    monkeypatch.setattr("martenlead.node.client_connection.READ_BYTES", READ_BYTES)
 
 
-class Blocking(Client):
-    """A client whose calls are done when they return, without a turn of the event loop."""
+class BlockingClient(Client):
+    """A client whose calls are complete when they return, without a turn of the event loop."""
 
-    def __init__(self, p: NodeRig) -> None:
+    def __init__(self, rig: NodeRig) -> None:
         super().__init__(None)  # type: ignore[arg-type]
-        self.socket = socket.create_connection(("127.0.0.1", p.port))
+        self.socket = socket.create_connection(("127.0.0.1", rig.port))
 
-    def put(self, data: bytes) -> None:
+    def send_now(self, data: bytes) -> None:
+        """Writes data to the socket."""
         self.socket.sendall(data)
 
     def leave(self, how: str) -> None:
+        """Cancels the last request or ends the connection, in one of `LEAVE_METHODS`."""
         match how:
             case "abort":
-                about = {"id": self.last_number}
-                self.put(message({"jsonrpc": "2.0", "method": "abort", "params": about}))
-            case "abort behind much":
+                params = {"id": self.last_number}
+                self.send_now(message({"jsonrpc": "2.0", "method": "abort", "params": params}))
+            case "abort behind other messages":
                 unknown = message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 9999}})
-                self.put(unknown * BEHIND)
+                self.send_now(unknown * MESSAGES_BEFORE_ABORT)
                 self.leave("abort")
             case "half close":
                 self.socket.shutdown(socket.SHUT_WR)
@@ -80,219 +85,231 @@
                 self.socket.close()
 
 
-async def warm(p: NodeRig) -> None:
-    """To each runner a connection stands idle, so that an attempt's line leaves as it is decided."""
-    heard: list[Any] = []
-    known = p.node.dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0)
-    for box in p.node.dispatcher.workers.values():
-        p.node.worker_client.send_load_request(box, known, 0, heard.append)
-    await until(lambda: len(heard) == len(p.node.dispatcher.workers))
-
-
-async def is_over(p: NodeRig) -> None:
-    """The request was given up, nothing is out, and the node still serves."""
-    await until(lambda: p.node.dispatcher.counts["final", "left"] == 1)
-    await until(lambda: not p.node.dispatcher._in_flight and not p.node.dispatcher.pending_requests)
-    assert await (await p.connect_client()).call(id="00000000000000bb") == "satisfied"
-
-
-def attempts(p: NodeRig) -> list[str]:
-    return [line for line in p.received() if not line.endswith("bb")]
-
-
-@pytest.mark.parametrize("how", LEAVES)
-async def test_left_as_the_first_attempt_begins(how: str, tmp_path: Path) -> None:
-    async with run_node(tmp_path) as p:
-        await warm(p)
-        client = Blocking(p)
-        before_attempt(p.node.worker_client, 0, lambda: client.leave(how))
-        client.put(client.encode_request("unsafe"))
-        await until(lambda: p.node.dispatcher.counts["final", "left"] == 1)
-        assert await (await p.connect_client()).call() == "error -32602"  # its id is spent
-        assert attempts(p) == []
-        assert not p.node.dispatcher._in_flight and not p.node.listener.requests.open_requests
-        assert p.node.dispatcher.counts["hand-off", Result.NOT_SENT.value] == 1
+async def open_worker_connections(rig: NodeRig) -> None:
+    """Opens a connection to each worker, so that an attempt is written as soon as it is decided."""
+    results: list[Any] = []
+    function = rig.node.dispatcher.find_or_add_function("0" * 15 + "1", 1, 100.0)
+    for worker in rig.node.dispatcher.workers.values():
+        rig.node.worker_client.send_load_request(worker, function, 0, results.append)
+    await until(lambda: len(results) == len(rig.node.dispatcher.workers))
+
+
+async def wait_until_abandoned(rig: NodeRig) -> None:
+    """Waits until the request was abandoned and nothing is in flight, and checks that the node still
+    serves."""
+    await until(lambda: rig.node.dispatcher.counts["final", "left"] == 1)
+    await until(lambda: not rig.node.dispatcher._in_flight and not rig.node.dispatcher.pending_requests)
+    assert await (await rig.connect_client()).call(id="00000000000000bb") == "satisfied"
+
+
+def attempts(rig: NodeRig) -> list[str]:
+    """Returns the attempts that workers received, without the final check's (its id ends with bb)."""
+    return [line for line in rig.received() if not line.endswith("bb")]
+
+
+@pytest.mark.parametrize("how", LEAVE_METHODS)
+async def test_client_leaves_as_the_first_attempt_begins(how: str, tmp_path: Path) -> None:
+    """The attempt was decided and is not sent; the request counts as left by the client."""
+    async with run_node(tmp_path) as rig:
+        await open_worker_connections(rig)
+        client = BlockingClient(rig)
+        before_attempt(rig.node.worker_client, 0, lambda: client.leave(how))
+        client.send_now(client.encode_request("unsafe"))
+        await until(lambda: rig.node.dispatcher.counts["final", "left"] == 1)
+        assert await (await rig.connect_client()).call() == "error -32602"  # the id counts as used
+        assert attempts(rig) == []
+        assert not rig.node.dispatcher._in_flight and not rig.node.listener.requests.open_requests
+        assert rig.node.dispatcher.counts["hand-off", Result.NOT_SENT.value] == 1
         client.socket.close()
 
 
 @pytest.mark.parametrize("how", ["half close", "close"])
-async def test_the_end_lies_behind_a_request_that_is_read_late(how: str, tmp_path: Path) -> None:
-    """As where no descriptor was left to accept the connection with until its client had given up."""
-    async with run_node(tmp_path) as p:
-        await warm(p)
-        client = Blocking(p)
-        client.put(client.encode_request("unsafe"))
+async def test_client_closes_before_its_request_is_read(how: str, tmp_path: Path) -> None:
+    """As when no descriptor was free to accept the connection until its client had closed it."""
+    async with run_node(tmp_path) as rig:
+        await open_worker_connections(rig)
+        client = BlockingClient(rig)
+        client.send_now(client.encode_request("unsafe"))
         client.leave(how)
-        await until(lambda: f"{1:016x}" in p.node.listener.requests.finished_ids)
-        await until(lambda: not p.node.dispatcher._in_flight)
-        assert attempts(p) == []
+        await until(lambda: f"{1:016x}" in rig.node.listener.requests.finished_ids)
+        await until(lambda: not rig.node.dispatcher._in_flight)
+        assert attempts(rig) == []
         client.socket.close()
 
 
-@pytest.mark.parametrize("how", LEAVES)
-async def test_left_as_a_further_attempt_begins(how: str, tmp_path: Path, monkeypatch: Any) -> None:
-    """The runner's answer is read in the turn that the end of the client came in, before it."""
-    async with run_node(tmp_path, {"a": [full, succeed], "b": [full, succeed]}) as p:
-        client, real = Blocking(p), UpstreamConnection.data_received
+@pytest.mark.parametrize("how", LEAVE_METHODS)
+async def test_client_leaves_as_a_further_attempt_begins(how: str, tmp_path: Path, monkeypatch: Any) -> None:
+    """The worker's answer is read in the same turn in which the client's end arrives, and before it."""
+    async with run_node(tmp_path, {"a": [reject_as_full, succeed], "b": [reject_as_full, succeed]}) as rig:
+        client, real = BlockingClient(rig), UpstreamConnection.data_received
 
         def data_received(conn: UpstreamConnection, data: bytes) -> None:
-            if p.node.dispatcher.pending_requests and client.socket.fileno() >= 0 and not left:
+            """The client leaves before the input of the worker is handled."""
+            if rig.node.dispatcher.pending_requests and client.socket.fileno() >= 0 and not left:
                 left.append(client.leave(how))
             real(conn, data)
 
         left: list[None] = []
         monkeypatch.setattr(UpstreamConnection, "data_received", data_received)
-        await warm(p)  # after it: the faster event loop keeps what it calls of a connection
-        client.put(client.encode_request())
-        await is_over(p)
-        assert len(attempts(p)) == 1
+        # after the patch: uvloop keeps the bound methods of a connection that it calls
+        await open_worker_connections(rig)
+        client.send_now(client.encode_request())
+        await wait_until_abandoned(rig)
+        assert len(attempts(rig)) == 1
         client.socket.close()
 
 
-@pytest.mark.parametrize("how", LEAVES)
-async def test_left_as_the_connection_to_the_runner_is_up(how: str, tmp_path: Path, monkeypatch: Any) -> None:
-    async with run_node(tmp_path) as p:
-        client, real = Blocking(p), UpstreamConnection.connection_made
+@pytest.mark.parametrize("how", LEAVE_METHODS)
+async def test_client_leaves_as_the_connection_to_the_worker_comes_up(
+    how: str, tmp_path: Path, monkeypatch: Any
+) -> None:
+    """The attempt waited for the connection, and is not written to it."""
+    async with run_node(tmp_path) as rig:
+        client, real = BlockingClient(rig), UpstreamConnection.connection_made
 
         def connection_made(conn: UpstreamConnection, transport: Any) -> None:
+            """The client leaves before the connection is used."""
             if not left:
                 left.append(client.leave(how))
             real(conn, transport)
 
         left: list[None] = []
         monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
-        client.put(client.encode_request("unsafe"))
-        await is_over(p)
-        assert attempts(p) == []
+        client.send_now(client.encode_request("unsafe"))
+        await wait_until_abandoned(rig)
+        assert attempts(rig) == []
         client.socket.close()
 
 
-@pytest.mark.parametrize("how", LEAVES)
-async def test_a_client_that_is_behind_in_reading_has_left_as_a_further_attempt_begins(
-    how: str, tmp_path: Path
-) -> None:
-    answered = anyio.Event()
-
-    async def later(*its: Any) -> None:
-        await answered.wait()
-        await full(*its)
-
-    part: Behaviour = later
-    async with run_node(tmp_path, {"a": [part, succeed], "b": [part, succeed]}) as p:
-        await warm(p)
-        client = Blocking(p)
-        await until(lambda: p.node.listener.clients)
-        (own,) = p.node.listener.clients
-        client.put(client.encode_request())
-        await until(p.received)
-        own.write(b" " * 8_000_000)  # more than the machine's buffers hold
-        await until(lambda: own.write_blocked_since_ns)
-        before_attempt(p.node.worker_client, 0, lambda: client.leave(how))
-        answered.set()
-        await is_over(p)
-        assert len(attempts(p)) == 1
+@pytest.mark.parametrize("how", LEAVE_METHODS)
+async def test_client_that_does_not_read_leaves_as_a_further_attempt_begins(how: str, tmp_path: Path) -> None:
+    """Writing to the client is blocked, and its end is noticed all the same."""
+    may_answer = anyio.Event()
+
+    async def reject_later(*args: Any) -> None:
+        """Rejects the attempt once the client has left."""
+        await may_answer.wait()
+        await reject_as_full(*args)
+
+    behaviour: Behaviour = reject_later
+    async with run_node(tmp_path, {"a": [behaviour, succeed], "b": [behaviour, succeed]}) as rig:
+        await open_worker_connections(rig)
+        client = BlockingClient(rig)
+        await until(lambda: rig.node.listener.clients)
+        (connection,) = rig.node.listener.clients
+        client.send_now(client.encode_request())
+        await until(rig.received)
+        connection.write(b" " * 8_000_000)  # more than the kernel's socket buffers hold
+        await until(lambda: connection.write_blocked_since_ns)
+        before_attempt(rig.node.worker_client, 0, lambda: client.leave(how))
+        may_answer.set()
+        await wait_until_abandoned(rig)
+        assert len(attempts(rig)) == 1
         client.socket.close()
 
 
-async def test_bytes_before_an_attempt_that_are_no_cancel_cost_it_nothing(tmp_path: Path) -> None:
-    """Half of a request, then whole ones: each is taken once, in its order, and answered once."""
-    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
-        client = Blocking(p)
+async def test_input_before_an_attempt_that_is_no_cancel_does_not_stop_it(tmp_path: Path) -> None:
+    """Half of a request arrives, then whole ones: each is accepted once, in order, and answered once."""
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as rig:
+        client = BlockingClient(rig)
         first, second, third = client.encode_request(), client.encode_request(), client.encode_request()
-        before_attempt(p.node.worker_client, 0, lambda: client.put(second[:40]))
-        client.put(first)
-        await until(lambda: p.received())
-        before_attempt(p.node.worker_client, 0, lambda: client.put(third))
-        client.put(second[40:])
+        before_attempt(rig.node.worker_client, 0, lambda: client.send_now(second[:40]))
+        client.send_now(first)
+        await until(lambda: rig.received())
+        before_attempt(rig.node.worker_client, 0, lambda: client.send_now(third))
+        client.send_now(second[40:])
         client.socket.setblocking(False)
-        got = b""
+        received = b""
         with anyio.fail_after(5):
-            while got.count(b'"result"') < 3:
+            while received.count(b'"result"') < 3:
                 await anyio.wait_readable(client.socket)
-                got += (data := client.socket.recv(4096))
+                received += (data := client.socket.recv(4096))
                 assert data
-        assert sorted(line[-2:] for line in p.received()) == ["01", "02", "03"]
-        assert p.node.dispatcher.counts["final", "left"] == 0
+        assert sorted(line[-2:] for line in rig.received()) == ["01", "02", "03"]
+        assert rig.node.dispatcher.counts["final", "left"] == 0
         client.socket.close()
 
 
-async def test_an_attempt_that_waits_for_bytes_to_be_read_is_sent_to_no_runner_that_goes_meanwhile(
+async def test_an_attempt_that_waits_for_input_to_be_read_is_not_sent_to_a_worker_that_goes_meanwhile(
     tmp_path: Path,
 ) -> None:
-    async with run_node(tmp_path) as p:
-        client = Blocking(p)
-        (box,) = p.node.dispatcher.workers.values()
-
-        def goes() -> None:
-            client.put(b"Content")
-            box.is_gone = True
-
-        before_attempt(p.node.worker_client, 0, goes)
-        client.put(client.encode_request("unsafe"))
-        await until(lambda: p.node.dispatcher.counts["final", "turned back"] == 1)
-        assert attempts(p) == []
+    """The request is rejected, as nothing was sent for it."""
+    async with run_node(tmp_path) as rig:
+        client = BlockingClient(rig)
+        (worker,) = rig.node.dispatcher.workers.values()
+
+        def send_bytes_and_remove_worker() -> None:
+            """Leaves the start of a message unread, and marks the worker as gone."""
+            client.send_now(b"Content")
+            worker.is_gone = True
+
+        before_attempt(rig.node.worker_client, 0, send_bytes_and_remove_worker)
+        client.send_now(client.encode_request("unsafe"))
+        await until(lambda: rig.node.dispatcher.counts["final", "turned back"] == 1)
+        assert attempts(rig) == []
         client.socket.close()
 
 
-async def test_who_left_while_the_node_stood_still_gets_no_attempt(tmp_path: Path) -> None:
-    """A process apart, stopped as they come, ask and leave; who stays is served."""
-    async with run_node_process(tmp_path) as p:
-        await p.wait_until_up(10)
-        assert (
-            await (await p.connect_client()).call(id="00000000000000bb") == "satisfied"
-        )  # a connection stands idle
-        p.process.send_signal(signal.SIGSTOP)
-        clients = [Blocking(p) for _ in LEAVES]
-        for number, (client, how) in enumerate(zip(clients, LEAVES, strict=True)):
+async def test_clients_that_left_while_the_node_was_stopped_get_no_attempt(tmp_path: Path) -> None:
+    """The node's process is stopped while clients connect, send requests and leave. The client that stays
+    is served."""
+    async with run_node_process(tmp_path) as rig:
+        await rig.wait_until_up(10)
+        # leaves an idle connection to the worker
+        assert await (await rig.connect_client()).call(id="00000000000000bb") == "satisfied"
+        rig.process.send_signal(signal.SIGSTOP)
+        clients = [BlockingClient(rig) for _ in LEAVE_METHODS]
+        for number, (client, how) in enumerate(zip(clients, LEAVE_METHODS, strict=True)):
             client.last_number = number * 10
-            client.put(client.encode_request("unsafe"))
+            client.send_now(client.encode_request("unsafe"))
             client.leave(how)
-        stays = await p.connect_client()
-        await stays.send_request(id="00000000000000cc")
-        p.process.send_signal(signal.SIGCONT)
-        assert outcome_of(await stays.receive_response()) == "satisfied"
-        assert await (await p.connect_client()).call(id="00000000000000dd") == "satisfied"
-        assert [line[-2:] for line in p.received()] == ["bb", "cc", "dd"]
+        staying = await rig.connect_client()
+        await staying.send_request(id="00000000000000cc")
+        rig.process.send_signal(signal.SIGCONT)
+        assert outcome_of(await staying.receive_response()) == "satisfied"
+        assert await (await rig.connect_client()).call(id="00000000000000dd") == "satisfied"
+        assert [line[-2:] for line in rig.received()] == ["bb", "cc", "dd"]
         for client in clients:
             client.socket.close()
 
 
-async def test_a_cancel_of_an_open_request_goes_before_what_is_taken_in_its_read(tmp_path: Path) -> None:
-    """Taking a request may bring further attempts of others that are due: not of one that is cancelled."""
-    async with run_node(tmp_path, {"a": [silent]}) as p:
-        client = await p.connect_client()
+async def test_a_cancel_is_handled_before_requests_of_the_same_read(tmp_path: Path) -> None:
+    """Accepting a request may send further attempts that are due for others, but none for a cancelled one."""
+    async with run_node(tmp_path, {"a": [silent]}) as rig:
+        client = await rig.connect_client()
         await client.send_request()
-        await until(p.received)
-        (own,) = p.node.listener.clients
-        (first,) = own.open_requests.values()
-        finals: list[Any] = []
-        real = p.node.dispatcher.accept
+        await until(rig.received)
+        (connection,) = rig.node.listener.clients
+        (first,) = connection.open_requests.values()
+        outcomes: list[Any] = []
+        real = rig.node.dispatcher.accept
 
-        def take(*args: Any, **more: Any) -> Any:
-            finals.append(first.outcome)
-            return real(*args, **more)
+        def accept(*args: Any, **options: Any) -> Any:
+            """Notes the outcome of the first request as the second one is accepted."""
+            outcomes.append(first.outcome)
+            return real(*args, **options)
 
-        p.node.dispatcher.accept = take  # type: ignore[method-assign]
-        about = {"id": 1}
-        cancel = message({"jsonrpc": "2.0", "method": "abort", "params": about})
-        own.data_received(client.encode_request() + cancel)
-        assert finals == [FinalOutcome.CLIENT_LEFT]
+        rig.node.dispatcher.accept = accept  # type: ignore[method-assign]
+        params = {"id": 1}
+        cancel = message({"jsonrpc": "2.0", "method": "abort", "params": params})
+        connection.data_received(client.encode_request() + cancel)
+        assert outcomes == [FinalOutcome.CLIENT_LEFT]
 
 
-async def test_a_client_that_never_stops_sending_costs_itself_its_time_and_others_nothing(
+async def test_a_client_that_never_stops_sending_is_rejected_and_does_not_affect_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its request is never sent, since a cancel may lie in what is unread: it is refused in its time."""
-    async with run_node(tmp_path) as p:
-        await warm(p)
-        client = await p.connect_client()
-        await until(lambda: p.node.listener.clients)
-        (own,) = p.node.listener.clients
-        monkeypatch.setattr(own, "peek_input", lambda: UnreadInput.BYTES)
-        monkeypatch.setattr(own, "read_unread_input", lambda: False)
+    """Its request is never sent, as the unread input may hold a cancel, and is rejected at its deadline."""
+    async with run_node(tmp_path) as rig:
+        await open_worker_connections(rig)
+        client = await rig.connect_client()
+        await until(lambda: rig.node.listener.clients)
+        (connection,) = rig.node.listener.clients
+        monkeypatch.setattr(connection, "peek_input", lambda: UnreadInput.BYTES)
+        monkeypatch.setattr(connection, "read_unread_input", lambda: False)
         started = anyio.current_time()
         await client.send_request(wait=400)
-        assert await (await p.connect_client()).call(id="00000000000000bb") == "satisfied"
+        assert await (await rig.connect_client()).call(id="00000000000000bb") == "satisfied"
         assert outcome_of(await client.receive_response()) == "turned back"
         assert anyio.current_time() - started < 0.6
-        assert attempts(p) == [] and not p.node.worker_client._deferred
+        assert attempts(rig) == [] and not rig.node.worker_client._deferred
