--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -19,9 +19,9 @@
 
 pytestmark = pytest.mark.anyio
 
-CONNECT_TIMEOUT = 0.25  # s, of tests/nodes.py
-QUEUE_FILLERS = 4  # connections; a backlog of 0 holds one
-SYN_RETRANSMISSION = 1.0  # s, the kernel's first
+CONNECT_TIMEOUT_SECONDS = 0.25  # The setting in support/node_wire.py
+QUEUE_FILLERS = 4  # Connections; a backlog of 0 holds one
+SYN_RETRANSMISSION_SECONDS = 1.0  # The kernel's first retransmission
 WORKER = "s-00000063"
 
 
@@ -41,7 +41,7 @@
 
 
 async def bytes_received(listener: socket.socket, seconds: float) -> bytes:
-    """Accepts all that comes for so long, and reads it."""
+    """Accepts all connections for so many seconds, and returns all that was read from them."""
     listener.setblocking(False)
     accepted: list[socket.socket] = []
     received = b""
@@ -60,33 +60,33 @@
 
 
 async def test_a_connection_that_never_comes_up_proves_that_nothing_ran(tmp_path: Path) -> None:
-    """A non-idempotent request goes to another worker, once, well within its time."""
+    """A non-idempotent request is sent to another worker, once, well before its deadline."""
     with unreachable_listener() as listener:
-        async with run_node(tmp_path, {"a": [succeed]}) as p:
-            await until(lambda: p.journal.streams)
-            await p.journal.publish(record(ord("c"), listener.getsockname()[1]))
-            await until(lambda: WORKER in p.node.dispatcher.workers)
-            client = await p.connect_client()
-            dispatcher = p.node.dispatcher
+        async with run_node(tmp_path, {"a": [succeed]}) as rig:
+            await until(lambda: rig.journal.streams)
+            await rig.journal.publish(record(ord("c"), listener.getsockname()[1]))
+            await until(lambda: WORKER in rig.node.dispatcher.workers)
+            client = await rig.connect_client()
+            dispatcher = rig.node.dispatcher
             started = anyio.current_time()
             sent = 0
             while not dispatcher.counts["hand-off", "unreached"]:
                 sent += 1
                 assert await client.call("unsafe", key=f"{sent:016x}", wait=1900) == "satisfied"
-            assert CONNECT_TIMEOUT <= anyio.current_time() - started < 1.9
-            assert len(p.received()) == sent
+            assert CONNECT_TIMEOUT_SECONDS <= anyio.current_time() - started < 1.9
+            assert len(rig.received()) == sent
 
 
 async def test_a_connection_that_comes_up_after_its_limit_gets_nothing(tmp_path: Path) -> None:
-    """The request was told as never sent by then."""
+    """By then the request has been reported as never sent."""
     with unreachable_listener() as listener:
-        async with run_node(tmp_path, {"a": [succeed]}) as p:
-            await until(lambda: p.journal.streams)
-            await p.journal.publish(
-                p.worker_record("a", state=1), record(ord("c"), listener.getsockname()[1])
+        async with run_node(tmp_path, {"a": [succeed]}) as rig:
+            await until(lambda: rig.journal.streams)
+            await rig.journal.publish(
+                rig.worker_record("a", state=1), record(ord("c"), listener.getsockname()[1])
             )
-            await until(lambda: WORKER in p.node.dispatcher.workers)
-            client = await p.connect_client()
+            await until(lambda: WORKER in rig.node.dispatcher.workers)
+            client = await rig.connect_client()
             assert await client.call("unsafe", wait=1900) == "turned back"
-            assert await bytes_received(listener, SYN_RETRANSMISSION + 0.3) == b""
-            assert p.received() == []
+            assert await bytes_received(listener, SYN_RETRANSMISSION_SECONDS + 0.3) == b""
+            assert rig.received() == []
