--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -20,7 +20,7 @@
 from martenlead.events.client import Pool
 from martenlead.node.client_acceptor import EXTRA_DESCRIPTORS
 from support.fleet import Fleet, after, fleet, full, satisfied
-from tests.nodes import SETTINGS, Caller, done, play, word
+from tests.nodes import SETTINGS, Client, outcome_of, run_node, succeed
 
 pytestmark = pytest.mark.anyio
 
@@ -45,10 +45,10 @@
 
     async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         stated.append(told["props"]["ttl"])
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
-    async with play(tmp_path, {"a": [noting]}) as p:
-        caller = Caller(None)  # type: ignore[arg-type]
+    async with run_node(tmp_path, {"a": [noting]}) as p:
+        caller = Client(None)  # type: ignore[arg-type]
         client = socket.create_connection(("127.0.0.1", p.port))
         await anyio.sleep(STEADY)
         if new:
@@ -68,9 +68,9 @@
 
     async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         stated.append(told["props"]["ttl"])
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
-    async with play(tmp_path, {"a": [noting]}) as p:
+    async with run_node(tmp_path, {"a": [noting]}) as p:
         door = p.node.listener
         door.connection_limit, original_limit = -EXTRA_DESCRIPTORS, door.connection_limit
         client, idle = await p.client(), await p.client()
@@ -79,7 +79,7 @@
         assert not door.clients
         door.connection_limit = original_limit
         door.on_connection_closed()
-        assert word(await client.answer()) == "satisfied"
+        assert outcome_of(await client.answer()) == "satisfied"
         for other in (client, idle):  # requests sent now have not waited
             assert await other.call(ONE_ATTEMPT, wait=WAIT, id=f"{len(stated) + 9:016x}") == "satisfied"
         late, *prompt = stated
@@ -92,10 +92,10 @@
 
     async def noting(runner: Any, stream: Any, told: dict[str, Any]) -> None:
         stated.append(told["props"]["ttl"])
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
     allowed = SETTINGS["allowed"] | {"connect-timeout": 1.0}
-    async with play(tmp_path, {"a": [noting]}, settings=SETTINGS | {"allowed": allowed}) as p:
+    async with run_node(tmp_path, {"a": [noting]}, settings=SETTINGS | {"allowed": allowed}) as p:
         client = await p.client()
         real = p.node.worker_client._connect
 
@@ -253,7 +253,7 @@
 
 
 async def test_bytes_after_a_full_read_may_have_arrived_with_it(tmp_path: Path, monkeypatch: Any) -> None:
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         await p.client()
         while not p.node.listener.clients:
             await asyncio.sleep(0.002)
--- a/tests/test_http_server_answers.py
+++ b/tests/test_http_server_answers.py
@@ -20,7 +20,7 @@
 from martenlead.events.server import Reply, Server, ServerLimits, listen
 from martenlead.events.server_interface import SECOND_NS
 from support.fleet import until
-from tests.nodes import linger
+from tests.nodes import reset_on_close
 
 pytestmark = pytest.mark.anyio
 
@@ -269,7 +269,7 @@
         await read_until(first_client, b"/1")
         for _ in range(10):
             stream = await anyio.connect_tcp("127.0.0.1", harness.port)
-            linger(stream)
+            reset_on_close(stream)
             await anyio.aclose_forcefully(stream)
         await anyio.sleep(0.05)
         first_client.setblocking(True)
@@ -459,7 +459,7 @@
             )
         await until(lambda: len(harness.started) == pipeline_limit)
         if reset:
-            linger(stream)
+            reset_on_close(stream)
         await anyio.aclose_forcefully(stream)
         with anyio.fail_after(NOTICED_SECONDS):
             while len(harness.cancelled) < pipeline_limit:
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -21,7 +21,15 @@
 from martenlead.events.cloudevent import Event, encode_event
 from support.fleet import Fleet, Runner, fleet, satisfied, until
 from support.virtual_time import PROCESS_TIME, follow_loop_time
-from tests.nodes import BROKEN, SETTINGS, Asker, Play, done, in_turn, play
+from tests.nodes import (
+    CONNECTION_ERRORS,
+    SETTINGS,
+    NodeRig,
+    PipeliningClient,
+    one_at_a_time,
+    run_node,
+    succeed,
+)
 
 pytestmark = pytest.mark.anyio
 
@@ -80,22 +88,22 @@
 NOISY = 0x10_0000  # Request ids of the faulty clients are at least this
 
 
-async def send_requests(asker: Asker, method: str) -> None:
+async def send_requests(asker: PipeliningClient, method: str) -> None:
     """Sends all requests of the well-behaved client and waits for the responses."""
     for _ in range(REQUESTS):
-        await asker.ask(method, wait=round(WAIT * 1000))
+        await asker.send_request(method, wait=round(WAIT * 1000))
         await anyio.sleep(BETWEEN)
-    await until(lambda: len(asker.answers) >= len(asker.asked), within=3)
+    await until(lambda: len(asker.responses) >= len(asker.sent_at), within=3)
 
 
-async def flood_node(p: Play) -> None:
+async def flood_node(p: NodeRig) -> None:
     """Repeatedly writes a hundred requests at once on each connection, and reads all responses."""
 
     async def connection(number: int) -> None:
         caller = await p.client()
         caller.number = NOISY * (number + 1)
         p.group.start_soon(read_and_discard, caller.stream)
-        with suppress(*BROKEN):
+        with suppress(*CONNECTION_ERRORS):
             while True:
                 wait = round(WAIT * 1000)
                 await caller.send(b"".join(caller.task(tenant="noisy", wait=wait) for _ in range(FLOOD)))
@@ -106,7 +114,7 @@
             group.start_soon(connection, number)
 
 
-async def watch_open(p: Play, max_pending: Counter[str]) -> None:
+async def watch_open(p: NodeRig, max_pending: Counter[str]) -> None:
     """Records the most requests of each tenant that the node has pending, sampled every few ms."""
     while True:
         pending = Counter(
@@ -119,26 +127,26 @@
 
 async def read_and_discard(stream: SocketStream) -> None:
     """Reads until the connection ends."""
-    with suppress(*BROKEN):
+    with suppress(*CONNECTION_ERRORS):
         while True:
             await stream.receive()
 
 
-async def never_read_node(p: Play) -> None:
+async def never_read_node(p: NodeRig) -> None:
     """Sends requests and reads no response: these wait in the socket buffers and in the node."""
     caller = await p.client()
     caller.number = NOISY
     for _ in range(UNREAD // 10):
-        with suppress(*BROKEN), anyio.move_on_after(0.05):
+        with suppress(*CONNECTION_ERRORS), anyio.move_on_after(0.05):
             await caller.send(b"".join(caller.task(tenant="noisy", blob=LARGE) for _ in range(10)))
 
 
 @asynccontextmanager
 async def node_with_faults(
     tmp_path: Path, workers: str, at_workers: RequestsAtWorkers
-) -> AsyncIterator[Play]:
+) -> AsyncIterator[NodeRig]:
     """Starts a node whose workers have one of the faults in `WORKERS`."""
-    answers = in_turn(done)
+    answers = one_at_a_time(succeed)
 
     async def counted(runner: Any, stream: SocketStream, told: dict[str, Any]) -> None:
         tenant = "noisy" if int(told["txn"], 16) >= NOISY else "acme"
@@ -151,7 +159,7 @@
 
     parts = {"a": [counted], "b": [counted]}
     settings = SETTINGS | {"orgs": TENANTS, "over-share-worth": OVER_SHARE}
-    async with play(tmp_path, parts, settings=settings) as p:
+    async with run_node(tmp_path, parts, settings=settings) as p:
         if workers == "refusing":
             for runner in p.runners.values():
                 await runner.listener.aclose()
@@ -162,7 +170,7 @@
         yield p
 
 
-NODE_CLIENTS: dict[str, Callable[[Play], Awaitable[None]]] = {
+NODE_CLIENTS: dict[str, Callable[[NodeRig], Awaitable[None]]] = {
     "floods": flood_node,
     "never reads": never_read_node,
 }
@@ -175,8 +183,8 @@
 ) -> None:
     at_workers = RequestsAtWorkers()
     async with node_with_faults(tmp_path, workers, at_workers) as p:
-        asker = Asker(await p.client())
-        p.group.start_soon(asker.read)
+        asker = PipeliningClient(await p.client())
+        p.group.start_soon(asker.read_responses)
         max_pending_requests: Counter[str] = Counter()
         p.group.start_soon(watch_open, p, max_pending_requests)
         async with anyio.create_task_group() as group:
@@ -184,12 +192,12 @@
                 group.start_soon(NODE_CLIENTS[clients], p)
             await send_requests(asker, method)
             group.cancel_scope.cancel()
-        assert asker.has_one_answer_each(), (asker.asked, asker.answers)
+        assert asker.has_one_response_each(), (asker.sent_at, asker.responses)
         assert max(asker.latencies()) < WAIT + LATEST
         if workers == "well":
-            assert [w for _, w, _ in asker.answers].count("satisfied") >= REQUESTS * SERVED, asker.answers
+            assert [w for _, w, _ in asker.responses].count("satisfied") >= REQUESTS * SERVED, asker.responses
         else:
-            assert asker.words() <= {"turned back", "error -32000"}
+            assert asker.outcomes() <= {"turned back", "error -32000"}
         connections = FLOODS if clients == "floods" else 1
         assert max_pending_requests["noisy"] <= OPEN * connections
         assert workers == "hung" or at_workers.max_concurrent["noisy"] <= OPEN * connections
--- a/tests/test_long_outages.py
+++ b/tests/test_long_outages.py
@@ -14,7 +14,17 @@
 
 from martenlead.policy import types as io
 from support.fleet import until
-from tests.nodes import BROKEN, Asker, Journal, Runner, done, in_turn, linger, play, record
+from tests.nodes import (
+    CONNECTION_ERRORS,
+    PipeliningClient,
+    ScriptedJournal,
+    ScriptedWorker,
+    one_at_a_time,
+    record,
+    reset_on_close,
+    run_node,
+    succeed,
+)
 from tests.virtual_fleet import REQUEST_TIMEOUT, SECOND, Dispatcher, Fleet, facts_of_workers
 
 pytestmark = pytest.mark.anyio
@@ -25,7 +35,7 @@
 
 async def reset(stream: SocketStream) -> None:
     """Closes a connection with a reset."""
-    linger(stream)
+    reset_on_close(stream)
     await anyio.aclose_forcefully(stream)
 
 
@@ -115,7 +125,7 @@
 # -- workers restart, drain and leave during an outage of discovery
 
 
-class FailingJournal(Journal):
+class FailingJournal(ScriptedJournal):
     """A journal service that can fail: it then closes its connections and refuses new ones."""
 
     def __init__(self) -> None:
@@ -133,7 +143,7 @@
         """Stops the listener and closes all connections."""
         self.running.cancel()
         for stream in self.streams:
-            with suppress(*BROKEN):
+            with suppress(*CONNECTION_ERRORS):
                 await stream.aclose()
         self.streams = []
 
@@ -142,11 +152,11 @@
 REQUEST_TIME_MS = 500  # Time of each request in ms
 
 
-async def end_process(runner: Runner) -> None:
+async def end_process(runner: ScriptedWorker) -> None:
     """Closes the listener of a worker and resets its connections."""
     await runner.listener.aclose()
     for stream in runner.streams:
-        with suppress(*BROKEN, AttributeError):
+        with suppress(*CONNECTION_ERRORS, AttributeError):
             await reset(stream)
     runner.streams = []
 
@@ -157,17 +167,19 @@
     stops: bool, method: str, tmp_path: Path
 ) -> None:
     journal = FailingJournal()
-    async with play(tmp_path, {name: [in_turn(done)] for name in "abc"}, journal) as p:
+    async with run_node(tmp_path, {name: [one_at_a_time(succeed)] for name in "abc"}, journal) as p:
         await until(lambda: journal.streams)
-        asker = Asker(await p.client())
-        p.group.start_soon(asker.read)
+        asker = PipeliningClient(await p.client())
+        p.group.start_soon(asker.read_responses)
 
         over = anyio.Event()
 
         async def ask() -> None:
-            while not asker.ended and not p.node.is_stopping and not over.is_set():
-                with suppress(*BROKEN):
-                    await asker.ask(method, wait=REQUEST_TIME_MS, key=f"{asker.caller.number % 7:016x}")
+            while not asker.connection_ended and not p.node.is_stopping and not over.is_set():
+                with suppress(*CONNECTION_ERRORS):
+                    await asker.send_request(
+                        method, wait=REQUEST_TIME_MS, key=f"{asker.client.number % 7:016x}"
+                    )
                 await anyio.sleep(0.02)
 
         async with anyio.create_task_group() as group:
@@ -178,8 +190,8 @@
             a, b = p.runners["a"], p.runners["b"]
             await end_process(b)
             await end_process(a)
-            await p.runner("a", in_turn(done), port=a.port)
-            await p.runner("d", in_turn(done))
+            await p.runner("a", one_at_a_time(succeed), port=a.port)
+            await p.runner("d", one_at_a_time(succeed))
             await anyio.sleep(OUTAGE_SECONDS / 2)
             await journal.tell(
                 p.record("a", started=1),
@@ -197,11 +209,11 @@
             else:
                 await anyio.sleep(0.5)
             over.set()
-        await until(lambda: len(asker.answers) >= len(asker.asked), within=3)
-        assert asker.has_one_answer_each()
+        await until(lambda: len(asker.responses) >= len(asker.sent_at), within=3)
+        assert asker.has_one_response_each()
         assert max(asker.latencies()) < REQUEST_TIME_MS / 1000 + LATEST
         assert not any(line[:4] in ("b DO", "c DO") for line in p.log[known:])
         if not stops:
             assert any(line[:4] in ("a DO", "d DO") for line in p.log[known:])
-        satisfied_share = [word for _, word, _ in asker.answers].count("satisfied") / len(asker.answers)
+        satisfied_share = [word for _, word, _ in asker.responses].count("satisfied") / len(asker.responses)
         assert satisfied_share > 0.8
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -25,19 +25,19 @@
 from support.virtual_time import PROCESS_TIME, follow_loop_time
 from tests.nodes import (
     SETTINGS,
-    Asker,
-    Part,
-    Play,
-    Runner,
+    Behaviour,
+    NodeRig,
+    PipeliningClient,
+    ScriptedWorker,
     answer,
-    done,
     frame,
-    in_turn,
-    linger,
-    play,
-    raw,
-    says,
+    one_at_a_time,
+    reset_on_close,
+    respond_with,
+    run_node,
+    send_bytes,
     silent,
+    succeed,
 )
 from tests.play import MS, NON_IDEMPOTENT, ScriptedDispatcher
 
@@ -48,7 +48,7 @@
 DRAINING, GONE = 1, 2
 
 
-def count_faults(p: Play) -> int:
+def count_faults(p: NodeRig) -> int:
     """The number of internal faults that the node has counted."""
     return sum(count for (kind, _), count in p.node.dispatcher.counts.items() if kind == "fault")
 
@@ -60,7 +60,7 @@
 
 async def reset(stream: SocketStream) -> None:
     """Closes a connection with a reset."""
-    linger(stream)
+    reset_on_close(stream)
     await anyio.aclose_forcefully(stream)
 
 
@@ -73,19 +73,19 @@
     A request on a forgotten connection never runs: the connection is reset, or there is no response.
     """
 
-    def __init__(self, word: Part) -> None:
+    def __init__(self, word: Behaviour) -> None:
         self.word = word
         self.forgotten: list[SocketStream] = []
         self.ran: Counter[str] = Counter()
 
-    async def __call__(self, runner: Runner, stream: SocketStream, told: dict[str, Any]) -> None:
+    async def __call__(self, runner: ScriptedWorker, stream: SocketStream, told: dict[str, Any]) -> None:
         if stream in self.forgotten:
             await self.word(runner, stream, told)
             return
         self.ran[told["txn"]] += 1
-        await done(runner, stream, told)
+        await succeed(runner, stream, told)
 
-    async def end_idle_connections(self, how: str, runner: Runner) -> None:
+    async def end_idle_connections(self, how: str, runner: ScriptedWorker) -> None:
         """Closes, resets or forgets the open connections."""
         for stream in runner.streams:
             if how == "close":
@@ -100,7 +100,7 @@
 CONNECTION_ENDS = {
     "close": silent,
     "reset": silent,
-    "forget and reset": raw(b"", reset=True),
+    "forget and reset": send_bytes(b"", reset=True),
     "forget and say nothing": silent,
 }
 
@@ -112,7 +112,7 @@
 ) -> None:
     """If the node can notice the end no request fails, otherwise at most one; none runs twice."""
     worker = ForgetfulWorker(CONNECTION_ENDS[how])
-    async with play(tmp_path, {"a": [worker]}) as p:
+    async with run_node(tmp_path, {"a": [worker]}) as p:
         client = await p.client()
         for number in (1, 2, 3):
             assert await client.call(method, once=once(method, number)) == "satisfied"
@@ -159,14 +159,14 @@
 
 # -- attempts that fail at once
 
-FAILURES: dict[str, tuple[Part, bool]] = {  # The response, and whether it proves that nothing ran
-    "errors": (says("BROKE"), False),
-    "full": (says("WAIT", ""), True),
-    "misses": (says("LACK", ""), True),
-    "over": (says("PAST", ""), True),
-    "closes": (raw(b"", end=True), False),
-    "resets": (raw(b"", reset=True), False),
-    "noise": (raw(b"\xff\xfe\n"), False),
+FAILURES: dict[str, tuple[Behaviour, bool]] = {  # The response, and whether it proves that nothing ran
+    "errors": (respond_with("BROKE"), False),
+    "full": (respond_with("WAIT", ""), True),
+    "misses": (respond_with("LACK", ""), True),
+    "over": (respond_with("PAST", ""), True),
+    "closes": (send_bytes(b"", end=True), False),
+    "resets": (send_bytes(b"", reset=True), False),
+    "noise": (send_bytes(b"\xff\xfe\n"), False),
 }
 AT_ONCE = 20  # Requests that each client sends at once
 
@@ -179,17 +179,17 @@
     """Attempts stay within their limit, and requests that must not run twice do not."""
     part, never_ran = FAILURES[how]
     allowed = SETTINGS["allowed"] | {"may-duplicate": hedged}
-    workers = {name: [in_turn(part)] for name in "abcd"}
-    async with play(tmp_path, workers, settings=SETTINGS | {"allowed": allowed}) as p:
+    workers = {name: [one_at_a_time(part)] for name in "abcd"}
+    async with run_node(tmp_path, workers, settings=SETTINGS | {"allowed": allowed}) as p:
         for place, method in enumerate(METHODS):
-            asker = Asker(await p.client(), first=place * AT_ONCE)
-            p.group.start_soon(asker.read)
+            asker = PipeliningClient(await p.client(), first=place * AT_ONCE)
+            p.group.start_soon(asker.read_responses)
             for number in range(AT_ONCE):
                 keyed = {"once": once(method, place * AT_ONCE + number + 1)} if method == "keyed" else {}
-                await asker.ask(method, wait=800, key=f"{number:016x}", **keyed)
-            await until(lambda asker=asker: len(asker.answers) >= AT_ONCE, within=3)  # type: ignore[misc]
-            assert asker.has_one_answer_each()
-            assert asker.words() <= {"turned back", "error -32000"}
+                await asker.send_request(method, wait=800, key=f"{number:016x}", **keyed)
+            await until(lambda asker=asker: len(asker.responses) >= AT_ONCE, within=3)  # type: ignore[misc]
+            assert asker.has_one_response_each()
+            assert asker.outcomes() <= {"turned back", "error -32000"}
             assert max(asker.latencies()) < 0.8 + LATEST
         attempts = Counter(line[-2:] for line in p.did())
         assert max(attempts.values()) <= SETTINGS["allowed"]["attempts-cap"]
@@ -206,10 +206,10 @@
 DROPPED_UNDER = 25  # Time left in ms below which a worker drops a request without a response
 
 
-answers = in_turn(done)
+answers = one_at_a_time(succeed)
 
 
-async def drops_late_ones(runner: Runner, stream: SocketStream, told: dict[str, Any]) -> None:
+async def drops_late_ones(runner: ScriptedWorker, stream: SocketStream, told: dict[str, Any]) -> None:
     """Responds unless the request has less time left than `DROPPED_UNDER`."""
     if told["props"]["ttl"] >= DROPPED_UNDER:
         await answers(runner, stream, told)
@@ -223,10 +223,10 @@
 ) -> None:
     """Runs in process time: half a second in which this process gets no core would make a response late."""
     follow_loop_time(monkeypatch)
-    async with play(tmp_path, {"a": [drops_late_ones], "b": [drops_late_ones]}) as p:
-        hurried, usual = Asker(await p.client()), Asker(await p.client(), first=1000)
+    async with run_node(tmp_path, {"a": [drops_late_ones], "b": [drops_late_ones]}) as p:
+        hurried, usual = PipeliningClient(await p.client()), PipeliningClient(await p.client(), first=1000)
         for asker in (hurried, usual):
-            p.group.start_soon(asker.read)
+            p.group.start_soon(asker.read_responses)
         for number in range(30):
             keyed = {"once": once(method, number + 1)} if method == "keyed" else {}
             await hurried.ask(method, wait=left, key=f"{number % 3:016x}", **keyed)
@@ -235,8 +235,8 @@
                 await usual.ask(method, key=f"{number % 3:016x}", **keyed)
             await anyio.sleep(0.01)
         for asker in (hurried, usual):
-            await until(lambda asker=asker: len(asker.answers) >= len(asker.asked))  # type: ignore[misc]
-            assert asker.has_one_answer_each(), (asker.asked, asker.answers)
+            await until(lambda asker=asker: len(asker.responses) >= len(asker.sent_at))  # type: ignore[misc]
+            assert asker.has_one_response_each(), (asker.sent_at, asker.responses)
         assert max(hurried.latencies()) < left / 1000 + LATEST
         assert max(usual.latencies()) < 1.5 + LATEST
         await until(lambda: not p.node.dispatcher._in_flight)
@@ -265,16 +265,16 @@
 
 def test_a_worker_that_drops_requests_with_little_time_stays_in_use() -> None:
     """Such a missing response proves nothing about the worker: it gets the next request. In virtual time."""
-    play = ScriptedDispatcher(workers="a")
-    play.serve_requests(12)
+    run_node = ScriptedDispatcher(workers="a")
+    run_node.serve_requests(12)
     for number in range(HURRIED):
-        play.send_request(f"hurried {number}", request_class=NON_IDEMPOTENT, timeout_ms=LITTLE[-1])
-        assert len(play.attempts) == 1
-        play.advance_to(play.policy.state.now_ns // MS + LITTLE[-1])
-        play.end_attempt(io.Result.NO_RESPONSE, io.Warmth.UNKNOWN)
-        play.advance_to(play.policy.state.now_ns // MS + 5)
-    play.send_request("usual", request_class=NON_IDEMPOTENT)
-    assert [play.names[sent.request] for sent in play.attempts] == ["usual"], play.trace
+        run_node.send_request(f"hurried {number}", request_class=NON_IDEMPOTENT, timeout_ms=LITTLE[-1])
+        assert len(run_node.attempts) == 1
+        run_node.advance_to(run_node.policy.state.now_ns // MS + LITTLE[-1])
+        run_node.end_attempt(io.Result.NO_RESPONSE, io.Warmth.UNKNOWN)
+        run_node.advance_to(run_node.policy.state.now_ns // MS + 5)
+    run_node.send_request("usual", request_class=NON_IDEMPOTENT)
+    assert [run_node.names[sent.request] for sent in run_node.attempts] == ["usual"], run_node.trace
 
 
 # -- requests that cross the end of an idle connection
@@ -341,7 +341,7 @@
 
 async def test_the_scripted_journal_sends_concurrent_events_one_by_one(tmp_path: Path) -> None:
     """Guards against two writers on one stream, which ended the scripted journal service."""
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         async with anyio.create_task_group() as group:
             for _ in range(3):
                 group.start_soon(p.journal.tell, p.record("a"))
@@ -350,7 +350,7 @@
 
 async def test_streams_of_the_scripted_peers_take_several_writers_at_once(tmp_path: Path) -> None:
     """A test and the journal's heartbeat may write at the same time: all messages arrive complete."""
-    async with play(tmp_path, {"a": [raw(b""), done]}) as p:
+    async with run_node(tmp_path, {"a": [send_bytes(b""), succeed]}) as p:
         await until(lambda: p.journal.streams)
         client = await p.client()
         await client.ask("safe")
--- a/tests/test_shutdown_faults.py
+++ b/tests/test_shutdown_faults.py
@@ -21,16 +21,16 @@
 from support.fleet import until
 from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests.nodes import (
-    BROKEN,
-    Asker,
-    Journal,
-    Play,
-    after,
-    done,
+    CONNECTION_ERRORS,
+    NodeRig,
+    PipeliningClient,
+    ScriptedJournal,
+    after_delay,
     frame,
-    in_turn,
-    play,
+    one_at_a_time,
+    run_node,
     silent,
+    succeed,
     with_deadlines,
 )
 
@@ -45,7 +45,7 @@
 SETTINGS = with_deadlines(DEADLINE)
 METHODS = ("safe", "keyed", "unsafe")
 DRAINING = 1
-answers = in_turn(done)
+answers = one_at_a_time(succeed)
 
 
 @pytest.fixture
@@ -59,7 +59,7 @@
     follow_loop_time(monkeypatch)
 
 
-def is_up(p: Play, name: str) -> bool:
+def is_up(p: NodeRig, name: str) -> bool:
     """Whether the node sends requests to the worker with this name."""
     worker = p.node.dispatcher.workers.get(f"s-{ord(name):08x}")
     return worker is not None and worker.is_up
@@ -68,35 +68,37 @@
 class Crowd:
     """Clients that keep sending requests, and the responses that they got."""
 
-    def __init__(self, p: Play) -> None:
+    def __init__(self, p: NodeRig) -> None:
         self.p = p
-        self.askers: list[Asker] = []
+        self.askers: list[PipeliningClient] = []
 
-    async def join(self) -> Asker:
+    async def join(self) -> PipeliningClient:
         """Connects another client."""
-        asker = Asker(await self.p.client(), first=10_000 * len(self.askers))
+        asker = PipeliningClient(await self.p.client(), first=10_000 * len(self.askers))
         self.askers.append(asker)
-        self.p.group.start_soon(asker.read)
+        self.p.group.start_soon(asker.read_responses)
         return asker
 
     async def ask_until(self, end: float, method: str) -> None:
         """Each client sends on its own connection in turn, until a time of the event loop."""
         while anyio.current_time() < end:
             for asker in self.askers:
-                await asker.ask(method, wait=round(DEADLINE * 1000), key=f"{len(asker.asked) % 5:016x}")
+                await asker.send_request(
+                    method, wait=round(DEADLINE * 1000), key=f"{len(asker.sent_at) % 5:016x}"
+                )
             await anyio.sleep(BETWEEN)
 
     def check(self, killed_at: float | None = None) -> None:
         """Checks that each request got one response, in time and before the kill."""
         for asker in self.askers:
-            assert asker.asked and asker.has_one_answer_each(), (asker.asked, asker.answers)
+            assert asker.sent_at and asker.has_one_response_each(), (asker.sent_at, asker.responses)
             assert max(asker.latencies()) < DEADLINE + LATEST
             if killed_at is not None:
-                assert max(at for _, _, at in asker.answers) < killed_at
+                assert max(at for _, _, at in asker.responses) < killed_at
 
 
 @asynccontextmanager
-async def shutdown(p: Play, method: str) -> AsyncIterator[Crowd]:
+async def shutdown(p: NodeRig, method: str) -> AsyncIterator[Crowd]:
     """Sends SIGTERM while clients send requests, and checks their responses after the block.
 
     Two clients send requests before SIGTERM and until requests are no longer accepted; one connects late.
@@ -119,7 +121,7 @@
 
         group.start_soon(clients)
         yield crowd
-    await until(lambda: p.ended and all(asker.ended for asker in crowd.askers))
+    await until(lambda: p.ended and all(asker.connection_ended for asker in crowd.askers))
     crowd.check(start + KILL)
 
 
@@ -138,29 +140,29 @@
 async def test_workers_that_hang_during_a_shutdown_leave_no_request_unanswered(
     how: str, method: str, tmp_path: Path
 ) -> None:
-    async with play(
+    async with run_node(
         tmp_path, {"a": [HANGING_WORKERS[how]], "b": [HANGING_WORKERS[how]]}, settings=SETTINGS
     ) as p:
         async with shutdown(p, method) as crowd:
             pass
         assert p.did()
-        assert "satisfied" not in {word for asker in crowd.askers for word in asker.words()}
+        assert "satisfied" not in {word for asker in crowd.askers for word in asker.outcomes()}
 
 
 @pytest.mark.parametrize("method", METHODS)
 async def test_one_worker_that_hangs_during_a_shutdown_does_not_affect_the_other(
     method: str, tmp_path: Path
 ) -> None:
-    async with play(tmp_path, {"a": [silent], "b": [after(10, answers)]}, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [silent], "b": [after_delay(10, answers)]}, settings=SETTINGS) as p:
         async with shutdown(p, method) as crowd:
             pass
-        served = [word for asker in crowd.askers for _, word, _ in asker.answers].count("satisfied")
+        served = [word for asker in crowd.askers for _, word, _ in asker.responses].count("satisfied")
         assert served
 
 
 async def test_workers_that_cannot_be_connected_during_a_shutdown(tmp_path: Path) -> None:
     """Attempts that wait for a connection were never sent: each request is rejected in its time."""
-    async with play(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
 
         async def never(conn: Any) -> None:
             await anyio.sleep(p.node.worker_client.settings.connect_timeout_ns / 1e9)
@@ -169,14 +171,14 @@
         p.node.worker_client._connect = never  # type: ignore[method-assign]
         async with shutdown(p, "unsafe") as crowd:
             pass
-        assert {word for asker in crowd.askers for word in asker.words()} == {"turned back"}
+        assert {word for asker in crowd.askers for word in asker.outcomes()} == {"turned back"}
         assert p.did() == []
 
 
 # -- endpoint lists that arrive slowly
 
 
-class SlowJournal(Journal):
+class SlowJournal(ScriptedJournal):
     """A journal service that responds late, or sends each frame byte by byte."""
 
     def __init__(self, late: float, pause: float) -> None:
@@ -185,7 +187,7 @@
 
     async def connected(self, stream: SocketStream) -> None:
         async with stream:
-            with suppress(*BROKEN):
+            with suppress(*CONNECTION_ERRORS):
                 told = int.from_bytes(await stream.receive(8), "big") - 1
                 self.asked.append(told + 1)
                 await anyio.sleep(self.late)
@@ -215,8 +217,8 @@
 @pytest.mark.parametrize("how", SLOW_JOURNALS)
 async def test_slow_endpoint_lists_delay_no_request_and_apply_once_complete(how: str, tmp_path: Path) -> None:
     journal = SLOW_JOURNALS[how]()
-    parts = {"a": [after(5, answers)], "b": [after(5, answers)]}
-    async with play(tmp_path, parts, journal, settings=SETTINGS) as p:
+    parts = {"a": [after_delay(5, answers)], "b": [after_delay(5, answers)]}
+    async with run_node(tmp_path, parts, journal, settings=SETTINGS) as p:
         crowd = Crowd(p)
         await crowd.join()
         journal.add(p.record("a", state=DRAINING))
@@ -236,7 +238,7 @@
     """The drain is announced as the shutdown begins; it takes effect once the list is complete."""
     journal = SLOW_JOURNALS[how]()
     known: list[int] = []
-    async with play(tmp_path, {"a": [answers], "b": [answers]}, journal, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [answers], "b": [answers]}, journal, settings=SETTINGS) as p:
         async with shutdown(p, "unsafe"):
             journal.add(p.record("a", state=DRAINING))
             with anyio.move_on_after(KILL):
@@ -251,12 +253,12 @@
 RELOADS, SUCCESSION = 10, 0.1  # Number of reloads, and the time in s for all of them
 
 
-async def reload_often(p: Play, drained: str) -> list[Journal]:
+async def reload_often(p: NodeRig, drained: str) -> list[ScriptedJournal]:
     """Reloads ten configurations in 100 ms, each with another journal service; every third is unreadable.
 
     Only the last journal service announces the drain.
     """
-    journals = [Journal() for _ in range(RELOADS)]
+    journals = [ScriptedJournal() for _ in range(RELOADS)]
     for journal in journals:
         journal.events = list(p.journal.events)
         p.group.start_soon(journal.serve)
@@ -272,7 +274,7 @@
     return journals
 
 
-async def wait_for_last_journal(p: Play, journals: list[Journal], drained: str) -> int:
+async def wait_for_last_journal(p: NodeRig, journals: list[ScriptedJournal], drained: str) -> int:
     """Waits until the drain announced by the last journal service is known; returns the length of the log."""
     await until(lambda: not is_up(p, drained), within=4)  # the latest time at which it has to be known
     known = len(p.log)
@@ -283,7 +285,9 @@
 async def test_ten_reloads_in_100_ms_apply_the_last_one_and_affect_no_request(
     tmp_path: Path,
 ) -> None:
-    async with play(tmp_path, {"a": [after(30, answers)], "b": [after(30, answers)]}, settings=SETTINGS) as p:
+    async with run_node(
+        tmp_path, {"a": [after_delay(30, answers)], "b": [after_delay(30, answers)]}, settings=SETTINGS
+    ) as p:
         crowd = Crowd(p)
         await crowd.join()
         async with anyio.create_task_group() as group:
@@ -291,24 +295,24 @@
             journals = await reload_often(p, "a")
             known = await wait_for_last_journal(p, journals, "a")
         (asker,) = crowd.askers
-        await until(lambda: len(asker.answers) == len(asker.asked))
+        await until(lambda: len(asker.responses) == len(asker.sent_at))
         crowd.check()
-        assert asker.words() == {"satisfied"}
+        assert asker.outcomes() == {"satisfied"}
         assert any(line.startswith("b DO") for line in p.log[known:])
         assert not any(line.startswith("a DO") for line in p.log[known:])
 
 
 async def test_ten_reloads_in_100_ms_during_a_shutdown(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [answers], "b": [answers]}, settings=SETTINGS) as p:
         async with shutdown(p, "unsafe") as crowd:
             journals = await reload_often(p, "a")
             known = await wait_for_last_journal(p, journals, "a")
         assert not any(line.startswith("a DO") for line in p.log[known:])
-        assert {word for asker in crowd.askers for word in asker.words()} == {"satisfied"}
+        assert {word for asker in crowd.askers for word in asker.outcomes()} == {"satisfied"}
 
 
 async def test_ten_reloads_while_all_workers_hang_during_a_shutdown(tmp_path: Path) -> None:
-    async with play(tmp_path, {"a": [silent], "b": [silent]}, settings=SETTINGS) as p:
+    async with run_node(tmp_path, {"a": [silent], "b": [silent]}, settings=SETTINGS) as p:
         async with shutdown(p, "safe"):
             journals = await reload_often(p, "a")
             known = await wait_for_last_journal(p, journals, "a")
--- a/tests/test_stalled_loop.py
+++ b/tests/test_stalled_loop.py
@@ -19,7 +19,7 @@
 
 from support.fleet import fleet, satisfied, until
 from support.virtual_time import VIRTUAL_TIME, VirtualTimeLoop, follow_loop_time
-from tests.nodes import SETTINGS, Caller, Play, play, with_deadlines, word
+from tests.nodes import SETTINGS, Client, NodeRig, outcome_of, run_node, with_deadlines
 
 pytestmark = pytest.mark.anyio
 virtual_time = pytest.mark.parametrize("anyio_backend", [VIRTUAL_TIME], ids=["virtual time"])
@@ -28,7 +28,7 @@
 DEADLINE_MS = 1500
 
 
-def prevent_connections(p: Play) -> None:
+def prevent_connections(p: NodeRig) -> None:
     """Makes the node wait forever for connections to workers."""
 
     async def connect(_connection: Any) -> None:
@@ -37,13 +37,13 @@
     p.node.worker_client._connect = connect  # type: ignore[method-assign]
 
 
-def is_waiting_for_connection(p: Play) -> bool:
+def is_waiting_for_connection(p: NodeRig) -> bool:
     """Whether a call to a worker waits for its connection to open."""
     connections = p.node.worker_client.connections
     return any(c.transport is None and c.outstanding_calls for c in connections)
 
 
-def write_at_once(client: Caller, data: bytes) -> None:
+def write_at_once(client: Client, data: bytes) -> None:
     """Writes into the socket's buffer without running the event loop."""
     os.write(client.stream.extra(SocketAttribute.raw_socket).fileno(), data)
 
@@ -62,14 +62,14 @@
 ) -> None:
     """Guards against a failure instead of a rejection: another client's input resumes the policy first."""
     follow_loop_time(monkeypatch)
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         prevent_connections(p)
         client, other = await p.client(), await p.client()
         await client.ask(method, **KEY[method])
         await until(lambda: is_waiting_for_connection(p))
         write_at_once(other, other.task(id="00000000000000bb"))
         stall(DEADLINE_MS / 1000)
-        assert word(await client.answer()) == "turned back"
+        assert outcome_of(await client.answer()) == "turned back"
         assert p.did() == []
 
 
@@ -80,13 +80,13 @@
 ) -> None:
     """Guards against a failure instead of a rejection if a request has more time left than the process."""
     follow_loop_time(monkeypatch)
-    async with play(tmp_path, settings=SETTINGS | with_deadlines(9.0)) as p:
+    async with run_node(tmp_path, settings=SETTINGS | with_deadlines(9.0)) as p:
         prevent_connections(p)
         client = await p.client()
         await client.ask(method, wait=9000, **KEY[method])
         await until(lambda: is_waiting_for_connection(p))
         os.kill(os.getpid(), signal.SIGTERM)
-        assert word(await client.answer()) == "turned back"
+        assert outcome_of(await client.answer()) == "turned back"
         assert p.did() == []
 
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -30,7 +30,7 @@
 from support.fleet import fleet, satisfied, until
 from support.planned import answered, planned, planner
 from support.socket_faults import SocketFaults, break_transport, dribble, from_port, to_port
-from tests.nodes import Caller, answer, done, play, raw, word
+from tests.nodes import Client, answer, outcome_of, run_node, send_bytes, succeed
 from tests.test_late_connections import unreachable_listener
 
 pytestmark = pytest.mark.anyio
@@ -95,7 +95,7 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             with socket.socket() as probe:
                 probe.bind(("127.0.0.1", 0))
                 p.port = int(probe.getsockname()[1])
@@ -126,7 +126,7 @@
 @asyncio_only
 async def test_the_node_exits_at_once_if_it_may_not_bind_its_address(tmp_path: Path) -> None:
     """It logs one line with the reason and exits with the status of a failed start."""
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         path = p.path
     environment = {**os.environ, "ROUTER_CONFIG": str(path)}
     with anyio.fail_after(10):
@@ -154,7 +154,7 @@
 async def test_the_node_accepts_once_the_fault_has_passed(tmp_path: Path, number: int) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             faults.add("accept", number, from_port(p.port), times=3)
             client = await p.client()
             assert await client.call(wait=LONG) == "satisfied"
@@ -182,7 +182,7 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [done]}) as p:
+        async with run_node(tmp_path, {"a": [succeed]}) as p:
             client = await p.client()
             faults.add(connect_call, number, to_port(p.runners["a"].port))
             reply = await send_load_request(p)
@@ -200,7 +200,7 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             client = await p.client()
             faults.add(connect_call, number, to_port(p.runners["a"].port))
             for _ in range(3):
@@ -217,7 +217,7 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [done]}) as p:
+        async with run_node(tmp_path, {"a": [succeed]}) as p:
             client = await p.client()
             faults.add("socket", number)
             assert (await send_load_request(p)).result is Result.NOT_SENT
@@ -235,10 +235,10 @@
     """A request that must not run twice is not sent again; one that may run twice is."""
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [raw(b""), done], "b": [done]}) as p:
+        async with run_node(tmp_path, {"a": [send_bytes(b""), succeed], "b": [succeed]}) as p:
             client = await p.client()
             for runner in p.runners.values():
-                runner.parts = [raw(b""), done]
+                runner.parts = [send_bytes(b""), succeed]
             await client.ask("unsafe", wait=LONG)
             await until(p.did)
             (conn,) = [
@@ -250,7 +250,7 @@
                 faults.add("recv", number, to_port(conn.pool.port), times=1)
                 stream = next(r for r in p.runners.values() if r.port == conn.pool.port).streams[-1]
                 await stream.send(answer("FIT", "0"))  # makes the connection readable
-            assert word(await client.answer()) == "error -32000"
+            assert outcome_of(await client.answer()) == "error -32000"
             assert len(p.did()) == 1
             assert conn not in conn.pool.connections
             faults.end()
@@ -262,7 +262,7 @@
     """If no byte was sent, the request cannot have run, so that the client may retry it."""
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [done], "b": [done]}) as p:
+        async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
             client = await p.client()
             for runner in p.runners.values():
                 faults.add("send", number, to_port(runner.port), times=1)
@@ -280,7 +280,7 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             client = await p.client()
             to_worker = faults.short_selects = to_port(p.runners["a"].port)
             faults.short_writes = bytes_leave
@@ -294,12 +294,12 @@
 async def test_a_cancellation_is_sent_before_its_connection_ends(tmp_path: Path, number: int) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [raw(b"")]}) as p:
+        async with run_node(tmp_path, {"a": [send_bytes(b"")]}) as p:
             client = await p.client()
             await client.ask("unsafe", wait=400)
             await until(p.did)
             faults.add("send", number, to_port(p.runners["a"].port), times=3)
-            assert word(await client.answer()) == "error -32000"
+            assert outcome_of(await client.answer()) == "error -32000"
             await until(lambda: p.did("UNDO") and not p.runners["a"].open)
             assert faults.failed["send"] == 3
 
@@ -311,7 +311,7 @@
     """It does not count against its worker either."""
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             client = await p.client()
             faults.add("send", number, to_port(p.runners["a"].port))
             assert await client.call("unsafe", wait=400) == "turned back"
@@ -335,10 +335,10 @@
 
 
 ENDINGS = {
-    "reset": raw(b"", reset=True),
-    "reset within the answer": raw(PARTIAL_RESPONSE, reset=True),
-    "close": raw(b"", end=True),
-    "close within the answer": raw(PARTIAL_RESPONSE, end=True),
+    "reset": send_bytes(b"", reset=True),
+    "reset within the answer": send_bytes(PARTIAL_RESPONSE, reset=True),
+    "close": send_bytes(b"", end=True),
+    "close within the answer": send_bytes(PARTIAL_RESPONSE, end=True),
     "half-close": half_close,
     "half-close within the answer": half_close_within_response,
 }
@@ -347,15 +347,15 @@
 @pytest.mark.parametrize("ending", ENDINGS)
 async def test_a_worker_that_ends_a_connection_under_a_request(tmp_path: Path, ending: str) -> None:
     """Requests that may run twice go to the other worker, others fail; none is left waiting."""
-    async with play(tmp_path, {"a": [done], "b": [done]}) as p:
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
         client = await p.client()
         for runner in p.runners.values():
-            runner.parts = [ENDINGS[ending], done]
+            runner.parts = [ENDINGS[ending], succeed]
         with anyio.fail_after(LONG / 1000):
             assert await client.call("unsafe", wait=LONG) == "error -32000"
         assert len(p.did()) == 1
         for runner in p.runners.values():
-            runner.parts = [ENDINGS[ending], done]
+            runner.parts = [ENDINGS[ending], succeed]
         with anyio.fail_after(LONG / 1000):
             assert await client.call("safe", wait=LONG) in FINAL
         await until_served(client)
@@ -372,13 +372,17 @@
         await dribble(stream.send, answer("DONE", message["txn"], "resident", message["raw"]))
 
     with faults.installed():
-        async with play(tmp_path, {"a": [dribbled]}) as p:
+        async with run_node(tmp_path, {"a": [dribbled]}) as p:
             faults.short_reads = faults.short_writes = not is_uvloop(anyio_backend)
             client = await p.client()
             await dribble(client.send, client.task(wait=LONG))
             found = await client.answer()
-            assert word(found) == "satisfied" and found is not None and found["result"]["blob"] == "Ym9keQ=="
-            await p.runner("b", done)
+            assert (
+                outcome_of(found) == "satisfied"
+                and found is not None
+                and found["result"]["blob"] == "Ym9keQ=="
+            )
+            await p.runner("b", succeed)
             await p.journal.tell(p.record("b"))
             await until(lambda: len(p.node.dispatcher.workers) == 2, within=10)
             assert is_uvloop(anyio_backend) or (faults.shortened["recv"] and faults.shortened["send"])
@@ -410,7 +414,7 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path, {"a": [raw(b""), done]}) as p:
+        async with run_node(tmp_path, {"a": [send_bytes(b""), succeed]}) as p:
             lost, other = await p.client(), await p.client()
             await lost.ask(wait=LONG)
             await until(p.did)
@@ -439,7 +443,7 @@
     faults = SocketFaults()
     faults.short_selects = lambda call, subject: from_port(p.port)(call, subject)
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             client = await p.client()
             if bytes_leave:
                 faults.short_writes = True
@@ -448,12 +452,12 @@
                 faults.add("send", number, from_port(p.port), times=5)
             for _ in range(3):
                 await client.ask(wait=LONG)
-            assert [word(await client.answer()) for _ in range(3)] == ["satisfied"] * 3
+            assert [outcome_of(await client.answer()) for _ in range(3)] == ["satisfied"] * 3
             assert faults.failed["send"]
             assert await client.call() == "satisfied"
             faults.add("send", number, from_port(p.port), times=2)
             await client.send(b"no head\r\n\r\n")
-            assert word(await client.answer()) == "error -32600"
+            assert outcome_of(await client.answer()) == "error -32600"
             assert await client.answer() is None
 
 
@@ -465,7 +469,7 @@
     monkeypatch.setattr(client_connection, "STALLED_CLIENT_TIMEOUT_NS", 1_000_000_000)
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             client = await p.client()
             faults.add("send", number, from_port(p.port))
             for _ in range(2):
@@ -473,7 +477,7 @@
             await until(lambda: any(own.write_blocked_since_ns for own in p.node.listener.clients))
             (own,) = p.node.listener.clients
             faults.end()
-            assert [word(await client.answer()) for _ in range(2)] == ["satisfied"] * 2
+            assert [outcome_of(await client.answer()) for _ in range(2)] == ["satisfied"] * 2
             assert not own.write_blocked_since_ns
             faults.add("send", number, from_port(p.port))
             assert await client.call() == "closed"
@@ -485,11 +489,11 @@
     """After EAGAIN the event loop reads later; a broken connection ends and affects no other client."""
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             with closing(socket.create_connection(("127.0.0.1", p.port))) as client:
                 await until(lambda: p.node.listener.clients)
                 (own,) = p.node.listener.clients
-                client.sendall(Caller.task(Caller(None), id="c" * 16))  # type: ignore[arg-type]
+                client.sendall(Client.task(Client(None), id="c" * 16))  # type: ignore[arg-type]
                 faults.add("os.read", number, times=1)
                 own.read_unread_input()
                 assert faults.failed["os.read"] == 1
@@ -530,7 +534,7 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             await until(lambda: p.journal.streams)
             faults.add(connect_call, number, to_port(p.journal.port), times=3)
             for stream in p.journal.streams:
@@ -539,7 +543,7 @@
             await until(lambda: faults.failed[connect_call] == 3)
             client = await p.client()
             assert await client.call() == "satisfied"
-            await p.runner("b", done)
+            await p.runner("b", succeed)
             await p.journal.tell(p.record("b"))
             await until(lambda: len(p.node.dispatcher.workers) == 2, within=5)
 
@@ -551,7 +555,7 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with play(tmp_path) as p:
+        async with run_node(tmp_path) as p:
             faults.add("recv", number, to_port(p.journal.port), times=1)
             await until(lambda: len(p.journal.asked) == 2, within=5)
             assert faults.failed["recv"] == 1
@@ -740,7 +744,7 @@
         def poll(self, _wait: float) -> Any:
             raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
 
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         client = await p.client()
         with monkeypatch.context() as patch:
             patch.setattr("martenlead.system.sockets.select.poll", Poll)
@@ -754,7 +758,7 @@
 async def test_signals_that_interrupt_every_wait_fail_no_request(tmp_path: Path) -> None:
     """Each signal interrupts a system call with EINTR."""
     before = signal.signal(signal.SIGALRM, lambda _number, _frame: None)
-    async with play(tmp_path) as p:
+    async with run_node(tmp_path) as p:
         signal.setitimer(signal.ITIMER_REAL, 0.002, 0.002)
         try:
             client = await p.client()
@@ -775,9 +779,9 @@
     """About a fifth of the calls to workers, to discovery and of the listener fail, chosen by a seed."""
     faults, chance = SocketFaults(seed), Random(seed)
     with faults.installed():
-        parts = [chance.choice([done, done, done, *ENDINGS.values()]) for _ in range(100)]
-        async with play(tmp_path, {"a": [done], "b": [done], "c": [done]}) as p:
-            p.runners["a"].parts = [*parts, done]
+        parts = [chance.choice([succeed, succeed, succeed, *ENDINGS.values()]) for _ in range(100)]
+        async with run_node(tmp_path, {"a": [succeed], "b": [succeed], "c": [succeed]}) as p:
+            p.runners["a"].parts = [*parts, succeed]
             clients = [await p.client() for _ in range(4)]
             ports = [*(runner.port for runner in p.runners.values()), p.journal.port]
             for number in OPENING:
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -26,7 +26,7 @@
 from support.fleet import Fleet, fleet, satisfied, until
 from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests import nodes
-from tests.nodes import Play, done, play
+from tests.nodes import NodeRig, run_node, succeed
 from tests.test_worker_age import send_event_between_heartbeats
 
 pytestmark = pytest.mark.anyio
@@ -138,7 +138,7 @@
     return new_function if random.random() < NEW_FUNCTION_SHARE else random.randrange(SHARED_FUNCTIONS)
 
 
-async def run_node_client(rig: Play, audit: Audit, number: int) -> None:
+async def run_node_client(rig: NodeRig, audit: Audit, number: int) -> None:
     """Sends requests to the node, one after the other, until the audit is stopped."""
     client = await rig.client()
     random = Random(number)
@@ -151,7 +151,7 @@
         )
         answer = await client.answer()
         assert answer is not None and answer["id"] == client.number
-        outcome = {"satisfied": "succeeded", "turned back": "rejected"}[nodes.word(answer)]
+        outcome = {"satisfied": "succeeded", "turned back": "rejected"}[nodes.outcome_of(answer)]
         audit.outcomes.append((outcome, anyio.current_time() - sent))
         await anyio.sleep(PAUSE_SECONDS * (0.5 + random.random()))
 
@@ -178,13 +178,13 @@
     }
     audit = Audit()
     monkeypatch.setattr(nodes, "Play", lambda: make_play(audit))
-    async with play(tmp_path, {"a": [done], "b": [done], "d": [done]}, settings=settings) as rig:
+    async with run_node(tmp_path, {"a": [succeed], "b": [succeed], "d": [succeed]}, settings=settings) as rig:
         await until(lambda: rig.node.discovery.worker_ages._confirmed_ns)
         async with anyio.create_task_group() as clients:
             for number in range(CLIENT_COUNT):
                 clients.start_soon(run_node_client, rig, audit, number)
             await anyio.sleep(0.6)
-            await rig.runner("c", done)
+            await rig.runner("c", succeed)
             audit.cold["c"] = anyio.current_time()
             await send_event_between_heartbeats(rig, rig.record("c", started=wall.true_clock() // NS_PER_MS))
             await anyio.sleep(1.2)
@@ -196,9 +196,9 @@
     audit.check(workers=4)
 
 
-def make_play(audit: Audit) -> Play:
+def make_play(audit: Audit) -> NodeRig:
     """Creates a rig of the node's tests whose log feeds the audit."""
-    new_play = Play()
+    new_play = NodeRig()
     new_play.log = NodeLog(audit)
     return new_play
 
--- a/tests/test_worker_age.py
+++ b/tests/test_worker_age.py
@@ -18,7 +18,7 @@
 from martenlead.system import clocks
 from martenlead.upstream.endpoints import Endpoint, EndpointUpdate
 from support.fleet import until
-from tests.nodes import Play, done, play
+from tests.nodes import NodeRig, run_node, succeed
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -67,7 +67,7 @@
         return [None if endpoint.age_ms is None else endpoint.age_ms * MS for endpoint in endpoints]
 
 
-async def send_event_between_heartbeats(rig: Play, record: bytes) -> None:
+async def send_event_between_heartbeats(rig: NodeRig, record: bytes) -> None:
     """Sends an event while no heartbeat is being written: the journal service here cannot write both."""
     rig.journal.beats = False
     await anyio.sleep(0.02)
@@ -232,8 +232,8 @@
     """The journal service stamps by the true clock; the node's clock is stepped before the node starts."""
     stepped_clock = clocks.wall_ns
     monkeypatch.setattr(clocks, "_read_wall", lambda read=clocks._read_wall: read() + step)
-    async with play(tmp_path, {"a": [done]}) as rig:
-        await rig.runner("b", done)
+    async with run_node(tmp_path, {"a": [succeed]}) as rig:
+        await rig.runner("b", succeed)
         source = rig.node.discovery
         await until(lambda: source.worker_ages._confirmed_ns)
         await send_event_between_heartbeats(rig, rig.record("b", started=(stepped_clock() - step) // MS))
