--- a/martenlead/events/client.py
+++ b/martenlead/events/client.py
@@ -195,7 +195,7 @@
         except (AttributeError, OSError, ValueError):  # a reset connection has no socket any more
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
-            return Exchange(ExchangeEnd.REFUSED, detail="connection reset just after it was opened")
+            return Exchange(ExchangeEnd.REFUSED, detail="reset as soon as it was made")
 
     async def _exchange(
         self, connection: _Connection, data: bytes | Callable[[], bytes], sending: SendProgress
@@ -258,10 +258,10 @@
                 received = await stream.receive()
             unfinished += body.feed(received)
             if body.status not in (0, HTTPStatus.OK):
-                raise InvalidMessageError(502, f"expected status 200, got {body.status}")
+                raise InvalidMessageError(502, f"status {body.status}")
             *finished, unfinished = unfinished.split(b"\n")
             if len(unfinished) > max_line_bytes:
-                raise InvalidMessageError(502, f"a line is longer than {max_line_bytes} bytes")
+                raise InvalidMessageError(502, f"a line over {max_line_bytes} bytes")
             for line in finished:
                 if line:
                     yield line
--- a/martenlead/events/cloudevent.py
+++ b/martenlead/events/cloudevent.py
@@ -72,27 +72,27 @@
 def parse_time(text: str, attribute: str = "time") -> float:
     """Seconds since 1970 of an RFC 3339 timestamp. Raises `InvalidEventError`."""
     if not RFC3339_TIME.match(text):
-        raise InvalidEventError(attribute, "expected an RFC 3339 timestamp")
+        raise InvalidEventError(attribute, "an RFC 3339 time was expected")
     try:
         return datetime.fromisoformat(text.upper()).timestamp()
     except (ValueError, OverflowError):
-        raise InvalidEventError(attribute, "expected an RFC 3339 timestamp") from None
+        raise InvalidEventError(attribute, "an RFC 3339 time was expected") from None
 
 
 def _check_attributes(event: Event) -> Event:
     attributes = event.attributes
     for name in REQUIRED_ATTRIBUTES:
         if name not in attributes:
-            raise InvalidEventError(name, "the attribute is required")
+            raise InvalidEventError(name, "the attribute is missing")
         if not isinstance(attributes[name], str) or not attributes[name]:
-            raise InvalidEventError(name, "expected a non-empty string")
+            raise InvalidEventError(name, "a text that is not empty was expected")
     if attributes["specversion"] != "1.0":
-        raise InvalidEventError("specversion", "expected 1.0")
+        raise InvalidEventError("specversion", "1.0 was expected")
     if "time" in attributes:
         parse_time(str(attributes["time"]))
     for name in ("subject", "dataschema"):
         if name in attributes and not attributes[name]:
-            raise InvalidEventError(name, "expected a non-empty string")
+            raise InvalidEventError(name, "a text that is not empty was expected")
     return event
 
 
@@ -110,14 +110,14 @@
     """The text of a header value, quoted or not. Raises `InvalidEventError`."""
     if raw[:1] == b'"':
         if len(raw) == 1 or raw[-1:] != b'"':
-            raise InvalidEventError(attribute, "unterminated quoted string")
+            raise InvalidEventError(attribute, "a quoted text without its end")
         raw = re.sub(rb"\\(.)", rb"\1", raw[1:-1])
     if b"%" in raw:
         parts = raw.split(b"%")
         decoded = [parts[0]]
         for part in parts[1:]:
             if not re.match(rb"[0-9A-Fa-f]{2}", part):
-                raise InvalidEventError(attribute, "percent sign without two hexadecimal digits")
+                raise InvalidEventError(attribute, "a percent sign without two hexadecimal digits")
             decoded += [bytes.fromhex(part[:2].decode()), part[2:]]
         raw = b"".join(decoded)
     try:
@@ -138,7 +138,7 @@
     if not ATTRIBUTE_NAME.match(key):
         raise InvalidEventError(key, "attribute names are lower-case letters and digits")
     if key == "datacontenttype" or key in RESERVED_NAMES:
-        raise InvalidEventError(key, "not allowed as a header in binary mode")
+        raise InvalidEventError(key, "not a header of binary mode")
     return key
 
 
@@ -154,10 +154,10 @@
             continue
         key = _attribute(name)
         if key in attributes:
-            raise InvalidEventError(key, "duplicate attribute")
+            raise InvalidEventError(key, "the attribute is told twice")
         attributes[key] = decode_value(value, key)
     if not attributes:
-        detail = "no event: found neither ce- headers nor application/cloudevents+json"
+        detail = "no event: neither ce- headers nor application/cloudevents+json"
         raise InvalidEventError("specversion", detail, UNSUPPORTED_MEDIA_TYPE)
     text = None
     if content_type is not None:
@@ -174,7 +174,7 @@
     for name, value in headers:
         if name == b"content-type":
             if content_type is not None:
-                raise InvalidEventError("datacontenttype", "duplicate Content-Type header")
+                raise InvalidEventError("datacontenttype", "Content-Type is told twice")
             content_type = value
     return content_type
 
@@ -182,10 +182,10 @@
 def _decode_structured(mime_type: bytes, body: bytes) -> Event:
     """The event of a message whose media type is that of an event format."""
     if mime_type.startswith(BATCH_MEDIA_TYPE):
-        detail = "batched events are not supported"
+        detail = "batches are not taken"
         raise InvalidEventError("datacontenttype", detail, UNSUPPORTED_MEDIA_TYPE)
     if mime_type != STRUCTURED_MEDIA_TYPE:
-        detail = "the only supported event format is JSON"
+        detail = "of the event formats only JSON is taken"
         raise InvalidEventError("datacontenttype", detail, UNSUPPORTED_MEDIA_TYPE)
     return decode_json_event(body)
 
@@ -203,9 +203,9 @@
     attributes = _decode_attributes(members)
     content_type = attributes.pop("datacontenttype", None)
     if content_type is not None and not isinstance(content_type, str):
-        raise InvalidEventError("datacontenttype", "expected a string")
+        raise InvalidEventError("datacontenttype", "a text was expected")
     if "data" in members and "data_base64" in members:
-        raise InvalidEventError("data", "data and data_base64 are both present")
+        raise InvalidEventError("data", "both data and data_base64")
     data: bytes | None = None
     if "data_base64" in members:
         data = _decode_base64(members["data_base64"])
@@ -232,7 +232,7 @@
             continue  # JSON format 1.0.2, section 2.2: null is the same as absent
         is_too_large = isinstance(value, int) and not -INTEGER_LIMIT <= value < INTEGER_LIMIT
         if is_too_large or not isinstance(value, (str, int)):
-            detail = "expected a string, a 32-bit integer or a boolean"
+            detail = "a text, a whole number of 32 bits or a boolean was expected"
             raise InvalidEventError(name, detail)
         attributes[name] = value
     return attributes
@@ -243,7 +243,7 @@
     try:
         return b64decode(text, validate=True)
     except (TypeError, ValueError):
-        raise InvalidEventError("data_base64", "expected Base64") from None
+        raise InvalidEventError("data_base64", "Base64 was expected") from None
 
 
 def is_json(content_type: str | None) -> bool:
--- a/martenlead/events/connection.py
+++ b/martenlead/events/connection.py
@@ -172,7 +172,7 @@
         except CLIENT_GONE_ERRORS:
             return False
         if self.is_too_slow:
-            error = InvalidMessageError(REQUEST_TIMEOUT, "the message was not complete in time")
+            error = InvalidMessageError(REQUEST_TIMEOUT, "the message took too long to arrive")
         if error is not None:
             slot = _ResponseSlot(is_last=True)
             self.slots.append(slot)
--- a/martenlead/events/http.py
+++ b/martenlead/events/http.py
@@ -102,16 +102,16 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._error = InvalidMessageError(501, "protocol upgrades are not supported")
+            self._error = InvalidMessageError(501, "upgrades are not offered here")
         except httptools.HttpParserCallbackError:
-            self._error = self._error or InvalidMessageError(400, "the message could not be parsed")
+            self._error = self._error or InvalidMessageError(400, "the message could not be read")
         except httptools.HttpParserError as error:
             self._error = self._error or InvalidMessageError(400, f"not HTTP/1.1: {error}")
         if not self._error and self.in_head:
             self._head_bytes += len(data)
             limit = self.limits.head_bytes
             if self._head_bytes > limit:
-                self._error = InvalidMessageError(431, f"the header exceeds {limit} bytes")
+                self._error = InvalidMessageError(431, f"the header is over {limit} bytes")
         if self._error:
             raise self._error
         return self.completed
@@ -150,7 +150,7 @@
         self.in_head = False
         version = parser.get_http_version()
         if version != "1.1":
-            self._stop(505, f"HTTP/{version} is not supported; expected HTTP/1.1")
+            self._stop(505, f"HTTP/{version} is not spoken here; HTTP/1.1 is")
         headers = message.headers
         framing: dict[bytes, bytes] = {}
         size = 0
@@ -158,42 +158,42 @@
             size += len(name) + len(value)
             if name in FRAMING_HEADERS:
                 if name in framing:
-                    self._stop(400, f"duplicate {name.decode()} header")
+                    self._stop(400, f"{name.decode()} is told twice")
                 framing[name] = value
         if size > limits.head_bytes or len(headers) > limits.header_lines:
-            detail = f"the header exceeds {limits.head_bytes} bytes or {limits.header_lines} lines"
+            detail = f"the header is over {limits.head_bytes} bytes or {limits.header_lines} lines"
             self._stop(431, detail)
         if CONTROL_BYTES.search(b"".join([value for _, value in headers])):
-            self._stop(400, "a header contains a control character")
+            self._stop(400, "a header holds a control byte")
         coding, length = framing.get(b"transfer-encoding"), framing.get(b"content-length")
         if coding is not None:
             self._check_transfer_encoding(coding, length)
         elif length is not None and int(length) > limits.body_bytes:
-            self._stop(413, f"the body exceeds {limits.body_bytes} bytes")
+            self._stop(413, f"the body is over {limits.body_bytes} bytes")
         message.keep_alive = parser.should_keep_alive()
         if not self.requests:
             message.status = parser.get_status_code()
             return
         message.method = parser.get_method()
         if b"host" not in framing:
-            self._stop(400, "exactly one Host header is required")
+            self._stop(400, "exactly one Host header is expected")
         expect = framing.get(b"expect")
         if expect is not None:
             if expect.lower() != b"100-continue":
-                self._stop(417, "100-continue is the only supported expectation")
+                self._stop(417, "only 100-continue can be expected")
             self.expects_continue = True
 
     def _check_transfer_encoding(self, coding: bytes, length: bytes | None) -> None:
         if length is not None:
-            self._stop(400, "Content-Length and Transfer-Encoding are both present")
+            self._stop(400, "both Content-Length and Transfer-Encoding")
         if coding.strip().lower() != b"chunked":
-            self._stop(501, "chunked is the only supported Transfer-Encoding")
+            self._stop(501, "Transfer-Encoding other than chunked")
 
     def on_body(self, body: bytes) -> None:
         """A part of the body."""
         self._body_bytes += len(body)
         if self._body_bytes > self.limits.body_bytes:
-            self._stop(413, f"the body exceeds {self.limits.body_bytes} bytes")
+            self._stop(413, f"the body is over {self.limits.body_bytes} bytes")
         self._chunks.append(body)
 
     def on_message_complete(self) -> None:
