--- a/martenlead/policy/attempts.py
+++ b/martenlead/policy/attempts.py
@@ -122,7 +122,7 @@
             return None
         worker = self.placement.choose_worker(request, tried)
         if worker is None and attempts and attempts[-1].result is Result.ERROR:
-            # no other worker may have the request, so it is repeated where it was tried
+            # no other worker may have the request: repeats it at one that was tried
             worker = self.placement.choose_worker(request, set())
         return worker
 
--- a/martenlead/policy/outliers.py
+++ b/martenlead/policy/outliers.py
@@ -87,7 +87,10 @@
         worker.overdue_since_ns = self.state.now_ns
 
     def record_response(self, attempt: Attempt, is_error: bool) -> None:
-        """Updates the error shares; a request that fails at a second worker is to blame itself."""
+        """Updates the error shares of workers.
+
+        An error does not count against a worker if the request fails at a second worker too.
+        """
         request, worker = attempt.request, attempt.worker
         earlier = [a for a in request.attempts if a.result in WORKER_ERRORS and a is not attempt]
         share = worker.error_shares.get(request.request_class, 0.0)
--- a/martenlead/policy/placement.py
+++ b/martenlead/policy/placement.py
@@ -52,7 +52,7 @@
         Draws random numbers, and starts no attempt.
         """
         function: Function = request.function
-        known = self._known_holders(request, function)
+        known = self._known_replicas(request, function)
         fitting = [r for r in known if r.worker not in excluded and self.fits(request, r.worker)]
         warm = [r for r in fitting if self.state.is_warm(r)]
         warm = [r for r in warm if r.is_retained] or warm  # others may be unloaded
@@ -62,13 +62,13 @@
             )
             if is_free_home and not self.is_crowded(replica.worker):
                 return replica.worker
-        holders = [r for r in warm if not self.is_crowded(r.worker)] or warm or fitting
-        if holders:
-            two = [holders[int(self.state.random() * len(holders))] for _ in range(2)]
+        usable = [r for r in warm if not self.is_crowded(r.worker)] or warm or fitting
+        if usable:
+            two = [usable[int(self.state.random() * len(usable))] for _ in range(2)]
             return min(two, key=lambda r: self.busyness(r.worker)).worker
         return self._next_candidate(request, excluded, len(known))
 
-    def _known_holders(self, request: Request, function: Function) -> list[Replica]:
+    def _known_replicas(self, request: Request, function: Function) -> list[Replica]:
         """Warm or loading replicas, except at workers that returned an error to the request."""
         state, outliers = self.state, self.outliers
         known = [
@@ -77,21 +77,21 @@
             if (state.is_warm(replica) or replica.load_requested_ns)
             and outliers.is_usable(replica.worker)
         ]
-        # workers at capacity are not left out
-        erring = [a.worker for a in request.attempts if a.result is Result.ERROR]
+        # refusals for lack of capacity do not count
+        failed_at = [a.worker for a in request.attempts if a.result is Result.ERROR]
         return [
             replica
             for replica in known
-            if replica.worker not in erring
+            if replica.worker not in failed_at
             and not outliers.is_failing(replica.worker, request.request_class)
         ]
 
     def _next_candidate(
-        self, request: Request, excluded: set[Worker], holders: int
+        self, request: Request, excluded: set[Worker], replicas: int
     ) -> Worker | None:
         is_short_list = len(self.state.workers) <= FULLY_RANKED_WORKERS
-        for worker in self.candidates(request.function, holders):
-            if holders and is_short_list and not self.slow_start.is_warming_up(worker):
+        for worker in self.candidates(request.function, replicas):
+            if replicas and is_short_list and not self.slow_start.is_warming_up(worker):
                 # A load would evict replicas that other functions need. Only a worker that has just
                 # started has none yet.
                 continue
@@ -142,7 +142,7 @@
             replica = function.replicas.get(worker)
             if len(free) >= choices:
                 break
-            if not self._may_hold(worker):
+            if not self._may_get_replica(worker):
                 continue
             if (
                 replica
@@ -156,7 +156,7 @@
                 free.append(worker)
         return min(free, key=self.busyness, default=None)
 
-    def _may_hold(self, worker: Worker) -> bool:
+    def _may_get_replica(self, worker: Worker) -> bool:
         if not self.outliers.is_usable(worker) or self.slow_start.is_warming_up(worker):
             return False
         return not self.outliers.is_failing(worker)
--- a/martenlead/policy/replica_scaling.py
+++ b/martenlead/policy/replica_scaling.py
@@ -23,15 +23,16 @@
 
 # The design's dead band, as shares of Rmax.
 ADD_ABOVE, RELEASE_BELOW = 0.8, 0.6
-# Replicas added for a function in one period, as the design starts. Once more are retained, as many
-# are added.
+# Largest number of replicas added for a function in one period, as the design starts; the number of
+# retained replicas, if that is larger.
 NEW_REPLICAS = 2
 # First period of a dispatcher that has just started and retains no replicas yet.
 FIRST_PERIOD = SECOND // 4
 # Requests above which the counts behind a function's rate are halved. A rate taken from fewer says
 # more of chance than of demand.
 RATE_REQUESTS = 16
-# Periods after which the counts are halved in any case, since demand of long ago is no demand.
+# Periods after which the counts are halved in any case, since old requests do not show present
+# demand.
 RATE_PERIODS = 8
 # Requests needed before anything is known of the time between them.
 MIN_REQUESTS_FOR_GAP = 2
@@ -39,7 +40,7 @@
 RETAINED_GAPS = 6
 # Dispatchers that renew a replica, of all that retain it; one or two of them may be down.
 RENEWING_DISPATCHERS = 3
-# Refusals in a row after which a worker has no capacity to count on.
+# Refusals in a row after which a worker counts as having no capacity.
 REFUSALS_LIMIT = 2
 # Responses of a replica needed to use its own latency; before, the function's latency is used.
 KNOWN_RESPONSES = 3
--- a/martenlead/policy/retry_budget.py
+++ b/martenlead/policy/retry_budget.py
@@ -9,7 +9,7 @@
 
 # Five successes earn one retry.
 EARNED_BY_SUCCESS = 0.2
-# Largest number of retries saved up, so that a long quiet time does not allow a retry storm.
+# Largest number of retries saved up, so that a long idle time does not allow a retry storm.
 BUDGET_LIMIT = 10.0
 RETRY_COST = 1
 
--- a/martenlead/policy/slow_start.py
+++ b/martenlead/policy/slow_start.py
@@ -94,7 +94,7 @@
         worker.next_attempt_ns = self.state.now_ns + self._gap_ns(worker, requests)
 
     def _shorten_wait(self, worker: Worker) -> None:
-        """Recomputes a wait that was set before a rate was known, for example after a quiet time.
+        """Recomputes a wait that was set before a rate was known, for example after an idle time.
 
         The fraction of a request that is still to be waited for stays the same.
         """
--- a/martenlead/policy/types.py
+++ b/martenlead/policy/types.py
@@ -88,7 +88,7 @@
     """The settings that the policy reads at start. A feature that is not configured is absent."""
 
     dispatchers: int
-    tick_ns: int  # events are batched by ticks, and times may be off by one
+    tick_ns: int  # events are batched by ticks; times may be off by one tick
     attempt_limit: int  # attempts per request
     may_hedge: bool  # second attempts while the first is in flight are allowed
     may_cancel: bool  # attempts in flight may be cancelled
@@ -102,7 +102,7 @@
     loads_per_request: float
     slow_start_share: float  # share of its requests that a worker may get at its start
     slow_start_ns: int
-    slow_start_multiple: float  # multiple of a worker's part of all requests at the end of its ramp
+    slow_start_multiple: float  # the ramp is a share of this multiple of a worker's part
     over_share: float  # tenants have no shares if this is 1 or more
     rate_limit_per_second: float  # sum over all tenants
     memory_price: float  # all memory idle all day, relative to the value of all requests
@@ -207,7 +207,7 @@
 
 @dataclass(slots=True, eq=False)
 class LoadRequest:
-    """Asks a worker to keep that many replicas loaded, or with 0 how many are loaded."""
+    """Asks a worker to keep that many replicas loaded; 0 asks how many are loaded."""
 
     worker: Any
     function: Any
--- a/martenlead/simulator_adapter/dispatcher.py
+++ b/martenlead/simulator_adapter/dispatcher.py
@@ -50,9 +50,8 @@
         self.requests: dict[str, Request] = {}
         self.request_ids: dict[Request, str] = {}
         self.open_attempts: dict[tuple[str, int], Attempt] = {}  # key: request id, attempt index
-        self.load_requests: dict[
-            tuple[str, str], list[LoadRequest]
-        ] = {}  # key: worker id, function id
+        # key: worker id, function id
+        self.load_requests: dict[tuple[str, str], list[LoadRequest]] = {}
         self.is_started = False
         self.timer_due_ns: int | None = None
 
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -38,8 +38,8 @@
 def index_of(workers: Iterable[Worker]) -> CandidateIndex:
     """An index of these workers."""
     index = CandidateIndex()
-    for one in workers:
-        index.add(one)
+    for worker in workers:
+        index.add(worker)
     return index
 
 
@@ -50,7 +50,7 @@
 
 def candidate_marks(index: CandidateIndex, function: int, replicas: int = 0) -> list[int]:
     """The marks of a function's candidates, in order."""
-    return [one.facts.mark for one in Ranking(function).candidates(index, replicas)]
+    return [worker.facts.mark for worker in Ranking(function).candidates(index, replicas)]
 
 
 def first_candidates(index: CandidateIndex, functions: Iterable[int] = FUNCTIONS) -> dict[int, int]:
@@ -225,21 +225,21 @@
     index = index_of(workers)
     before = first_candidates(index)
     shares = []
-    for one in workers[:: size // 20][:20]:
+    for worker in workers[:: size // 20][:20]:
         if change == "joins":
-            one = new_worker(one.facts.mark + 1)
+            worker = new_worker(worker.facts.mark + 1)
         else:
-            index.remove(one)
+            index.remove(worker)
         if change == "weighs more":
-            one = new_worker(one.facts.mark, 2.0)
+            worker = new_worker(worker.facts.mark, 2.0)
         if change != "leaves":
-            index.add(one)
+            index.add(worker)
         shares.append(moved_share(before, first_candidates(index)))
         if change != "leaves":
-            index.remove(one)
+            index.remove(worker)
         if change != "joins":
-            one.facts.weight = 1.0
-            index.add(one)
+            worker.facts.weight = 1.0
+            index.add(worker)
     assert first_candidates(index) == before
     assert sum(shares) / len(shares) <= math.log2(size) / size
     assert max(shares) <= 4 * math.log2(size) / size + 4 / len(before)
@@ -254,16 +254,16 @@
         first_candidates(index),
         {function: candidate_marks(index, function, 4) for function in range(60)},
     )
-    zone = {one.facts.mark: one for one in workers[::10]}
-    for one in zone.values():
-        index.remove(one)
+    zone = {worker.facts.mark: worker for worker in workers[::10]}
+    for worker in zone.values():
+        index.remove(worker)
     without = first_candidates(index)
     assert not set(without.values()) & set(zone)
     stayed = {function: mark for function, mark in before.items() if mark not in zone}
     assert moved_share(stayed, without) <= 0.2
-    for mark, one in Random(3).sample(sorted(zone.items()), len(zone)):
-        assert one.facts.mark == mark
-        index.add(one)
+    for mark, worker in Random(3).sample(sorted(zone.items()), len(zone)):
+        assert worker.facts.mark == mark
+        index.add(worker)
     assert first_candidates(index) == before
     assert {function: candidate_marks(index, function, 4) for function in range(60)} == candidates
 
@@ -307,7 +307,7 @@
     workers = [new_worker(mark) for mark in Random(seed).sample(range(1 << 50), size)]
     found = candidate_marks(index_of(workers), seed, replicas)
     assert len(found) == len(set(found))
-    assert set(found) <= {one.facts.mark for one in workers}
+    assert set(found) <= {worker.facts.mark for worker in workers}
     if size <= FULLY_RANKED_WORKERS:
         assert len(found) == size
     else:
@@ -355,8 +355,8 @@
     """Either way, nearly each worker is the first candidate of some function."""
     few = random_workers(FULLY_RANKED_WORKERS + 1)
     crowded = IndexWithOneLeaf()
-    for one in few:
-        crowded.add(one)
+    for worker in few:
+        crowded.add(worker)
     for index in (index_of(few), crowded):
         assert len(set(first_candidates(index, range(4_000)).values())) > 250
         assert {len(candidate_marks(index, function)) for function in range(30)} == {CANDIDATES}
@@ -368,13 +368,13 @@
     index = index_of(workers[:FULLY_RANKED_WORKERS])
     ranking = Ranking(77)
     short_list_ranking = list(ranking.candidates(index, 0))
-    for one in workers[FULLY_RANKED_WORKERS:]:
-        index.add(one)
-    drawn = [one.facts.mark for one in ranking.candidates(index, 0)]
+    for worker in workers[FULLY_RANKED_WORKERS:]:
+        index.add(worker)
+    drawn = [worker.facts.mark for worker in ranking.candidates(index, 0)]
     assert drawn == candidate_marks(index, 77)
     assert len(drawn) == CANDIDATES
-    for one in workers[FULLY_RANKED_WORKERS:]:
-        index.remove(one)
+    for worker in workers[FULLY_RANKED_WORKERS:]:
+        index.remove(worker)
     assert list(ranking.candidates(index, 0)) == short_list_ranking
     assert len(short_list_ranking) == FULLY_RANKED_WORKERS
 
@@ -383,7 +383,7 @@
     """A function that had more replicas considers no more workers than one that never had."""
     index, ranking = index_of(random_workers(500)), Ranking(3)
     assert len(list(ranking.candidates(index, 40))) == CANDIDATES + 40
-    assert [one.facts.mark for one in ranking.candidates(index, 0)] == candidate_marks(index, 3)
+    assert [worker.facts.mark for worker in ranking.candidates(index, 0)] == candidate_marks(index, 3)
     assert len(list(ranking.candidates(index, 0))) == CANDIDATES
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -235,9 +235,8 @@
         for function in functions
     )
     dispatcher.advance_to(6000)
-    dispatcher.policy.record_load_end(
-        first, types.Result.SUCCEEDED, 1
-    )  # answered late, with the replica loaded already
+    # answered late, with the replica loaded already
+    dispatcher.policy.record_load_end(first, types.Result.SUCCEEDED, 1)
     dispatcher.advance_to(6500)
     dispatcher.policy.record_load_end(second, types.Result.NO_RESPONSE, 0)  # may have arrived only now
     for time_ms in (10_100, 16_000):
