--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -400,7 +400,7 @@
 async def until_served(client: Any) -> None:
     """Within the time that a worker may be left alone after faults."""
     with anyio.fail_after(8):
-        while await client.call("safe", wait=LONG, id=f"{client.number + 4096:016x}") != "satisfied":
+        while await client.call("safe", wait=LONG, id=f"{client.last_number + 4096:016x}") != "satisfied":
             await anyio.sleep(0.05)
 
 
