--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -401,7 +401,7 @@
 async def until_served(client: Any) -> None:
     """Calls until a request succeeds, within the longest time that a worker is avoided after faults."""
     with anyio.fail_after(8):
-        while await client.call("safe", wait=LONG, id=f"{client.number + 4096:016x}") != "satisfied":
+        while await client.call("safe", wait=LONG, id=f"{client.last_number + 4096:016x}") != "satisfied":
             await anyio.sleep(0.05)
 
 
