--- a/martenlead/durable_state/__init__.py
+++ b/martenlead/durable_state/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: crash-safe files, what a dispatcher saves in them, and how that ages."""
+"""Durable state: crash-safe files, the knowledge that a dispatcher saves, and how it ages."""
--- a/martenlead/durable_state/knowledge.py
+++ b/martenlead/durable_state/knowledge.py
@@ -1,15 +1,16 @@
-"""What of a dispatcher's knowledge survives a restart, and how it ages. Free of I/O.
+"""The knowledge of a dispatcher that survives a restart, and how it ages; does no I/O.
 
-Saved are the usual latencies and the demand of functions, the requests that succeed per second, the
+Saved are the latencies and the demand of functions, the requests that succeed per second, the
 concurrency limits of workers, replicas, draining workers, and the load requests in the window of
-the load budget. Not saved is what is not true of another incarnation: attempts in flight, retry
-budgets, requests without a response, random state. Not trusted is anything about a worker that has
-restarted since, a replica that was idle longer than its keep-alive, and any replica until its
-worker has confirmed it.
-
-Each aspect ages by how fast it was seen to change. Its mean relative change per second is measured
-between two savings and saved with it. A saved value counts for 1 / (1 + change * age). An age that
-cannot be known, because a clock was stepped back, counts as a long one. Times are nanoseconds.
+the load budget. State that is not valid for another incarnation is not saved: attempts in flight,
+retry budgets, requests without a response, random state. Not restored is anything about a worker
+that has restarted since, and replicas that were idle longer than their keep-alive; a replica is
+used only after its worker has confirmed it.
+
+Each aspect ages at the rate at which it was measured to change. Its mean relative change per second
+is measured between two saves and saved with it. A saved value has the weight
+1 / (1 + change * age). If the age is unknown because a clock was stepped back, a long age
+(`UNKNOWN_AGE_NS`) is assumed. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -26,49 +27,49 @@
 
 SECOND = 1_000_000_000
 UNKNOWN_AGE_NS = 24 * 3600 * SECOND
-# relative change per second of each aspect, until it was measured; the keys are stored
+# relative change per second of each aspect until it is measured; the keys are stored in files
 DEFAULT_CHANGE_PER_SECOND = {"latency": 1 / 600, "demand": 1 / 60, "width": 1 / 30}
 MIN_CHANGE_PER_SECOND, MAX_CHANGE_PER_SECOND = 1 / 86_400, 1.0
-SMOOTHING_FACTOR = 0.1  # weight of a new measurement in the mean change
+SMOOTHING_FACTOR = 0.1  # weight of a new measurement in the moving average
 MAX_FUNCTIONS = 10_000
-FUNCTIONS_PER_STEP = 25  # read before the event loop may go on
-SAMPLED_FUNCTIONS = 200  # the most recently used, which the changes are measured on
-MIN_SAMPLED_REQUESTS = 4  # of a function whose demand is compared
-MAX_RELOADS = 200  # replicas that are confirmed after a start
+FUNCTIONS_PER_STEP = 25  # functions read before the event loop runs other tasks
+SAMPLED_FUNCTIONS = 200  # most recently used functions, on which changes are measured
+MIN_SAMPLED_REQUESTS = 4  # functions with fewer requests are left out of the demand change
+MAX_RELOADS = 200  # replicas that workers are asked to confirm after a start
 NS_PER_MS = 1e6
 
-# handles of the policy's own objects: any hashable object, which only the policy looks into
+# handles of the policy's objects: hashable, and opaque to all code but the policy
 PolicyFunction = Any
 PolicyWorker = Any
-WorkerIdentity = tuple[str, str, bool]  # name, incarnation, whether it says that it is draining
-LiveWorkers = Mapping[str, tuple[PolicyWorker, str]]  # by name; with the present incarnation
+WorkerIdentity = tuple[str, str, bool]  # name, incarnation, whether it reports that it is draining
+LiveWorkers = Mapping[str, tuple[PolicyWorker, str]]  # name -> worker and current incarnation
 
 
 class SavedReplica(msgspec.Struct, array_like=True):
-    """A replica that was loaded."""
+    """A replica that was loaded when it was saved."""
 
     worker: str
-    incarnation: str  # of the worker
-    idle_ns: int  # since its last use
+    incarnation: str  # incarnation of the worker
+    idle_ns: int  # time since the last use
 
 
 class SavedFunction(msgspec.Struct, array_like=True):
-    """What was known of a function."""
+    """The saved knowledge of a function."""
 
     name: str
     lanes: int
     memory_mb: float
-    latency_bins: list[float]  # of the policy's latency histogram
+    latency_bins: list[float]  # bins of the policy's latency histogram
     latency_sum_ns: float
-    recent_requests: float  # within `recent_span_ns`
+    recent_requests: float  # requests within `recent_span_ns`
     recent_span_ns: int
-    mean_gap_ns: int  # between two requests
-    idle_ns: int  # since the last request
+    mean_gap_ns: int  # mean time between two requests
+    idle_ns: int  # time since the last request
     replicas: list[SavedReplica]
 
 
 class SavedWorker(msgspec.Struct, array_like=True):
-    """What was known of a worker."""
+    """The saved knowledge of a worker."""
 
     name: str
     incarnation: str
@@ -77,16 +78,16 @@
 
 
 class SavedKnowledge(msgspec.Struct):
-    """All that is saved of one dispatcher."""
+    """The saved knowledge of one dispatcher."""
 
     succeeded_per_second: float = msgspec.field(name="rate")
     new_requests_per_second: float = msgspec.field(name="asked")
     functions: list[SavedFunction] = msgspec.field(name="models")
     workers: list[SavedWorker] = msgspec.field(name="runners")
-    load_ages_ns: list[int] = msgspec.field(name="orders")  # of load requests
+    load_ages_ns: list[int] = msgspec.field(name="orders")  # ages of load requests
     change_per_second: dict[str, float] = msgspec.field(name="change")
-    boot_id: str = msgspec.field(default="", name="boot")  # start of the machine
-    uptime_ns: int = msgspec.field(default=0, name="at")  # since that start, when it was saved
+    boot_id: str = msgspec.field(default="", name="boot")  # identifies the boot of the machine
+    uptime_ns: int = msgspec.field(default=0, name="at")  # time since that boot when it was saved
 
 
 class ReplicaReload(NamedTuple):
@@ -99,7 +100,7 @@
     idle_ms: float
 
 
-Gathered = tuple[int, SavedKnowledge]  # when, and what
+Gathered = tuple[int, SavedKnowledge]  # when the knowledge was gathered, and the knowledge
 
 
 # -- gathering
@@ -112,7 +113,7 @@
     workers: Mapping[PolicyWorker, WorkerIdentity],
     before: Gathered | None = None,
 ) -> SavedKnowledge:
-    """All steps of `gather_in_steps` in one go."""
+    """Runs all steps of `gather_in_steps` at once and returns the knowledge."""
     steps = gather_in_steps(policy, now_ns, names, workers, before)
     while True:
         try:
@@ -129,10 +130,10 @@
     workers: Mapping[PolicyWorker, WorkerIdentity],
     before: Gathered | None = None,
 ) -> Generator[None, None, SavedKnowledge]:
-    """Reads the policy, a few functions per step, and changes nothing.
+    """Gathers knowledge from the policy, a few functions per step, without changing the policy.
 
-    Ten thousand functions at once would hold up the event loop for longer than some requests have.
-    `names` are those of the functions. `before` is what was gathered last.
+    Reading ten thousand functions at once would block the event loop for longer than the deadlines
+    of some requests. `names` are the names of the functions, `before` the previous result.
     """
     functions = sorted(policy.state.functions, key=lambda f: (-f.last_request_ns, f.facts.mark))[
         :MAX_FUNCTIONS
@@ -212,9 +213,9 @@
 
 
 def measure_changes(before: Gathered, after: Gathered) -> dict[str, float]:
-    """How fast each aspect changes, relative and per second.
+    """Returns the moving average of the relative change per second of each aspect.
 
-    It is the median over all functions or workers in both, taken into the mean so far.
+    A measurement is the median over all functions or workers that occur in both results.
     """
     (before_ns, old), (after_ns, new) = before, after
     seconds = (after_ns - before_ns) / SECOND
@@ -261,10 +262,10 @@
 def compute_age_ns(
     knowledge: SavedKnowledge, saved_ns: int, unix_time_ns: int, boot_id: str, uptime_ns: int
 ) -> int:
-    """The time since knowledge was saved.
+    """Returns the time since the knowledge was saved.
 
-    The uptime of the machine measures it if the machine has not restarted, otherwise the wall
-    clock. A wall clock that ran backwards measures nothing.
+    It is measured by the uptime if the machine has not restarted, otherwise by the wall clock.
+    If the wall clock ran backwards, the age is unknown: `UNKNOWN_AGE_NS`.
     """
     is_same_boot = bool(knowledge.boot_id) and knowledge.boot_id == boot_id
     if is_same_boot and uptime_ns >= knowledge.uptime_ns:
@@ -273,7 +274,7 @@
 
 
 def compute_confidence(change_per_second: float, age_ns: int) -> float:
-    """What a saved value still counts for, in (0, 1]."""
+    """Returns the weight of a saved value of that age, in (0, 1]."""
     return 1 / (1 + _bound_change(change_per_second) * age_ns / SECOND)
 
 
@@ -285,7 +286,7 @@
 
 
 def mean_confidence(knowledge: SavedKnowledge, age_ns: int) -> float:
-    """What the knowledge still counts for, over all aspects; for operators."""
+    """Returns the mean weight of the saved knowledge over all aspects, for operators."""
     return fmean(_confidences(knowledge, age_ns).values())
 
 
@@ -299,7 +300,7 @@
     workers: LiveWorkers,
     load_window_ns: int,
 ) -> EarlierRun:
-    """What the policy is given after a start. `functions` and `workers` are its objects by name."""
+    """Returns the knowledge to restore; `functions` and `workers` map names to policy objects."""
     confidence = _confidences(knowledge, age_ns)
     return EarlierRun(
         succeeded_per_second=knowledge.succeeded_per_second,
@@ -334,16 +335,16 @@
 
 
 def _is_same_incarnation(name: str, incarnation: str, workers: LiveWorkers) -> bool:
-    """Whether a worker is listed and has not restarted since it was saved."""
+    """Returns whether a worker is listed and has not restarted since it was saved."""
     return name in workers and workers[name][1] == incarnation
 
 
 def list_reloads(
     knowledge: SavedKnowledge, age_ns: int, keep_alive_ns: int, workers: LiveWorkers
 ) -> list[ReplicaReload]:
-    """Replicas to ask their workers for, the most recently used first.
+    """Lists the replicas that workers are asked to confirm, the most recently used first.
 
-    Left out are those whose keep-alive has ended, and those of a worker that has restarted.
+    Omits replicas whose keep-alive has expired, and those of workers that have restarted.
     """
     found = [
         ReplicaReload(
@@ -362,7 +363,7 @@
 
 
 def list_draining_workers(knowledge: SavedKnowledge, workers: LiveWorkers) -> list[str]:
-    """Workers that said that they are draining and have not restarted since."""
+    """Lists the workers that reported a drain and have not restarted since."""
     return [
         saved.name
         for saved in knowledge.workers
--- a/martenlead/durable_state/state_file.py
+++ b/martenlead/durable_state/state_file.py
@@ -15,23 +15,23 @@
 
 MAGIC = b"MLASTING"
 FORMAT_VERSION = 1
-HEADER = struct.Struct("<8sHHIQqQ16s")  # fields of `Header`, in this order
+HEADER = struct.Struct("<8sHHIQqQ16s")  # the fields of `Header` in order
 CHECKSUM_BYTES = 16
 OWNER_DIGEST_BYTES = 16
 COMPRESSION_LEVEL = 3
-MAX_UNPACK_RATIO = 8  # times `max_bytes` that a state may be once it is unpacked
+MAX_UNPACK_RATIO = 8  # limit of the decompressed size as a multiple of `max_bytes`
 STATE_FILE_NAME = re.compile(r"([a-z]+)\.(\d{16})\.state\Z")
 
-# why a file is not read, as operators are told
-FOREIGN = "no state of this program"
+# reasons for rejecting a file, reported to operators
+FOREIGN = "not a state file of this program"
 CORRUPT = "cut short or corrupt"
 OF_ANOTHER_DEPLOYMENT = "of another deployment"
-TOO_LARGE_UNPACKED = "it unpacks to more than is allowed"
+TOO_LARGE_UNPACKED = "its decompressed size exceeds the limit"
 
-PlainValue = Any  # what MessagePack decodes to; its shape is known only by the kind and its version
+PlainValue = Any  # decoded MessagePack; its structure depends on kind and version
 Migration = Callable[[PlainValue], PlainValue]
 
-# raised by a body that `pack_state` did not write, or by a migration that does not fit it
+# raised by decoding a body that `pack_state` did not write, or by a migration that does not fit it
 CONTENT_ERRORS = (
     zstandard.ZstdError,
     msgspec.DecodeError,
@@ -43,31 +43,31 @@
 
 
 class UnreadableStateError(Exception):
-    """The bytes are not a state that this program can read; the text says why."""
+    """The data is not a state that this program can read; the message gives the reason."""
 
 
 @dataclass(slots=True, frozen=True)
 class StateKind:
-    """What a state is about, its version, and the migration from each older version to the next."""
+    """A kind of state: its name, version, and migration from each older version to the next."""
 
-    name: str  # small letters
+    name: str  # lower-case letters only
     version: int = 1
     migrations: dict[int, Migration] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
 class StoredState:
-    """A state as it was read, migrated to the version of its kind."""
+    """A state that was read from a file, migrated to the current version of its kind."""
 
     value: PlainValue
     generation: int
-    saved_ns: int  # Unix time, by the clock of the process that saved it
-    version: int  # that it was saved with
+    saved_ns: int  # Unix time by the wall clock of the process that saved it
+    version: int  # the version of the kind when the state was saved
 
 
 @dataclass(slots=True, frozen=True)
 class Header:
-    """The fixed part of a file, in the order of its bytes."""
+    """The fixed part of a file; the fields are in file order."""
 
     magic: bytes
     format_version: int
@@ -80,11 +80,11 @@
 
     @classmethod
     def read(cls, data: bytes) -> Header:
-        """The header of a file, checked by nothing."""
+        """Unpacks the header of a file without checking it."""
         return cls(*HEADER.unpack_from(data))
 
     def pack(self) -> bytes:
-        """The bytes of the header."""
+        """Returns the encoded header."""
         return HEADER.pack(
             self.magic,
             self.format_version,
@@ -98,19 +98,19 @@
 
 
 def file_name(kind: str, generation: int) -> str:
-    """The name of a state file, which `STATE_FILE_NAME` matches."""
+    """Returns the name of a state file; `STATE_FILE_NAME` matches it."""
     return f"{kind}.{generation:016d}.state"
 
 
 def owner_digest(deployment: str, kind: str) -> bytes:
-    """Tells states of one deployment and kind from all others."""
+    """Returns a digest that identifies the deployment and the kind of a state."""
     return hashlib.sha256(f"{kind}\0{deployment}".encode()).digest()[:OWNER_DIGEST_BYTES]
 
 
 def pack_state(
     kind: StateKind, deployment: str, generation: int, saved_ns: int, value: object
 ) -> bytes:
-    """The bytes of a state file."""
+    """Returns the content of a state file."""
     compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL)
     body = compressor.compress(msgspec.msgpack.encode(value))
     owner = owner_digest(deployment, kind.name)
@@ -120,15 +120,15 @@
 
 
 def read_version(data: bytes) -> int:
-    """The version that a file states, checked by nothing; 0 if the file is too short."""
+    """Returns the version in a header without checking it; 0 if the file is too short."""
     return Header.read(data).version if len(data) >= HEADER.size else 0
 
 
 def unpack_state(data: bytes, kind: StateKind, deployment: str, max_bytes: int) -> StoredState:
     """Reads a state file, and migrates its value to the version of `kind`.
 
-    Raises `UnreadableStateError` for all that `pack_state` of this deployment and kind did not
-    write whole.
+    Raises `UnreadableStateError` unless the data is the complete output of `pack_state` for this
+    deployment and kind.
     """
     header, body = _check_integrity(data)
     if header.format_version > FORMAT_VERSION or header.version > kind.version:
@@ -147,10 +147,10 @@
 
 
 def _check_integrity(data: bytes) -> tuple[Header, bytes]:
-    """The header and the body of a file that is whole."""
+    """Returns header and body of a file whose length and checksum are correct."""
     body_start = HEADER.size + CHECKSUM_BYTES
     if len(data) < body_start:
-        reason = f"{len(data)} bytes are no state"
+        reason = f"{len(data)} bytes are too short for a state file"
         raise UnreadableStateError(reason)
     header = Header.read(data)
     if header.magic != MAGIC:
@@ -162,7 +162,7 @@
 
 
 def _decompress(body: bytes, max_bytes: int) -> PlainValue:
-    """The value of a body. Raises one of `CONTENT_ERRORS`."""
+    """Returns the decoded value of a body; raises one of `CONTENT_ERRORS`."""
     if zstandard.frame_content_size(body) > max_bytes:
         raise ValueError(TOO_LARGE_UNPACKED)
     plain = zstandard.ZstdDecompressor().decompress(body, max_output_size=max_bytes)
--- a/martenlead/durable_state/store.py
+++ b/martenlead/durable_state/store.py
@@ -1,15 +1,15 @@
 """A crash-safe store of small states.
 
-Each state is a file, written as a whole. A newer generation replaces it, and the generation before
-is kept. A write makes a new file, syncs it, renames it into its place, and syncs the folder:
-wherever it is cut short, the generation before or the new one is found whole. A write that fails at
-one of these steps is done again from the first one, under the same generation. One process writes
-to a folder. It holds a lock that the kernel releases when it dies, and counts the epochs of the
-folder.
-
-A file that cannot be read is set aside, reported once, and never stops a start: losing a state
-costs only what was in it. A file of a newer program is set aside unread, so that a downgrade
-destroys nothing.
+Each state is one file, always written as a whole. A newer generation replaces it, and the previous
+generation is retained. A write creates a temporary file, syncs it, renames it, and syncs the
+folder: wherever a crash interrupts it, the previous or the new generation is complete. A write that
+fails at one of these steps is repeated from the first step with the same generation number. One
+process at a time writes to a folder: it holds a lock, which the kernel releases when the process
+dies, and begins a new epoch of the folder.
+
+A file that cannot be decoded is set aside (renamed) and reported once; it never prevents a start,
+since only its content is lost. A file of a newer program is set aside without being decoded,
+so that a downgrade destroys nothing.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     unpack_state,
 )
 
-__all__ = [  # what users of the store need, of the file format too
+__all__ = [  # the interface of the store, including the parts of the file format that users need
     "EPOCHS_KIND",
     "HEADER",
     "MAX_FILES_SET_ASIDE",
@@ -51,31 +51,31 @@
 
 DEFAULT_MAX_BYTES = 64_000_000
 RETAINED_GENERATIONS = 2
-MAX_GENERATIONS = 16  # of a kind, while older ones cannot be removed; beyond it nothing is written
-MAX_PROBLEMS = 64  # that wait to be reported
-READ_ATTEMPTS = 3  # of a file, in a row: a call that fails for a moment must not cost a generation
-MAX_FILES_SET_ASIDE = 8  # the newest are kept
+MAX_GENERATIONS = 16  # files of a kind, if old ones cannot be removed; writes fail at this limit
+MAX_PROBLEMS = 64  # length of `StateStore.problems`
+READ_ATTEMPTS = 3  # consecutive attempts, so that a transient error does not lose a generation
+MAX_FILES_SET_ASIDE = 8  # older ones are removed
 LOCK_FILE, EPOCHS_KIND = "lock", "epochs"
 
 
 class FolderInUseError(Exception):
-    """Another process writes to the folder."""
+    """Another process holds the lock of the folder."""
 
     def __init__(self) -> None:
-        super().__init__("another process writes there")
+        super().__init__("another process writes to the state folder")
 
 
 class StateTooLargeError(Exception):
-    """A state is over the size limit."""
+    """An encoded state exceeds the size limit."""
 
     def __init__(self, kind: str, size_bytes: int, max_bytes: int) -> None:
-        super().__init__(f"{kind}: {size_bytes} bytes, {max_bytes} are allowed")
+        super().__init__(f"{kind}: state of {size_bytes} bytes, at most {max_bytes} are allowed")
 
 
 class StateStore:
     """Reads and writes states in one folder.
 
-    `problems` lists what was found wrong, each once; whoever opens the store logs them.
+    `problems` lists each problem found once; the code that opens the store logs them.
     """
 
     def __init__(
@@ -85,20 +85,20 @@
         wall_clock_ns: Callable[[], int],
         max_bytes: int = DEFAULT_MAX_BYTES,
     ) -> None:
-        """Raises `FolderInUseError`, and OSError if the folder cannot be used at all."""
+        """Raises `FolderInUseError`, and OSError if the folder cannot be read or locked."""
         self.disk, self.deployment = disk, deployment
         self.wall_clock_ns, self.max_bytes = wall_clock_ns, max_bytes
         self.problems: list[str] = []
-        self.read_errors = 0  # files that exist and could not be read
-        self.epoch = 0  # 0 until it is durable
-        self._generations: dict[str, int] = {}  # the latest that is known, by kind
+        self.read_errors = 0  # number of files or listings that could not be read
+        self.epoch = 0  # 0 until the new epoch is durable
+        self._generations: dict[str, int] = {}  # newest known generation by kind
         if not disk.lock(LOCK_FILE):
             raise FolderInUseError
         try:
             self._remove_partial_writes()
             self._begin_epoch()
         except BaseException:
-            disk.unlock()  # a later attempt of this process must not find the lock taken
+            disk.unlock()  # lets a later attempt of this process lock the folder
             raise
 
     def close(self) -> None:
@@ -106,7 +106,7 @@
         self.disk.unlock()
 
     def _remove_partial_writes(self) -> None:
-        """Removes what is left of writes that were cut short, if the disk lets it."""
+        """Removes temporary files of interrupted writes; ignores files that cannot be removed."""
         for name in self.disk.names():
             if name.endswith(".part"):
                 with suppress(OSError):
@@ -119,19 +119,20 @@
     # -- epochs
 
     def _begin_epoch(self) -> None:
-        """Counts an epoch if the disk can be written; reading works without."""
+        """Starts a new epoch if the disk is writable; reading works without one."""
         try:
             self.epoch = self._count_epoch()
         except OSError as error:
-            self._report_problem(f"nothing can be kept: {error.strerror or error}")
+            self._report_problem(f"state cannot be saved: {error.strerror or error}")
 
     def _count_epoch(self) -> int:
-        """The number of processes that have written here, this one included; a fencing token.
+        """Stores and returns the next epoch, which serves as a fencing token.
 
-        Raises OSError while it cannot be made durable; the first write tries again.
+        The epoch is the number of processes that have written to the folder, including this one.
+        Raises OSError if it cannot be made durable; the first write then tries again.
         """
         kind = StateKind(EPOCHS_KIND)
-        # each epoch is a generation of its own: one whose file cannot be read is not given again
+        # an epoch equals its file's generation: even if the file is unreadable, it is not reused
         last = max((generation for generation, _ in self._files(EPOCHS_KIND)), default=0)
         before = self.read(kind)
         if before is not None and isinstance(before.value, int):
@@ -142,7 +143,7 @@
     # -- reading
 
     def _files(self, kind: str) -> list[tuple[int, str]]:
-        """Generations of a kind and their files, the newest first."""
+        """Returns the generations of a kind with their file names, the newest first."""
         found = []
         for name in self.disk.names():
             match = STATE_FILE_NAME.match(name)
@@ -151,10 +152,10 @@
         return sorted(found, reverse=True)
 
     def read(self, kind: StateKind) -> StoredState | None:
-        """The newest generation that is whole; None if there is none.
+        """Returns the newest complete generation, or None.
 
-        Never raises for what is in the folder. Files that may be whole and could not be read are
-        counted in `read_errors`.
+        Never raises because of the content of the folder. Files that may be intact but could not
+        be read are counted in `read_errors`.
         """
         try:
             files = self._files(kind.name)
@@ -171,7 +172,7 @@
         return found
 
     def _read_file(self, name: str, generation: int, kind: StateKind) -> StoredState | None:
-        """One file; it is set aside if it is not whole."""
+        """Reads one file; sets it aside if its content is invalid."""
         try:
             data = self._read_with_retries(name)
             state = unpack_state(data, kind, self.deployment, self.max_bytes)
@@ -182,7 +183,7 @@
             self._count_read_error(name, error)
             return None
         if state.generation != generation:
-            self._set_aside(name, f"it is generation {state.generation}")
+            self._set_aside(name, f"its header has generation {state.generation}")
             return None
         return state
 
@@ -211,8 +212,8 @@
     def write(self, kind: StateKind, value: object) -> int:
         """Writes a new generation and returns its number once it is durable.
 
-        Raises `StateTooLargeError`, and OSError for a full or broken disk. The state before stands
-        then.
+        Raises `StateTooLargeError`, and OSError for a full or failing disk. The previous generation
+        then remains the newest.
         """
         if not self.epoch:
             self.epoch = self._count_epoch()
@@ -233,7 +234,7 @@
         return generation
 
     def _write_file(self, temporary: str, name: str, data: bytes) -> None:
-        """Writes a file so that it is found whole or not at all. Raises OSError."""
+        """Creates a file atomically: after a crash it is complete or absent. Raises OSError."""
         disk = self.disk
         try:
             disk.write_synced(temporary, data)
@@ -245,7 +246,7 @@
             raise
 
     def _check_generation_limit(self, kind: StateKind) -> None:
-        """Raises OSError if too many older generations cannot be removed."""
+        """Raises OSError if too many older generations remain that cannot be removed."""
         if len(self._files(kind.name)) < MAX_GENERATIONS:
             return
         self._remove_older(kind)
@@ -253,7 +254,7 @@
             raise OSError(errno.EIO, "older generations cannot be removed")
 
     def _remove_older(self, kind: StateKind) -> None:
-        """Removes all but the newest generations; the next write tries those again that stay."""
+        """Removes all but the newest generations; the next write retries failed removals."""
         with suppress(OSError):
             for _, old in self._files(kind.name)[RETAINED_GENERATIONS:]:
                 self.disk.remove(old)
--- a/martenlead/planner/connection_errors.py
+++ b/martenlead/planner/connection_errors.py
@@ -1,4 +1,4 @@
-"""Errors by which a connection ends, at either end of the link."""
+"""Exceptions that end a connection, at either end of the link."""
 
 from __future__ import annotations
 
@@ -14,5 +14,5 @@
 
 
 def describe_error(error: BaseException) -> str:
-    """The type and the text of an error, in one line."""
+    """Returns the type and the text of an error in one line."""
     return f"{type(error).__name__} {error}".strip()
--- a/martenlead/planner/edge_clock.py
+++ b/martenlead/planner/edge_clock.py
@@ -1,17 +1,17 @@
-"""An estimate of an edge's clock, from the times in its messages."""
+"""Estimates an edge's clock from the times in its messages."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MAX_CLOCK_DRIFT = 100e-6  # the share by which two clocks may differ; an offset ages by it
+MAX_CLOCK_DRIFT = 100e-6  # largest relative rate difference; an offset is lowered by it with age
 
 
 class EdgeClock:
-    """The edge's clock, as the planner knows it.
+    """The planner's estimate of an edge's clock.
 
-    The message that arrived fastest is taken to have had no delay. Only differences of the own
-    clock are used, so it may show any time.
+    The fastest message is assumed to have had no delay. Only differences of the planner's own clock
+    are used, so its absolute time does not matter.
     """
 
     def __init__(self, own_clock: Callable[[], int]) -> None:
@@ -20,7 +20,7 @@
         self.offset_measured_ns: int | None = None
 
     def record_edge_time(self, edge_time_ns: int) -> None:
-        """Takes in the edge's time from a message that has just arrived."""
+        """Updates the estimate with the edge's time in a message that has just arrived."""
         now_ns = self.own_clock()
         offset_ns = edge_time_ns - now_ns
         if self.offset_measured_ns is not None:
@@ -30,5 +30,5 @@
         self.offset_ns, self.offset_measured_ns = offset_ns, now_ns
 
     def __call__(self) -> int:
-        """The edge's time now, ns."""
+        """Returns the current time of the edge in ns."""
         return self.own_clock() + self.offset_ns
--- a/martenlead/planner/edge_session.py
+++ b/martenlead/planner/edge_session.py
@@ -15,8 +15,8 @@
 from martenlead.planner.snapshot import PolicySnapshot, encode_snapshot
 from martenlead.planner.status import EdgeLinkStatus
 
-EVENTS_PER_FRAME = 512  # after so many a frame is made at once, also without a planner
-STALLED_LEASES = 4  # leases for which a planner may be alive and acknowledge nothing
+EVENTS_PER_FRAME = 512  # a full batch is framed at once, also without a connection
+STALLED_LEASES = 4  # lease durations without an acknowledgement before a planner counts as stalled
 PLANNER_EVENTS = (
     ev.RequestAccepted,
     ev.AttemptStarted,
@@ -34,7 +34,7 @@
 
 
 class ConnectionState(StrEnum):
-    """Whether there is a connection; `GREETING` until the planner's `Welcome`."""
+    """The state of the connection; `GREETING` until the planner's `Welcome`."""
 
     DOWN = "down"
     GREETING = "greeting"
@@ -42,21 +42,21 @@
 
 
 class TakenSnapshot(NamedTuple):
-    """The state of the edge's policy, and the numbers of the functions in it."""
+    """A snapshot of the edge's policy, and the numbers of the functions in it."""
 
     state: PolicySnapshot
     functions: set[int]
 
 
 class OutboxFrame(NamedTuple):
-    """A frame of events that the planner has not acknowledged."""
+    """An encoded frame of events that the planner has not acknowledged."""
 
     sequence: int
     data: bytes
 
 
 class Outbox:
-    """Frames in the order of their sequence numbers, and their size."""
+    """Unacknowledged frames in the order of their sequence numbers, and their total size."""
 
     def __init__(self) -> None:
         self.frames: deque[OutboxFrame] = deque()
@@ -68,7 +68,7 @@
         self.size_bytes += len(frame.data)
 
     def acknowledge(self, sequence: int) -> None:
-        """Drops all frames up to a sequence number."""
+        """Drops all frames up to and including a sequence number."""
         while self.frames and self.frames[0].sequence <= sequence:
             self.size_bytes -= len(self.frames.popleft().data)
 
@@ -79,10 +79,10 @@
 
 
 class EdgeSession:
-    """An edge's end of the link; it outlives connections and planners.
+    """An edge's end of the link; it is reused across connections and planners.
 
-    Only `record_event` runs on the path of a request. It never waits, and the frames that it keeps
-    are bounded by `SessionLimits.outbox_bytes`.
+    Only `record_event` runs while a request is handled. It never blocks, and the size of the frames
+    that it keeps is bounded by `SessionLimits.outbox_bytes`.
     """
 
     def __init__(
@@ -112,20 +112,20 @@
         self._needs_snapshot = False
         self._batch: list[ev.AnyEvent] = []
         self._outbox = Outbox()
-        self._sent_sequence = 0  # of the last events that were sent on this connection
+        self._sent_sequence = 0  # sequence number of the last frame sent on this connection
         self._control_frames: deque[bytes] = deque()
         self._functions: dict[int, ev.FunctionAdded] = {}
-        self._known_functions: set[int] = set()  # by the planner
+        self._known_functions: set[int] = set()  # functions that the planner knows
         self._snapshot_ns = LONG_AGO_NS
         self._snapshot_sequence = 0
         self._lease_start_ns = 0
-        self._heartbeat_sequence = 0  # the highest that was acknowledged on this connection
-        self._progress_ns = 0  # when that was last a new one, or all that was sent
+        self._heartbeat_sequence = 0  # highest sequence acknowledged on this connection
+        self._progress_ns = 0  # last time it increased or covered everything sent
 
     # -- events of the policy
 
     def record_event(self, event: ev.CaptureEvent) -> None:
-        """Takes in what the policy received or decided, as it happens."""
+        """Records an input or a decision of the policy when it occurs."""
         if isinstance(event, ev.FunctionAdded):
             self._functions[event.function] = event
         if not self._records_events or not isinstance(event, PLANNER_EVENTS):
@@ -138,7 +138,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Puts the events since the last flush into the outbox, as one frame."""
+        """Appends the events since the last flush to the outbox as one frame."""
         if not self._batch:
             return
         self.last_sequence += 1
@@ -151,7 +151,7 @@
             self._require_snapshot()
 
     def _require_snapshot(self) -> None:
-        """Drops all events, and records none until the next snapshot."""
+        """Drops all events and records none until the next snapshot."""
         self._outbox.clear()
         self._batch = []
         self._records_events, self._needs_snapshot = False, True
@@ -159,13 +159,13 @@
     # -- the connection
 
     def is_leased(self) -> bool:
-        """Whether a planner may decide for this edge now."""
+        """Returns whether a planner holds the lease and may decide for this edge now."""
         return self.state is ConnectionState.UP and self.clock() < self.lease_end_ns
 
     def is_established(self) -> bool:
-        """Whether the planner has kept its lease for a while and makes progress.
+        """Returns whether the planner has held its lease for a lease duration and makes progress.
 
-        After such a planner's connection is lost, it is tried again before the next of the list.
+        If the connection to such a planner is lost, it is tried again before the next in the list.
         """
         now_ns = self.clock()
         is_stalled = now_ns - self._progress_ns > STALLED_LEASES * self.limits.lease_ns
@@ -173,7 +173,7 @@
         return self.state is ConnectionState.UP and has_kept_lease and not is_stalled
 
     def connection_made(self) -> None:
-        """A connection is open: the first frame to send is a `Hello`."""
+        """Handles a new connection; the first frame to send is a `Hello`."""
         self.state = ConnectionState.GREETING
         self.lease_end_ns = self.clock() + self.limits.lease_ns
         self._control_frames.clear()
@@ -187,7 +187,7 @@
         self._control_frames.append(fr.encode_frame(hello))
 
     def connection_lost(self) -> None:
-        """The connection is closed; the outbox may be sent on the next one."""
+        """Handles the end of a connection; the outbox is kept and may be sent on the next one."""
         self.state = ConnectionState.DOWN
         self._control_frames.clear()
         self.pending_decisions.clear()
@@ -195,7 +195,7 @@
     # -- messages of the planner
 
     def receive_message(self, message: fr.AnyMessage) -> None:
-        """Takes in a message of the planner.
+        """Handles a message of the planner.
 
         Raises:
             LinkProtocolError: the connection has to be closed.
@@ -212,14 +212,14 @@
                 self.counts["needs"] += 1
                 self._require_snapshot()
             case fr.LinkRefused(reason=reason):
-                error = f"the planner refuses: {reason}"
+                error = f"the planner refused the link: {reason}"
                 raise LinkProtocolError(error)
             case _:
-                error = f"{type(message).__name__} was not expected while {self.state}"
+                error = f"unexpected {type(message).__name__} in state {self.state}"
                 raise LinkProtocolError(error)
 
     def _receive_decision(self, message: fr.PlanUpdate | fr.RestoreReplicas) -> None:
-        """Drops decisions of another epoch, after the lease, and from before the last snapshot."""
+        """Queues a decision unless its epoch, the lease or the last snapshot invalidates it."""
         if message.epoch != self.epoch or not self.is_leased():
             self.counts["fenced"] += 1
         elif isinstance(message, fr.PlanUpdate) and message.sequence < self._snapshot_sequence:
@@ -228,9 +228,9 @@
             self.pending_decisions.append(message)
 
     def _start_lease(self, welcome: fr.Welcome) -> None:
-        """Begins a new epoch, which fences off whatever still comes of an earlier connection."""
+        """Begins a new epoch, so that messages of earlier connections are rejected."""
         if not fr.LOWEST_VERSION <= welcome.version <= self.limits.highest_version:
-            error = f"the planner speaks version {welcome.version}"
+            error = f"the planner speaks unsupported version {welcome.version}"
             raise LinkProtocolError(error)
         is_resumed = self._can_resume(welcome)
         self.planner_name = welcome.planner_name
@@ -252,7 +252,7 @@
             self._require_snapshot()
 
     def _can_resume(self, welcome: fr.Welcome) -> bool:
-        """Whether the same planner run is back, and the outbox has all events that it lacks."""
+        """Returns whether the same planner run is back and the outbox has all events it lacks."""
         frames = self._outbox.frames
         first_sequence = frames[0].sequence if frames else self.last_sequence + 1
         return (
@@ -268,7 +268,7 @@
         if sequence > self._heartbeat_sequence or sequence >= self._sent_sequence:
             self._heartbeat_sequence, self._progress_ns = sequence, now_ns
         elif now_ns - self._progress_ns > STALLED_LEASES * self.limits.lease_ns:
-            error = "the planner is alive and acknowledges nothing"
+            error = "the planner sends heartbeats but acknowledges no events"
             raise LinkProtocolError(error)
         self._acknowledge(sequence)
 
@@ -279,7 +279,7 @@
     # -- frames to the planner
 
     def next_frame(self) -> bytes | None:
-        """The next frame to send, None if there is none now.
+        """Returns the next frame to send, or None.
 
         Raises:
             LinkProtocolError: the lease has expired, and the connection has to be closed.
@@ -310,7 +310,7 @@
         return self._needs_snapshot and self.clock() >= earliest_ns
 
     def _snapshot_frame(self) -> bytes:
-        """A snapshot, with its own sequence number: older decisions have a lower one."""
+        """Returns a snapshot frame; its new sequence number marks earlier decisions as outdated."""
         snapshot = self.take_snapshot()
         self._known_functions = snapshot.functions
         self._snapshot_ns = self.clock()
@@ -323,7 +323,7 @@
         return fr.encode_frame(fr.Snapshot(self.last_sequence, self.clock(), state))
 
     def report_status(self) -> EdgeLinkStatus:
-        """For operators."""
+        """Returns the status of the link for operators."""
         left_ns = self.lease_end_ns - self.clock() if self.state is ConnectionState.UP else 0
         return EdgeLinkStatus(
             planner_name=self.planner_name,
--- a/martenlead/planner/frames.py
+++ b/martenlead/planner/frames.py
@@ -1,9 +1,8 @@
 """Frames of the link between an edge and its planner: lengths, checksums, versions, messages.
 
 A frame is a length (4 bytes, big endian), the CRC-32 of the payload (4 bytes) and the payload: one
-message in MessagePack. A message is an array whose first element is the message's number, so the
-names of its fields are not sent. docs/protocol-plan.md describes every message. The module does no
-I/O.
+message in MessagePack. A message is an array whose first element is its tag number; field names are
+not sent. docs/protocol-plan.md describes every message. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -17,18 +16,18 @@
 
 LOWEST_VERSION = 1
 HIGHEST_VERSION = 2
-RESTORE_VERSION = 2  # the first version that has `RestoreReplicas`
+RESTORE_VERSION = 2  # first version with `RestoreReplicas`
 MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
 LENGTH_BYTES = 4
 HEADER_BYTES = 8  # length and checksum
 
 
 class FrameError(Exception):
-    """The received bytes are no frame of this protocol; the text says why."""
+    """The received bytes are not a frame of this protocol; the message gives the reason."""
 
 
 class PlannedLoad(NamedTuple):
-    """A load request that a planner decided on, by the planner's number."""
+    """A load request of a planner; `number` is assigned by the planner."""
 
     number: int
     worker: int
@@ -36,7 +35,7 @@
 
 
 class RetentionChange(NamedTuple):
-    """Whether a replica is retained from now on."""
+    """A replica that is retained or released from now on."""
 
     worker: int
     function: int
@@ -44,7 +43,7 @@
 
 
 class RetainedReplica(NamedTuple):
-    """A replica that an earlier incarnation of an edge retained, by its names."""
+    """A replica that an earlier incarnation of an edge retained, identified by names."""
 
     worker: str
     function: str
@@ -60,7 +59,7 @@
 class Hello(Message, frozen=True, tag=0):
     """The edge's first message.
 
-    `incarnation` names one run of its process, `policy_hash` the source text of its policy.
+    `incarnation` identifies the run of its process, `policy_hash` the source code of its policy.
     """
 
     lowest_version: int
@@ -73,8 +72,8 @@
 class Welcome(Message, frozen=True, tag=1):
     """The planner's answer to `Hello`.
 
-    `last_sequence` is the sequence number of the last events that it has of this incarnation of the
-    edge, -1 for none.
+    `last_sequence` is the sequence number of the last events that it received from this incarnation
+    of the edge, -1 for none.
     """
 
     version: int
@@ -84,10 +83,10 @@
 
 
 class Lease(Message, frozen=True, tag=2):
-    """From the edge: it carries out load requests of this epoch until the lease expires.
+    """From the edge: it executes load requests of this epoch until the lease expires.
 
-    The lease lasts `duration_ms` after each `Heartbeat`. If it is resumed, events continue after
-    the last ones that the planner has; otherwise a `Snapshot` comes first.
+    Each `Heartbeat` renews the lease for `duration_ms`. If it is resumed, events continue after the
+    last ones that the planner has; otherwise a `Snapshot` is sent first.
     """
 
     epoch: int
@@ -107,9 +106,9 @@
 
 
 class Events(Message, frozen=True, tag=4):
-    """From the edge: what its policy received and decided since the previous events.
+    """From the edge: inputs and decisions of its policy since the previous events.
 
-    An empty list only keeps the link alive.
+    An empty list is a keep-alive message.
     """
 
     sequence: int
@@ -118,16 +117,16 @@
 
 
 class Heartbeat(Message, frozen=True, tag=5):
-    """From the planner: it is alive, and has the events up to `sequence`."""
+    """From the planner: it is alive and has received the events up to `sequence`."""
 
     epoch: int
     sequence: int
 
 
 class PlanUpdate(Message, frozen=True, tag=6):
-    """From the planner: what it decided from the events up to `sequence`.
+    """From the planner: its decisions, based on the events up to `sequence`.
 
-    If it is complete, `retained` names every replica that is retained.
+    If the update is complete, `retained` lists every retained replica.
     """
 
     epoch: int
@@ -138,20 +137,20 @@
 
 
 class ResyncRequest(Message, frozen=True, tag=7):
-    """From the planner: events are missing, and a new `Snapshot` is needed."""
+    """From the planner: it lacks events or is out of sync and needs a new `Snapshot`."""
 
     reason: str
 
 
 class RestoreReplicas(Message, frozen=True, tag=8):
-    """From the planner, to an edge that has just started: what its last incarnation retained."""
+    """From the planner, to an edge that has just started: replicas retained by its predecessor."""
 
     epoch: int
     replicas: list[RetainedReplica]
 
 
 class LinkRefused(Message, frozen=True, tag=9):
-    """From either end, its last message: why it ends the link."""
+    """From either end, as its last message: the reason why it ends the link."""
 
     reason: str
 
@@ -173,24 +172,24 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """The frame of a message."""
+    """Returns the frame of a message."""
     payload = _encode(message)
     length = len(payload).to_bytes(LENGTH_BYTES, "big")
     return length + crc32(payload).to_bytes(HEADER_BYTES - LENGTH_BYTES, "big") + payload
 
 
 class FrameReader:
-    """Takes the bytes of one connection and gives its messages."""
+    """Decodes the byte stream of one connection into messages."""
 
     def __init__(self, max_payload_bytes: int = MAX_PAYLOAD_BYTES) -> None:
         self.max_payload_bytes = max_payload_bytes
         self._unread = bytearray()
 
     def feed(self, data: bytes) -> list[AnyMessage]:
-        """The messages that are complete with these bytes.
+        """Returns the messages that are completed by these bytes.
 
         Raises:
-            FrameError: the connection cannot be read any further.
+            FrameError: the stream is invalid and cannot be read any further.
         """
         self._unread += data
         messages: list[AnyMessage] = []
@@ -198,7 +197,7 @@
             try:
                 messages.append(_decode(payload))
             except (msgspec.DecodeError, ValueError) as error:
-                reason = f"no message of this protocol: {error}"
+                reason = f"not a message of this protocol: {error}"
                 raise FrameError(reason) from None
         return messages
 
@@ -207,14 +206,14 @@
             return None
         size = int.from_bytes(self._unread[:LENGTH_BYTES], "big")
         if size > self.max_payload_bytes:
-            reason = f"a frame of {size} bytes, at most {self.max_payload_bytes} are allowed"
+            reason = f"payload of {size} bytes, at most {self.max_payload_bytes} are allowed"
             raise FrameError(reason)
         end = HEADER_BYTES + size
         if len(self._unread) < end:
             return None
         payload = bytes(self._unread[HEADER_BYTES:end])
         if crc32(payload) != int.from_bytes(self._unread[LENGTH_BYTES:HEADER_BYTES], "big"):
-            reason = "a frame with a wrong checksum"
+            reason = "frame checksum mismatch"
             raise FrameError(reason)
         del self._unread[:end]
         return payload
--- a/martenlead/planner/link.py
+++ b/martenlead/planner/link.py
@@ -1,19 +1,19 @@
-"""What both ends of the link between an edge and its planner share.
+"""Constants, limits and errors shared by both ends of the link between an edge and its planner.
 
-The ends are state machines without I/O and without a clock of their own: `EdgeSession` and
-`PlannerSession`. They guarantee together that at most one planner decides for an edge. The edge
-carries out a load request only if
+The ends, `EdgeSession` and `PlannerSession`, are state machines that do no I/O and are given their
+clock. Together they guarantee that at most one planner decides for an edge. The edge executes a
+load request only if
 
-- its sender is the planner of the edge's latest epoch, and that lease has not expired, and
+- its sender is the planner of the edge's latest epoch, whose lease has not expired, and
 - the edge's own policy accepts it: the load budget has room, and the worker is up.
 
-So two planners that both believe to be in charge can together request no more loads than one,
-whatever clocks and networks do, and without talking to each other. It is not guaranteed that there
-is a planner, or that the planners of two edges do not retain the same replica.
+Two planners that both believe that they hold the lease can therefore not request more loads than
+one, whatever clocks and networks do, without communicating with each other. It is not guaranteed
+that there is a planner, or that the planners of two edges do not retain the same replica.
 
-A planner receives all events in order and without a gap, starting from a snapshot. Events are
-numbered, kept until they are acknowledged, and sent again after a connection is lost. If too many
-are kept, a new snapshot replaces them.
+A planner receives all events in order and without gaps, starting from a snapshot. Events are
+numbered, kept until they are acknowledged, and sent again after a lost connection. If they exceed
+the limit of the outbox, a new snapshot replaces them.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_SECOND = 1_000_000_000
-LONG_AGO_NS = -1 << 62  # before any time of a clock
+LONG_AGO_NS = -1 << 62  # earlier than any clock reading
 
 
 class LinkProtocolError(Exception):
-    """The connection is of no further use; the text says why."""
+    """The connection has to be closed; the message gives the reason."""
 
 
 class SessionLimits(msgspec.Struct, frozen=True):
-    """The limits that an edge sets for its link."""
+    """The limits that an edge applies to its link."""
 
     lease_ns: int = 1500 * NS_PER_MS
     outbox_bytes: int = 8_388_608
--- a/martenlead/planner/link_recorder.py
+++ b/martenlead/planner/link_recorder.py
@@ -1,4 +1,4 @@
-"""A recorder that gives an edge's events to its link, and takes the snapshots for it."""
+"""A recorder that passes an edge's events to its planner link and takes snapshots for it."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class LinkRecorder(CaptureRecorder):
-    """Records events as a capture does, and finds objects by their numbers."""
+    """Records events as a capture does, and maps object numbers to objects."""
 
     def __init__(
         self, sink: Callable[[ev.CaptureEvent], None], edge: str, function_limit: int
     ) -> None:
-        """At most `function_limit` functions are in a snapshot."""
+        """Snapshots contain at most `function_limit` functions."""
         super().__init__(sink, edge)
         self.function_limit = function_limit
         self.workers_by_number: list[Worker] = []
@@ -29,7 +29,7 @@
         self.start_event: ev.RunStarted | None = None
 
     def record(self, event: BoundaryEvent) -> None:
-        """Notes the objects that an event numbers, and records it."""
+        """Registers the objects that an event introduces, and records the event."""
         match event:
             case RunStarted():
                 self._keep_start_event(event)
@@ -43,7 +43,7 @@
         super().record(event)
 
     def _keep_start_event(self, event: RunStarted) -> None:
-        """Keeps the event of the start for snapshots, which send it in place of an event."""
+        """Keeps the start event, which is sent as part of snapshots and not as an event."""
         found: list[ev.CaptureEvent] = []
         sink, self.sink = self.sink, found.append
         super().record(event)
@@ -53,7 +53,7 @@
             self.start_event = packed
 
     def take_snapshot(self, policy: Policy, _now_ns: int) -> TakenSnapshot:
-        """The state of the policy, and the numbers of the functions in it."""
+        """Returns the state of the policy and the numbers of the functions in it."""
         assert self.start_event is not None
         numbers = ObjectNumbers(
             self.worker_numbers,
--- a/martenlead/planner/planner_client.py
+++ b/martenlead/planner/planner_client.py
@@ -1,6 +1,6 @@
-"""An edge's client of its planner: the link on sockets, and who decides on loads.
+"""An edge's client of its planner: the connection, and the switch to local planning.
 
-It runs beside the dispatcher in the same event loop, and never on the path of a request.
+It runs in the event loop of the dispatcher, but never as part of handling a request.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 LEASE_CHECK_INTERVAL_NS = 50 * NS_PER_MS
 MS_PER_SECOND = 1000
 BACKOFF_FACTOR = 2
-MAX_BACKOFF_RETRIES = 10  # the longest wait between connections, in `retry_ms`
+MAX_BACKOFF_RETRIES = 10  # longest wait between connections, as a multiple of `retry_ms`
 
 
 class PlannerClient:
-    """Keeps the edge linked to a planner, and carries out what the planner decides.
+    """Keeps the edge connected to a planner and executes the planner's decisions.
 
-    `recorder` is given to the dispatcher's policy boundary; `run` runs beside the dispatcher.
+    `recorder` is passed to the dispatcher's policy boundary; `run` runs beside the dispatcher.
     """
 
     def __init__(
@@ -64,18 +64,20 @@
         )
         self.recorder = LinkRecorder(self.session.record_event, edge.name, link.snapshot_functions)
         self.dispatcher: Dispatcher
-        self.plans_locally = edge.functions.may_request_loads  # now; it changes with the lease
-        self.counts: Counter[str] = Counter()  # by the keys of the status page
+        # whether this process decides on loads now; changes with the lease
+        self.plans_locally = edge.functions.may_request_loads
+        self.counts: Counter[str] = Counter()  # keys as on the status page
         self.log = structlog.get_logger().bind(edge=edge.name)
         self._last_leased_ns = LONG_AGO_NS
-        self._retained: set[tuple[int, int]] = set()  # by planners: numbers of worker and function
+        # replicas retained by planners, as numbers of worker and function
+        self._retained: set[tuple[int, int]] = set()
 
     def _take_snapshot(self) -> TakenSnapshot:
         taken: TakenSnapshot = self.dispatcher.policy_boundary.inspect(self.recorder.take_snapshot)
         return taken
 
     async def run(self, dispatcher: Dispatcher) -> None:
-        """Runs until it is cancelled."""
+        """Keeps the link and checks the lease until cancelled."""
         self.dispatcher = dispatcher
         dispatcher.report_planner = self.report_status
         async with anyio.create_task_group() as group:
@@ -83,7 +85,7 @@
             group.start_soon(self._keep_linked)
 
     def report_status(self) -> JsonObject:
-        """For operators, by the keys of the status page."""
+        """Returns the status for operators, with the keys of the status page."""
         link = self.session.report_status().to_json_object()
         return {**link, "plans_itself": self.plans_locally, **self.counts}
 
@@ -95,9 +97,9 @@
             await anyio.sleep(LEASE_CHECK_INTERVAL_NS / NS_PER_SECOND)
 
     def check_lease(self) -> None:
-        """Lets the planner decide on loads while it has the lease.
+        """Lets the planner decide on loads while it holds the lease.
 
-        This process decides after `alone_ms` without a lease, and nobody in between.
+        After `alone_ms` without a lease this process decides; until then nobody does.
         """
         now_ns = self.clock()
         if self.session.is_leased():
@@ -119,9 +121,9 @@
     # -- the connection
 
     async def _keep_linked(self) -> None:
-        """Connects to the planners of the list, one after the other.
+        """Connects to the planners of the list in turn, with a growing delay.
 
-        A planner that was established is tried again first and soon.
+        An established planner is tried again first, after the shortest delay.
         """
         addresses, retry_seconds = (
             self.link_settings.at,
@@ -144,7 +146,7 @@
             await anyio.sleep(backoff_seconds * (0.5 + self.random()))
 
     async def _run_link(self, address: Address) -> str:
-        """Keeps one link until it ends, and gives the reason; a fault costs the link alone."""
+        """Runs one link and returns why it ended; an internal error ends only the link."""
         reason = "the planner closed the connection"
         try:
             await self._connect_and_exchange(address)
@@ -171,7 +173,7 @@
                 await anyio.aclose_forcefully(stream)
 
     async def _write_frames(self, stream: SocketStream) -> None:
-        """Sends frames; a planner that does not read for a lease is as one that does not answer."""
+        """Sends frames; a send that takes longer than a lease duration ends the connection."""
         flush_seconds = self.link_settings.flush_ms / MS_PER_SECOND
         lease_seconds = self.link_settings.lease_ms / MS_PER_SECOND
         while True:
@@ -183,7 +185,7 @@
                 await stream.send(data)
 
     async def _read_frames(self, stream: SocketStream) -> None:
-        """Takes in messages until the planner closes the connection."""
+        """Handles messages until the planner closes the connection."""
         reader = fr.FrameReader()
         with suppress(anyio.EndOfStream):
             while True:
@@ -195,7 +197,7 @@
     # -- the planner's decisions
 
     def apply_decisions(self) -> None:
-        """Carries out the decisions that have arrived.
+        """Executes the decisions that have arrived.
 
         Raises:
             LinkProtocolError: a decision names an object that does not exist.
@@ -214,20 +216,20 @@
             retained = [(workers[w], functions[f], is_retained) for w, f, is_retained in changes]
             loads = [(number, workers[w], functions[f]) for number, w, f in update.load_requests]
         except IndexError:
-            error = "it decided on objects that do not exist"
+            error = "a decision of the planner names a worker or function that does not exist"
             raise LinkProtocolError(error) from None
-        self._note_retained(changes)
+        self._record_retained(changes)
         self._request_loads(loads, retained)
 
     def _retention_changes(self, update: fr.PlanUpdate) -> list[fr.RetentionChange]:
-        """The changes of an update; a complete one releases every replica that it does not name."""
+        """Returns the changes; a complete update releases every replica that it does not list."""
         if not update.is_complete:
             return update.retained
-        named = {(change.worker, change.function) for change in update.retained}
-        released = sorted(self._retained - named)
+        listed = {(change.worker, change.function) for change in update.retained}
+        released = sorted(self._retained - listed)
         return [*update.retained, *(fr.RetentionChange(*key, False) for key in released)]
 
-    def _note_retained(self, changes: list[fr.RetentionChange]) -> None:
+    def _record_retained(self, changes: list[fr.RetentionChange]) -> None:
         for worker, function, is_retained in changes:
             if is_retained:
                 self._retained.add((worker, function))
--- a/martenlead/planner/planner_session.py
+++ b/martenlead/planner/planner_session.py
@@ -11,12 +11,12 @@
 from martenlead.planner.policy_replica import OutOfSyncError, PolicyReplica
 from martenlead.planner.status import PlannerLinkStatus
 
-SNAPSHOT_TIMEOUT_NS = 2000 * NS_PER_MS  # without a snapshot for so long it is requested again
+SNAPSHOT_TIMEOUT_NS = 2000 * NS_PER_MS  # wait before an outstanding snapshot is requested again
 NO_EPOCH = NO_SEQUENCE = -1
 
 
 class PlannerSession:
-    """A planner's end of the link with one edge; it outlives connections."""
+    """A planner's end of the link with one edge; it is reused across connections."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         heartbeat_interval_ns: int = 200 * NS_PER_MS,
         highest_version: int = fr.HIGHEST_VERSION,
     ) -> None:
-        """`find_earlier_replicas` gives what an earlier incarnation of an edge retained."""
+        """`find_earlier_replicas` returns the replicas that an edge's predecessor retained."""
         self.planner_name = planner_name
         self.incarnation = incarnation
         self.own_clock = own_clock
@@ -43,19 +43,19 @@
         self.edge_clock = EdgeClock(own_clock)
         self.counts: Counter[str] = Counter()
         self.version = 0
-        self._frames: deque[bytes] = deque()  # to be sent
+        self._frames: deque[bytes] = deque()  # frames to send
         self._heartbeat_ns = LONG_AGO_NS
-        self._snapshot_awaited_ns = own_clock()  # since when
+        self._snapshot_awaited_ns = own_clock()  # start of the wait for a snapshot
 
     # -- the connection and the edge's messages
 
     def connection_made(self) -> None:
-        """A connection is open; frames for an earlier one are void."""
+        """Handles a new connection; frames for an earlier one are discarded."""
         self._frames.clear()
         self.epoch = NO_EPOCH
 
     def receive_message(self, message: fr.AnyMessage) -> None:
-        """Takes in a message of the edge.
+        """Handles a message of the edge.
 
         Raises:
             LinkProtocolError: the connection has to be closed.
@@ -111,7 +111,7 @@
             self._send_earlier_replicas()
 
     def _send_earlier_replicas(self) -> None:
-        """Tells an edge that has just started what its last incarnation retained."""
+        """Sends an edge that has just started the replicas that its predecessor retained."""
         if self.find_earlier_replicas is None:
             return
         replicas = self.find_earlier_replicas(self.edge_name)
@@ -122,7 +122,7 @@
     def _apply_events(self, message: fr.Events) -> None:
         self.edge_clock.record_edge_time(message.edge_time_ns)
         if self.policy_replica is None:
-            return  # until the snapshot
+            return  # no snapshot has arrived yet
         if message.sequence <= self.last_sequence:
             self.counts["again"] += 1
             return
@@ -145,7 +145,7 @@
     # -- decisions and heartbeats
 
     def next_due_ns(self) -> int:
-        """When `poll` has something to do without a message, on the own clock."""
+        """Returns the time on the own clock when `poll` is due if no message arrives."""
         heartbeat_ns = self._heartbeat_ns + self.heartbeat_interval_ns
         due_ns = self.policy_replica.next_due_ns() if self.policy_replica is not None else None
         return (
@@ -155,7 +155,7 @@
         )
 
     def poll(self) -> None:
-        """Lets the policy decide, and queues its decisions and a heartbeat where they are due."""
+        """Runs the policy and queues its decisions, and a heartbeat if one is due."""
         if self.epoch == NO_EPOCH:
             return
         if self.policy_replica is None:
@@ -168,7 +168,7 @@
             self._send(fr.Heartbeat(self.epoch, max(self.last_sequence, 0)))
 
     def _advance(self, policy_replica: PolicyReplica) -> None:
-        """Runs the policy; a fault of it costs a new snapshot, and not the planner."""
+        """Runs the policy; an error in it causes a resync and does not end the planner."""
         try:
             policy_replica.advance(self.edge_clock())
         except Exception as error:
@@ -190,11 +190,11 @@
         self._frames.append(fr.encode_frame(message))
 
     def next_frame(self) -> bytes | None:
-        """The next frame to send, None if there is none now."""
+        """Returns the next frame to send, or None."""
         return self._frames.popleft() if self._frames else None
 
     def report_status(self) -> PlannerLinkStatus:
-        """For operators."""
+        """Returns the status of the link for operators."""
         policy_replica = self.policy_replica
         return PlannerLinkStatus(
             edge_name=self.edge_name,
--- a/martenlead/planner/policy_replica.py
+++ b/martenlead/planner/policy_replica.py
@@ -1,11 +1,11 @@
-"""The planner's replica of an edge's policy: it receives the edge's events and decides on loads.
+"""The planner's replica of an edge's policy: it applies the edge's events and decides on loads.
 
-The edge's policy chooses a worker for each request and counts the load requests. This replica
-decides which replicas of functions are retained. Both run the same policy code. Here a request is
-counted (`Attempts.count_request`, which checks the function at once above Rmax), its attempts are
-entered as the edge made them (`Attempts.begin_attempt`), their results are recorded
+The edge's policy chooses a worker for each request and counts the load requests. This policy
+replica decides which replicas of functions are retained. Both run the same policy code. Here a
+request is counted (`Attempts.count_request`, which checks a function above Rmax immediately), the
+attempts of the edge are added (`Attempts.begin_attempt`), their results are recorded
 (`Policy.record_result`), and the periodic check runs (`ReplicaScaling.run`). No worker is chosen
-for a request. The module does no I/O, and its time is the edge's, as well as the planner knows it.
+for a request. The module does no I/O; its time is the planner's estimate of the edge's clock.
 """
 
 from __future__ import annotations
@@ -24,24 +24,24 @@
 from martenlead.policy.state import Function
 from martenlead.policy.types import Action, AttemptResult, LoadRequest, Request, Result, Warmth
 
-CLOSED = "closed"  # as the process of a request: the edge has sent its final response
-UNREADABLE = (msgspec.DecodeError, KeyError, ValueError, TypeError, IndexError, AttributeError)
-INCONSISTENT = (KeyError, ValueError, IndexError, AttributeError)
+CLOSED = "closed"  # marks a request (`process`) whose final response the edge has sent
+SNAPSHOT_ERRORS = (msgspec.DecodeError, KeyError, ValueError, TypeError, IndexError, AttributeError)
+EVENT_ERRORS = (KeyError, ValueError, IndexError, AttributeError)
 
-ReplicaKey = tuple[int, int]  # the numbers of worker and function
+ReplicaKey = tuple[int, int]  # numbers of worker and function
 
 
 class OutOfSyncError(Exception):
-    """The replica and the edge's policy differ; the text says where that showed.
+    """The replica has diverged from the edge's policy; the message says how it was detected.
 
     A new snapshot is needed.
     """
 
 
 class PlannedChanges(msgspec.Struct):
-    """What was decided since the changes were taken last.
+    """The decisions since the previous `take_changes`.
 
-    If it is complete, `retained` names every replica that is retained.
+    If they are complete, `retained` lists every retained replica.
     """
 
     load_requests: list[PlannedLoad] = msgspec.field(default_factory=list)
@@ -49,26 +49,28 @@
     is_complete: bool = False
 
     def __bool__(self) -> bool:
-        """Whether there is anything to send."""
+        """Returns whether there is anything to send."""
         return bool(self.load_requests or self.retained or self.is_complete)
 
 
 class PolicyReplica:
-    """One edge's policy, replicated. Events that make no sense raise `OutOfSyncError`."""
+    """A replica of one edge's policy. Inconsistent events raise `OutOfSyncError`."""
 
     def __init__(
         self, state: msgspec.Raw | bytes, now_ns: int, next_number: Callable[[], int]
     ) -> None:
-        """Takes an encoded `PolicySnapshot`; `next_number` gives each load request its number."""
+        """Restores an encoded `PolicySnapshot`; `next_number` returns numbers for load requests."""
         self.next_number = next_number
         self.planned_changes = PlannedChanges()
-        self.load_requests: dict[int, LoadRequest] = {}  # own, by number, until they have ended
-        self._edge_loads: dict[int, LoadRequest] = {}  # in flight, by the edge's number
-        self._planned_load: int | None = None  # own number of what the edge has just taken up
+        # own load requests by number, until the edge sends or refuses them
+        self.load_requests: dict[int, LoadRequest] = {}
+        # load requests that the edge has in flight, by its number
+        self._edge_loads: dict[int, LoadRequest] = {}
+        self._planned_load: int | None = None  # number in the last `LoadPlanned` event
         self.request_count = 0
         try:
             self.restored = RestoredPolicy(decode_snapshot(state), now_ns)
-        except UNREADABLE as error:
+        except SNAPSHOT_ERRORS as error:
             reason = f"the state can not be read: {type(error).__name__} {error}"
             raise OutOfSyncError(reason) from None
         self.policy: Policy = self.restored.policy
@@ -77,7 +79,7 @@
         self.engine.start()
 
     def _handle_action(self, action: Action) -> None:
-        """Of the policy's actions only load requests matter to the edge."""
+        """Queues load requests for the edge; ignores the policy's other actions."""
         if isinstance(action, LoadRequest):
             number = self.next_number()
             self.load_requests[number] = action
@@ -96,45 +98,45 @@
         }
 
     def _update_retained(self, functions: list[Function]) -> None:
-        """Notes changes of what is retained, of these functions."""
+        """Records changes of the retained replicas of these functions."""
         numbers = {self.restored.function_numbers[function] for function in functions}
         before = {key for key in self._retained if key[1] in numbers}
-        self._note_retained(before, self._find_retained(functions))
+        self._record_retained(before, self._find_retained(functions))
 
     def _update_all_retained(self) -> None:
-        """Notes changes of what is retained, of all functions."""
-        self._note_retained(self._retained, self._find_retained(self.policy.state.functions))
+        """Records changes of the retained replicas of all functions."""
+        self._record_retained(self._retained, self._find_retained(self.policy.state.functions))
 
-    def _note_retained(self, before: set[ReplicaKey], now: set[ReplicaKey]) -> None:
+    def _record_retained(self, before: set[ReplicaKey], now: set[ReplicaKey]) -> None:
         changes = self.planned_changes.retained
         changes += [RetentionChange(*key, True) for key in sorted(now - before)]
         changes += [RetentionChange(*key, False) for key in sorted(before - now)]
         self._retained = (self._retained - before) | now
 
     def list_retained(self) -> list[RetainedReplica]:
-        """All replicas that are retained."""
+        """Returns all retained replicas."""
         restored = self.restored
         found = []
         for worker_number, function_number in sorted(self._retained):
             worker, function = restored.workers[worker_number], restored.functions[function_number]
             idle_ns = self.policy.state.now_ns - function.replicas[worker].last_used_ns
-            one = RetainedReplica(
+            retained = RetainedReplica(
                 restored.names[worker],
                 restored.names[function],
                 function.facts.lanes,
                 function.facts.memory_mb,
                 idle_ns / NS_PER_MS,
             )
-            found.append(one)
+            found.append(retained)
         return found
 
     # -- the edge's events
 
     def apply_events(self, events: list[ev.AnyEvent]) -> None:
-        """Takes in events of the edge in their order.
+        """Applies events of the edge in order.
 
         Raises:
-            OutOfSyncError: an event does not fit the state.
+            OutOfSyncError: an event is inconsistent with the state.
         """
         state = self.policy.state
         try:
@@ -142,12 +144,12 @@
                 if isinstance(event, ev.InputEvent):
                     state.now_ns = max(state.now_ns, event.time_ns)
                 self._apply(event)
-        except INCONSISTENT as error:
+        except EVENT_ERRORS as error:
             reason = f"{type(event).__name__}: {type(error).__name__} {error}"
             raise OutOfSyncError(reason) from None
 
     def _apply(self, event: ev.AnyEvent) -> None:
-        """Applies one event; a planned load that is not followed by a request was refused."""
+        """Applies an event; `LoadPlanned` without a following `LoadRequested` is a refusal."""
         planned, self._planned_load = self._planned_load, None
         if planned is not None and not isinstance(event, ev.LoadRequested):
             self._refuse_load(planned)
@@ -170,7 +172,7 @@
                 self._apply_membership(event)
 
     def _apply_membership(self, event: ev.AnyEvent) -> None:
-        """Applies events of workers, functions and replicas; ignores the edge's own timers."""
+        """Applies an event about workers, functions, replicas or the tick; ignores other events."""
         match event:
             case ev.WorkerAdded():
                 self.restored.add_worker(event.worker, event.name, ev.unpack_facts(event.facts))
@@ -241,9 +243,9 @@
     # -- load requests
 
     def _request_load(self, event: ev.LoadRequested, planned: int | None) -> None:
-        """Notes a load request in flight.
+        """Records a load request in flight.
 
-        One that was not planned here is the edge's own, or an earlier planner's; it counts as well.
+        Load requests of the edge itself and of earlier planners count as well.
         """
         load = self.load_requests.pop(planned, None) if planned is not None else None
         if load is None:
@@ -260,7 +262,7 @@
             self._update_retained([load.function])
 
     def _refuse_load(self, number: int) -> None:
-        """The edge's load budget, or its knowledge of a draining worker, is newer than here."""
+        """Records a refused load; the edge's load budget and worker states are more recent."""
         load = self.load_requests.pop(number, None)
         if load is not None:
             is_loaded = self.policy.state.replica(load.function, load.worker).is_loaded
@@ -270,11 +272,11 @@
     # -- time
 
     def next_due_ns(self) -> int | None:
-        """When the policy has something to do without an event, on the edge's clock."""
+        """Returns the time on the edge's clock when the policy is due without an event, or None."""
         return self.engine.next_due_ns()
 
     def advance(self, now_ns: int) -> None:
-        """Lets the policy do what is due."""
+        """Runs the policy's due timers."""
         state = self.policy.state
         state.now_ns = max(state.now_ns, now_ns)
         due_ns = self.engine.next_due_ns()
@@ -285,10 +287,10 @@
     # -- decisions for the edge
 
     def resume(self) -> None:
-        """Goes on after a lost connection, on which decisions may have been lost.
+        """Continues after a lost connection, on which decisions may have been lost.
 
-        Load requests that the edge has not taken up count as refused, and all that is retained is
-        sent again.
+        Load requests that the edge has not confirmed count as refused, and the complete list of
+        retained replicas is sent again.
         """
         for number in list(self.load_requests):
             self._refuse_load(number)
@@ -297,6 +299,6 @@
         self.planned_changes = PlannedChanges([], retained, True)
 
     def take_changes(self) -> PlannedChanges:
-        """What was decided since this was called last."""
+        """Returns the decisions since the previous call."""
         changes, self.planned_changes = self.planned_changes, PlannedChanges()
         return changes
--- a/martenlead/planner/replica_store.py
+++ b/martenlead/planner/replica_store.py
@@ -1,7 +1,7 @@
-"""The planner's file of retained replicas, for edges and planners that start anew.
+"""The planner's file of retained replicas, used when an edge or the planner restarts.
 
-The file is JSON. An entry's age is measured by the boot clock where the file has one of this start
-of the machine, else by the wall clock.
+The file is JSON. The age of its entries is measured by the uptime if the machine has not restarted
+since they were saved, otherwise by the wall clock.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 
 class SavedReplicas(msgspec.Struct):
-    """What each edge retained at a time of the wall clock.
+    """The replicas that each edge retained, and the time by wall clock and uptime.
 
-    The same time of the boot clock stands beside it; files of earlier versions lack that.
+    Files of earlier versions have no boot ID and uptime.
     """
 
     saved_unix_seconds: float = msgspec.field(name="saved")
@@ -37,34 +37,32 @@
 
 
 def saved_moment(saved: SavedReplicas) -> Moment:
-    """When a state was saved."""
+    """Returns the time when replicas were saved."""
     saved_unix_ns = round(saved.saved_unix_seconds * NS_PER_SECOND)
     return Moment(saved_unix_ns, saved.boot_id, saved.uptime_ns)
 
 
 def age_replica(replica: RetainedReplica, passed_ms: float) -> RetainedReplica:
-    """The replica, idle for so much longer."""
+    """Returns the replica with a longer idle time."""
     return replica._replace(idle_ms=replica.idle_ms + passed_ms)
 
 
 class ReplicaStore:
-    """What edges retained, in memory and, where there is a path, in a file."""
+    """The replicas that edges retain, in memory and, if there is a path, in a file."""
 
     def __init__(
         self, path: Path | None, planner_name: str, log: Log, moment: Callable[[], Moment]
     ) -> None:
         self.path, self.log, self.moment = path, log, moment
-        self._is_unread = (
-            False  # a file is there that could not be read: it must not be overwritten
-        )
+        self._is_unread = False  # an existing file could not be read and must not be overwritten
         self.saved = self._read_at_start()
-        self.save_counts = Counter[str]()  # by outcome
+        self.save_counts = Counter[str]()  # number of saves by outcome
         self.saver = self._make_saver(planner_name)
 
     # -- the file
 
     def _read_at_start(self) -> SavedReplicas:
-        """A file that cannot be read now is read again before anything is written."""
+        """Reads the file; one that cannot be read now is read again before the first write."""
         try:
             return self._read_file()
         except OSError as error:
@@ -73,7 +71,7 @@
             return self._as_of_now({})
 
     def _read_file(self) -> SavedReplicas:
-        """Raises OSError for a file that exists and cannot be read now."""
+        """Reads the file; raises OSError if it exists and cannot be read now."""
         if self.path is None:
             return self._as_of_now({})
         data = read_if_there(self.path)
@@ -87,9 +85,9 @@
         return SavedReplicas(now.wall / NS_PER_SECOND, replicas, now.boot, now.uptime)
 
     async def _read_unread(self) -> None:
-        """Takes in a file that could not be read at the start.
+        """Reads and merges a file that could not be read at the start.
 
-        What edges have sent since is newer, and stays. Raises OSError.
+        Replicas of edges that have connected since are newer and take precedence. Raises OSError.
         """
         if not self._is_unread:
             return
@@ -120,21 +118,21 @@
             replace_file(self.path, data)
 
     def remove_leftovers(self) -> None:
-        """Removes what interrupted writes have left."""
+        """Removes temporary files of interrupted writes."""
         if self.path is not None:
             remove_leftovers(self.path)
 
-    # -- its contents
+    # -- the replicas
 
     def find(self, edge: str, keep_alive_ms: float) -> list[RetainedReplica]:
-        """What an edge retained, without what has expired since."""
+        """Returns the replicas that an edge retained, without those that have expired since."""
         passed_ms = clocks.passed(saved_moment(self.saved), self.moment()) / NS_PER_MS
         replicas = self.saved.replicas_by_edge.get(edge, [])
         aged = [age_replica(replica, passed_ms) for replica in replicas]
         return [replica for replica in aged if replica.idle_ms < keep_alive_ms]
 
     def update(self, replicas: ReplicasByEdge) -> bool:
-        """Replaces what these edges retain; tells whether other replicas are than before."""
+        """Replaces the replicas of these edges; returns whether the set of replicas changed."""
         before = self.saved.replicas_by_edge
         now = {**before, **replicas}
         self.saved = self._as_of_now(now)
@@ -143,5 +141,6 @@
 
 def _names(replicas: ReplicasByEdge) -> dict[str, list[tuple[str, str]]]:
     return {
-        edge: [(one.worker, one.function) for one in listed] for edge, listed in replicas.items()
+        edge: [(replica.worker, replica.function) for replica in listed]
+        for edge, listed in replicas.items()
     }
--- a/martenlead/planner/restored_policy.py
+++ b/martenlead/planner/restored_policy.py
@@ -1,4 +1,4 @@
-"""A policy made from the snapshot of another one."""
+"""Builds a policy from the snapshot of another one."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from martenlead.policy.state import Function, Worker
 from martenlead.policy.types import Attempt, Request, Result, Tenant, WorkerFacts
 
-DERIVED_POLICY_FIELDS = ("memory", "period", "soft")  # follow from workers and settings
-DERIVED_WORKER_FIELDS = ("listed", "part")  # follow from the list of workers
+DERIVED_POLICY_FIELDS = ("memory", "period", "soft")  # computed from workers and settings
+DERIVED_WORKER_FIELDS = ("listed", "part")  # computed from the list of workers
 
 
 class RestoredPolicy:
-    """A policy, and its objects by the numbers and names that the edge's events give them."""
+    """A policy, and its objects by the numbers and names that the edge's events use."""
 
     def __init__(self, snapshot: PolicySnapshot, now_ns: int) -> None:
         """Raises KeyError, ValueError, TypeError or IndexError for an inconsistent snapshot."""
@@ -106,21 +106,21 @@
         return self.tenants[number] if number >= 0 else None
 
     def add_worker(self, number: int, name: str, facts: WorkerFacts) -> Worker:
-        """Makes a worker known, which is not listed yet."""
+        """Adds a worker, which is not listed yet."""
         worker = self.policy.new_worker(facts)
         self.workers[number], self.worker_numbers[worker] = worker, number
         self.names[worker] = name
         return worker
 
     def add_function(self, event: ev.FunctionAdded) -> Function:
-        """Makes a function known."""
+        """Adds a function."""
         function = self.policy.new_function(ev.unpack_function_facts(event))
         self.functions[event.function], self.function_numbers[function] = function, event.function
         self.names[function] = event.name
         return function
 
     def accept_request(self, event: ev.RequestAccepted) -> Request:
-        """Makes a request known, of which nothing is counted yet."""
+        """Adds the request of an event without counting it."""
         request = Request(
             self.functions[event.function],
             self.settings.request_classes[event.request_class],
@@ -132,6 +132,6 @@
         return self.add_request(event.request, request)
 
     def add_request(self, number: int, request: Request) -> Request:
-        """Puts a request under its number."""
+        """Registers a request by its number."""
         self.requests[number] = request
         return request
--- a/martenlead/planner/server.py
+++ b/martenlead/planner/server.py
@@ -1,4 +1,4 @@
-"""The planner program: a link with each of many edges, and a replica of each one's policy."""
+"""The planner program: links with many edges, and a replica of the policy of each edge."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 WRITE_TIMEOUT_SECONDS = 5.0
 REFUSE_TIMEOUT_SECONDS = 1.0
 REFRESH_INTERVAL_SECONDS = 1.0
-MAX_UNSAVED_SECONDS = 5.0  # the idle times that are saved are wrong by this at most
-MIN_WAIT_SECONDS, MAX_WAIT_SECONDS = 0.001, 1.0  # of a link, between two polls
+MAX_UNSAVED_SECONDS = 5.0  # limits the error of the saved idle times
+MIN_WAIT_SECONDS, MAX_WAIT_SECONDS = 0.001, 1.0  # bounds of the wait between two polls of a link
 
 
 class Planner:
-    """A planner: its sessions with edges, and the store of what they retain."""
+    """A planner: its sessions with edges, and the store of the replicas that they retain."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
     ) -> None:
         self.settings, self.clock = settings, clock
         self.incarnation = f"{Random().getrandbits(64):016x}"
-        self.sessions: dict[str, PlannerSession] = {}  # by edge
-        self.connection_scopes: dict[str, anyio.CancelScope] = {}  # by edge
-        # of connections without a Hello, the oldest first
+        self.sessions: dict[str, PlannerSession] = {}  # keyed by edge name
+        self.connection_scopes: dict[str, anyio.CancelScope] = {}  # keyed by edge name
+        # scopes of connections that have not sent a Hello, the oldest first
         self._hello_scopes: dict[SocketStream, anyio.CancelScope] = {}
         self.log = structlog.get_logger().bind(planner=settings.name)
         self._last_number = 0
@@ -60,10 +60,10 @@
         self._last_number += 1
         return self._last_number
 
-    # -- what edges retain
+    # -- retained replicas
 
     def find_earlier_replicas(self, edge: str) -> list[fr.RetainedReplica]:
-        """What an edge retained in an earlier incarnation, and may still be loaded."""
+        """Returns replicas that an edge's predecessor retained and that may still be loaded."""
         session = self.sessions.get(edge)
         if session is None or session.policy_replica is None:
             return []
@@ -71,7 +71,7 @@
         return self.store.find(edge, keep_alive_ns / NS_PER_MS)
 
     def refresh_saved_replicas(self) -> bool:
-        """Stores what is retained now; tells whether other replicas are than before."""
+        """Stores the replicas retained now; returns whether the set of replicas changed."""
         replicas: dict[str, list[fr.RetainedReplica]] = {}
         for edge, session in self.sessions.items():
             if session.policy_replica is None:
@@ -82,7 +82,7 @@
         return self.store.update(replicas)
 
     async def _keep_saving(self) -> None:
-        """Saves when other replicas are retained, and now and then, as idle times change."""
+        """Saves when the retained replicas change, and periodically to update idle times."""
         saved_seconds = 0.0
         while True:
             await anyio.sleep(REFRESH_INTERVAL_SECONDS)
@@ -96,10 +96,10 @@
     # -- links
 
     def get_session(self, edge: str) -> PlannerSession:
-        """The session with an edge, which is made at its first connection.
+        """Returns the session of an edge, creating it at the first connection.
 
         Raises:
-            LinkProtocolError: there are too many edges.
+            LinkProtocolError: the limit of edges is reached.
         """
         if edge not in self.sessions:
             if len(self.sessions) >= self.settings.edge_limit:
@@ -117,7 +117,7 @@
         return self.sessions[edge]
 
     async def run(self, listener: StreamListener) -> None:
-        """Serves edges until it is cancelled."""
+        """Serves edges until cancelled."""
         async with anyio.create_task_group() as group:
             self.store.remove_leftovers()
             group.start_soon(self._keep_saving)
@@ -130,17 +130,17 @@
             await listener.serve(self._serve_connection, group)
 
     def _end_oldest_without_hello(self) -> None:
-        """Makes room for a connection that waits to be accepted, and may be that of an edge."""
+        """Ends a connection without a Hello, so that a waiting connection can be accepted."""
         oldest = next(iter(self._hello_scopes.values()), None)
         if oldest is not None:
             oldest.cancel()
 
     async def _serve_connection(self, stream: SocketStream) -> None:
-        """Serves one connection to its end; a fault costs this link alone."""
+        """Serves one connection until it ends; an internal error ends only this link."""
         reason, edge = "closed", ""
         try:
             reader = fr.FrameReader()
-            messages = await self._read_first(stream, reader)
+            messages = await self._read_first_messages(stream, reader)
             edge = _edge_name(messages[0])
             reason = await self._run_session(edge, stream, reader, messages)
         except* LinkProtocolError as errors:
@@ -157,10 +157,10 @@
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
 
-    async def _read_first(
+    async def _read_first_messages(
         self, stream: SocketStream, reader: fr.FrameReader
     ) -> list[fr.AnyMessage]:
-        """The first messages. Raises `LinkProtocolError` where others need the place."""
+        """Returns the first messages; raises `LinkProtocolError` if its slot is needed."""
         messages: list[fr.AnyMessage] = []
         with anyio.fail_after(HELLO_TIMEOUT_SECONDS) as scope:
             self._hello_scopes[stream] = scope
@@ -177,7 +177,7 @@
     async def _run_session(
         self, edge: str, stream: SocketStream, reader: fr.FrameReader, messages: list[fr.AnyMessage]
     ) -> str:
-        """Runs an edge's session on a connection; an older connection of that edge is cancelled."""
+        """Runs an edge's session on a connection and cancels an older connection of that edge."""
         session = self.get_session(edge)
         if edge in self.connection_scopes:
             self.connection_scopes[edge].cancel()
@@ -186,16 +186,16 @@
             session.connection_made()
             self.log.info("link_started", edge=edge)
             await _exchange(stream, reader, session, messages)
-        return "a newer connection of that edge" if scope.cancelled_caught else "closed"
+        return "replaced by a newer connection of that edge" if scope.cancelled_caught else "closed"
 
-    # -- what operators see
+    # -- status for operators
 
     def report_status(self) -> PlannerStatus:
-        """The planner and all its links."""
+        """Returns the status of the planner and all its links."""
         return PlannerStatus(
             planner_name=self.settings.name,
             incarnation=self.incarnation,
-            edges=[one.report_status().to_json_object() for one in self.sessions.values()],
+            edges=[session.report_status().to_json_object() for session in self.sessions.values()],
             saves=dict(self.store.save_counts),
         )
 
@@ -228,11 +228,11 @@
     session: PlannerSession,
     messages: list[fr.AnyMessage],
 ) -> None:
-    """Passes messages to a session, beginning with these, and sends its frames."""
+    """Passes these and all further messages to a session, and sends its frames."""
     received = anyio.Event()
 
     async def read() -> None:
-        """Passes on what arrives, until the connection ends with an error."""
+        """Passes on received messages until the connection ends with an error."""
         nonlocal messages
         while True:
             for message in messages:
@@ -256,9 +256,10 @@
 
 
 async def serve(settings: PlannerSettings, on_started: Callable[[int], None] | None = None) -> None:
-    """Runs a planner until SIGTERM or SIGINT; `on_started` gets its port.
+    """Runs a planner until SIGTERM or SIGINT; calls `on_started` with its port.
 
-    Nothing has to be handed over, as edges go on by themselves. Raises OSError for the listener.
+    No shutdown protocol is needed, as edges continue without a planner. Raises OSError if the
+    listener cannot be opened.
     """
     planner = Planner(settings)
     listener, port = await listen(settings.listen.host, settings.listen.port)
--- a/martenlead/planner/snapshot.py
+++ b/martenlead/planner/snapshot.py
@@ -1,7 +1,8 @@
-"""The form in which an edge sends the whole state of its policy to a planner.
+"""The format in which an edge sends the complete state of its policy to a planner.
 
-Objects stand under the numbers that the edge's events give them. Fields of the policy's objects are
-packed by `snapshot_fields`. The records are arrays, so only the names of `PolicySnapshot` are sent.
+Objects are identified by the numbers that the edge's events use. Fields of the policy's objects are
+packed by `snapshot_fields`. The records are arrays, so only the field names of `PolicySnapshot` are
+sent.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from martenlead.capture import events as ev
 from martenlead.planner.snapshot_fields import FieldValues
 
-NO_WORKER = NO_TENANT = -1  # in place of a number
+NO_WORKER = NO_TENANT = -1  # used in place of a number
 
 
 class _Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -21,21 +22,21 @@
 
 
 class TenantRecord(_Record, frozen=True):
-    """A tenant and its allowed rate."""
+    """A tenant and its rate limit."""
 
     name: str
     rate_limit_per_second: float
 
 
 class TenantRequests(_Record, frozen=True):
-    """How many requests of a tenant were counted in the period; `tenant` is its number."""
+    """The number of requests of a tenant in the current period; `tenant` is its number."""
 
     tenant: int
     requests: int
 
 
 class TenantRate(_Record, frozen=True):
-    """How many requests a tenant sends; `tenant` is its number."""
+    """The request rate of a tenant; `tenant` is its number."""
 
     tenant: int
     requests_per_second: int | float
@@ -52,7 +53,7 @@
 
 
 class ReplicaRecord(_Record, frozen=True):
-    """A replica of the function in whose record it stands."""
+    """A replica of the function whose record contains it."""
 
     worker: int
     fields: FieldValues
@@ -72,7 +73,7 @@
 
 
 class AttemptRecord(_Record, frozen=True):
-    """An attempt of the request in whose record it stands; `result` is empty until it has ended."""
+    """An attempt of the request whose record contains it; `result` is empty until it has ended."""
 
     worker: int
     timeout_ns: int
@@ -97,7 +98,7 @@
 class PolicySnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """The state of a policy.
 
-    `settings` has the form that captures store. It is `Any` because an edge of another version may
+    `settings` has the format of captures. It is not typed because an edge of another version may
     have other settings.
     """
 
--- a/martenlead/planner/snapshot_fields.py
+++ b/martenlead/planner/snapshot_fields.py
@@ -1,7 +1,7 @@
-"""The fields of the policy's objects, by the names that they have in a snapshot.
+"""The fields of the policy's objects and their names in a snapshot.
 
-A field that the reader does not have is ignored; one that the writer does not have keeps the value
-of a new object. So two programs whose policies differ a little understand each other.
+The reader ignores fields that it does not know; fields that the writer does not know keep the value
+of a new object. Programs with slightly different policies are therefore compatible.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from martenlead.policy.latency import LatencyHistogram
 from martenlead.policy.policy import Policy
 
-FieldValues = dict[str, Any]  # a field of another version may have any type; the reader checks it
+FieldValues = dict[str, Any]  # other versions may have other types; the reader checks them
 
 NUMBERS = (int, float, bool)
 LISTS = (list, deque)
 OMITTED_FIELDS = {"now_ns"}  # the reader sets it
 
-# fields whose name in a snapshot is another than in the policy; docs/protocol-plan.md
+# fields whose name in a snapshot differs from that in the policy; see docs/protocol-plan.md
 WORKER_NAMES = {
     "is_listed": "listed",
     "in_flight": "out",
@@ -76,13 +76,13 @@
 
 
 def list_field_owners(policy: Policy) -> list[object]:
-    """The objects whose fields together are the `policy_fields` of a snapshot."""
+    """Returns the objects whose fields together form the `policy_fields` of a snapshot."""
     state = policy.state
     return [state, state.traffic, state.latencies, policy.scaling, policy.load_budget]
 
 
 def pack_fields(owner: object, names: Mapping[str, str]) -> FieldValues:
-    """The numbers, histograms and lists of numbers of an object, by their names in a snapshot."""
+    """Returns numbers, histograms and lists of numbers of an object by their snapshot names."""
     packed: FieldValues = {}
     for name, value in vars(owner).items():
         if name in OMITTED_FIELDS:
@@ -102,7 +102,7 @@
 
 
 def unpack_fields(owner: object, packed: Mapping[str, object], names: Mapping[str, str]) -> None:
-    """Sets the fields of an object from their packed values; ignores values that do not fit."""
+    """Sets fields of an object to packed values; ignores values of another type or length."""
     for name, current in list(vars(owner).items()):
         stored_name = names.get(name, name)
         if name not in OMITTED_FIELDS and stored_name in packed:
@@ -123,7 +123,7 @@
 
 
 def _unpack_histogram(histogram: LatencyHistogram, value: object) -> None:
-    """Ignores a histogram of other bins."""
+    """Sets a histogram; ignores values with another number of bins."""
     if isinstance(value, dict) and len(value.get("bins", ())) == len(histogram.bins):
         histogram.bins = [float(count) for count in value["bins"]]
         histogram.total = float(value["total"])
--- a/martenlead/planner/snapshot_writer.py
+++ b/martenlead/planner/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writes the snapshot of a policy; reads the policy and changes nothing in it."""
+"""Builds the snapshot of a policy without changing the policy."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ObjectNumbers(msgspec.Struct, frozen=True):
-    """The numbers and names that the edge's events give to the policy's objects."""
+    """The numbers and names of the policy's objects in the edge's events."""
 
     workers: Mapping[Worker, int]
     functions: Mapping[Function, int]
@@ -48,9 +48,10 @@
 def take_snapshot(
     policy: Policy, start: ev.RunStarted, numbers: ObjectNumbers, function_limit: int
 ) -> PolicySnapshot:
-    """The state of a policy, with so many functions at most.
+    """Returns the state of a policy with at most `function_limit` functions.
 
-    The settings are those of the start: whether this edge requests loads itself now is left out.
+    The settings are those of the start event; whether this edge requests loads itself at present is
+    omitted.
     """
     functions = _choose_functions(policy, numbers.requests, function_limit)
     shares = policy.tenant_shares
@@ -76,10 +77,10 @@
 def _choose_functions(
     policy: Policy, requests: Mapping[Request, int], function_limit: int
 ) -> list[Function]:
-    """Functions with replicas or recent requests; beyond the limit those that matter most.
+    """Returns the functions with replicas or recent requests, at most `function_limit`.
 
-    Functions with retained replicas come first, then those with open requests, then the most
-    requested.
+    Above the limit, functions with retained replicas are preferred, then those with open requests,
+    then the most requested.
     """
     active = [f for f in policy.state.functions if _is_active(f)]
     if len(active) <= function_limit:
@@ -136,7 +137,7 @@
 def _pack_requests(
     policy: Policy, functions: set[Function], numbers: ObjectNumbers
 ) -> list[RequestRecord]:
-    """Requests of these functions that have an attempt in flight."""
+    """Returns the requests of these functions that have an attempt in flight."""
     class_numbers = {id(one): n for n, one in enumerate(policy.settings.request_classes)}
     return [
         RequestRecord(
--- a/martenlead/planner/status.py
+++ b/martenlead/planner/status.py
@@ -1,4 +1,4 @@
-"""What operators see of the link and of the planner. The keys are those of the status pages."""
+"""The status of the link and of the planner for operators, with the keys of the status pages."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def link_counts(counts: Mapping[str, int]) -> dict[str, int]:
-    """Counts of a session, by the keys that a status has for them."""
+    """Returns the counts of a session with the keys of a status."""
     return {f"link_{name}": count for name, count in sorted(counts.items())}
 
 
 class EdgeLinkStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """An edge's end of its link."""
+    """The status of an edge's end of its link."""
 
     planner_name: str = msgspec.field(name="planner")
     state: str
@@ -28,12 +28,12 @@
     counts: dict[str, int]
 
     def to_json_object(self) -> JsonObject:
-        """By the keys of the status page, the counts beside the fields."""
+        """Returns fields and counts in one object, with the keys of the status page."""
         return _with_counts(self)
 
 
 class PlannerLinkStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A planner's end of its link with one edge."""
+    """The status of a planner's end of its link with one edge."""
 
     edge_name: str = msgspec.field(name="edge")
     version: int
@@ -46,12 +46,12 @@
     counts: dict[str, int]
 
     def to_json_object(self) -> JsonObject:
-        """By the keys of the status page, the counts beside the fields."""
+        """Returns fields and counts in one object, with the keys of the status page."""
         return _with_counts(self)
 
 
 class PlannerStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A planner and all its links."""
+    """The status of a planner and all its links."""
 
     planner_name: str = msgspec.field(name="planner")
     incarnation: str = msgspec.field(name="life")
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -206,7 +206,8 @@
     assert opened.read(THING) is None
     assert any("of another deployment" in p for p in opened.problems)
     assert any(
-        "thing.0000000000000009.state is set aside: 15 bytes are no state" in p for p in opened.problems
+        "thing.0000000000000009.state is set aside: 15 bytes are too short for a state file" in p
+        for p in opened.problems
     )
     assert opened.write(THING, "ours") == 10
     assert (tmp_path / "notes.txt").read_text() == "somebody's"
@@ -263,7 +264,7 @@
     disk.read_only = True
     again = store(disk)
     assert again.epoch == 0
-    assert again.problems == ["nothing can be kept: Read-only file system"]
+    assert again.problems == ["state cannot be saved: Read-only file system"]
     state = again.read(THING)
     assert state is not None and state.value == "newer"
 
@@ -271,7 +272,7 @@
 def test_a_state_over_its_bound_is_not_written(tmp_path: Path) -> None:
     opened = store(StateFolder(tmp_path), max_bytes=2000)
     opened.write(THING, "small")
-    with pytest.raises(StateTooLargeError, match="2000 are allowed"):
+    with pytest.raises(StateTooLargeError, match="at most 2000 are allowed"):
         opened.write(THING, list(os.urandom(5000)))
     state = opened.read(THING)
     assert state is not None and state.value == "small"
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -357,7 +357,7 @@
     pair.connect()
     with pytest.raises(LinkProtocolError, match="no common version: 3 to 4"):
         pair.planner.receive_message(fr.Hello(3, 4, "edge", "x", ""))
-    with pytest.raises(LinkProtocolError, match="speaks version 9"):
+    with pytest.raises(LinkProtocolError, match="speaks unsupported version 9"):
         pair.end.receive_message(fr.Welcome(9, "p", "x", -1))
 
 
