--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -1,84 +1,86 @@
-"""A disk that loses what was not synced: cut, in another order, or not at all, as its chance has it."""
+"""A simulated disk that loses random parts of unsynced writes, or applies them in another order."""
 
 from __future__ import annotations
 
 from random import Random
 
 
-class Cut(Exception):
-    """The power is gone."""
+class PowerCut(Exception):
+    """The power was cut during an operation."""
 
 
-class PowerCut:
-    """Counts what is asked of it and cuts the power at one of these. `after()` is the disk that comes
-    back."""
+class PowerCutDisk:
+    """A `Disk` that counts its operations and cuts the power at step `cut_at`."""
 
     def __init__(self, chance: Random, cut_at: int = 1 << 60) -> None:
         self.chance, self.cut_at = chance, cut_at
         self.steps = 0
-        self.safe: dict[str, int] = {}  # the folder as it is on the platter: names to files
-        self.folder: dict[str, int] = {}  # and as programs see it
-        self.files: dict[int, tuple[bytes, bytes]] = {}  # on the platter, and as seen
-        self.waiting: list[tuple[str, str, int]] = []  # changes of the folder that are not synced
-        self.count = 0
+        self.durable_names: dict[str, int] = {}  # name -> number of the file, as synced
+        self.cached_names: dict[str, int] = {}  # name -> number of the file, as programs see it
+        self.files: dict[int, tuple[bytes, bytes]] = {}  # durable content and cached content
+        self.unsynced_changes: list[tuple[str, str, int]] = []  # changes of the folder
+        self.file_count = 0
         self.full = self.read_only = False
 
     def step(self) -> None:
+        """Counts a step; raises `PowerCut` at step `cut_at`, and OSError on a read-only disk."""
         self.steps += 1
         if self.steps >= self.cut_at:
-            raise Cut
+            raise PowerCut
         if self.read_only:
             raise OSError(30, "Read-only file system")
 
     def names(self) -> list[str]:
-        return sorted(self.folder)
+        return sorted(self.cached_names)
 
     def read(self, name: str) -> bytes:
-        if name not in self.folder:
+        if name not in self.cached_names:
             raise FileNotFoundError(2, "No such file or directory")
-        return self.files[self.folder[name]][1]
+        return self.files[self.cached_names[name]][1]
 
     def write(self, name: str, data: bytes) -> None:
-        self.count += 1
+        """Writes a new file to the cache, partially on a full disk or at a power cut."""
+        self.file_count += 1
         try:
             self.step()
-        except Cut:
-            data = data[: self.chance.randrange(len(data) + 1)]  # it was in the middle
+        except PowerCut:
+            data = data[: self.chance.randrange(len(data) + 1)]  # partial write
             raise
         finally:
             if not self.read_only:
-                self.files[self.count] = b"", data[: len(data) // 2] if self.full else data
-                self.folder[name] = self.count
-                self.waiting.append(("set", name, self.count))
+                self.files[self.file_count] = b"", data[: len(data) // 2] if self.full else data
+                self.cached_names[name] = self.file_count
+                self.unsynced_changes.append(("set", name, self.file_count))
         if self.full:
             raise OSError(28, "No space left on device")
 
     def write_synced(self, name: str, data: bytes) -> None:
-        """In the order of `durable_file.write_synced`, which tests/test_state_save_crashes.py holds to it."""
+        """Same order as `durable_file.write_synced`, which tests/test_state_save_crashes.py checks."""
         self.write(name, data)
         self.sync(name)
 
     def sync(self, name: str) -> None:
+        """Makes the content of a file durable."""
         self.step()
-        number = self.folder[name]
+        number = self.cached_names[name]
         self.files[number] = self.files[number][1], self.files[number][1]
 
     def rename(self, old: str, new: str) -> None:
         self.step()
-        number = self.folder.pop(old)
-        self.folder[new] = number
-        self.waiting += [("set", new, number), ("drop", old, number)]
+        number = self.cached_names.pop(old)
+        self.cached_names[new] = number
+        self.unsynced_changes += [("set", new, number), ("drop", old, number)]
 
     def remove(self, name: str) -> None:
         self.step()
-        number = self.folder.pop(name, None)
+        number = self.cached_names.pop(name, None)
         if number is not None:
-            self.waiting.append(("drop", name, number))
+            self.unsynced_changes.append(("drop", name, number))
 
     def sync_folder(self) -> None:
         self.step()
-        self.safe = dict(self.folder)
-        self.waiting.clear()
+        self.durable_names = dict(self.cached_names)
+        self.unsynced_changes.clear()
 
     def lock(self, name: str) -> bool:
         return True
@@ -86,24 +88,25 @@
     def unlock(self) -> None:
         return None
 
-    def after(self, cut_at: int = 1 << 60) -> PowerCut:
+    def restart(self, cut_at: int = 1 << 60) -> PowerCutDisk:
+        """Returns the disk after a power cut, with a random subset of the unsynced changes."""
         chance = self.chance
-        back = PowerCut(chance, cut_at)
-        left = [change for change in self.waiting if chance.random() < 0.5]
+        restarted = PowerCutDisk(chance, cut_at)
+        applied = [change for change in self.unsynced_changes if chance.random() < 0.5]
         if chance.random() < 0.3:
-            chance.shuffle(left)
-        folder = dict(self.safe)
-        for what, name, number in left:
-            if what == "set":
-                folder[name] = number
-            elif folder.get(name) == number:
-                del folder[name]
-        for number, (safe, seen) in self.files.items():
-            data = safe
-            if safe != seen:
-                kept = chance.randrange(len(seen) + 1)
-                data = chance.choice((safe, seen[:kept], seen[:kept] + bytes(len(seen) - kept), seen))
-            back.files[number] = data, data
-        back.folder, back.safe = folder, dict(folder)
-        back.count = self.count
-        return back
+            chance.shuffle(applied)
+        names = dict(self.durable_names)
+        for change, name, number in applied:
+            if change == "set":
+                names[name] = number
+            elif names.get(name) == number:
+                del names[name]
+        for number, (old, new) in self.files.items():
+            data = old
+            if old != new:
+                kept = chance.randrange(len(new) + 1)
+                data = chance.choice((old, new[:kept], new[:kept] + bytes(len(new) - kept), new))
+            restarted.files[number] = data, data
+        restarted.cached_names, restarted.durable_names = names, dict(names)
+        restarted.file_count = self.file_count
+        return restarted
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""An edge and its planner on sockets: whatever the planner does, tasks are answered; what operators see."""
+"""An edge and its planner on sockets: requests are answered whatever the planner does; operators' status."""
 
 from __future__ import annotations
 
@@ -29,31 +29,31 @@
 
 
 @asynccontextmanager
-async def odd(play: Any) -> AsyncIterator[int]:
-    """A listener in a planner's place that plays what it is given."""
+async def fake_planner(handle: Any) -> AsyncIterator[int]:
+    """Listens in place of a planner and passes connections to `handle`; yields the port."""
     listener, port = await listen("127.0.0.1", 0)
 
-    async def own(stream: Any) -> None:
+    async def serve(stream: Any) -> None:
         async with stream:
             with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream):
-                await play(stream)
+                await handle(stream)
 
     async with anyio.create_task_group() as group:
-        group.start_soon(listener.serve, own)
+        group.start_soon(listener.serve, serve)
         yield port
         group.cancel_scope.cancel()
     await listener.aclose()
 
 
-async def mirrored(one: Planner, name: str, side: PlannerClient) -> PlannerSession:
-    """The lease comes before the state: what is taken in between is part of that, and no mirror counts it."""
-    await until(lambda: side.session.is_leased() and one.sessions[name].policy_replica is not None)
-    return one.sessions[name]
+async def replicated(served: Planner, name: str, side: PlannerClient) -> PlannerSession:
+    """Waits for the snapshot, not only the lease: its replica counts no requests from before the snapshot."""
+    await until(lambda: side.session.is_leased() and served.sessions[name].policy_replica is not None)
+    return served.sessions[name]
 
 
-async def test_a_planner_decides_dies_and_comes_back_and_tasks_are_answered() -> None:
+async def test_requests_are_answered_while_a_planner_starts_stops_and_restarts() -> None:
     async with planner() as (first, port), planned([port], alone_ms=600_000) as (f, side):
-        own = await mirrored(first, "edge", side)
+        session = await replicated(first, "edge", side)
         await until(lambda: not side.plans_locally)
         for _ in range(30):
             await answered(f, 4)
@@ -61,12 +61,12 @@
             if f.orders:
                 break
         assert f.orders
-        assert own.policy_replica is not None
-        assert own.policy_replica.request_count >= 4
+        assert session.policy_replica is not None
+        assert session.policy_replica.request_count >= 4
     async with planned([port], alone_ms=300) as (f, side):
         await until(lambda: side.counts["links lost"] > 1)
         await answered(f)
-        assert side.plans_locally  # nobody came: it never stopped
+        assert side.plans_locally  # no planner has connected yet
         async with planner(port):
             await until(lambda: side.session.is_leased() and not side.plans_locally)
             await answered(f)
@@ -75,41 +75,42 @@
         assert (side.counts["handed over"], side.counts["took over"]) == (1, 1)
 
 
-async def hangs(stream: Any) -> None:
+async def hang(stream: Any) -> None:
     await anyio.sleep(60)
 
 
-async def garbles(stream: Any) -> None:
+async def answer_in_http(stream: Any) -> None:
     await stream.receive()
     await stream.send(b"HTTP/1.1 400 Bad Request\r\n\r\n")
     await anyio.sleep(60)
 
 
-async def breaks_off(stream: Any) -> None:
-    """Half of a frame, and the end."""
+async def close_in_a_frame(stream: Any) -> None:
     await stream.receive()
     await stream.send(fr.encode_frame(fr.Welcome(2, "p", "x", -1))[:-3])
     await stream.aclose()
 
 
-async def never_reads(stream: Any) -> None:
+async def never_read(stream: Any) -> None:
     await stream.send(fr.encode_frame(fr.Welcome(2, "p", "x", -1)))
     while True:
         await stream.send(fr.encode_frame(fr.Heartbeat(1, 0)))
         await anyio.sleep(0.05)
 
 
-async def decides_on_what_there_is_not(stream: Any) -> None:
+async def name_unknown_objects(stream: Any) -> None:
     await stream.send(fr.encode_frame(fr.Welcome(2, "p", "x", -1)))
     await stream.send(fr.encode_frame(fr.PlanUpdate(1, 1 << 40, [(1, 99, 99)], [])))
     await anyio.sleep(60)
 
 
-@pytest.mark.parametrize("play", [hangs, garbles, breaks_off, never_reads, decides_on_what_there_is_not])
-async def test_whatever_stands_in_a_planners_place_tasks_are_answered_and_the_standby_plans(
-    play: Any,
-) -> None:
-    async with odd(play) as bad, planner() as (_, good), planned([bad, good], outbox_bytes=2000) as (f, side):
+@pytest.mark.parametrize("handle", [hang, answer_in_http, close_in_a_frame, never_read, name_unknown_objects])
+async def test_requests_are_answered_and_the_standby_plans_if_a_planner_misbehaves(handle: Any) -> None:
+    async with (
+        fake_planner(handle) as bad,
+        planner() as (_, good),
+        planned([bad, good], outbox_bytes=2000) as (f, side),
+    ):
         with anyio.fail_after(15):
             while not (side.session.is_leased() and side.session.planner_name == "planner"):
                 await answered(f, 1)
@@ -118,16 +119,16 @@
         await answered(f)
 
 
-async def test_ten_edges_that_start_at_once_have_a_mirror_each() -> None:
-    async with planner(edges=10) as (one, port), anyio.create_task_group() as group:
+async def test_each_of_ten_edges_that_start_at_once_has_a_policy_replica() -> None:
+    async with planner(edges=10) as (served, port), anyio.create_task_group() as group:
         done = 0
 
         async def edge(n: int) -> None:
             nonlocal done
             async with planned([port], f"edge-{n}", flush_ms=20) as (f, side):
-                own = await mirrored(one, f"edge-{n}", side)
+                end = await replicated(served, f"edge-{n}", side)
                 await answered(f, 5)
-                await until(lambda: own.policy_replica is not None and own.policy_replica.request_count == 5)
+                await until(lambda: end.policy_replica is not None and end.policy_replica.request_count == 5)
                 done += 1
                 await until(lambda: done == 10)
 
@@ -140,32 +141,32 @@
             assert not side.session.is_leased()
 
 
-async def test_both_die_and_what_was_held_is_asked_for(tmp_path: Path) -> None:
+async def test_after_a_restart_of_edge_and_planner_retained_replicas_are_confirmed(tmp_path: Path) -> None:
     kept = str(tmp_path / "kept")
     async with planner(kept=kept) as (first, port), planned([port]) as (f, side):
         await until(lambda: side.session.is_leased() and not side.plans_locally)
         while not side._retained:
             await answered(f, 4)
             await anyio.sleep(0.05)
-        held = {f.dispatcher.workers[n].endpoint.id for n in f.dispatcher.workers}
+        loaded = {f.dispatcher.workers[n].endpoint.id for n in f.dispatcher.workers}
         await until(lambda: Path(kept).exists() and '"m"' in Path(kept).read_text())
         assert first.store.saved.replicas_by_edge["edge"][0][:2][1] == "m"
     async with planner(kept=kept) as (_, port), planned([port]) as (f, side):
         await until(lambda: f.dispatcher.counts["ask", "satisfied"] > 0)
-        assert {name for _, name, target in f.orders if target.endswith("/m/load")} <= held
-        model = f.dispatcher.functions_by_name["m"].policy_function
-        await until(lambda: any(copy.is_retained and copy.is_loaded for copy in model.replicas.values()))
+        assert {name for _, name, target in f.orders if target.endswith("/m/load")} <= loaded
+        function = f.dispatcher.functions_by_name["m"].policy_function
+        await until(lambda: any(one.is_retained and one.is_loaded for one in function.replicas.values()))
         assert (await f.call("estimate"))[0] == 200
-        assert f.arrivals[0][1] in {name for _, name, _ in f.orders}  # where the copy stands
+        assert f.arrivals[0][1] in {name for _, name, _ in f.orders}  # a worker with the replica
 
 
-async def test_status_says_who_plans_and_what_is_held() -> None:
-    async with planner() as (one, port), planned([port]) as (f, side):
+async def test_the_status_names_the_planner_and_the_state_of_the_link() -> None:
+    async with planner() as (served, port), planned([port]) as (f, side):
         await until(lambda: side.session.is_leased() and not side.plans_locally)
         await answered(f)
         (edge,) = format_status("7000", msgspec.to_builtins(report_status(f.dispatcher)))
         assert edge.startswith("7000 edge edge: 0 tasks held, 1 models; planned by planner; link up, epoch 1")
-        (own, of_edge) = format_status("7001", msgspec.to_builtins(one.report_status()))
+        (own, of_edge) = format_status("7001", msgspec.to_builtins(served.report_status()))
         assert own == "7001 planner planner: 1 edges"
         assert of_edge.startswith("  for edge: epoch 1, events ")
     async with fleet() as f:
@@ -174,13 +175,13 @@
         )
 
 
-def test_status_of_what_does_not_answer_is_a_failure() -> None:
+def test_the_status_command_fails_if_nothing_answers() -> None:
     done = CliRunner().invoke(commands, ["status", "1"])
     assert (done.exit_code, "1: " in done.output) == (1, True)
     assert CliRunner().invoke(commands, ["status", "x"]).exit_code == 2
 
 
-def test_the_state_file_that_cannot_be_read_is_as_none(tmp_path: Path) -> None:
+def test_an_invalid_state_file_counts_as_empty(tmp_path: Path) -> None:
     path = tmp_path / "kept"
     for text in ("", "[1]", json.dumps({"saved": 1, "edges": {"e": [["a"]]}})):
         path.write_text(text)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The link and the mirror in virtual time: what a planner knows, who is obeyed, and the ration over lives."""
+"""The link and the policy replica in virtual time: replicated state, fencing, load budget over restarts."""
 
 from __future__ import annotations
 
@@ -18,13 +18,11 @@
 from support.pair import Pair
 
 
-def busy(pair: Pair, ms: int, every: int = 20, models: int = 4) -> None:
-    for n in range(ms // every):
-        pair.task(pair.chance.randrange(models), "notice" if n % 7 == 0 else "estimate")
-        pair.run(every)
-
-
-# -- frames
+def send_requests(pair: Pair, duration_ms: int, interval_ms: int = 20, functions: int = 4) -> None:
+    """Sends a request for a random function in each interval."""
+    for number in range(duration_ms // interval_ms):
+        pair.task(pair.chance.randrange(functions), "notice" if number % 7 == 0 else "estimate")
+        pair.run(interval_ms)
 
 
 MESSAGES = st.one_of(
@@ -43,39 +41,34 @@
 
 
 @given(st.lists(MESSAGES, max_size=5), st.lists(st.integers(1, 40), max_size=40))
-def test_frames_come_out_as_they_went_in_however_they_are_cut(
-    messages: list[fr.AnyMessage], cuts: list[int]
-) -> None:
+def test_frames_are_decoded_from_chunks_of_any_size(messages: list[fr.AnyMessage], sizes: list[int]) -> None:
     data = b"".join(fr.encode_frame(m) for m in messages)
-    reader, found, at = fr.FrameReader(), [], 0
-    for cut in [*cuts, len(data)]:
-        found += reader.feed(data[at : at + cut])
-        at += cut
+    reader, found, offset = fr.FrameReader(), [], 0
+    for size in [*sizes, len(data)]:
+        found += reader.feed(data[offset : offset + size])
+        offset += size
     assert found == messages
 
 
 @given(st.binary(min_size=1, max_size=60), st.integers(0, 59))
-def test_no_bytes_are_taken_for_another_message(data: bytes, at: int) -> None:
+def test_corrupt_or_random_bytes_never_decode_to_a_message(data: bytes, position: int) -> None:
     good = fr.encode_frame(fr.ResyncRequest("some reason or other"))
     bad = bytearray(good)
-    bad[at % len(good)] ^= data[0] or 1
+    bad[position % len(good)] ^= data[0] or 1
     for stream in (bytes(bad), data):
         reader = fr.FrameReader(max_payload_bytes=1 << 20)
         try:
             found = reader.feed(stream)
         except fr.FrameError:
             continue
-        assert found == []  # more is waited for
-
+        assert found == []  # the frame is incomplete
 
-# -- what the planner knows
 
-
-def test_the_planner_knows_what_the_edge_knows_and_decides_for_it() -> None:
+def test_the_planner_replicates_the_edges_policy_and_decides_on_loads() -> None:
     pair = Pair()
-    busy(pair, 500)
+    send_requests(pair, 500)
     pair.connect()
-    busy(pair, 6000)
+    send_requests(pair, 6000)
     pair.run(100)
     assert pair.settled() == []
     assert (pair.side.plans_locally, pair.side.counts["handed over"]) == (False, 1)
@@ -84,41 +77,39 @@
     assert (pair.end.epoch, pair.end.counts["snapshots"]) == (1, 1)
 
 
-def test_a_break_is_resumed_and_a_new_planner_is_told_all() -> None:
+def test_a_lost_connection_is_resumed_and_a_new_planner_gets_a_snapshot() -> None:
     pair = Pair()
     pair.connect()
-    busy(pair, 2000)
+    send_requests(pair, 2000)
     pair.cut()
-    busy(pair, 300)
+    send_requests(pair, 300)
     pair.connect()
-    busy(pair, 500)
+    send_requests(pair, 500)
     pair.run(50)
     assert (pair.end.counts["resumed"], pair.end.counts["snapshots"]) == (1, 1)
     assert pair.settled() == []
     pair.kill_planner()
-    busy(pair, 300)
+    send_requests(pair, 300)
     pair.connect()
-    busy(pair, 500)
+    send_requests(pair, 500)
     pair.run(50)
     assert (pair.end.counts["resumed"], pair.end.counts["snapshots"]) == (1, 2)
     assert pair.settled() == []
     assert pair.epochs == [1, 2, 3]
 
 
-def test_what_was_decided_and_lost_on_the_way_is_said_again_whole() -> None:
+def test_a_lost_decision_is_repeated_by_a_complete_update_after_a_reconnect() -> None:
     pair = Pair()
     pair.connect()
-    busy(pair, 3000)
+    send_requests(pair, 3000)
     pair.run(100)
-    held = len(pair.side._retained)
-    assert held
-    runner, model = next(iter(pair.side._retained))
+    retained = len(pair.side._retained)
+    assert retained
+    worker, function = next(iter(pair.side._retained))
     pair.policy_boundary.set_retained(
-        pair.side.recorder.workers_by_number[runner],
-        pair.side.recorder.functions_by_number[model],
-        False,
+        pair.side.recorder.workers_by_number[worker], pair.side.recorder.functions_by_number[function], False
     )
-    pair.side._retained.discard((runner, model))  # as if the word had been lost
+    pair.side._retained.discard((worker, function))  # simulates a lost update
     pair.cut()
     pair.connect()
     pair.run(100)
@@ -126,28 +117,28 @@
     assert pair.settled() == []
 
 
-def test_a_planner_that_hangs_loses_its_word() -> None:
+def test_decisions_of_a_planner_whose_lease_expired_are_dropped() -> None:
     pair = Pair(lease_ms=1000)
     pair.connect()
-    busy(pair, 1000)
+    send_requests(pair, 1000)
     stale = fr.PlanUpdate(pair.end.epoch, pair.end.last_sequence, [(1, 0, 0)], [])
     pair.stalled_until = pair.now + 5000 * NS_PER_MS
-    busy(pair, 1500)
+    send_requests(pair, 1500)
     assert (str(pair.fault), pair.end.state) == ("the planner has not answered in time", "down")
     pair.stalled_until = 0
-    pair.planner.poll()  # it wakes, and says what it thinks on a connection that is gone
+    pair.planner.poll()  # resumes and sends decisions on the closed connection
     pair.connect()
     pair.run(50)
-    given = len(pair.ordered)
+    requested = len(pair.ordered)
     pair.end.receive_message(stale)
     pair.side.apply_decisions()
-    assert (pair.end.counts["fenced"], len(pair.ordered) - given) == (1, 0)
-    busy(pair, 500)
+    assert (pair.end.counts["fenced"], len(pair.ordered) - requested) == (1, 0)
+    send_requests(pair, 500)
     pair.run(50)
     assert pair.settled() == []
 
 
-def test_an_order_without_room_in_the_ration_is_not_given_whoever_sends_it() -> None:
+def test_load_requests_over_the_load_budget_are_refused_whoever_sends_them() -> None:
     pair = Pair()
     pair.task(0)
     pair.connect()
@@ -164,29 +155,29 @@
     assert not pair.planner.policy_replica.load_requests
 
 
-def test_a_decision_made_before_a_new_state_does_not_undo_it() -> None:
+def test_a_decision_from_before_a_new_snapshot_is_dropped() -> None:
     pair = Pair()
     pair.connect()
-    busy(pair, 1000)
+    send_requests(pair, 1000)
     pair.run(50)
-    seq = pair.end.last_sequence
+    sequence = pair.end.last_sequence
     pair.end.receive_message(fr.ResyncRequest("for a test"))
     pair.run(600)
-    pair.end.receive_message(fr.PlanUpdate(pair.end.epoch, seq, [], [(0, 0, True), (1, 1, True)]))
+    pair.end.receive_message(fr.PlanUpdate(pair.end.epoch, sequence, [], [(0, 0, True), (1, 1, True)]))
     assert (pair.end.counts["outdated"], pair.end.counts["snapshots"]) == (1, 2)
-    busy(pair, 500)
+    send_requests(pair, 500)
     pair.run(50)
     assert pair.settled() == []
 
 
-def test_an_edge_that_floods_its_planner_holds_no_more_than_its_bound() -> None:
+def test_the_outbox_stays_within_its_limit_while_the_planner_stalls() -> None:
     pair = Pair(outbox_bytes=4000, lease_ms=10_000)
     pair.connect()
-    busy(pair, 500)
+    send_requests(pair, 500)
     pair.stalled_until = pair.now + 3000 * NS_PER_MS
     for _ in range(40):
-        for model in range(10):
-            pair.task(model)
+        for function in range(10):
+            pair.task(function)
         pair.run(20)
         assert pair.end.report_status().outbox_bytes <= 4000
     assert pair.end.counts["overflow"] >= 1
@@ -194,13 +185,13 @@
     assert pair.settled() == []
 
 
-def test_a_drain_that_only_the_edge_has_heard_of_keeps_orders_away() -> None:
+def test_no_load_is_requested_at_a_worker_that_only_the_edge_knows_to_drain() -> None:
     pair = Pair()
     pair.connect()
-    busy(pair, 1000)
-    runner = pair.runners[1]
-    facts = dataclasses.replace(runner.facts, state=WorkerState.DRAINING)
-    pair.policy_boundary.update_workers([(runner, facts)], False)
+    send_requests(pair, 1000)
+    worker = pair.runners[1]
+    facts = dataclasses.replace(worker.facts, state=WorkerState.DRAINING)
+    pair.policy_boundary.update_workers([(worker, facts)], False)
     before = len(pair.ordered)
     pair.end.receive_message(
         fr.PlanUpdate(pair.end.epoch, pair.end.last_sequence, [(1, 1, 0)], [(1, 0, True)])
@@ -210,97 +201,97 @@
     assert pair.settled() == []
 
 
-def test_a_link_that_stands_still_for_ten_seconds_and_what_comes_of_it_twice() -> None:
+def test_a_link_that_stalls_for_ten_seconds_recovers_and_ignores_repeated_events() -> None:
     pair = Pair(lease_ms=20_000, outbox_bytes=1 << 20)
     pair.connect()
-    busy(pair, 1000)
+    send_requests(pair, 1000)
     sent: list[bytes] = []
-    inner = pair.end.next_frame
+    next_frame = pair.end.next_frame
 
-    def keep() -> bytes | None:
-        data = inner()
+    def record_frame() -> bytes | None:
+        data = next_frame()
         if data is not None:
             sent.append(data)
         return data
 
-    pair.end.next_frame = keep  # type: ignore[method-assign]
+    pair.end.next_frame = record_frame  # type: ignore[method-assign]
     pair.stalled_until = pair.now + 10_000 * NS_PER_MS
-    busy(pair, 10_000)
+    send_requests(pair, 10_000)
     assert pair.settled() == []
     pair.cut()
     pair.connect()
     pair.run(20)
-    for data in sent:  # the connection before still spits out what it had
+    for data in sent:  # late frames of the closed connection
         for message in fr.FrameReader().feed(data):
             if isinstance(message, fr.Events):
                 pair.planner.receive_message(message)
     assert pair.planner.counts["again"] >= len(sent) - 5 > 50
-    busy(pair, 500)
+    send_requests(pair, 500)
     assert pair.settled() == []
     assert pair.end.counts["snapshots"] == 1
 
 
-def test_a_planner_that_starts_anew_orders_nothing_that_stands_and_counts_the_orders_before_it() -> None:
+def test_a_restarted_planner_counts_earlier_loads_and_repeats_none() -> None:
     pair = Pair(runners=8)
     pair.connect()
-    busy(pair, 6000)
+    send_requests(pair, 6000)
     assert pair.settled() == []
     for _ in range(6):
         pair.kill_planner()
         pair.connect()
-        pair.run(600)  # a state is sent twice a second at most
-        mirror = pair.planner.policy_replica
-        assert mirror is not None
-        window = pair.now - 5000 * NS_PER_MS
-        before = [t for t in pair.ordered if t > window]
-        assert len([t for t in mirror.policy.load_budget.load_times_ns if t > window]) >= len(before)
-    given = len(pair.ordered)
+        pair.run(600)  # snapshots are sent at most twice a second
+        policy_replica = pair.planner.policy_replica
+        assert policy_replica is not None
+        start = pair.now - 5000 * NS_PER_MS
+        before = [t for t in pair.ordered if t > start]
+        assert len([t for t in policy_replica.policy.load_budget.load_times_ns if t > start]) >= len(before)
+    requested = len(pair.ordered)
     pair.run(300)
-    assert len(pair.ordered) - given <= 4  # renewals that fall due, no second load of what is held
+    assert len(pair.ordered) - requested <= 4  # renewals that are due; retained replicas are not loaded again
     assert pair.over_ration() == 0
 
 
-def test_a_state_has_no_more_models_than_it_may_those_that_are_held_first() -> None:
+def test_a_snapshot_over_the_function_limit_prefers_retained_functions() -> None:
     pair = Pair(snapshot_models=5, runners=8)
     pair.connect()
-    busy(pair, 4000, models=3)
-    for model in range(3, 40):
-        pair.task(model)
+    send_requests(pair, 4000, functions=3)
+    for function in range(3, 40):
+        pair.task(function)
     pair.run(500)
-    held = {m for _, m in pair.side._retained}
-    assert held
+    retained = {function for _, function in pair.side._retained}
+    assert retained
     pair.kill_planner()
     pair.connect()
     pair.run(600)
-    mirror = pair.planner.policy_replica
-    assert mirror is not None
-    assert len(mirror.restored.functions) == 5
-    assert held <= set(mirror.restored.functions)
-    busy(pair, 1000, models=40)  # what was left out is learnt as it comes
+    policy_replica = pair.planner.policy_replica
+    assert policy_replica is not None
+    assert len(policy_replica.restored.functions) == 5
+    assert retained <= set(policy_replica.restored.functions)
+    send_requests(pair, 1000, functions=40)  # omitted functions are added by later events
     pair.run(600)
     assert pair.planner.counts["needed"] == 0
-    assert len(mirror.restored.functions) > 5
+    assert len(policy_replica.restored.functions) > 5
 
 
-def test_a_state_that_does_not_come_is_asked_for_again() -> None:
+def test_a_snapshot_that_does_not_arrive_is_requested_again() -> None:
     pair = Pair()
     pair.connect()
     pair.run(100)
     assert pair.planner.policy_replica is not None
-    pair.planner.policy_replica = None  # as if it had gone missing
+    pair.planner.policy_replica = None  # simulates a lost snapshot
     pair.run(3000)
     assert pair.planner.counts["needed"] == 1
     assert pair.settled() == []
 
 
-def test_while_there_is_no_planner_no_more_is_kept_than_the_bound() -> None:
+def test_the_outbox_stays_within_its_limit_without_a_planner() -> None:
     pair = Pair(outbox_bytes=20_000)
     pair.connect()
-    busy(pair, 500)
+    send_requests(pair, 500)
     pair.cut()
     for _ in range(100):
-        for model in range(10):
-            pair.task(model)
+        for function in range(10):
+            pair.task(function)
         pair.run(20)
         assert pair.end.report_status().outbox_bytes <= 20_000
         assert len(pair.end._batch) < 512
@@ -309,31 +300,33 @@
     assert pair.settled() == []
 
 
-def test_the_differences_that_these_tests_look_for_are_found() -> None:
+def test_a_replica_that_misses_events_is_found_to_differ() -> None:
     pair = Pair()
     pair.connect()
-    busy(pair, 1000)
+    send_requests(pair, 1000)
     assert pair.settled() == []
-    mirror = pair.planner.policy_replica
-    assert mirror is not None
-    feed, kept = mirror.apply_events, 0
-
-    def loses_one(events: list[ev.AnyEvent]) -> None:
-        nonlocal kept
-        kept += 1
-        feed([e for e in events if not (kept == 3 and isinstance(e, ev.RequestAccepted | ev.AttemptStarted))])
+    policy_replica = pair.planner.policy_replica
+    assert policy_replica is not None
+    apply, calls = policy_replica.apply_events, 0
+
+    def drop_events_of_the_third_call(events: list[ev.AnyEvent]) -> None:
+        nonlocal calls
+        calls += 1
+        apply(
+            [e for e in events if not (calls == 3 and isinstance(e, ev.RequestAccepted | ev.AttemptStarted))]
+        )
 
-    mirror.apply_events = loses_one  # type: ignore[method-assign]
-    busy(pair, 200)
+    policy_replica.apply_events = drop_events_of_the_third_call  # type: ignore[method-assign]
+    send_requests(pair, 200)
     assert pair.settled() != []
 
 
 @pytest.mark.parametrize("ahead", [10**15, -(10**9)])
 @pytest.mark.parametrize("rate", [1.0, 1.00005, 0.99995])
-def test_a_planner_whose_clock_is_ahead_or_drifts_plans_on_the_edges(ahead: int, rate: float) -> None:
+def test_a_planner_whose_clock_is_offset_or_drifts_follows_the_edges_clock(ahead: int, rate: float) -> None:
     pair = Pair(planner_ahead=ahead, rate=rate)
     pair.connect()
-    busy(pair, 5000)
+    send_requests(pair, 5000)
     pair.run(50)
     assert pair.settled() == []
     assert pair.side.counts["orders"] > 3
@@ -347,12 +340,12 @@
     pair.planner = pair.new_planner(speaks=planner)
     pair.planner.find_earlier_replicas = lambda _: [("r0", "m0", 2, 1000.0, 50.0)]
     pair.connect()
-    busy(pair, 2000)
+    send_requests(pair, 2000)
     pair.run(50)
     assert (pair.end.version, pair.settled(), pair.recalled) == (1, [], [])
 
 
-def test_versions_without_one_in_common_are_refused_clearly() -> None:
+def test_a_link_without_a_common_version_is_refused_with_a_reason() -> None:
     pair = Pair()
     pair.connect()
     with pytest.raises(LinkProtocolError, match="no common version: 3 to 4"):
@@ -361,50 +354,50 @@
         pair.end.receive_message(fr.Welcome(9, "p", "x", -1))
 
 
-def test_a_new_life_of_an_edge_is_asked_what_was_held_in_the_one_before() -> None:
+def test_a_restarted_edge_gets_the_replicas_that_its_predecessor_retained() -> None:
     pair = Pair()
     pair.planner.find_earlier_replicas = lambda name: (
         [("r0", "m0", 2, 1000.0, 50.0)] if name == "edge" else []
     )
     pair.connect()
     pair.run(100)
-    assert [list(copy) for copy in pair.recalled] == [["r0", "m0", 2, 1000.0, 50.0]]
+    assert [list(replica) for replica in pair.recalled] == [["r0", "m0", 2, 1000.0, 50.0]]
 
 
-def test_a_state_of_another_module_is_read_as_far_as_it_goes() -> None:
+def test_a_snapshot_of_another_policy_version_is_restored_where_fields_match() -> None:
     pair = Pair()
-    busy(pair, 1000)
+    send_requests(pair, 1000)
     state, _ = pair.side._take_snapshot()
-    told = msgspec.msgpack.decode(encode_snapshot(state))
-    told["brain"]["a new field"] = 7
-    del told["brain"]["rate"]
-    told["models"][0][5]["latency"] = {"bins": [1.0], "total": 1.0, "sum": 1.0}
+    packed = msgspec.msgpack.decode(encode_snapshot(state))
+    packed["brain"]["a new field"] = 7
+    del packed["brain"]["rate"]
+    packed["models"][0][5]["latency"] = {"bins": [1.0], "total": 1.0, "sum": 1.0}
     pair.planner.receive_message(fr.Hello(1, 2, "edge", "x", "another"))
     pair.planner.receive_message(fr.Lease(1, 1000))
-    pair.planner.receive_message(fr.Snapshot(1, pair.now, msgspec.Raw(msgspec.msgpack.encode(told))))
+    pair.planner.receive_message(fr.Snapshot(1, pair.now, msgspec.Raw(msgspec.msgpack.encode(packed))))
     assert pair.planner.policy_replica is not None
-    del told["models"][0][5:]
+    del packed["models"][0][5:]
     with pytest.raises(LinkProtocolError, match="the state can not be read"):
-        pair.planner.receive_message(fr.Snapshot(2, pair.now, msgspec.Raw(msgspec.msgpack.encode(told))))
+        pair.planner.receive_message(fr.Snapshot(2, pair.now, msgspec.Raw(msgspec.msgpack.encode(packed))))
 
 
-class Faults(RuleBasedStateMachine):
-    """The link under faults in any order. Whatever happens: the ration holds over all lives of planners, an
-    epoch is given once, nobody is obeyed but who holds the latest, and no more is kept than the bound."""
+class LinkFaults(RuleBasedStateMachine):
+    """Applies faults to the link in any order. The load budget holds over all planners, epochs are unique,
+    only decisions of the latest epoch are applied, and the outbox stays within its limit."""
 
     def __init__(self) -> None:
         super().__init__()
         self.pair = Pair(outbox_bytes=20_000, lease_ms=800)
 
-    @rule(n=st.integers(1, 15), model=st.integers(0, 5))
-    def tasks(self, n: int, model: int) -> None:
-        for _ in range(n):
-            self.pair.task(model)
+    @rule(count=st.integers(1, 15), function=st.integers(0, 5))
+    def send_a_burst_of_requests(self, count: int, function: int) -> None:
+        for _ in range(count):
+            self.pair.task(function)
         self.pair.run(10)
 
-    @rule(ms=st.sampled_from([20, 100, 400, 1500]))
-    def time(self, ms: int) -> None:
-        self.pair.run(ms)
+    @rule(duration_ms=st.sampled_from([20, 100, 400, 1500]))
+    def advance_time(self, duration_ms: int) -> None:
+        self.pair.run(duration_ms)
 
     @rule()
     def connect(self) -> None:
@@ -412,20 +405,20 @@
             self.pair.connect()
 
     @rule()
-    def cut(self) -> None:
+    def lose_connection(self) -> None:
         self.pair.cut()
 
     @rule()
     def kill_planner(self) -> None:
         self.pair.kill_planner()
 
-    @rule(ms=st.sampled_from([100, 700, 2000]))
-    def stall(self, ms: int) -> None:
-        self.pair.stalled_until = self.pair.now + ms * NS_PER_MS
+    @rule(duration_ms=st.sampled_from([100, 700, 2000]))
+    def stall_planner(self, duration_ms: int) -> None:
+        self.pair.stalled_until = self.pair.now + duration_ms * NS_PER_MS
 
     @rule()
-    def another_believes_itself_in_charge(self) -> None:
-        """One of an epoch before orders all it can."""
+    def send_update_of_an_earlier_epoch(self) -> None:
+        """A planner of the previous epoch requests loads."""
         end = self.pair.end
         if end.state == "up":
             before = len(self.pair.ordered)
@@ -437,26 +430,26 @@
             assert len(self.pair.ordered) == before
 
     @rule()
-    def events_go_missing(self) -> None:
+    def lose_a_frame_to_the_planner(self) -> None:
         wire = self.pair.wire
         if wire is not None and len(wire.to_planner) > 2:
             wire.to_planner.pop(1)
 
     @invariant()
-    def ration(self) -> None:
+    def load_budget_holds(self) -> None:
         assert self.pair.over_ration() == 0
 
     @invariant()
-    def obeyed(self) -> None:
+    def only_the_latest_epoch_is_applied(self) -> None:
         assert all(epoch == sender for epoch, sender in self.pair.applied)
         assert self.pair.epochs == sorted(set(self.pair.epochs))
 
     @invariant()
-    def bounded(self) -> None:
+    def outbox_is_within_its_limit(self) -> None:
         assert self.pair.end.report_status().outbox_bytes <= 20_000
 
     def teardown(self) -> None:
-        """In the end one planner is left in peace: then it knows all, and every task has its end."""
+        """Checks that without faults the planner catches up and every request ends."""
         pair = self.pair
         pair.stalled_until = 0
         for _ in range(3):
@@ -468,8 +461,8 @@
         assert pair.finals == len(pair.taken)
 
 
-TestFaults = Faults.TestCase
-TestFaults.settings = settings(
+TestLinkFaults = LinkFaults.TestCase
+TestLinkFaults.settings = settings(
     max_examples=100,
     stateful_step_count=25,
     deadline=None,
--- a/tests/test_planner_disk_faults.py
+++ b/tests/test_planner_disk_faults.py
@@ -1,4 +1,4 @@
-"""A planner on a failing disk: it saves the newest state and overwrites none that it could not read."""
+"""A planner on a failing disk saves the newest state and never overwrites a file that it could not read."""
 
 from __future__ import annotations
 
@@ -22,9 +22,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_planner_keeps_the_newest_and_never_writes_over_what_it_could_not_read(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_an_unread_file_is_never_overwritten(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("martenlead.planner.replica_store.Backoff", QUICK)
     path = tmp_path / "kept"
     older = SavedReplicas(
@@ -49,8 +47,8 @@
             await until(lambda: planner.store.save_counts["state_saved"])
             group.cancel_scope.cancel()
         disk.crash()
-        again = Planner(PlannerSettings(state_path=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
-        assert again.store.saved.replicas_by_edge == {
+        later = Planner(PlannerSettings(state_path=str(path)), moment=lambda: Moment(10**9, "boot", 10**9))
+        assert later.store.saved.replicas_by_edge == {
             "away": [("r", "m", 1, 1.0, 1005.0)],
             "here": [RetainedReplica("r", "new", 1, 1.0, 0.0)],
         }
--- a/tests/test_planner_frames.py
+++ b/tests/test_planner_frames.py
@@ -1,4 +1,4 @@
-"""Frames that an earlier version wrote are understood by both ends of the link, and are written the same."""
+"""Both ends of the link read the frames of an earlier version and encode them to the same bytes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 STORED = Path(__file__).parent / "stored" / "planner-link"
 DIRECTIONS = ("to-planner", "to-edge")
 
-# by the earlier version's name of a type: its name of today, and the names of its fields in their order
+# earlier name of a message -> its class, and its fields in order: earlier name -> present name
 MESSAGES: dict[str, tuple[type[fr.Message], dict[str, str]]] = {
     "Hello": (
         fr.Hello,
@@ -73,6 +73,7 @@
 
 
 def stored_frames(direction: str) -> list[bytes]:
+    """Returns the encoded frames that an earlier version sent in one direction."""
     data = (STORED / f"{direction}.frames").read_bytes()
     found: list[bytes] = []
     while data:
@@ -82,56 +83,57 @@
     return found
 
 
-def earlier_reading(direction: str) -> list[dict[str, Any]]:
+def stored_values(direction: str) -> list[dict[str, Any]]:
+    """Returns type and fields of each frame as the earlier version decoded it."""
     return [one for one in json.loads((STORED / "read.json").read_text()) if one["to"] == direction]
 
 
-def plain(value: Any) -> Any:
-    """The value as JSON has it: the stored reading is JSON."""
+def to_json_value(value: Any) -> Any:
+    """Returns the value as decoded from JSON, like the stored values."""
     return msgspec.json.decode(msgspec.json.encode(value))
 
 
 def decode_one(frame: bytes) -> fr.AnyMessage:
+    """Returns the only message in a frame."""
     (message,) = fr.FrameReader().feed(frame)
     return message
 
 
 def check_event(event: ev.AnyEvent, earlier: dict[str, Any]) -> None:
+    """Checks an event against the values that the earlier version decoded."""
     kind, names = EVENTS[earlier["type"]]
     assert type(event) is kind
     assert kind.__struct_encode_fields__ == names
     for name, stored_name in zip(kind.__struct_fields__, names, strict=True):
-        assert plain(getattr(event, name)) == earlier["fields"][stored_name]
+        assert to_json_value(getattr(event, name)) == earlier["fields"][stored_name]
 
 
 @pytest.mark.parametrize("direction", DIRECTIONS)
-def test_each_frame_of_the_version_before_is_read_to_the_same_and_written_to_the_same_bytes(
-    direction: str,
-) -> None:
-    for frame, earlier in zip(stored_frames(direction), earlier_reading(direction), strict=True):
+def test_stored_frames_decode_to_the_stored_values_and_encode_to_the_same_bytes(direction: str) -> None:
+    for frame, earlier in zip(stored_frames(direction), stored_values(direction), strict=True):
         message = decode_one(frame)
         kind, names = MESSAGES[earlier["type"]]
         assert type(message) is kind
         for old, new in names.items():
-            assert plain(getattr(message, new)) == earlier["fields"][old]
+            assert to_json_value(getattr(message, new)) == earlier["fields"][old]
         if isinstance(message, fr.Events):
-            for event, told in zip(message.events, earlier["fields"]["events"], strict=True):
-                check_event(event, told)
+            for event, stored in zip(message.events, earlier["fields"]["events"], strict=True):
+                check_event(event, stored)
         if isinstance(message, fr.Snapshot):
             snapshot = decode_snapshot(message.state)
             assert encode_snapshot(snapshot) == bytes(message.state)
         assert fr.encode_frame(message) == frame
 
 
-def test_every_message_and_every_event_of_the_link_is_among_the_stored_frames() -> None:
-    read = [one for direction in DIRECTIONS for one in earlier_reading(direction)]
+def test_the_stored_frames_contain_every_message_and_every_event_of_the_link() -> None:
+    read = [one for direction in DIRECTIONS for one in stored_values(direction)]
     assert {one["type"] for one in read} == set(MESSAGES)
     assert {kind for kind, _ in MESSAGES.values()} == set(fr.Message.__subclasses__())
     events = {event["type"] for one in read for event in one["fields"].get("events", [])}
     assert events == set(EVENTS)
 
 
-def test_a_planner_of_today_follows_the_session_of_an_edge_of_the_version_before() -> None:
+def test_a_planner_follows_the_stored_session_of_an_earlier_edge() -> None:
     now = 1_000_000_000
     numbers = iter(range(1 << 20))
     planner = PlannerSession("planner-1", "life-1", lambda: now, lambda: next(numbers))
@@ -157,28 +159,28 @@
 
 
 def take_snapshot() -> TakenSnapshot:
-    raise AssertionError("no frame asks for the state before it is due")
+    raise AssertionError("no stored frame makes a snapshot due")
 
 
-def test_an_edge_of_today_follows_the_session_of_a_planner_of_the_version_before() -> None:
+def test_an_edge_follows_the_stored_session_of_an_earlier_planner() -> None:
     hello = decode_one(stored_frames("to-planner")[0])
     assert isinstance(hello, fr.Hello)
     edge = EdgeSession(
         "edge", hello.incarnation, hello.policy_hash, lambda: 0, take_snapshot, SessionLimits()
     )
-    taken: list[fr.PlanUpdate | fr.RestoreReplicas] = []
-    wanted = []
+    received: list[fr.PlanUpdate | fr.RestoreReplicas] = []
+    sent = []
     for frame in stored_frames("to-edge")[:-1]:
         message = decode_one(frame)
         if isinstance(message, fr.Welcome):
             edge.connection_made()
             assert edge.next_frame() == stored_frames("to-planner")[0]
         if isinstance(message, fr.PlanUpdate | fr.RestoreReplicas):
-            wanted.append(message)
+            sent.append(message)
         edge.receive_message(message)
-        taken += edge.pending_decisions
+        received += edge.pending_decisions
         edge.pending_decisions.clear()
-    assert taken == wanted
-    assert len(taken) > 3
+    assert received == sent
+    assert len(received) > 3
     assert (edge.planner_name, edge.planner_incarnation, edge.version) == ("planner-1", "life-1", 2)
     assert (edge.epoch, edge.counts["needs"], edge.counts["fenced"]) == (2, 1, 0)
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -1,4 +1,4 @@
-"""Connections that say nothing do not keep edges from their planner."""
+"""Connections that send nothing do not prevent edges from connecting to their planner."""
 
 from __future__ import annotations
 
@@ -18,25 +18,23 @@
 from support.planned import planned
 
 pytestmark = pytest.mark.anyio
-PLACES = LEAST_CONNECTIONS + 4
+SLOTS = LEAST_CONNECTIONS + 4
 
 
-async def test_an_edge_gets_its_planner_while_silent_connections_hold_all_places(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """Guards against edges that wait until silent connections are given up, one round after the other."""
-    monkeypatch.setattr(server, "HELLO_TIMEOUT_SECONDS", 60.0)  # so that only the need for room ends them
-    sock = socket.create_server(("127.0.0.1", 0), backlog=4 * PLACES)
-    port = sock.getsockname()[1]
-    listener = StreamListener(sock, ClientDescriptors(lambda: PLACES))
+async def test_edges_connect_while_silent_connections_use_all_slots(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against edges that have to wait until silent connections time out."""
+    monkeypatch.setattr(server, "HELLO_TIMEOUT_SECONDS", 60.0)  # so the need for slots ends them first
+    listening_socket = socket.create_server(("127.0.0.1", 0), backlog=4 * SLOTS)
+    port = listening_socket.getsockname()[1]
+    listener = StreamListener(listening_socket, ClientDescriptors(lambda: SLOTS))
     planner = Planner(decode({}, PlannerSettings, "test"))
-    with ExitStack() as silent:
+    with ExitStack() as silent_connections:
         async with anyio.create_task_group() as group:
             group.start_soon(planner.run, listener)
-            for _ in range(2 * PLACES):
-                silent.enter_context(socket.create_connection(("127.0.0.1", port)))
-            await until(lambda: listener.open_connections >= PLACES)
+            for _ in range(2 * SLOTS):
+                silent_connections.enter_context(socket.create_connection(("127.0.0.1", port)))
+            await until(lambda: listener.open_connections >= SLOTS)
             async with planned([port]) as (_, client):
                 await until(client.session.is_leased, within=5)
-                assert listener.open_connections <= PLACES
+                assert listener.open_connections <= SLOTS
             group.cancel_scope.cancel()
--- a/tests/test_state_save_crashes.py
+++ b/tests/test_state_save_crashes.py
@@ -1,7 +1,7 @@
-"""Saves on a failing disk, with a kill at any call: the old or the new state is found whole.
+"""Saves on a failing disk, with a kill at any call, leave the old or the new state complete.
 
-Each component that saves state saves a number and finds it at its next start: the state store, the cached
-list of endpoints, the planner and the agent's names. The newest state is saved once the disk works again.
+Each component that saves state saves a number and reads it at its next start: the state store, the cached
+endpoint list, the planner and the agent's names. The newest state is saved once the disk works again.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from tests.disk_fault_rig import THING, each_errno, temporary_files
 
 
-class Lasts:
-    """`lasting`: generations in a folder."""
+class StateStoreUser:
+    """Saves generations with the state store."""
 
     def __init__(self, root: Path) -> None:
         self.store = StateStore(StateFolder(root / "edge"), "here", lambda: 1_000)
@@ -41,7 +41,9 @@
         self.store.write(THING, number)
 
 
-class RosterList:
+class EndpointListUser:
+    """Saves the cached endpoint list."""
+
     def __init__(self, root: Path) -> None:
         self.path = root / "list"
         found = endpoints.load_cached_endpoints(self.path)
@@ -53,7 +55,9 @@
         )
 
 
-class PlannerState:
+class PlannerUser:
+    """Saves the planner's file of retained replicas."""
+
     def __init__(self, root: Path) -> None:
         settings = PlannerSettings(state_path=str(root / "planner"))
         self.planner = Planner(settings, moment=lambda: Moment(0, "boot", 0))
@@ -65,7 +69,9 @@
         )
 
 
-class AgentNames:
+class AgentNamesUser:
+    """Saves the agent's file of names."""
+
     def __init__(self, root: Path) -> None:
         self.path = root / "names.json"
         data = read_if_there(self.path)
@@ -77,51 +83,53 @@
 
 
 USERS: dict[str, Callable[[Path], Any]] = {
-    "lasting": Lasts,
-    "roster": RosterList,
-    "planner": PlannerState,
-    "names": AgentNames,
+    "store": StateStoreUser,
+    "endpoints": EndpointListUser,
+    "planner": PlannerUser,
+    "names": AgentNamesUser,
 }
 each_user = pytest.mark.parametrize("user", list(USERS))
 
 
 def calls_of_a_save(tmp_path: Path, user: str) -> list[str]:
-    """Counted on a disk that is well, for a second save."""
+    """Returns the file system calls of a second save on a disk without faults."""
     disk = DiskFaults(tmp_path / "count", Random(0))
     disk.root.mkdir()
     with disk():
-        using = USERS[user](disk.root)
-        using.save(1)
+        component = USERS[user](disk.root)
+        component.save(1)
         disk.heal()
-        using.save(2)
+        component.save(2)
         return list(disk.calls)
 
 
-def begin(tmp_path: Path, user: str, name: str, chance: Random) -> DiskFaults:
-    """A folder that holds the state 1, durable."""
+def make_disk_with_state(tmp_path: Path, user: str, name: str, chance: Random) -> DiskFaults:
+    """Returns a disk with the state 1, which is durable."""
     disk = DiskFaults(tmp_path / name, chance)
     disk.root.mkdir()
-    using = USERS[user](disk.root)
-    using.save(1)
-    if isinstance(using, Lasts):
-        using.store.close()
+    component = USERS[user](disk.root)
+    component.save(1)
+    if isinstance(component, StateStoreUser):
+        component.store.close()
     return disk
 
 
-def found(disk: DiskFaults, user: str) -> Any:
+def load(disk: DiskFaults, user: str) -> Any:
+    """Returns the state that the component finds when it starts."""
     return USERS[user](disk.root).found
 
 
-def is_saved(using: Any, number: int) -> bool:
+def save_succeeds(component: Any, number: int) -> bool:
+    """Saves a state; returns whether that succeeded."""
     try:
-        using.save(number)
+        component.save(number)
     except OSError:
         return False
     return True
 
 
 @each_user
-def test_a_save_makes_its_calls_in_the_order_that_makes_it_durable(tmp_path: Path, user: str) -> None:
+def test_a_save_makes_its_system_calls_in_the_order_that_makes_it_durable(tmp_path: Path, user: str) -> None:
     calls = [c for c in calls_of_a_save(tmp_path, user) if c not in ("scandir", "unlink")]
     assert calls == ["open", "write", "fsync", "rename", "open", "fsync_folder"]
 
@@ -129,129 +137,125 @@
 @each_user
 @each_errno
 @pytest.mark.parametrize("for_calls", (1, 3), ids=("once", "for a while"))
-def test_a_disk_that_fails_at_any_call_then_a_kill_leaves_old_or_new(
+def test_a_failure_of_any_call_and_then_a_kill_leave_the_old_or_the_new_state(
     tmp_path: Path, user: str, code: int, for_calls: int
 ) -> None:
-    """And what was reported as saved is there; after the kill the newest state arrives as well."""
+    """A state that was reported as saved is durable; after the kill a newer one can be saved."""
     for k in range(1, len(calls_of_a_save(tmp_path, user)) + 1):
         for seed in range(6):
-            disk = begin(tmp_path, user, f"{k}-{seed}", Random(seed))
+            disk = make_disk_with_state(tmp_path, user, f"{k}-{seed}", Random(seed))
             with disk():
-                using = USERS[user](disk.root)
+                component = USERS[user](disk.root)
                 disk.fail(code, k, for_calls)
-                saved = is_saved(using, 2)
+                saved = save_succeeds(component, 2)
                 disk.crash()
-                at = found(disk, user)
-                assert at in ((2,) if saved else (1, 2)), (k, seed, saved, at)
+                state = load(disk, user)
+                assert state in ((2,) if saved else (1, 2)), (k, seed, saved, state)
                 disk.crash()
                 USERS[user](disk.root).save(3)
                 disk.crash()
-                assert found(disk, user) == 3, (k, seed)
+                assert load(disk, user) == 3, (k, seed)
 
 
 @each_user
 @each_errno
-def test_a_disk_that_fails_at_every_kth_call_then_a_kill_leaves_what_was_saved_or_newer(
-    tmp_path: Path, user: str, code: int
-) -> None:
+def test_periodic_faults_and_a_kill_lose_no_successful_save(tmp_path: Path, user: str, code: int) -> None:
     for k in range(1, len(calls_of_a_save(tmp_path, user)) + 4):
         for seed in range(4):
-            disk = begin(tmp_path, user, f"{k}-{seed}", Random(seed))
+            disk = make_disk_with_state(tmp_path, user, f"{k}-{seed}", Random(seed))
             with disk():
-                using = USERS[user](disk.root)
+                component = USERS[user](disk.root)
                 disk.fail_every(code, k)
                 last = 1
                 for number in range(2, 8):
-                    last = number if is_saved(using, number) else last
+                    last = number if save_succeeds(component, number) else last
                 disk.crash()
-                assert last <= found(disk, user) <= 7, (k, seed)
+                assert last <= load(disk, user) <= 7, (k, seed)
                 disk.crash()
                 USERS[user](disk.root).save(8)
                 disk.crash()
-                assert found(disk, user) == 8, (k, seed)
+                assert load(disk, user) == 8, (k, seed)
 
 
 @each_user
 @each_errno
-def test_a_save_that_failed_is_durable_once_a_later_one_succeeds(
-    tmp_path: Path, user: str, code: int
-) -> None:
-    """In the same life, at the same names: a sync that failed is not taken for done by the next attempt."""
+def test_a_save_after_a_failed_one_is_durable(tmp_path: Path, user: str, code: int) -> None:
+    """Guards against a later save of the same process that relies on the data of the failed sync."""
     for k in range(1, len(calls_of_a_save(tmp_path, user)) + 1):
         for seed in range(6):
-            disk = begin(tmp_path, user, f"{k}-{seed}", Random(seed))
+            disk = make_disk_with_state(tmp_path, user, f"{k}-{seed}", Random(seed))
             with disk():
-                using = USERS[user](disk.root)
+                component = USERS[user](disk.root)
                 disk.fail(code, k, 1)
-                is_saved(using, 2)
+                save_succeeds(component, 2)
                 disk.heal()
                 assert temporary_files(disk.root) == []
-                using.save(3)
+                component.save(3)
                 assert temporary_files(disk.root) == []
                 disk.crash()
-                assert found(disk, user) == 3, (k, seed)
+                assert load(disk, user) == 3, (k, seed)
 
 
 @each_user
-def test_a_kill_at_any_call_leaves_old_or_new(tmp_path: Path, user: str) -> None:
-    seen = set()
+def test_a_kill_at_any_call_leaves_the_old_or_the_new_state(tmp_path: Path, user: str) -> None:
+    states = set()
     for k in range(1, len(calls_of_a_save(tmp_path, user)) + 1):
         for seed in range(20):
-            disk = begin(tmp_path, user, f"{k}-{seed}", Random(seed))
+            disk = make_disk_with_state(tmp_path, user, f"{k}-{seed}", Random(seed))
             with disk():
-                using = USERS[user](disk.root)
+                component = USERS[user](disk.root)
                 disk.kill(k)
                 with pytest.raises(Killed):
-                    using.save(2)
+                    component.save(2)
                 disk.crash()
-                at = found(disk, user)
-                assert at in (1, 2), (k, seed, at)
-                seen.add(at)
+                state = load(disk, user)
+                assert state in (1, 2), (k, seed, state)
+                states.add(state)
                 disk.crash()
                 USERS[user](disk.root).save(3)
                 disk.crash()
-                assert found(disk, user) == 3, (k, seed)
-    assert seen == {1, 2}
+                assert load(disk, user) == 3, (k, seed)
+    assert states == {1, 2}
 
 
 @each_user
-def test_writes_that_take_one_byte_write_all(tmp_path: Path, user: str) -> None:
-    disk = begin(tmp_path, user, "folder", Random(1))
+def test_short_writes_of_one_byte_are_continued_until_all_is_written(tmp_path: Path, user: str) -> None:
+    disk = make_disk_with_state(tmp_path, user, "folder", Random(1))
     with disk():
-        using = USERS[user](disk.root)
+        component = USERS[user](disk.root)
         disk.write_one_byte(1)
-        using.save(2)
+        component.save(2)
         assert disk.calls.count("write") > 20
         disk.crash()
-        assert found(disk, user) == 2
+        assert load(disk, user) == 2
 
 
 @each_user
-def test_a_save_without_its_syncs_is_found_out(
+def test_the_simulated_disk_loses_saves_that_are_not_synced(
     tmp_path: Path, user: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The tests before can fail."""
+    """Checks that the previous tests can fail."""
     lost = 0
     for seed in range(40):
-        disk = begin(tmp_path, user, str(seed), Random(seed))
+        disk = make_disk_with_state(tmp_path, user, str(seed), Random(seed))
         with disk():
             monkeypatch.setattr(os, "fsync", lambda _: None)
             try:
                 USERS[user](disk.root).save(2)
                 disk.crash()
-                lost += found(disk, user) != 2
+                lost += load(disk, user) != 2
             except (msgspec.DecodeError, ValueError):
                 lost += 1
             monkeypatch.undo()
     assert lost > 5
 
 
-def test_temporary_files_of_processes_that_are_gone_are_removed(tmp_path: Path) -> None:
+def test_temporary_files_of_ended_processes_are_removed(tmp_path: Path) -> None:
     path = tmp_path / "list"
     for process in (1 << 30, (1 << 30) + 1):
         (tmp_path / f"list.{process}.new").write_bytes(b"half")
-    ours = [f"list.{os.getppid()}.new", "list.x.new", "other.1073741824.new"]
-    for name in ours:
+    others = [f"list.{os.getppid()}.new", "list.x.new", "other.1073741824.new"]
+    for name in others:
         (tmp_path / name).write_bytes(b"another's")
     remove_leftovers(path)
-    assert sorted(p.name for p in tmp_path.iterdir()) == sorted(ours)
+    assert sorted(p.name for p in tmp_path.iterdir()) == sorted(others)
--- a/tests/test_state_store_disk_faults.py
+++ b/tests/test_state_store_disk_faults.py
@@ -17,7 +17,7 @@
 from tests.disk_fault_rig import THING, temporary_files
 
 
-def test_a_store_that_could_not_be_opened_can_be_opened_later_in_the_same_process(tmp_path: Path) -> None:
+def test_a_store_can_be_opened_after_a_failed_attempt_of_the_same_process(tmp_path: Path) -> None:
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         store = StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1)
@@ -27,21 +27,20 @@
         StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1).close()
         for k in range(1, len(disk.calls) + 1):
             disk.fail(errno.EIO, k)
-            with_error = None
+            open_error = None
             try:
                 StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1).close()
             except OSError as error:
-                with_error = error
+                open_error = error
             disk.heal()
-            again = StateStore(
-                StateFolder(tmp_path / "edge"), "here", lambda: 1
-            )  # InUse, were the lock still held
-            state = again.read(THING)
-            assert state is not None and state.value == 1, (k, with_error)
-            again.close()
+            # raises FolderInUseError if the failed attempt still holds the lock
+            reopened = StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1)
+            state = reopened.read(THING)
+            assert state is not None and state.value == 1, (k, open_error)
+            reopened.close()
 
 
-def test_a_disk_that_takes_nothing_still_gives_what_was_kept(tmp_path: Path) -> None:
+def test_a_saved_state_can_be_read_from_a_read_only_disk(tmp_path: Path) -> None:
     first = StateStore(StateFolder(tmp_path), "here", lambda: 1)
     first.write(THING, "kept")
     first.close()
@@ -61,18 +60,17 @@
         with pytest.raises(FolderInUseError):
             StateStore(StateFolder(tmp_path), "here", lambda: 1)
     assert second.write(THING, "new") == 2
-    assert second.epoch == 2  # counted anew, with the first write that could be made
+    assert second.epoch == 2  # begun by the first write that succeeds
 
 
-def test_an_epoch_that_is_not_durable_is_not_given(tmp_path: Path) -> None:
-    """Each epoch that was given is given once, whatever the disk does while it is counted."""
-    given: Counter[int] = Counter()
+def test_an_epoch_is_used_only_once_despite_disk_faults(tmp_path: Path) -> None:
+    uses: Counter[int] = Counter()
     for seed in range(120):
         chance = Random(seed)
         root = tmp_path / str(seed // 12)
         root.mkdir(exist_ok=True)
         if seed % 12 == 0:
-            given.clear()
+            uses.clear()
         disk = DiskFaults(root, chance)
         with disk():
             disk.fail(chance.choice(ERRNOS), 1 + chance.randrange(14), 1 + chance.randrange(4))
@@ -81,23 +79,23 @@
             except OSError:
                 epoch = 0
             disk.crash()
-        given[epoch] += bool(epoch)
-        assert max(given.values(), default=0) <= 1, (seed, given)
+        uses[epoch] += bool(epoch)
+        assert max(uses.values(), default=0) <= 1, (seed, uses)
 
 
-def test_generations_that_cannot_be_removed_are_bounded(tmp_path: Path) -> None:
+def test_the_number_of_generations_that_cannot_be_removed_is_limited(tmp_path: Path) -> None:
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         store = StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1)
         store.write(THING, 0)
         disk.fail(errno.EIO, 1, only="unlink")
-        written = 0
+        newest = 0
         with pytest.raises(OSError, match="cannot be removed"):
             for n in range(1, 100):
                 store.write(THING, n)
-                written = n
+                newest = n
         state = store.read(THING)
-        assert state is not None and state.value == written > 5
+        assert state is not None and state.value == newest > 5
         files = list(tmp_path.rglob("thing.*.state"))
         assert len(files) == MAX_GENERATIONS
         disk.heal()
@@ -105,24 +103,24 @@
         assert len(list(tmp_path.rglob("thing.*.state"))) == RETAINED_GENERATIONS
 
 
-def test_a_write_cut_short_that_cannot_be_removed_stops_no_start(tmp_path: Path) -> None:
+def test_a_temporary_file_that_cannot_be_removed_does_not_prevent_a_start(tmp_path: Path) -> None:
     disk = DiskFaults(tmp_path, Random(1))
     (tmp_path / "thing.part").write_bytes(b"half")
     with disk():
         disk.fail(errno.EIO, 1, only="unlink")
         store = StateStore(StateFolder(tmp_path), "here", lambda: 1)
         assert store.write(THING, "new") == 1
-        assert temporary_files(tmp_path) == []  # written over, and renamed
+        assert temporary_files(tmp_path) == []  # overwritten and renamed
 
 
-def test_a_read_that_fails_for_a_moment_costs_no_generation(tmp_path: Path) -> None:
+def test_a_transient_read_error_does_not_lose_a_generation(tmp_path: Path) -> None:
     store = StateStore(StateFolder(tmp_path / "edge"), "here", lambda: 1)
     store.write(THING, "old")
     store.write(THING, "new")
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         disk.fail(errno.EIO, 1, 2, only="open")
-        disk.fail(errno.EIO, 2, 2)  # the listing goes well, two openings fail
+        disk.fail(errno.EIO, 2, 2)  # the listing succeeds, two calls of open fail
         state = store.read(THING)
         assert state is not None and state.value == "new"
         assert store.read_errors == 0
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,6 +1,6 @@
-"""What was stored or sent by the commit before the policy became a package is read as it was meant.
+"""Stored and sent data from before the policy became a package is read with the same meaning.
 
-Captures of that time are replayed in test_capture_replay.py.
+Captures from that version are replayed in test_capture_replay.py.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 from martenlead.policy.policy import Policy
 from support.pair import Pair
 from tests.play import MS, SETTINGS, ScriptedDispatcher
-from tests.test_planner import busy
+from tests.test_planner import send_requests
 
 STORED = Path(__file__).parent / "stored"
-SPAN = 6  # of a stored model: the time that its requests were counted in, ns
-
-
+SPAN_INDEX = 6  # index of `recent_span_ns` in a stored function
 SNAPSHOT = (STORED / "planner-state.msgpack").read_bytes()
 
 
 def stored_snapshot() -> dict[str, Any]:
+    """Returns the stored snapshot, decoded but not converted to its types."""
     found: dict[str, Any] = msgspec.msgpack.decode(SNAPSHOT)
     return found
 
 
 def stored_knowledge(folder: Path) -> SavedKnowledge:
+    """Reads the stored state folder after copying it to `folder`."""
     shutil.copytree(STORED / "edge-state", folder)
     store = StateStore(StateFolder(folder), "here", lambda: 1_000)
     state = store.read(KNOWLEDGE)
@@ -48,24 +48,24 @@
 
 
 def test_a_planner_restores_the_snapshot_of_an_earlier_edge() -> None:
-    told = stored_snapshot()
+    stored = stored_snapshot()
     restored = RestoredPolicy(decode_snapshot(SNAPSHOT), 7 * SECOND)
-    state, own = restored.policy.state, told["brain"]
+    state, own = restored.policy.state, stored["brain"]
     assert state.traffic.succeeded_per_second == own["rate"] > 0
     assert state.traffic.peak_succeeded_per_second == own["best"] > 0
     assert state.traffic.new_requests_per_second == own["asked"] > 0
     assert state.latencies.all_functions.sum_ns == own["latency"]["sum"] > 0
     assert list(restored.policy.load_budget.request_times_ns) == own["taken"]
     assert list(restored.policy.load_budget.load_times_ns) == own["orders"]
-    for number, _, _, _, fields in told["runners"]:
+    for number, _, _, _, fields in stored["runners"]:
         worker = restored.workers[number]
         assert worker.is_listed
         assert worker.concurrency_limit == fields["width"]
         assert (worker.in_flight, worker.retry_budget) == (fields["out"], fields["credit"])
         assert (worker.last_response_ns, worker.next_attempt_ns) == (fields["heard"], fields["next"])
         assert worker.latency_ratio.bins == fields["ratio"]["bins"]
-    held = 0
-    for number, _, _, _, _, fields, _, replicas in told["models"]:
+    retained = 0
+    for number, _, _, _, _, fields, _, replicas in stored["models"]:
         function = restored.functions[number]
         assert (function.requests, function.new_requests) == (fields["tasks"], fields["counts"])
         assert (function.rated_requests, function.capacity_per_second) == (fields["seen"], fields["most"])
@@ -73,16 +73,16 @@
             replica = function.replicas[restored.workers[at]]
             assert (replica.is_retained, replica.is_loaded) == (its["held"], its["stands"])
             assert (replica.last_used_ns, replica.load_requested_ns) == (its["touched"], its["ordered"])
-            held += replica.is_retained
-    assert held > 2
+            retained += replica.is_retained
+    assert retained > 2
 
 
-ADDED_TO_SNAPSHOT = {"recent_new_requests", "recent_succeeded", "succeeded_share"}  # readers pass over them
+ADDED_TO_SNAPSHOT = {"recent_new_requests", "recent_succeeded", "succeeded_share"}  # ignored by readers
 
 
-def test_the_snapshot_of_an_edge_has_the_form_of_the_earlier_one() -> None:
+def test_a_snapshot_has_the_field_names_of_an_earlier_one() -> None:
     pair = Pair()
-    busy(pair, 1000)
+    send_requests(pair, 1000)
     state, _ = pair.side._take_snapshot()
     now, then = msgspec.msgpack.decode(encode_snapshot(state)), stored_snapshot()
     assert now.keys() == then.keys()
@@ -93,24 +93,24 @@
     assert now["models"][0][7][0][1].keys() == then["models"][0][7][0][1].keys()
 
 
-def test_settings_are_stored_by_the_names_that_earlier_captures_have() -> None:
+def test_settings_are_stored_under_the_names_of_earlier_captures() -> None:
     path = next((Path(__file__).parent / "captures").glob("crash-*.mlc"))
     (start, *_) = find_runs([path])[0].events()
     assert isinstance(start, ev.RunStarted)
     then, now = set(start.settings), set(ev.pack_settings(SETTINGS))
     assert now == then | {"reach", "functions"}
-    told = ev.pack_settings(ev.unpack_settings(start.settings))
-    assert {name: told[name] for name in then} == start.settings
+    packed = ev.pack_settings(ev.unpack_settings(start.settings))
+    assert {name: packed[name] for name in then} == start.settings
 
 
-def test_an_edge_takes_up_the_state_folder_of_an_earlier_one(tmp_path: Path) -> None:
+def test_an_edge_restores_the_state_folder_of_an_earlier_one(tmp_path: Path) -> None:
     known = stored_knowledge(tmp_path / "edge")
     assert [m.name for m in known.functions] == ["n", "m"]
     play = ScriptedDispatcher(load_window_ns=10_000 * MS, free_loads_per_window=8, loads_per_request=0.3)
     play.send_request("t1", "m")
     play.send_request("t2", "n")
-    lives = {name: (worker, "1") for name, worker in play.workers.items()}
-    play.policy.restore(build_earlier_run(known, 0, play.functions, lives, 10_000 * MS))
+    incarnations = {name: (worker, "1") for name, worker in play.workers.items()}
+    play.policy.restore(build_earlier_run(known, 0, play.functions, incarnations, 10_000 * MS))
     assert play.policy.state.traffic.succeeded_per_second == known.succeeded_per_second == 21.0
     assert play.policy.state.traffic.new_requests_per_second == known.new_requests_per_second == 22.0
     assert len(play.policy.load_budget.load_times_ns) >= len(known.load_ages_ns) == 4
@@ -118,24 +118,24 @@
     assert play.functions["m"].rated_requests == 10.0
 
 
-def test_the_same_play_is_gathered_as_the_state_folder_has_it(tmp_path: Path) -> None:
+def test_knowledge_of_the_same_requests_equals_the_stored_state_folder(tmp_path: Path) -> None:
     play = ScriptedDispatcher(load_window_ns=10_000 * MS, free_loads_per_window=8, loads_per_request=0.3)
     for name in "mn":
         play.serve_requests(20, name)
     names = {play.functions[name]: name for name in play.functions}
-    lives = {worker: (name, "1", name == "c") for name, worker in play.workers.items()}
-    gathered = gather_knowledge(play.policy, play.policy.state.now_ns, names, lives)
-    told = msgspec.to_builtins(gathered)
-    assert (told["rate"], told["asked"]) == pytest.approx((19.532295, 20.287677))
-    spans = [model[SPAN] for model in told["models"]]
+    incarnations = {worker: (name, "1", name == "c") for name, worker in play.workers.items()}
+    gathered = gather_knowledge(play.policy, play.policy.state.now_ns, names, incarnations)
+    packed = msgspec.to_builtins(gathered)
+    assert (packed["rate"], packed["asked"]) == pytest.approx((19.532295, 20.287677))
+    spans = [model[SPAN_INDEX] for model in packed["models"]]
     assert spans == [500_000_000, 540_479_095]
-    # the play that is stored left out of its first period the wait before it
-    told["rate"], told["asked"] = 21.0, 22.0
-    told["models"][1][SPAN] = 500_000_000
-    assert told == msgspec.to_builtins(stored_knowledge(tmp_path / "edge"))
+    # the version that stored the folder did not count the wait before the first period
+    packed["rate"], packed["asked"] = 21.0, 22.0
+    packed["models"][1][SPAN_INDEX] = 500_000_000
+    assert packed == msgspec.to_builtins(stored_knowledge(tmp_path / "edge"))
 
 
-def test_the_policy_of_another_copy_of_the_package_is_imported_beside_the_own(tmp_path: Path) -> None:
+def test_the_policy_of_another_package_folder_is_imported_beside_the_own(tmp_path: Path) -> None:
     shutil.copytree(Path(__file__).parent.parent / "martenlead" / "policy", tmp_path / "policy")
     other = _imported_from(tmp_path / "policy")
     assert other is not Policy
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,7 +1,7 @@
-"""Stored and sent forms stay as they were before the code took the field's names.
+"""Stored and sent formats do not change when identifiers in the code are renamed.
 
-tests/stored/before-field-names holds a file of each kind. Each is read as it was meant and written again with
-the same bytes, so that versions before and after understand each other in both directions.
+tests/stored/before-field-names holds a file of each kind. Each is read with the same values and written with
+the same bytes, so that versions before and after the renaming are compatible in both directions.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     assert msgspec.json.encode(msgspec.json.decode(data, type=JSON_FILES[name])) == data
 
 
-def test_a_cached_endpoint_list_is_read_as_it_was_meant() -> None:
+def test_a_stored_endpoint_list_is_read_with_the_same_values() -> None:
     data = (STORED / "endpoint-list.json").read_bytes()
     cached = msgspec.json.decode(data, type=CachedEndpoints)
     first, second = cached.endpoints
@@ -52,14 +52,14 @@
     assert (second.id, second.state, second.incarnation) == ("b", "draining", "life-2")
 
 
-def test_an_endpoint_update_is_read_as_it_was_meant() -> None:
+def test_a_stored_endpoint_update_is_read_with_the_same_values() -> None:
     update = msgspec.json.decode((STORED / "endpoint-update.json").read_bytes(), type=EndpointUpdate)
     assert (update.version, update.is_snapshot) == (8, True)
     assert update.endpoints is not None
     assert [endpoint.id for endpoint in update.endpoints] == ["a", "b"]
 
 
-def test_the_file_of_a_planner_is_read_as_it_was_meant() -> None:
+def test_a_stored_planner_file_is_read_with_the_same_values() -> None:
     saved = msgspec.json.decode((STORED / "planner-replicas.json").read_bytes(), type=SavedReplicas)
     assert (saved.saved_unix_seconds, saved.boot_id, saved.uptime_ns) == (
         1_796_000_000.25,
@@ -85,9 +85,9 @@
     (before,) = (STORED / "edge-state").glob("knowledge.*")
     (after,) = (tmp_path / "edge").glob(f"knowledge.{generation:016d}.state")
     size = 64_000_000
-    then = unpack_state(before.read_bytes(), KNOWLEDGE, "here", size)
-    now = unpack_state(after.read_bytes(), KNOWLEDGE, "here", size)
-    assert (now.value, now.version) == (then.value, then.version)
+    old = unpack_state(before.read_bytes(), KNOWLEDGE, "here", size)
+    new = unpack_state(after.read_bytes(), KNOWLEDGE, "here", size)
+    assert (new.value, new.version) == (old.value, old.version)
 
 
 def test_a_trace_in_parquet_is_read_and_written_again_with_the_same_rows(tmp_path: Path) -> None:
