--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -96,8 +96,8 @@
         if chance.random() < 0.3:
             chance.shuffle(applied)
         names = dict(self.durable_names)
-        for change, name, number in applied:
-            if change == "set":
+        for action, name, number in applied:
+            if action == "set":
                 names[name] = number
             elif names.get(name) == number:
                 del names[name]
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -188,7 +188,7 @@
     second.close()
     older = open_store(StateFolder(tmp_path))
     state = older.read(THING)
-    assert state is not None and state.value == {"n": 1}  # from the previous generation
+    assert state is not None and state.value == {"n": 1}  # the previous generation
     assert older.problems == ["thing.0000000000000002.state is set aside: of a newer program (version 1.3)"]
     older.write(THING, {"n": 2})
     older.close()
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -123,17 +123,17 @@
     async with planner(edges=10) as (served, port), anyio.create_task_group() as group:
         done = 0
 
-        async def edge(n: int) -> None:
+        async def edge(number: int) -> None:
             nonlocal done
-            async with planned([port], f"edge-{n}", flush_ms=20) as (f, side):
-                end = await replicated(served, f"edge-{n}", side)
+            async with planned([port], f"edge-{number}", flush_ms=20) as (f, side):
+                end = await replicated(served, f"edge-{number}", side)
                 await answered(f, 5)
                 await until(lambda: end.policy_replica is not None and end.policy_replica.request_count == 5)
                 done += 1
                 await until(lambda: done == 10)
 
-        for n in range(10):
-            group.start_soon(edge, n)
+        for number in range(10):
+            group.start_soon(edge, number)
         await until(lambda: done == 10)
         async with planned([port], "one-too-many") as (f, side):
             await until(lambda: side.counts["links lost"] > 0)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -258,7 +258,7 @@
     for function in range(3, 40):
         pair.task(function)
     pair.run(500)
-    retained = {function for _, function in pair.side._retained}
+    retained = {number for _, number in pair.side._retained}
     assert retained
     pair.kill_planner()
     pair.connect()
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -23,7 +23,7 @@
 
 async def test_edges_connect_while_silent_connections_use_all_slots(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against edges that have to wait until silent connections time out."""
-    monkeypatch.setattr(server, "HELLO_TIMEOUT_SECONDS", 60.0)  # so the need for slots ends them first
+    monkeypatch.setattr(server, "HELLO_TIMEOUT_SECONDS", 60.0)  # connections end only when slots are needed
     listening_socket = socket.create_server(("127.0.0.1", 0), backlog=4 * SLOTS)
     port = listening_socket.getsockname()[1]
     listener = StreamListener(listening_socket, ClientDescriptors(lambda: SLOTS))
