--- a/martenlead/config/edge.py
+++ b/martenlead/config/edge.py
@@ -1,4 +1,4 @@
-"""Reads and checks the edge's settings, and translates them into those of the policy."""
+"""Reads and checks the edge's settings, and converts them into those of the policy."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 from martenlead.policy.types import DeduplicationScope, Effect, RequestClass, Settings, Tenant
 
-__all__ = [  # with the groups of settings that other programs read
+__all__ = [  # re-exports the groups of settings that other programs read
     "Address",
     "DurableStateSettings",
     "EdgeSettings",
@@ -33,20 +33,20 @@
 
 
 class PolicyConfiguration(NamedTuple):
-    """What the policy is configured with."""
+    """The configuration of the policy."""
 
     settings: Settings
-    request_classes: dict[str, RequestClass]  # by name
-    tenants: dict[str, Tenant]  # by name
+    request_classes: dict[str, RequestClass]  # keyed by name
+    tenants: dict[str, Tenant]  # keyed by name
 
 
 def read_edge_settings(path: Path) -> EdgeSettings:
-    """The edge's settings from a Jsonnet file. Raises `ConfigError`."""
+    """Reads the edge's settings from a Jsonnet file. Raises `ConfigError`."""
     return check_edge_settings(decode(evaluate(path), EdgeSettings, str(path)), str(path))
 
 
 def check_edge_settings(edge: EdgeSettings, source: str) -> EdgeSettings:
-    """Checks what a schema cannot say. Raises `ConfigError`; `source` names the file in it."""
+    """Checks what a schema cannot express. Raises `ConfigError`; `source` is the file it names."""
     _check_unique([one.name for one in edge.request_classes], f"{source}: $.offerings")
     _check_unique([one.name for one in edge.tenants], f"{source}: $.customers")
     for index, request_class in enumerate(edge.request_classes):
@@ -57,7 +57,7 @@
 def _check_unique(names: list[str], where: str) -> None:
     for index, name in enumerate(names):
         if name in names[:index]:
-            message = f"{where}[{index}].name: {name!r} stands there twice"
+            message = f"{where}[{index}].name: {name!r} is used twice"
             raise ConfigError(message)
 
 
@@ -66,18 +66,18 @@
         message = f"{where}.hard_limit_ms: at least soft_limit_ms was expected"
         raise ConfigError(message)
     if request_class.effect == "deduplicated" and not request_class.window_ms:
-        needed = "a deduplicated offering needs the time that repeats are dropped for"
+        needed = "a deduplicated offering needs a time for which repeats are dropped"
         message = f"{where}.window_ms: {needed}"
         raise ConfigError(message)
 
 
 def ms_to_ns(ms: float) -> int:
-    """Whole nanoseconds."""
+    """Converts milliseconds to whole nanoseconds."""
     return round(ms * NS_PER_MS)
 
 
 def build_policy_settings(edge: EdgeSettings) -> PolicyConfiguration:
-    """The policy's settings, and its objects for request classes and tenants."""
+    """Builds the policy's settings, and its objects for request classes and tenants."""
     request_classes = {one.name: _build_request_class(one) for one in edge.request_classes}
     tenants = {one.name: Tenant(one.quota_per_s) for one in edge.tenants}
     allowed, functions, slow_start = edge.allowed, edge.functions, edge.cold
--- a/martenlead/config/load.py
+++ b/martenlead/config/load.py
@@ -1,6 +1,6 @@
-"""Evaluates Jsonnet and checks the result against structures.
+"""Evaluates Jsonnet and validates the result against typed structures.
 
-An error is one line with the file, the path in it, and what was expected.
+An error message is one line with the file, the path in it, and what was expected.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 import msgspec
 
 TEMPLATES = Path(__file__).parent / "templates"
-MAX_STACK_DEPTH = 200  # of Jsonnet calls
+MAX_STACK_DEPTH = 200  # nested Jsonnet calls
 JSON_SCHEMA_VERSION = "https://json-schema.org/draft/2020-12/schema"
 
-JsonValue = Any  # what Jsonnet evaluates to; only `decode` knows its shape
+JsonValue = Any  # an evaluated value that `decode` has not validated yet
 StructT = TypeVar("StructT")
 
 
 class ConfigError(Exception):
-    """Settings that cannot be used: one line with file, path in it, and expectation."""
+    """Invalid settings; the message is one line with file, path in it, and expectation."""
 
 
 def evaluate(path: Path, variables: dict[str, str] | None = None) -> JsonValue:
-    """The value of a Jsonnet file.
+    """Evaluates a Jsonnet file.
 
-    Imports are looked for beside the file, then among the templates here (`shapes.libsonnet`).
-    `variables` are texts for `std.extVar`. Raises `ConfigError`.
+    Imports are searched in the file's folder, then in `templates` here (`shapes.libsonnet`).
+    `variables` are strings for `std.extVar`. Raises `ConfigError`.
     """
     if not path.is_file():
         message = f"{path}: no such file"
@@ -48,7 +48,7 @@
 
 
 def _summarize(text: str) -> str:
-    """One line of a Jsonnet error: what went wrong, and where."""
+    """Summarizes a Jsonnet error in one line: the message, and its position."""
     lines = [line.strip() for line in text.splitlines() if line.strip()]
     what = re.sub(r"^(STATIC|RUNTIME) ERROR: ", "", lines[0]) if lines else "not Jsonnet"
     where = next((line.split("\t")[0] for line in lines[1:] if re.search(r":\(?\d+", line)), "")
@@ -56,9 +56,9 @@
 
 
 def decode(value: JsonValue, kind: type[StructT], source: str) -> StructT:
-    """Checks a value against a structure.
+    """Converts a value to a structure and validates it.
 
-    Raises `ConfigError` for the first thing that is wrong; `source` names the file in it.
+    Raises `ConfigError` for the first error; `source` is the file that it names.
     """
     try:
         return msgspec.convert(value, kind)
@@ -69,10 +69,10 @@
 
 
 def load(path: Path, kind: type[StructT], variables: dict[str, str] | None = None) -> StructT:
-    """The structure that a Jsonnet file describes. Raises `ConfigError`."""
+    """Reads a structure from a Jsonnet file. Raises `ConfigError`."""
     return decode(evaluate(path, variables), kind, str(path))
 
 
 def build_json_schema(kind: type) -> dict[str, object]:
-    """JSON Schema (2020-12) of a structure."""
+    """Returns the JSON Schema (2020-12) of a structure."""
     return {"$schema": JSON_SCHEMA_VERSION, **msgspec.json.schema(kind)}
--- a/martenlead/config/schema.py
+++ b/martenlead/config/schema.py
@@ -1,7 +1,7 @@
 """The settings of the edge program, as users write them.
 
-A field whose setting has another name in files says so with `name=`. Times are milliseconds, as the
-names say; they become nanoseconds where they are read.
+`name=` gives the key in the file where it differs from the field. Times are in milliseconds, as the
+names say; they are converted to nanoseconds where they are read.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class Address(SettingsGroup, frozen=True, kw_only=True):
-    """Where a program listens; port 0 takes any free one."""
+    """The address that a program listens on; port 0 selects any free port."""
 
     host: Name = "127.0.0.1"
     port: Port = 0
 
 
 class EndpointListSettings(SettingsGroup, frozen=True, kw_only=True):
-    """Where the list of workers comes from."""
+    """The connection to the endpoint list, which lists the workers."""
 
     host: Name = "127.0.0.1"
     port: Annotated[int, Meta(ge=1, le=65535)]
@@ -43,28 +43,28 @@
 
 
 class RequestClassSettings(SettingsGroup, frozen=True, kw_only=True):
-    """A kind of request."""
+    """A request class."""
 
     name: Name
     soft_limit_ms: Positive  # latency objective
     hard_limit_ms: Positive  # deadline
     effect: Literal["idempotent", "deduplicated", "unrepeatable"]
     group: Literal["all", "zone", "cell"] = "all"  # workers that share idempotency keys
-    window_ms: NotNegative = 0  # for which they remember a key
+    window_ms: NotNegative = 0  # time that the workers remember a key
     value: NotNegative = msgspec.field(default=1, name="revenue")
     late_value: Share = msgspec.field(default=0, name="late_revenue")  # share of `value`
 
 
 class TenantSettings(SettingsGroup, frozen=True, kw_only=True):
-    """Who pays for requests."""
+    """A tenant, who pays for requests."""
 
     name: Name
     quota_per_s: Positive
-    weight: Positive = 1  # of its work among waiting requests
+    weight: Positive = 1  # weight of its work among waiting requests
 
 
 class QueueSettings(SettingsGroup, frozen=True, kw_only=True):
-    """How much may wait for admission while there is no capacity."""
+    """Limits of the queue of requests that wait for admission."""
 
     waiting: Count = 2000  # requests
     bytes: Count = 67_108_864
@@ -73,7 +73,7 @@
 
 
 class AttemptSettings(SettingsGroup, frozen=True, kw_only=True):
-    """What may be done for one request."""
+    """Retries, hedging and cancellation of one request."""
 
     attempt_limit: Annotated[int, Meta(ge=1, le=16)] = msgspec.field(default=3, name="hand_offs")
     may_hedge: bool = msgspec.field(default=False, name="twice_out")
@@ -88,15 +88,15 @@
 
 
 class LoadBudgetSettings(SettingsGroup, frozen=True, kw_only=True):
-    """Load requests that are allowed in any window."""
+    """Limit of load requests in any window."""
 
     window_ms: Positive
-    free: NotNegative  # whatever the traffic
-    share: NotNegative  # of the requests taken in the window
+    free: NotNegative  # load requests allowed at any traffic
+    share: NotNegative  # further load requests for each request accepted in the window
 
 
 class FunctionSettings(SettingsGroup, frozen=True, kw_only=True):
-    """How functions are loaded, and what that costs."""
+    """How functions are loaded, and the costs of loading and memory."""
 
     may_request_loads: bool = msgspec.field(default=True, name="orders")
     tells_warm: bool = True  # responses say whether the function was loaded
@@ -109,11 +109,11 @@
 
 
 class SlowStartSettings(SettingsGroup, frozen=True, kw_only=True):
-    """The growing share of requests for a worker that has just started."""
+    """Slow start: a new worker gets a growing share of requests."""
 
-    share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # at its start
-    time_ms: Positive = 15_000  # until it gets its full share
-    fall_multiple: Positive = 2.5  # times what it can do in `fall_ms` that makes it fail
+    share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # initial share
+    time_ms: Positive = 15_000  # time until the worker gets its full share
+    fall_multiple: Positive = 2.5  # multiple of its capacity in `fall_ms` at which it fails
     fall_ms: Positive = 2000
     drain_grace_ms: NotNegative = 250
 
@@ -122,15 +122,15 @@
     """Bounds of one process; a request beyond one of them is rejected with status 503."""
 
     open_requests: Count = msgspec.field(default=4000, name="open_tasks")
-    connections: Count = 4096  # of clients; one more is closed after its 503
+    connections: Count = 4096  # connections of clients; further ones are closed after a 503
     pipelined: Count = 32  # requests on one connection
-    # to one worker; an attempt beyond it is not sent
+    # connections to one worker; an attempt that needs a further one is not sent
     worker_connections: Count = msgspec.field(default=256, name="runner_connections")
     head_bytes: Count = 16_384
     body_bytes: Count = 1_048_576
-    # of the bodies of all pending requests
+    # total size of the bodies of all pending requests
     pending_bytes: Count = msgspec.field(default=268_435_456, name="held_bytes")
-    # only requests for further ones are rejected
+    # only requests for functions beyond this number are rejected
     known_functions: Count = msgspec.field(default=100_000, name="known_models")
     idle_ms: Positive = 60_000
     slow_ms: Positive = 10_000
@@ -139,7 +139,7 @@
 
 
 class LogSettings(SettingsGroup, frozen=True, kw_only=True):
-    """What is logged."""
+    """Settings of the log."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
     decisions: bool = False  # one line for each decision
@@ -151,34 +151,34 @@
     folder: Name
     segment_bytes: Count = 16_777_216
     segment_s: Positive = 600
-    total_bytes: Count = 1_073_741_824  # of this edge; the oldest segments are removed first
-    queue: Count = 100_000  # events that may wait for the disk; a gap stands for those beyond
+    total_bytes: Count = 1_073_741_824  # limit for this edge; oldest segments are removed first
+    queue: Count = 100_000  # events waiting for the disk; further ones are recorded as a gap
     flush_ms: Positive = 50
     sync: Literal["never", "segment", "flush"] = "segment"
 
 
 class DurableStateSettings(SettingsGroup, frozen=True, kw_only=True):
-    """Where the dispatcher's knowledge is saved: in a folder of the edge's name."""
+    """Where the dispatcher's durable state is saved: in a subfolder with the edge's name."""
 
     folder: Name
-    deployment: Name = "martenlead"  # states of another one are not read
+    deployment: Name = "martenlead"  # state of another deployment is not read
     every_ms: Positive = 1000
     bytes: Count = 64_000_000
 
 
 class PlannerLinkSettings(SettingsGroup, frozen=True, kw_only=True):
-    """Who decides on replicas in place of this edge.
+    """The planner that decides on replicas in place of this edge.
 
-    It is the first planner of `at` that responds, until it fails.
+    The first planner of `at` that responds is used until it fails.
     """
 
     at: Annotated[list[Address], Meta(min_length=1)]
     lease_ms: Positive = 1500  # a planner without a heartbeat for this long has lost its lease
     alone_ms: NotNegative = 5000  # without a planner for this long the edge decides itself
     flush_ms: Positive = 5
-    outbox_bytes: Count = 8_388_608  # not acknowledged yet; beyond it a snapshot is sent
+    outbox_bytes: Count = 8_388_608  # unacknowledged bytes; beyond it a snapshot is sent
     snapshot_ms: Positive = 500  # least time between two snapshots
-    # in one snapshot; writing it holds up the event loop
+    # functions in one snapshot; writing it blocks the event loop
     snapshot_functions: Count = msgspec.field(default=2000, name="snapshot_models")
     retry_ms: Positive = 100
     speaks: Annotated[int, Meta(ge=1, le=2)] = 2  # latest version of the link's protocol
@@ -194,8 +194,8 @@
     dispatchers: Count = 1
     number: Annotated[int, Meta(ge=0)] = 0
     seed: int | None = None
-    margin_ms: NotNegative = 10  # network time to a client and back, taken off its time left
-    tick_ms: Annotated[float, Meta(ge=0.5, le=100)] = 5  # least lag of the event loop assumed
+    margin_ms: NotNegative = 10  # network round trip to a client, subtracted from its time left
+    tick_ms: Annotated[float, Meta(ge=0.5, le=100)] = 5  # least lag assumed for the event loop
     request_classes: Annotated[list[RequestClassSettings], Meta(min_length=1)] = msgspec.field(
         name="offerings"
     )
@@ -208,8 +208,8 @@
     limits: LimitSettings = LimitSettings()
     log: LogSettings = LogSettings()
     capture: CaptureSettings | None = None
-    queues: QueueSettings | None = None  # without them no request waits for admission
-    # without it each incarnation starts with no knowledge
+    queues: QueueSettings | None = None  # if None, no request waits for admission
+    # if None, each incarnation starts without saved state
     durable_state: DurableStateSettings | None = msgspec.field(default=None, name="lasting")
-    planner: PlannerLinkSettings | None = None  # without it this edge decides on replicas too
+    planner: PlannerLinkSettings | None = None  # if None, this edge decides on replicas
     uvloop: bool = True
--- a/martenlead/layers/agent.py
+++ b/martenlead/layers/agent.py
@@ -66,7 +66,7 @@
         self.resolver = NameResolver(settings, cache, self.names, self.artifact_store, self.log)
         self.loader = ImageLoader(settings, cache, self.chooser, self.resolver, self.downloader)
         self.endpoint_list = endpoints.EndpointList()
-        self.parked = 0  # requests of other agents that wait for a chunk
+        self.parked = 0  # requests of other agents waiting for a chunk
         self.loading = 0
         self.loads_by_result: dict[str, int] = {}
         self.sent_bytes = 0
@@ -165,7 +165,7 @@
         self.loads_by_result[result] = self.loads_by_result.get(result, 0) + 1
 
     async def serve(self, digest: str, query: str) -> Reply:
-        """Answer another agent's request for a chunk, which is downloaded where it is missing."""
+        """Answer another agent's request for a chunk; download the chunk first if it is missing."""
         try:
             size_bytes = int(parse_qs(query).get("size", ["0"])[0])
         except ValueError:
@@ -180,7 +180,7 @@
             return _reject(503, b"busy")
         data = self.cache.lend(digest)
         if data is None:
-            return _reject(503, b"wait")  # it failed its check here; the next request downloads it
+            return _reject(503, b"wait")  # the digest check failed; the next request downloads it
         headers = [(b"content-type", b"application/octet-stream")]
         return Reply(200, headers, self._upload(data))
 
@@ -200,7 +200,7 @@
             return _reject(503, b"wait")
         if download.failure is None:
             return None
-        # without space here the chunk may still be had from another agent
+        # if this agent has no space for the chunk, another agent may still have it
         if download.failure in (Failure.MISSING, Failure.NO_ROOM):
             return _reject(404, b"missing")
         return _reject(502, b"away")
@@ -227,7 +227,7 @@
             group.cancel_scope.cancel()
 
     async def drain(self) -> None:
-        """Accept nothing new, and give what is in flight its time."""
+        """Accept no new connections, and wait up to `drain_ms` for requests in flight."""
         self.server.drain()
         with anyio.move_on_after(self.settings.drain_ms / 1000):
             while self.server.active_listeners:  # noqa: ASYNC110 - the server has no event
@@ -245,7 +245,7 @@
         )
 
     def _apply_endpoints(self, _update: endpoints.EndpointUpdate) -> None:
-        """Update the members: a draining worker is still asked, a removed one is not."""
+        """Update the members: draining workers still receive requests, removed ones do not."""
         listed = [
             Member(
                 worker_id=hash_worker_name(endpoint.id),
--- a/martenlead/layers/cache.py
+++ b/martenlead/layers/cache.py
@@ -1,10 +1,10 @@
 """Chunks on a worker's disk: bounded, checked, and complete after a crash at any byte.
 
-A chunk is a file `chunks/AB/HEX`, named by its digest and put there by a rename: it is complete or
-absent, and the folder is its own index. The time of last use is the file's modification time, so
-that a restart knows it without reading a chunk. Each time is later than all before it, so that
-their sequence survives steps of the wall clock. A chunk that fails its check moves to `aside/` and
-counts as missing. Eviction removes the least recently used chunk that is not pinned.
+A chunk is a file `chunks/AB/HEX`, named by its digest and moved there by a rename: it is complete
+or absent, and no index beside the folder is needed. The time of last use is the file's modification
+time, so that a restart knows it without reading a chunk. Each time is later than all before it, so
+that their order survives steps of the wall clock. A chunk that fails its check moves to `aside/`
+and counts as missing. Eviction removes the least recently used chunk that is not pinned.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from martenlead.system.durable_file import replace_file
 
 VERSION = "1"
-USE_WRITE_INTERVAL_SECONDS = 60.0  # a use is written to disk at most so often
-SET_ASIDE_LIMIT = 16  # files, for whoever examines them
+USE_WRITE_INTERVAL_SECONDS = 60.0  # least time between two writes of a chunk's last use
+SET_ASIDE_LIMIT = 16  # corrupt files kept for examination
 HEX_LENGTH = 64
-HEX = slice(7, None)  # of a digest, behind "sha256:"
+HEX = slice(7, None)  # the digits of a digest, after "sha256:"
 SUBFOLDER = slice(7, 9)
 
 
@@ -44,7 +44,7 @@
 
 
 def _read(path: Path) -> bytes:
-    """Read a file, with one retry: a passing error must not cost a download. Raises OSError."""
+    """Read a file, with one retry: a transient error must not cost a download. Raises OSError."""
     with suppress(OSError):
         return path.read_bytes()
     return path.read_bytes()
@@ -68,18 +68,18 @@
         self.memory_limit_bytes = memory_limit_bytes
         self._in_memory: OrderedDict[str, bytes] = OrderedDict()
         self._in_memory_bytes = 0
-        self._subfolders: set[str] = set()  # those that exist
+        self._subfolders: set[str] = set()  # names of the existing subfolders
         self.chunks, self.aside = folder / "chunks", folder / "aside"
         for subfolder in (self.chunks, self.aside):
             subfolder.mkdir(parents=True, exist_ok=True)
         self._lock = open(folder / "lock", "w")  # noqa: SIM115
         self._acquire()
         self.size_bytes = 0
-        self._sizes: OrderedDict[str, int] = OrderedDict()  # by last use
-        self._use_written: dict[str, float] = {}  # monotonic seconds
-        self._latest_use_ns = 0  # in the folder
+        self._sizes: OrderedDict[str, int] = OrderedDict()  # sorted by time of last use
+        self._use_written: dict[str, float] = {}  # time of the last write, monotonic seconds
+        self._latest_use_ns = 0  # latest modification time in the folder
         self._pins: dict[str, int] = {}
-        self._unreadable: set[str] = set()  # on the disk, and missing until they are rewritten
+        self._unreadable: set[str] = set()  # files that count as missing until rewritten
         self.set_aside_count = self.evicted_count = 0
         self._scan()
 
@@ -95,7 +95,7 @@
         if version not in ("", VERSION):
             self._lock.close()
             raise CacheRefusedError(
-                self.folder, f"of version {version}; this program knows version {VERSION}"
+                self.folder, f"format version {version}; this program supports version {VERSION}"
             )
         if not version:
             replace_file(path, VERSION.encode())
@@ -108,7 +108,7 @@
                 if len(entry.name) == HEX_LENGTH:
                     stat = entry.stat()
                     found.append((stat.st_mtime_ns, "sha256:" + entry.name, stat.st_size))
-                else:  # never renamed; one that cannot be removed now does no harm
+                else:  # an unfinished write; it is harmless if it cannot be removed now
                     with suppress(OSError):
                         os.unlink(entry.path)
         self._latest_use_ns = max((used_ns for used_ns, _, _ in found), default=0)
@@ -122,7 +122,7 @@
         self._lock.close()
 
     def path(self, digest: str) -> Path:
-        """Return the file of a chunk. Raises `BadImageError` for what is no digest."""
+        """Return the file of a chunk. Raises `BadImageError` for an invalid digest."""
         if not DIGEST.match(digest):
             raise BadImageError(repr(digest[:80]), "a sha256 digest was expected")
         return self.chunks / digest[SUBFOLDER] / digest[HEX]
@@ -142,8 +142,8 @@
     def get(self, digest: str) -> bytes | None:
         """Read and check a chunk; None where it is missing.
 
-        One that fails its check is set aside and missing. One that cannot be read now stays on the
-        disk, and counts as missing until it is rewritten.
+        A chunk that fails its check is set aside and counts as missing. One that cannot be read
+        stays on the disk and counts as missing until it is rewritten.
         """
         if digest not in self:
             return None
@@ -175,10 +175,10 @@
             self._limit_set_aside()
 
     def lend(self, digest: str) -> bytes | None:
-        """Return a chunk for another agent: as `get`, or from memory, as it was checked on arrival.
+        """Return a chunk for another agent: from memory (checked on arrival), else as `get`.
 
-        After a release all agents ask an owner for the same few chunks; reading and checking them
-        each time would be most of the cost.
+        After a release all agents request the same few chunks from an owner; reading and checking
+        them each time would be most of the cost.
         """
         data = self._in_memory.get(digest)
         if data is not None and digest in self._sizes:
@@ -198,7 +198,7 @@
             self._in_memory_bytes -= len(self._in_memory.popitem(last=False)[1])
 
     def _next_set_aside_time(self) -> int:
-        """Return the Unix time in ns, or more: above that of every file set aside before."""
+        """Return the Unix time in ns, raised above that of every file set aside before."""
         latest = max((set_aside_time(path) for path in self.aside.iterdir()), default=0)
         return max(clocks.wall_ns(), latest + 1)
 
@@ -210,7 +210,7 @@
     def _write_use(self, path: Path) -> None:
         """Write the time of last use to a file.
 
-        Where that fails, the chunk only counts as older at the next start than it is.
+        A failure is harmless: the chunk counts as used earlier than it was at the next start.
         """
         self._latest_use_ns = max(clocks.wall_ns(), self._latest_use_ns + 1)
         with suppress(OSError):
@@ -227,7 +227,7 @@
     def put(self, digest: str, data: bytes) -> None:
         """Check and store a chunk. Raises `BadImageError` for other bytes, and `CacheFullError`.
 
-        After an error nothing has changed but what was evicted.
+        An error leaves the cache unchanged except for evictions.
         """
         check(data, digest)
         if digest in self:
@@ -252,13 +252,13 @@
             self._write_use(temporary)
             os.replace(temporary, path)
         except OSError as error:
-            self._subfolders.discard(subfolder)  # made again, should somebody have removed it
+            self._subfolders.discard(subfolder)  # recreated next time in case it was removed
             with suppress(OSError):
                 temporary.unlink(missing_ok=True)
             raise CacheFullError(self.folder, f"{error.strerror}") from None
 
     def _shrink(self, required_bytes: int) -> None:
-        """Evict until so many bytes are free. Raises `CacheFullError`."""
+        """Evict until `required_bytes` are free. Raises `CacheFullError`."""
         if self.size_bytes + required_bytes <= self.limit_bytes:
             return
         for digest in list(self._sizes):
@@ -268,11 +268,11 @@
                 if self.size_bytes + required_bytes <= self.limit_bytes:
                     return
         raise CacheFullError(
-            self.folder, f"{self.size_bytes} bytes are in use of {self.limit_bytes}"
+            self.folder, f"{self.size_bytes} of {self.limit_bytes} bytes are in use"
         )
 
     def _remove(self, digest: str) -> bool:
-        """Return whether the file is gone; one that cannot be removed still uses its space."""
+        """Return whether the file was removed; otherwise it still uses its space."""
         try:
             self.path(digest).unlink(missing_ok=True)
         except OSError:
--- a/martenlead/layers/choice.py
+++ b/martenlead/layers/choice.py
@@ -1,11 +1,11 @@
 """Decides which source each chunk comes from: free of I/O, one `Chooser` for each agent.
 
 Agents exchange no messages about it: all of them rank the workers alike for each chunk (rendezvous
-hashing). The first of that ranking owns the chunk. It alone downloads it from the artifact store,
-and the others ask it for the chunk; an owner downloads what it is asked for and has not yet. A
-release that every worker needs is thus read from the store about once, and each worker sends about
-as much as it receives. An owner that is slow, gone or sends wrong bytes is passed over for the next
-of the ranking, and in the end for the store.
+hashing). The first worker of that ranking owns the chunk. It alone downloads it from the artifact
+store, and the others request it from the owner, which downloads a requested chunk that it does not
+have yet. A release that every worker needs is thus read from the store about once, and each worker
+sends about as much as it receives. An owner that is slow, unreachable or sends wrong bytes is
+skipped for the next of the ranking, and finally for the store.
 
 A download is a generator: it yields `ChunkRequest` and is resumed with a `ChunkOutcome`, or it
 yields `Pause` and is resumed with None. Times are integer nanoseconds.
@@ -36,22 +36,24 @@
     RequestSteps,
 )
 
-OWNERS = 2  # workers of the ranking that are asked before the store is
-STORE_AWAY_FAILURES = 3  # failed requests for one chunk, over this time, mean:
-STORE_AWAY_NS = 8 * SECOND  # the store is unreachable
-STORE_WRONG_LIMIT = 2  # wrong bytes from the store itself: no source can be right
+OWNERS = 2  # workers of the ranking that are tried before the store
+# this many failed requests for one chunk, over this time: the store is unreachable
+STORE_AWAY_FAILURES = 3
+STORE_AWAY_NS = 8 * SECOND
+STORE_WRONG_LIMIT = 2  # wrong responses of the store after which no source can be right
 FIRST_WINDOW, LEAST_WINDOW = 12.0, 0.5  # requests in flight at the store, of all agents together
 WINDOW_DECREASE = 0.7  # factor after the store was busy
-OWNER_TIME_NS = 5 * SECOND  # a chunk is left to owners that respond for this time
-PEER_WAIT_NS = 600 * MS  # the longest that another agent waits here for a download
-PEER_TIMEOUT_LATENCIES = 4  # multiples of a peer's usual latency, after which the next is asked
+OWNER_TIME_NS = 5 * SECOND  # longest time that a download waits for owners that respond
+PEER_WAIT_NS = 600 * MS  # longest time that another agent's request waits for a download
+PEER_TIMEOUT_LATENCIES = 4  # multiple of a peer's usual latency; then the next is tried
 LONGEST_LATENCY_NS = 4 * SECOND
-TRUST_LOST, TRUST_BACK = 0.4, 0.05  # factor after a stall or broken response; gain by a good chunk
-WRONG_EXCLUSION_NS = 30 * SECOND  # a peer that sent wrong bytes is not asked for this time
+# factor after a stall or a broken response, and gain after a good chunk
+TRUST_LOSS_FACTOR, TRUST_GAIN = 0.4, 0.05
+WRONG_EXCLUSION_NS = 30 * SECOND  # exclusion of a peer that sent wrong bytes
 LEAST_TRUST = 0.3
-DISTRUSTED_REQUEST_SHARE = 0.05  # a distrusted peer is still asked this often and can recover
-PEER_REQUEST_LIMIT = 8  # in flight at one peer
-SMOOTHING_DIVISOR = 8  # a new latency counts for an eighth
+DISTRUSTED_REQUEST_SHARE = 0.05  # requests that a distrusted peer still gets, to recover
+PEER_REQUEST_LIMIT = 8  # requests in flight at one peer
+SMOOTHING_DIVISOR = 8  # a new latency has a weight of one eighth
 FIRST_BACKOFF_NS, LONGEST_BACKOFF_NS = 100 * MS, SECOND
 
 
@@ -67,7 +69,7 @@
         self.worker_id, self.uploads, self.clock = worker_id, uploads, clock
         self.peers: dict[int, Peer] = {}
         self.downloads: dict[str, ChunkDownload] = {}
-        self.window = FIRST_WINDOW  # of this agent, once it knows how many there are
+        self.window = FIRST_WINDOW  # becomes this agent's part when it knows how many there are
         self.next_store_request_ns = 0
         self.store_latency_ns = 100.0 * MS
         self.store_in_flight = 0
@@ -81,7 +83,7 @@
     # -- membership and ranking
 
     def update_members(self, worker_ids: Iterable[int]) -> None:
-        """Replace the list of workers; one that is no longer listed is not asked."""
+        """Replace the list of workers; one that is no longer listed gets no requests."""
         listed = set(worker_ids) - {self.worker_id}
         for worker_id, peer in self.peers.items():
             peer.is_listed = worker_id in listed
@@ -104,8 +106,8 @@
     def plan_downloads(self, digests: Iterable[str]) -> list[str]:
         """Return the sequence in which a load downloads its chunks.
 
-        Those that other agents will ask this one for come first. The others are shuffled, so that
-        the agents do not all ask one owner at the same moment.
+        Chunks that other agents will request from this one come first. The others are shuffled, so
+        that the agents do not all request from one owner at the same time.
         """
         own: list[str] = []
         others: list[str] = []
@@ -116,7 +118,7 @@
         return own + others
 
     def is_usable(self, peer: Peer) -> bool:
-        """Return whether a peer may be asked now; a distrusted one is asked seldom."""
+        """Return whether a peer may get a request now; a distrusted one seldom may."""
         return self.clock() >= peer.excluded_until_ns and (
             peer.trust >= LEAST_TRUST or self.draw_random() < DISTRUSTED_REQUEST_SHARE
         )
@@ -135,18 +137,18 @@
         return download
 
     def remove_waiter(self, download: ChunkDownload) -> None:
-        """Count one waiter less; a download without waiters ends at its next step."""
+        """Remove one waiter; a download without waiters ends at its next step."""
         download.waiting -= 1
 
     def may_send(self) -> bool:
-        """Return whether another agent may receive a chunk now; own loads do not depend on it."""
+        """Return whether another agent may receive a chunk now; own loads are not limited."""
         if self.sending < self.uploads:
             return True
         self.counts.uploads_refused += 1
         return False
 
     def download_chunk(self, download: ChunkDownload) -> DownloadSteps:
-        """Download a chunk from its owners, or else from the store, until it is there or failed."""
+        """Download a chunk from its owners, or else the store, until it succeeds or fails."""
         progress = DownloadProgress(self.clock())
         while not self.has_ended(download):
             peer = self.next_owner(download, progress.excluded_peers)
@@ -162,7 +164,7 @@
     def _try_peer(
         self, download: ChunkDownload, peer: Peer, progress: DownloadProgress
     ) -> AttemptSteps:
-        """Ask a peer; return whether the chunk is there."""
+        """Request a chunk from a peer; return whether it was received."""
         if peer.in_flight >= PEER_REQUEST_LIMIT:
             yield Pause(self.jittered_deadline(peer.latency_ns / 4))
             return False
@@ -177,7 +179,7 @@
             outcome is ChunkOutcome.LATE and peer.last_response_ns >= requested_ns
         )
         if is_responding and self.clock() - progress.started_ns < OWNER_TIME_NS:
-            yield Pause(self.jittered_deadline(peer.latency_ns / 4))  # it stays the owner
+            yield Pause(self.jittered_deadline(peer.latency_ns / 4))  # then try the same owner
             return False
         if outcome is ChunkOutcome.AWAY:
             progress.is_store_away_for_peer = True
@@ -185,7 +187,7 @@
         return False
 
     def _try_store(self, download: ChunkDownload, progress: DownloadProgress) -> AttemptSteps:
-        """Ask the store, once that is allowed; return whether the chunk is there."""
+        """Request a chunk from the store if allowed; return whether it was received."""
         if not self.may_request_from_store():
             yield Pause(
                 max(
@@ -211,7 +213,7 @@
         return False
 
     def _final_failure(self, outcome: ChunkOutcome, progress: DownloadProgress) -> Failure | None:
-        """Return why a download fails after this outcome at the store; None: it is retried."""
+        """Return why a download fails after this outcome at the store; None if it is retried."""
         if progress.wrong_count >= STORE_WRONG_LIMIT:
             return Failure.CORRUPT
         if outcome is ChunkOutcome.NOT_CACHED:
@@ -228,29 +230,29 @@
     def may_request_from_store(self) -> bool:
         """Return whether this agent's part of the window has space.
 
-        With many agents the part is less than one request, which is then sent now and then.
+        With many agents the part is less than one request; requests are then spaced in time.
         """
         not_before_ns = max(self.store_backoff_until_ns, self.next_store_request_ns)
         return self.clock() >= not_before_ns and self.store_in_flight < max(1, int(self.window))
 
     def has_ended(self, download: ChunkDownload) -> bool:
-        """Return whether a download has failed; one that is late or unwanted fails here."""
+        """Return whether a download has failed; it fails at its deadline or without waiters."""
         if download.failure is None and (
             self.clock() >= download.deadline_ns or download.waiting <= 0
         ):
             download.failure = Failure.LATE
         return download.failure is not None
 
-    def next_owner(self, download: ChunkDownload, passed: set[Peer]) -> Peer | None:
-        """Return the peer to ask before the store, or None: the store is next."""
+    def next_owner(self, download: ChunkDownload, excluded: set[Peer]) -> Peer | None:
+        """Return the peer to try next, or None if the store is next."""
         if download.membership_version != self.membership_version:
             download.candidates = self.rank_workers(download.digest)
             download.membership_version = self.membership_version
         for worker_id in download.candidates:
-            if worker_id == self.worker_id or len(passed) >= OWNERS:
+            if worker_id == self.worker_id or len(excluded) >= OWNERS:
                 return None
             peer = self.peers[worker_id]
-            if peer in passed:
+            if peer in excluded:
                 continue
             if self.is_usable(peer):
                 return peer
@@ -260,7 +262,7 @@
     # -- requests
 
     def request_from_peer(self, download: ChunkDownload, peer: Peer) -> RequestSteps:
-        """Send a request to a peer and learn from its outcome."""
+        """Send a request to a peer and update its record by the outcome."""
         started_ns = self.clock()
         peer.in_flight += 1
         self.counts.peer_requests += 1
@@ -275,18 +277,18 @@
     def _update_peer(self, peer: Peer, outcome: ChunkOutcome, started_ns: int) -> None:
         if outcome in (ChunkOutcome.GOOD, ChunkOutcome.NOT_CACHED):
             peer.latency_ns += (self.clock() - started_ns - peer.latency_ns) / SMOOTHING_DIVISOR
-            peer.trust = min(1.0, peer.trust + TRUST_BACK)
+            peer.trust = min(1.0, peer.trust + TRUST_GAIN)
         elif outcome is ChunkOutcome.WRONG:
             peer.excluded_until_ns = self.clock() + WRONG_EXCLUSION_NS
-            peer.trust *= TRUST_LOST
+            peer.trust *= TRUST_LOSS_FACTOR
             self.counts.wrong += 1
         elif outcome is ChunkOutcome.LATE:
-            # retried as soon as before, a peer that is only slow would become slower still
+            # with the same timeout as before, retries would slow down a peer that is only slow
             peer.latency_ns = min(2 * peer.latency_ns, LONGEST_LATENCY_NS)
             if peer.last_response_ns < started_ns:
-                peer.trust *= TRUST_LOST
+                peer.trust *= TRUST_LOSS_FACTOR
         elif outcome is ChunkOutcome.BROKEN:
-            peer.trust *= TRUST_LOST
+            peer.trust *= TRUST_LOSS_FACTOR
         if outcome not in (ChunkOutcome.LATE, ChunkOutcome.BROKEN):
             peer.last_response_ns = self.clock()
 
@@ -294,7 +296,7 @@
         """Send a request to the store and adapt the window to its outcome.
 
         All agents together add one request after a round of good responses and remove three tenths
-        after a rejection. Each does its part, so that the sum finds what the store can serve.
+        after a rejection. Each agent does its part, so that the sum adapts to the store's capacity.
         """
         started_ns = self.clock()
         self.store_in_flight += 1
@@ -319,13 +321,13 @@
             self.window += 1 / (self.worker_count * max(1.0, self.window))
         elif outcome is ChunkOutcome.BUSY:
             self.counts.store_busy += 1
-            if self.clock() >= self.store_backoff_until_ns:  # rejections of one moment count once
+            if self.clock() >= self.store_backoff_until_ns:  # simultaneous rejections count once
                 least = LEAST_WINDOW / self.worker_count
                 self.window = max(least, self.window * WINDOW_DECREASE)
                 self.store_backoff_until_ns = self.jittered_deadline(2 * self.store_latency_ns)
 
     def jittered_deadline(self, wait_ns: float) -> int:
-        """Return a time between half and one and a half of the wait from now."""
+        """Return the time after the wait from now, with a jitter of up to half of it."""
         return self.clock() + int(wait_ns * (0.5 + self.draw_random()))
 
     def count_outcome(self, outcome: ChunkOutcome) -> None:
--- a/martenlead/layers/chunk_downloader.py
+++ b/martenlead/layers/chunk_downloader.py
@@ -1,6 +1,6 @@
 """Downloads chunks from the artifact store and from other agents, as `Chooser` decides.
 
-This module has the sockets and makes no decision of its own.
+This module does the network I/O and makes no decisions.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
         self._ended: dict[ChunkDownload, anyio.Event] = {}
 
     def update_members(self, members: list[Member]) -> None:
-        """Replace the list of agents that may be asked for chunks."""
+        """Replace the list of agents that chunks may be requested from."""
         self.chooser.update_members(member.worker_id for member in members)
         for member in members:
             pool = self.peer_pools.get(member.worker_id)
--- a/martenlead/layers/chunk_records.py
+++ b/martenlead/layers/chunk_records.py
@@ -1,4 +1,4 @@
-"""Records that the choice of sources for chunks works with. Times are integer nanoseconds."""
+"""Data structures for the choice of chunk sources. Times are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 class ChunkOutcome(Enum):
     """How a request for a chunk ended; the values are the names in the agent's status.
 
-    `BUSY`, `WAIT` and `AWAY` are what the source answered, the others are what was observed.
+    `BUSY`, `WAIT` and `AWAY` are responses of the source; the others were observed here.
     """
 
     GOOD = "good"
     WRONG = "wrong"  # the digest check failed: the bytes are neither served nor cached
-    BUSY = "busy"  # the source asks to come again later
+    BUSY = "busy"  # the source asks for a retry later
     WAIT = "wait"  # a peer is downloading it
     AWAY = "away"  # a peer could not download it from the store
     MISSING = "missing"
-    BROKEN = "broken"  # cut off, refused or garbled
+    BROKEN = "broken"  # truncated, refused or malformed
     LATE = "late"
     NOT_CACHED = "unkept"  # received, but the cache has no space for it
 
@@ -34,7 +34,7 @@
 
     STORE_AWAY = "vault-away"
     CORRUPT = "corrupt"  # every source has wrong bytes
-    MISSING = "missing"  # no source has it
+    MISSING = "missing"  # no source has the chunk or name
     LATE = "late"  # the deadline has passed
     NO_ROOM = "no-room"  # all chunks in the cache are in use, or the disk is full
 
@@ -43,18 +43,18 @@
 class ArtifactStoreState:
     """Whether the artifact store's last response to this agent was a failure."""
 
-    failed_at_ns: int = -1  # -1: it responded, or was not asked yet
+    failed_at_ns: int = -1  # -1: it has responded or had no request yet
 
     def record_response(self) -> None:
         """Record a response, which may also be a rejection: the store is reachable."""
         self.failed_at_ns = -1
 
     def record_failure(self, now_ns: int) -> None:
-        """Record a failure. A request that our deadline cut off is none."""
+        """Record a failure; a request that ended at its own deadline does not count as one."""
         self.failed_at_ns = now_ns
 
     def failure_at_deadline(self, started_ns: int) -> Failure:
-        """Return why a load that started then has missed its deadline.
+        """Return why a load that started at `started_ns` has missed its deadline.
 
         The store is the cause if it has failed since, else the time was too short.
         """
@@ -70,7 +70,7 @@
     trust: float = 1.0
     excluded_until_ns: int = 0
     latency_ns: float = float(FIRST_LATENCY_NS)
-    last_response_ns: int = -1  # of any kind
+    last_response_ns: int = -1  # any response, also a rejection
     is_listed: bool = True
 
 
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True, eq=False)
 class Pause:
-    """The download sleeps until then."""
+    """An instruction to suspend the download until `until_ns`."""
 
     until_ns: int
 
@@ -116,12 +116,12 @@
 
 @dataclass(slots=True)
 class DownloadProgress:
-    """What one download has met so far."""
+    """Failures and exclusions of one download so far."""
 
     started_ns: int
     first_failure_ns: int = 0  # 0: none yet
-    failure_count: int = 0  # at the store
-    wrong_count: int = 0  # of the store
+    failure_count: int = 0  # failed requests to the store
+    wrong_count: int = 0  # store responses with a wrong digest
     is_store_away_for_peer: bool = False
     excluded_peers: set[Peer] = field(default_factory=set)
 
--- a/martenlead/layers/image.py
+++ b/martenlead/layers/image.py
@@ -25,7 +25,7 @@
 from martenlead.system.clocks import wall_ns
 
 DIGEST = re.compile(r"sha256:[0-9a-f]{64}\Z")
-HEX = slice(7, None)  # of a digest, behind "sha256:"
+HEX = slice(7, None)  # the digits of a digest, after "sha256:"
 TIME = re.compile(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?Z\Z")
 MANIFEST = "application/vnd.oci.image.manifest.v1+json"
 CONFIG = "application/vnd.martenlead.model.config.v1+json"
@@ -40,7 +40,7 @@
 
 
 class BadImageError(Exception):
-    """A blob, list or manifest (`subject`) is not what its name says; the text says why."""
+    """A blob, list or manifest (`subject`) is invalid or missing; the text says why."""
 
     def __init__(self, subject: object, reason: object) -> None:
         super().__init__(f"{subject}: {reason}")
@@ -79,7 +79,7 @@
 
 
 class Chunk(msgspec.Struct, array_like=True, frozen=True):
-    """`digest` and `stored` (bytes) describe the blob, `size` (bytes) is that of its content."""
+    """A blob's `digest` and `stored` size, and the `size` of its content; sizes in bytes."""
 
     digest: str
     stored: int
@@ -104,7 +104,7 @@
 
     kind: Literal["content", "fixed"] = "content"
     average: int = 256 * 1024
-    level: int = 0  # of Zstandard; 0 stores chunks uncompressed
+    level: int = 0  # Zstandard level; 0 stores chunks uncompressed
 
 
 def digest_of(data: bytes | memoryview) -> str:
@@ -113,7 +113,7 @@
 
 
 def check(data: bytes, digest: str, size_bytes: int | None = None) -> None:
-    """Raise `BadImageError` unless these bytes are the blob of that name."""
+    """Raise `BadImageError` unless these bytes have this digest, and this size if given."""
     if size_bytes is not None and len(data) != size_bytes:
         raise BadImageError(digest, f"{len(data)} bytes where {size_bytes} were expected")
     if digest_of(data) != digest:
@@ -132,7 +132,7 @@
             marker.write_text('{"imageLayoutVersion": "1.0.0"}')
 
     def path(self, digest: str) -> Path:
-        """Return a blob's file. Raises `BadImageError`: a name must not lead out of the folder."""
+        """Return a blob's file. Raises `BadImageError` for a name that could leave the folder."""
         if not DIGEST.match(digest):
             raise BadImageError(repr(digest[:80]), "a sha256 digest was expected")
         return self.blobs / digest[HEX]
@@ -165,7 +165,7 @@
             raise BadImageError(path, f"{error}") from None
 
     def name(self, ref: str, manifest: Descriptor) -> None:
-        """Name a manifest; the one that had the name before loses it and keeps its blobs."""
+        """Name a manifest; the previous one of that name loses it, its blobs stay."""
         others = [m for m in self.index().manifests if m.annotations.get(REF) != ref]
         named = msgspec.structs.replace(manifest, media_type=MANIFEST, annotations={REF: ref})
         _write(self.folder / "index.json", msgspec.json.encode(Index([*others, named])))
@@ -259,8 +259,8 @@
 ) -> Packed:
     """Make an image of some files and name it, as of now or of `created` (RFC 3339, UTC).
 
-    An image that the name already stands for is left as it is. Raises OSError, and
-    `BadImageError` for files of one name.
+    If the name already refers to an image with the same layers, that image is kept unchanged.
+    Raises OSError, and `BadImageError` for two files of the same name.
     """
     if len({path.name for path in files}) < len(files):
         raise BadImageError(ref, "two files of one name")
@@ -308,7 +308,7 @@
 
 
 def unpack(chunk: Chunk, stored: bytes, is_packed: bool) -> bytes:
-    """Return the content of a chunk, checked. Raises `BadImageError`."""
+    """Check a chunk and return its content. Raises `BadImageError`."""
     check(stored, chunk.digest, chunk.stored)
     if not is_packed:
         return stored
@@ -324,7 +324,7 @@
 
 
 def verify(layout: Layout, ref: str) -> tuple[int, int]:
-    """Read an image through, every chunk and every file; return its chunks and bytes.
+    """Check every chunk and file of an image; return the numbers of chunks and bytes.
 
     Raises `BadImageError`.
     """
@@ -343,7 +343,7 @@
 
 @dataclass
 class Difference:
-    """What a worker that has one image would download for another; `stored`, `fetched` in bytes."""
+    """What a worker with one image downloads for another; `stored`, `fetched` in bytes."""
 
     chunks: int
     shared_chunks: int
--- a/martenlead/layers/image_loader.py
+++ b/martenlead/layers/image_loader.py
@@ -44,7 +44,7 @@
 class LoadedImage:
     """An image whose chunks are all in the cache.
 
-    `is_stale`: the store could not confirm that the name still stands for this release.
+    `is_stale`: the store could not confirm that the name still refers to this release.
     """
 
     ref: str
@@ -72,8 +72,8 @@
     async def load(self, ref: str, within_ms: float, into: str | None = None) -> LoadedImage:
         """Bring every chunk of an image into the cache, checked.
 
-        With `into`, its files are assembled in that folder of `files`, which belongs to the
-        caller from then on. Raises `LoadFailedError`.
+        With `into`, its files are assembled in that subfolder of the setting `files`, which the
+        caller owns from then on. Raises `LoadFailedError`.
         """
         started_ns = self.chooser.clock()
         deadline_ns = started_ns + int(within_ms * MS)
@@ -81,7 +81,7 @@
             with anyio.fail_after(within_ms / 1000):
                 resolved, layers = await self._load_release(ref, deadline_ns, into)
         except (TimeoutError, LoadFailedError) as error:
-            # at the deadline either may come first: this timeout, or that of an inner step
+            # at the deadline this timeout or that of an inner step may come first
             if isinstance(error, LoadFailedError) and error.kind is not Failure.LATE:
                 raise
             failure = self.chooser.store_state.failure_at_deadline(started_ns)
@@ -95,7 +95,7 @@
     async def _load_release(
         self, ref: str, deadline_ns: int, into: str | None
     ) -> tuple[Resolved, list[Layer]]:
-        """Load what a name stands for; resolve it again where its chunks have disappeared.
+        """Load the release of a name; resolve the name again if its chunks have disappeared.
 
         Raises `LoadFailedError`.
         """
@@ -160,7 +160,7 @@
                     await self._ensure_cached(chunks[digest], deadline_ns)
                 except LoadFailedError as error:
                     errors.append(error)
-                    group.cancel_scope.cancel()  # the load has failed: the others are useless
+                    group.cancel_scope.cancel()  # the load has failed; stop its other downloads
 
         async with anyio.create_task_group() as group:
             for _ in range(min(len(chunks), self.settings.at_once)):
@@ -186,7 +186,7 @@
                     temporary.unlink(missing_ok=True)
 
     async def _write_file(self, layer: Layer, path: Path, deadline_ns: int) -> None:
-        """Write one file, check its digest and sync it, so that a name never has other bytes.
+        """Write one file, check its digest and sync it: no file may have wrong content.
 
         Raises `BadImageError` and OSError.
         """
@@ -198,9 +198,9 @@
                 stored = await self._read_chunk(chunk, deadline_ns)
                 data = unpack(chunk, stored, layer.packed)
                 file_hash.update(data)
-                write_all(descriptor, data)  # a chunk is small and the disk is local
+                write_all(descriptor, data)  # brief: a chunk is small and the disk is local
                 await anyio.lowlevel.checkpoint()
-            await anyio.to_thread.run_sync(os.fsync, descriptor)  # it may take seconds
+            await anyio.to_thread.run_sync(os.fsync, descriptor)  # fsync may take seconds
         finally:
             os.close(descriptor)
         if f"sha256:{file_hash.hexdigest()}" != layer.digest:
--- a/martenlead/layers/name_resolver.py
+++ b/martenlead/layers/name_resolver.py
@@ -1,6 +1,6 @@
-"""Resolves the names of images at the artifact store, and saves what was resolved.
+"""Resolves the names of images at the artifact store, and saves the releases that it found.
 
-`Names` makes the decisions; this module has the sockets and the file.
+`Names` makes the decisions; this module does the I/O on the network and the file.
 """
 
 from __future__ import annotations
@@ -56,9 +56,9 @@
         self.cache, self.names, self.artifact_store, self.log = cache, names, artifact_store, log
         self.manifests_path = f"/v2/{quote(settings.repository)}/manifests"
         self._path = cache.folder / NAMES_FILE
-        self._is_file_unread = False  # the file must not be overwritten
+        self._is_file_unread = False  # if True, the file must not be overwritten yet
         self._read_file()
-        self.saves = Counter[str]()  # by their result
+        self.saves = Counter[str]()  # number of saves by result
         self.saver = self._make_saver(settings.random_seed)
 
     def _read_file(self) -> None:
@@ -71,7 +71,7 @@
             self.log.warning("names_unread", reason=str(error))
 
     def _decode_file(self) -> dict[str, Release]:
-        """Return the saved names, none where the content is invalid. Raises OSError."""
+        """Return the saved names, or none if the content is invalid. Raises OSError."""
         data = read_if_there(self._path)
         try:
             return msgspec.json.decode(data or b"", type=dict[str, Release])
@@ -79,7 +79,7 @@
             return {}
 
     async def _read_unread_file(self) -> None:
-        """Merge a file that was unreadable at the start; newer names win. Raises OSError."""
+        """Merge a file that was unreadable at the start; later names win. Raises OSError."""
         if self._is_file_unread:
             saved = await anyio.to_thread.run_sync(self._decode_file)
             self.names.known = {**saved, **self.names.known}
@@ -101,7 +101,7 @@
         )
 
     async def resolve(self, ref: str, deadline_ns: int) -> Resolved | Failure:
-        """Return the release that a name or digest stands for, or why there is none."""
+        """Return the release that a name or digest refers to, or why there is none."""
         steps, before = self.names.resolve(ref, deadline_ns), self.names.known.get(ref)
         reply: NameReply | None = None
         try:
--- a/martenlead/layers/naming.py
+++ b/martenlead/layers/naming.py
@@ -1,14 +1,14 @@
-"""Decides which release a name stands for: free of I/O.
+"""Decides which release a name refers to: free of I/O.
 
-Names are the only data here that no digest verifies: the artifact store's answer is all there is,
-and it may be outdated, from a replica of the store that lags behind. An agent remembers the newest
-release of each name that it has seen, by the creation time in the manifest
-(`org.opencontainers.image.created`). It never returns to an older one because of the store's answer
-alone: whoever needs an older release again builds it anew (docs/operate/layers.md).
+Names are the only data here that no digest verifies: the artifact store's response is the only
+source, and it may be outdated, from a replica of the store that lags behind. An agent remembers the
+newest release of each name that it has received, by the creation time in the manifest
+(`org.opencontainers.image.created`). It never returns to an older one because of the store's
+response alone: to return to an older release, build it again (docs/operate/layers.md).
 
-Where the store is unreachable an agent goes on with the release that it knows, if its settings
-allow it: a worker that serves yesterday's function is better than one that serves none, and the
-release is resolved again as soon as the store is back. Times are integer nanoseconds.
+While the store is unreachable an agent uses the release that it knows, if its settings allow it:
+a worker that serves an outdated function is better than one that serves none, and the release is
+resolved again as soon as the store is reachable. Times are integer nanoseconds.
 """
 
 from __future__ import annotations
@@ -30,10 +30,8 @@
 )
 
 FIRST_BACKOFF_NS, LONGEST_BACKOFF_NS = 100 * MS, SECOND
-PATIENCE = (
-    0.25  # share of the time left that an unreachable store may take before the known release
-)
-RESOLVE_AGAIN_LIMIT = 3  # times that a name is resolved again because its chunks are missing
+STORE_WAIT_SHARE = 0.25  # share of the time left after which the known release is used
+RESOLVE_AGAIN_LIMIT = 3  # repeated resolutions in one load because of missing chunks
 
 
 class NameOutcome(Enum):
@@ -49,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """What a name stands for.
+    """The manifest that a name refers to.
 
     `digest` is that of the manifest, `created` its creation time (RFC 3339, UTC; "" where unknown).
     """
@@ -73,7 +71,7 @@
 class Resolved:
     """The release of a name.
 
-    `is_stale`: the store could not be asked, or answered with an older release.
+    `is_stale`: the store gave no usable response, or one with an older release.
     """
 
     release: Release
@@ -88,8 +86,9 @@
 class Names:
     """The names that one agent knows.
 
-    `jittered_deadline` returns a time about so far away; `store_state` is shared with the agent's
-    `Chooser`; `last_known`: whether the known release may be used while the store is unreachable.
+    `jittered_deadline` returns the time after a wait in ns, with jitter; `store_state` is shared
+    with the agent's `Chooser`; `last_known`: whether the known release may be used while the store
+    is unreachable.
     """
 
     def __init__(
@@ -107,7 +106,7 @@
         self.old_release_count = 0
 
     def resolve(self, ref: str, deadline_ns: int) -> ResolveSteps:
-        """Ask the store for a name, with retries, until it is resolved or has failed."""
+        """Request a name from the store, with retries, until it is resolved or has failed."""
         started_ns = self.clock()
         failure_count = wrong_count = 0
         backoff_ns = FIRST_BACKOFF_NS
@@ -126,7 +125,7 @@
             elif outcome is NameOutcome.BROKEN:
                 failure_count += 1
             elapsed_ns = self.clock() - started_ns
-            if known and elapsed_ns > PATIENCE * (deadline_ns - started_ns):
+            if known and elapsed_ns > STORE_WAIT_SHARE * (deadline_ns - started_ns):
                 return Resolved(known, is_stale=True)
             if failure_count >= STORE_AWAY_FAILURES and elapsed_ns > STORE_AWAY_NS:
                 return Failure.STORE_AWAY
@@ -135,14 +134,14 @@
         return self.store_state.failure_at_deadline(started_ns)
 
     def record_outcome(self, outcome: NameOutcome) -> None:
-        """Record what a request shows about the store itself."""
+        """Record whether the store responded."""
         if outcome is NameOutcome.BROKEN:
             self.store_state.record_failure(self.clock())
         elif outcome is not NameOutcome.LATE:
             self.store_state.record_response()
 
     def accept_release(self, ref: str, release: Release) -> Resolved:
-        """Record the store's answer; of two releases the one that was created later is used."""
+        """Record the store's release; the known one is returned if it was created later."""
         known = self.known.get(ref)
         if known and known.created and release.created and release.created < known.created:
             self.old_release_count += 1
@@ -151,7 +150,7 @@
         return Resolved(release)
 
     def should_resolve_again(self, failure: Failure, retries: int) -> bool:
-        """Return whether a failed load resolves its name again and starts anew.
+        """Return whether a failed load resolves its name again and restarts.
 
         The store may have dropped the chunks of a manifest that was replaced. `retries` counts
         how often this load has done so.
--- a/martenlead/layers/samples.py
+++ b/martenlead/layers/samples.py
@@ -1,8 +1,8 @@
 """Sample functions for measurements and rehearsals.
 
-They come in families, of a base and its variants, and in releases. Half of the bytes are random and
-half take few values, as the two halves of 16-bit weights do. A variant overwrites some places of
-its base; a release overwrites some more and moves the bytes behind an insertion.
+They are grouped in families, of a base and its variants, and have releases. Half of the bytes are
+random and half take few values, as the two halves of 16-bit weights do. A variant overwrites some
+places of its base; a release overwrites some more and inserts bytes, which shifts those after them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from martenlead.layers.image import Cutting, Layout, pack
 
-PLACES = 5  # that a variant or a release overwrites
+PLACES = 5  # number of places that a variant or a release overwrites
 INSERTION = b"a few more words in the vocabulary"
 BYTES_PER_MB = 1e6
 BYTES_PER_KB = 1024
@@ -69,7 +69,7 @@
 
 
 def make(layout: Layout, samples: Samples) -> int:
-    """Make and pack the samples; return the bytes of one release of them all. Raises OSError."""
+    """Make and pack the samples; return the total size of one release in bytes. Raises OSError."""
     random = Random(samples.seed)
     size_bytes = int(samples.mb * BYTES_PER_MB)
     bases = [make_base(random, size_bytes) for _ in range(samples.families)]
--- a/martenlead/layers/settings.py
+++ b/martenlead/layers/settings.py
@@ -51,17 +51,17 @@
     port: Port = 0
     cache: str  # folder of the cache
     cache_bytes: Annotated[int, Meta(ge=1)] = 10 * 1024**3
-    hot_bytes: Annotated[int, Meta(ge=0)] = 64 * 1024**2  # of the latest chunks, in memory too
+    hot_bytes: Annotated[int, Meta(ge=0)] = 64 * 1024**2  # latest chunks, also kept in memory
     files: str | None = None  # folder in which the files of functions are assembled
     artifact_store: StoreAddress = msgspec.field(name="vault")
     repository: str = "models"
     members: list[Member] = []  # in addition to those of the endpoint list
     endpoint_list: EndpointListLink | None = msgspec.field(default=None, name="roster")
-    uploads: Count = 8  # concurrent, to other agents
-    at_once: Count = 16  # concurrent chunks of one load
-    parked: Count = 256  # requests of other agents that wait for a chunk; beyond: busy
-    loads: Count = 256  # concurrent loads; beyond: rejected
-    last_known: bool = True  # whether the last known release serves while the store is unreachable
+    uploads: Count = 8  # concurrent uploads to other agents
+    at_once: Count = 16  # concurrent chunk downloads of one load
+    parked: Count = 256  # requests of agents waiting for a chunk; further ones get `busy`
+    loads: Count = 256  # concurrent loads; further ones are rejected
+    last_known: bool = True  # use the last known release while the store is unreachable
     drain_ms: Positive = 2000  # time for the uploads and loads in flight at shutdown
     seed: int = 0
 
--- a/martenlead/traces/csv_table.py
+++ b/martenlead/traces/csv_table.py
@@ -1,6 +1,6 @@
 """CSV files as streams of rows with their line numbers, in bounded memory.
 
-A file is plain, gzip or Zstandard, which its first bytes show, and of any length.
+A file is plain, gzip or Zstandard, detected by its first bytes, and of any length.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from martenlead.traces.problems import TraceError, TraceProblems
 
 MAX_LINE_BYTES = 1 << 20
-"""No row of any schema is longer."""
+"""Longer than any row of the schemas."""
 READ_SIZE_BYTES = 1 << 18
 GZIP_MAGIC = b"\x1f\x8b"
 ZSTANDARD_MAGIC = b"\x28\xb5\x2f\xfd"
@@ -54,7 +54,7 @@
 
 
 def _read_lines(path: Path, problems: TraceProblems) -> Iterator[RawLine]:
-    """Raises `TraceError`."""
+    """Yields the lines of a file, decompressed. Raises `TraceError`."""
     number = 0
     rest = b""
     try:
@@ -63,7 +63,7 @@
                 try:
                     data = file.read(READ_SIZE_BYTES)
                 except DECOMPRESSION_ERRORS as error:
-                    message = f"the compressed file ends: {error}"
+                    message = f"the compressed data is truncated: {error}"
                     problems.record("file cut short", str(path), number + 1, message)
                     return  # the lines before the cut are complete and were yielded
                 if not data:
@@ -73,35 +73,33 @@
                     number += 1
                     yield RawLine(number, line, True)
                 if len(rest) > MAX_LINE_BYTES:
-                    message = (
-                        f"{path}:{number + 1}: a line of more than {MAX_LINE_BYTES} bytes is no row"
-                    )
+                    message = f"{path}:{number + 1}: the line is longer than {MAX_LINE_BYTES} bytes"
                     raise TraceError(message)
     except OSError as error:
         message = f"{path}: {error.strerror or error}"
         raise TraceError(message) from None
-    if rest:  # its number of columns shows whether it was cut short
+    if rest:  # the number of columns shows whether this line was cut short
         yield RawLine(number + 1, rest, False)
 
 
 def _parse_fields(
     line: RawLine, data: bytes, path: Path, problems: TraceProblems
 ) -> list[str] | None:
-    """The fields of a line; None, and a recorded problem, if it is not CSV in UTF-8."""
+    """Returns the fields of a line; records a problem and returns None if it is invalid."""
     try:
         return next(csv.reader([data.decode()], strict=True))
     except UnicodeDecodeError:
         kind, message = "encoding", "UTF-8 was expected"
     except (csv.Error, StopIteration):
         kind = "columns" if line.is_terminated else "last line cut short"
-        message = "no row of CSV"
+        message = "not a valid CSV row"
     problems.rows += 1
     problems.record(kind, str(path), line.number, message)
     return None
 
 
 def read_rows(path: Path, problems: TraceProblems) -> Iterator[CsvRow]:
-    """The rows of a file; empty lines are skipped. Raises `TraceError`."""
+    """Yields the rows of a file without its empty lines. Raises `TraceError`."""
     for line in _read_lines(path, problems):
         data = line.data.rstrip(b"\r")
         if line.number == 1:
@@ -114,10 +112,10 @@
 
 
 class CsvTable:
-    """Rows of a file, with the columns that a schema names, in the schema's sequence.
+    """Rows of a file with the columns of a schema, in the schema's order.
 
-    A header may name the columns in any sequence and may name more of them. Without a header the
-    file's columns are exactly those of the schema.
+    A header may have the columns in any order, and further columns. Without a header the file's
+    columns are exactly those of the schema.
     """
 
     def __init__(
@@ -129,7 +127,7 @@
         rows = read_rows(path, problems)
         first_row = next(rows, None)
         if first_row is None:
-            message = f"{path}: it has no row"
+            message = f"{path}: the file has no rows"
             raise TraceError(message)
         header = [name.strip() for name in first_row.fields]
         if has_header or set(columns) <= set(header):
@@ -151,7 +149,7 @@
                 raise TraceError(message)
 
     def __iter__(self) -> Iterator[tuple[int, list[str]]]:
-        """The line number and the schema's fields of each complete row."""
+        """Yields the line number and the schema's fields of each complete row."""
         for line, fields, is_terminated in self.rows:
             self.problems.rows += 1
             if len(fields) != self.column_count:
--- a/martenlead/traces/problems.py
+++ b/martenlead/traces/problems.py
@@ -1,6 +1,6 @@
 """Problems found while a trace is read, counted by kind, with the first lines of each.
 
-A problem does not end the reading, unless the share of unusable rows grows over a limit.
+Reading continues after a problem, unless the share of unusable rows exceeds a limit.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
         raise TraceError(message)
 
     def to_json_object(self) -> dict[str, object]:
-        """By the keys that the command line prints."""
+        """Returns the counts under the keys that the command line prints."""
         return {
             "rows": self.rows,
             "left out": self.unusable_rows,
--- a/martenlead/traces/samples.py
+++ b/martenlead/traces/samples.py
@@ -1,8 +1,7 @@
 """Small traces that the project generates itself, in each schema, from a seed.
 
-They have the shapes of public ones: few functions have most of the calls, most are called once or
-not at all; timers fire all at once, at midnight the most; durations are spread over four powers of
-ten.
+They resemble public traces: few functions have most of the calls, most are called once or never;
+timers fire at the same time, most of them at midnight; durations span four orders of magnitude.
 """
 
 from __future__ import annotations
@@ -33,7 +32,7 @@
 TRIGGERS = ("http", "timer", "queue", "event")
 TIMER_PERIODS_MINUTES = (5, 15, 60, 1440)
 POPULARITY_EXPONENT = 1.1
-"""Of the Zipf distribution of calls among functions."""
+"""Exponent of the Zipf distribution of calls among functions."""
 FUNCTIONS_PER_APP = 3
 APPS_PER_OWNER = 4
 HASH_CHARACTERS = 16
@@ -43,7 +42,7 @@
 LOAD_ADDED_BY_DAY = 0.6
 UNMEASURED_PERIOD = 20
 UNMEASURED_REMAINDER = 7
-"""Of each 20 functions one is missing in the file of durations, as in public traces."""
+"""One function of every 20 is missing in the file of durations, as in public traces."""
 DURATION_FACTORS = (0.2, 0.3, 0.7, 1, 1.6, 5, 9)
 """The percentiles of durations, relative to the median."""
 MEMORY_FACTORS = (0.7, 0.8, 0.9, 1, 1.1, 1.3, 1.4, 1.5)
@@ -61,7 +60,7 @@
 
 
 def hash_name(kind: str, number: int) -> str:
-    """The name of a numbered application, function or owner, which looks anonymised."""
+    """Returns an anonymised name for a numbered application, function or owner."""
     return hashlib.sha256(f"{kind} {number}".encode()).hexdigest()[:HASH_CHARACTERS]
 
 
@@ -71,7 +70,7 @@
     buffer = io.StringIO()
     csv.writer(buffer, lineterminator="\n").writerows(rows)
     data = buffer.getvalue().encode()
-    # without a modification time, so that the same seed gives the same bytes
+    # without a modification time in the gzip header, so that a seed always gives the same bytes
     path.write_bytes(gzip.compress(data, mtime=0) if compressed else data)
     return path
 
@@ -79,7 +78,7 @@
 def make_minute_tables(
     functions: int, seed: int, max_calls_per_minute: float = 6.0
 ) -> MinuteTables:
-    """The three files of one day.
+    """Returns the tables of one day.
 
     `max_calls_per_minute` is the mean of the function that is called most often.
     """
@@ -139,7 +138,7 @@
 
 
 def _draw_poisson(random: Random, mean: float) -> int:
-    """Counts the arrivals in a time of `mean` at a rate of 1."""
+    """Draws from a Poisson distribution: counts the arrivals in a time of `mean` at a rate of 1."""
     if mean < MIN_POISSON_MEAN:
         return 0
     elapsed = random.expovariate(1.0)
@@ -153,7 +152,7 @@
 def make_invocation_rows(
     functions: int, count: int, seconds: float, seed: int
 ) -> list[list[CsvValue]]:
-    """A file of schema `invocations`, sorted by the end of the invocations as the public one is."""
+    """Returns the rows of a file of schema `invocations`, sorted by end as in the public trace."""
     random = Random(f"invocations {seed}")
     weights = [1 / (number + 1) ** POPULARITY_EXPONENT for number in range(functions)]
     medians = [10 ** random.uniform(-2, 0.5) for _ in range(functions)]
@@ -169,7 +168,7 @@
 
 
 def make_batch_job_rows(jobs: int, seconds: int, seed: int) -> list[list[CsvValue]]:
-    """A file of schema `tasks`, sorted by start, without a header."""
+    """Returns the rows of a file of schema `tasks`, sorted by start, without a header."""
     random = Random(f"tasks {seed}")
     rows: list[tuple[int, list[CsvValue]]] = []
     for job in range(1, jobs + 1):
@@ -185,7 +184,7 @@
 def _make_batch_job_row(
     job: int, index: int, start: int, duration: int, random: Random
 ) -> list[CsvValue]:
-    """A row by the columns of the schema. All but the first of a job depend on the one before."""
+    """Returns one row; each row of a job depends on the one before it."""
     is_terminated = random.random() < TERMINATED_SHARE
     status = "Terminated" if is_terminated else random.choice(("Failed", "Running"))
     kind = random.choice("123456789")
--- a/martenlead/traces/schemas.py
+++ b/martenlead/traces/schemas.py
@@ -1,7 +1,7 @@
 """Three published schemas of cluster traces, each read as invocations.
 
 `minutes`: counts of invocations for each minute of a day, by function, with percentiles of
-durations by function and of memory by application in files of their own (Azure Functions trace of
+durations by function and of memory by application in separate files (Azure Functions trace of
 2019; Shahrad et al., USENIX ATC 2020).
 
 `invocations`: a row for each invocation with its end and duration in seconds (Azure Functions trace
@@ -30,7 +30,7 @@
 NS_PER_MINUTE = 60 * NS_PER_SECOND
 MINUTES_PER_DAY = 1440
 MAX_TIME_SECONDS = 20 * 366 * 86_400.0
-"""A later time is an overflow, or has another unit."""
+"""A later time is an overflow or has a wrong unit."""
 MAX_DURATION_SECONDS = 30 * 86_400.0
 MAX_DURATION_MS = MAX_DURATION_SECONDS * 1000
 MAX_INSTANCES = 100_000_000
@@ -38,7 +38,7 @@
 MAX_MEMORY = 1e6
 """In the unit of the file: MB, or hundredths of a machine's memory."""
 TIMER_SPREAD_NS = NS_PER_SECOND // 10
-"""Timers fire within this time of the begin of their minute."""
+"""Timers fire within this time from the start of their minute."""
 QUOTED_CHARACTERS = 40
 QUOTED_STATUS_CHARACTERS = 20
 
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class Invocation:
-    """A call of a function. `start_ns` counts from the trace's own zero."""
+    """A call of a function. `start_ns` is relative to the start of the trace."""
 
     start_ns: int
     function: str
@@ -74,11 +74,11 @@
 
 @dataclass
 class ReaderOptions:
-    """What a reader needs to know beyond the file.
+    """Options of a reader.
 
     `durations_path` and `memory_path` are the files that accompany a `minutes` file; `day` is the
     day that it covers, from 0. `machine_mb` is the memory of a machine of a `tasks` file. The
-    defaults stand for what a `minutes` file leaves open.
+    defaults are used for functions without percentiles in these files.
     """
 
     durations_path: Path | None = None
@@ -91,7 +91,7 @@
 
 
 class FieldReader:
-    """Parses the fields of a file's rows, and records what is wrong with those of row `line`."""
+    """Parses the fields of a file's rows, and records problems of row `line`."""
 
     __slots__ = ("line", "path", "problems")
 
@@ -105,7 +105,7 @@
         self.problems.record(kind, str(self.path), self.line, message)
 
     def parse_number(self, text: str, maximum: float, column: str) -> float | None:
-        """None, and a recorded problem, unless the field is a number from 0 to `maximum`."""
+        """Returns the number; records a problem and returns None unless it is 0 to `maximum`."""
         try:
             value = float(text)
         except ValueError:
@@ -129,7 +129,7 @@
 def read_invocations(
     path: Path, options: ReaderOptions, problems: TraceProblems
 ) -> Iterator[Invocation]:
-    """Reads a file of schema `invocations`, in the sequence of its rows."""
+    """Reads a file of schema `invocations`, in the order of its rows."""
     latest_end = -math.inf
     reader = FieldReader(path, problems)
     for line, fields in CsvTable(path, problems, INVOCATION_COLUMNS, has_header=True):
@@ -166,7 +166,7 @@
 
 
 def _parse_batch_job_row(fields: list[str], reader: FieldReader) -> BatchJobRow | None:
-    """None, and a recorded problem, for a row that cannot be used."""
+    """Parses a row; records a problem and returns None if it cannot be used."""
     name, instances_text, job, kind, status, start_text, end_text, _, memory_text = fields
     if not name or not job:
         reader.record("empty name", "task_name, job_name: names were expected")
@@ -224,7 +224,7 @@
         self.values = values
 
     def interpolate(self, fraction: float) -> float:
-        """The value at a fraction of the distribution, from 0 to 1."""
+        """Returns the value at a fraction of the distribution, from 0 to 1."""
         percentile = fraction * 100
         right = bisect_right(self.percentiles, percentile)
         if right == 0:
@@ -238,7 +238,7 @@
 
 
 class PercentileSource(NamedTuple):
-    """Where the percentiles of a quantity stand in a file that accompanies a `minutes` file."""
+    """Columns of a quantity's percentiles in a file that accompanies a `minutes` file."""
 
     key_columns: list[str]
     column_prefix: str
@@ -246,7 +246,7 @@
     maximum: float
 
     def read(self, path: Path | None, problems: TraceProblems) -> dict[str, PercentileDistribution]:
-        """The distribution of each key, whose parts are joined by a space; none without a file."""
+        """Returns distributions by key (its parts joined by spaces); none without a file."""
         if path is None:
             return {}
         found: dict[str, PercentileDistribution] = {}
@@ -277,9 +277,9 @@
 
 
 def _read_counts(counts: list[str], reader: FieldReader) -> Iterator[tuple[int, int]]:
-    """The minutes of a row in which the function was called, each with its count.
+    """Yields the minutes of a row in which the function was called, each with its count.
 
-    A count that cannot be used ends the row: it is recorded once, the minutes before it are used.
+    An unusable count ends the row: it is recorded once, and the minutes before it are used.
     """
     for minute, text in enumerate(counts):
         if text == "0":
@@ -291,7 +291,7 @@
 
 
 def _draw_start_times(trigger: str, minute_ns: int, count: int, random: Random) -> list[int]:
-    """Timers fire as their minute begins, in no sequence; other calls come anywhere in it."""
+    """Returns unsorted times at the start of the minute for timers, else sorted times in it."""
     if trigger == "timer":
         return [minute_ns + random.randrange(TIMER_SPREAD_NS) for _ in range(count)]
     return sorted(minute_ns + random.randrange(NS_PER_MINUTE) for _ in range(count))
@@ -300,7 +300,7 @@
 def read_minute_counts(
     path: Path, options: ReaderOptions, problems: TraceProblems
 ) -> Iterator[Invocation]:
-    """Reads a file of schema `minutes`, row after row: invocations are not sorted by time."""
+    """Reads a file of schema `minutes` row by row; invocations are not sorted by time."""
     durations = DURATIONS_MS.read(options.durations_path, problems)
     memories = MEMORY_MB.read(options.memory_path, problems)
     day_ns = options.day * MINUTES_PER_DAY * NS_PER_MINUTE
@@ -340,7 +340,7 @@
 
 
 def guess_schema(path: Path) -> str:
-    """The schema that the first row of a file shows. Raises `TraceError`."""
+    """Returns the schema that the first row of a file matches. Raises `TraceError`."""
     first_row = next(read_rows(path, TraceProblems(1.0)), None)
     if first_row is not None:
         names = {name.strip() for name in first_row.fields}
@@ -350,5 +350,5 @@
             return "invocations"
         if len(first_row.fields) == len(BATCH_JOB_COLUMNS) or "task_name" in names:
             return "tasks"
-    message = f"{path}: no known schema; {', '.join(SCHEMAS)} are"
+    message = f"{path}: no known schema; expected one of {', '.join(SCHEMAS)}"
     raise TraceError(message)
--- a/martenlead/traces/store.py
+++ b/martenlead/traces/store.py
@@ -1,8 +1,8 @@
-"""A trace as a Parquet file sorted by time, whatever the sequence of its rows in the source.
+"""A trace as a Parquet file sorted by time, independent of the order of rows in the source.
 
-The trace may be longer than memory, and rows may come late. Rows are appended to temporary files,
-one for each bucket of ten minutes; each bucket is then sorted and written as a row group. Memory
-holds one bucket and the names.
+The trace may be larger than memory, and rows may be out of order. Rows are appended to temporary
+files, one for each bucket of ten minutes; each bucket is then sorted and written as a row group.
+Memory holds one bucket and the names.
 """
 
 from __future__ import annotations
@@ -40,26 +40,26 @@
 
 RowArray: TypeAlias = npt.NDArray[np.void]
 BufferedRow: TypeAlias = tuple[int, int, int, int, float]
-"""The fields of `TEMPORARY_ROW`, as numpy takes them; names are replaced by their numbers."""
+"""The fields of `TEMPORARY_ROW` for numpy; names are replaced by their numbers."""
 
 
 class NameTable:
-    """Numbers names in the sequence of their first use, so that each name is stored once."""
+    """Numbers names in the order of their first use, so that each name is stored once."""
 
     def __init__(self) -> None:
         self.numbers: dict[str, int] = {}
 
     def get_number(self, name: str) -> int:
-        """The number of a name; a new name gets the next one."""
+        """Returns the number of a name; a new name gets the next one."""
         return self.numbers.setdefault(name, len(self.numbers))
 
     def list_names(self) -> list[str]:
-        """All names, each at the index that is its number."""
+        """Returns all names, each at the index equal to its number."""
         return list(self.numbers)
 
 
 class BucketFiles:
-    """Rows divided by time among temporary files in a folder."""
+    """Rows partitioned by time into temporary files in a folder."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -93,16 +93,16 @@
         self._buffered_rows = 0
 
     def read_sorted(self) -> Iterator[RowArray]:
-        """The rows of one bucket after the other, sorted by time."""
+        """Yields the rows of each bucket in turn, sorted by time."""
         for bucket in sorted(self.buckets):
             rows = np.fromfile(self.folder / str(bucket), dtype=TEMPORARY_ROW)
             yield rows[np.argsort(rows["at"], kind="stable")]
 
 
 def write_trace(path: Path, invocations: Iterable[Invocation]) -> dict[str, int]:
-    """Writes a trace, which appears complete or not at all.
+    """Writes a trace atomically.
 
-    Returns how many rows and names it has, by the keys that the command line prints. Raises
+    Returns the numbers of its rows and names, under the keys that the command line prints. Raises
     OSError.
     """
     partial_path = path.with_name(f"{path.name}.{os.getpid()}.part")
@@ -152,14 +152,14 @@
 
 
 def read_trace(path: Path, begin_ns: int = 0, end_ns: int | None = None) -> Iterator[Invocation]:
-    """Invocations by start time, from `begin_ns` to before `end_ns`. Raises `TraceError`.
+    """Yields invocations by start time, from `begin_ns` to before `end_ns`. Raises `TraceError`.
 
     One row group is read at a time.
     """
     try:
         with pq.ParquetFile(path) as file:
             if not set(SCHEMA.names) <= set(file.schema_arrow.names):
-                message = f"{path}: no trace that `martenlead trace convert` wrote"
+                message = f"{path}: not a trace written by `martenlead trace convert`"
                 raise TraceError(message)
             for group in range(file.num_row_groups):
                 if not _overlaps(file, group, begin_ns, end_ns):
@@ -174,7 +174,7 @@
 
 
 def _overlaps(file: pq.ParquetFile, group: int, begin_ns: int, end_ns: int | None) -> bool:
-    """Whether a row group may have a start time in the interval, by its statistics."""
+    """Returns whether a row group may have a start time in the interval, by its statistics."""
     start_ns = file.metadata.row_group(group).column(0).statistics
     if start_ns is None:
         return True
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -31,7 +31,7 @@
         (GOOD + "+ { rooster: 1 }", "{path}: $: Object contains unknown field `rooster`"),
         (GOOD + "+ { tick_ms: 'fast' }", "{path}: $.tick_ms: Expected `float`, got `str`"),
         (GOOD + "+ { offerings: [] }", "{path}: $.offerings: Expected `array` of length >= 1"),
-        (GOOD + "+ { offerings+: super.offerings }", "{path}: $.offerings[1].name: 'x' stands there twice"),
+        (GOOD + "+ { offerings+: super.offerings }", "{path}: $.offerings[1].name: 'x' is used twice"),
         (
             "{ roster: { port: 1 }, offerings: [{ name: 'x', soft_limit_ms: 9, hard_limit_ms: 5, "
             "effect: 'idempotent' }] }",
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -139,7 +139,7 @@
     assert not list(tmp_path.rglob("*.new"))
     again.close()
     (tmp_path / "version").write_text("7")
-    with pytest.raises(CacheRefusedError, match="of version 7"):
+    with pytest.raises(CacheRefusedError, match="format version 7"):
         Cache(tmp_path, 250)
 
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -48,7 +48,7 @@
     ("a,f,3\n", "columns", "4 columns were expected, 3 found"),
     ("a,f,3,1,9\n", "columns", "5 found"),
     ("a,,3,1\n", "empty name", "func"),
-    ('a,"f,3,1\n', "columns", "no row of CSV"),
+    ('a,"f,3,1\n', "columns", "not a valid CSV row"),
     (b"a,\xff\xfe,3,1\n", "encoding", "UTF-8"),
 ]
 
