--- a/martenlead/layers/choice.py
+++ b/martenlead/layers/choice.py
@@ -97,6 +97,7 @@
         """Return all workers in the ranking that every agent computes alike for a chunk."""
 
         def hash_for_chunk(worker_id: int) -> int:
+            """Return the weight of a worker for this chunk."""
             return xxhash.xxh3_64_intdigest(f"{digest} {worker_id}".encode())
 
         worker_ids = [worker_id for worker_id, peer in self.peers.items() if peer.is_listed]
--- a/martenlead/layers/image.py
+++ b/martenlead/layers/image.py
@@ -355,6 +355,7 @@
     """Compare two images. Raises `BadImageError`."""
 
     def stored_bytes_by_digest(ref: str) -> dict[str, int]:
+        """Return the stored sizes of an image's chunks."""
         _, manifest = layout.manifest(ref)
         return {c.digest: c.stored for layer in layout.layers(manifest) for c in layer.chunks}
 
--- a/martenlead/layers/image_loader.py
+++ b/martenlead/layers/image_loader.py
@@ -155,6 +155,7 @@
         errors: list[LoadFailedError] = []
 
         async def download_planned() -> None:
+            """Download planned chunks until none is left; an error ends the load."""
             for digest in planned:
                 try:
                     await self._ensure_cached(chunks[digest], deadline_ns)
--- a/tests/test_agent_disk_faults.py
+++ b/tests/test_agent_disk_faults.py
@@ -1,4 +1,4 @@
-"""An agent on a failing disk: its names are saved later, and its chunk cache raises no other error."""
+"""An agent on a failing disk: names are saved by a retry, and the cache raises only `CacheFullError`."""
 
 from __future__ import annotations
 
@@ -21,15 +21,13 @@
 from support.disk_faults import DiskFaults
 from support.fleet import until
 from tests.disk_fault_rig import QUICK, each_errno
-from tests.test_agent import boxes, some_bytes
+from tests.test_agent import random_bytes, run_agents
 
-POWER_CUTS = 30  # each loses another part of what was not synced
+POWER_CUTS = 30  # each loses another part of the unsynced data
 
 
 @pytest.mark.anyio
-async def test_an_agent_keeps_names_and_never_writes_over_what_it_could_not_read(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_saved_names_survive_a_failing_disk(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("martenlead.layers.name_resolver.Backoff", QUICK)
     settings = AgentSettings(name="box", cache=str(tmp_path), artifact_store=StoreAddress(port=1))
     cache = Cache(tmp_path, 1000)
@@ -57,36 +55,33 @@
 
 
 @pytest.mark.anyio
-async def test_a_file_for_the_worker_is_whole_or_missing_after_a_power_cut(tmp_path: Path) -> None:
-    """Guards against a file of the right name with wrong bytes, which a worker reads unchecked."""
+async def test_an_assembled_file_is_complete_or_missing_after_a_power_cut(tmp_path: Path) -> None:
+    """Guards against a file with wrong content, which a worker would read unchecked."""
     files = tmp_path / "files"
     files.mkdir()
-    data = some_bytes(1, 90_000)
-    async with boxes(tmp_path, 1, files=str(files)) as b:
-        b.release("m:1", data)
+    data = random_bytes(1, 90_000)
+    async with run_agents(tmp_path, 1, files=str(files)) as fleet:
+        fleet.publish("m:1", data)
         for seed in range(POWER_CUTS):
             disk = DiskFaults(files, Random(seed))
             with disk():
-                await b.agents[0].load("m:1", 5000, f"life-{seed}")
+                await fleet.agents[0].load("m:1", 5000, f"life-{seed}")
                 disk.crash()
             path = files / f"life-{seed}" / "weights"
             assert not path.exists() or path.read_bytes() == data, seed
 
 
 @each_errno
-def test_a_disk_that_fails_at_any_call_of_the_cache_raises_no_other_error(tmp_path: Path, code: int) -> None:
-    """`CacheFullError`, or a chunk that is missing.
-
-    With a disk that is well again all of it works, and what was
-    there before is there."""
+def test_a_disk_failure_at_any_cache_call_raises_only_cache_full_error(tmp_path: Path, code: int) -> None:
+    """Otherwise a chunk is missing; on a repaired disk earlier chunks are there and writes succeed."""
     old, new = b"o" * 300, b"n" * 300
-    for k in range(1, 12):
-        root = tmp_path / str(k)
+    for call_number in range(1, 12):
+        root = tmp_path / str(call_number)
         cache = Cache(root, 700)
         cache.put(digest_of(old), old)
-        disk = DiskFaults(root, Random(k))
+        disk = DiskFaults(root, Random(call_number))
         with disk():
-            disk.fail(code, k, 2)
+            disk.fail(code, call_number, 2)
             for data in (new, b"x" * 300, b"y" * 300):  # the last ones evict
                 try:
                     cache.put(digest_of(data), data)
@@ -98,37 +93,35 @@
             assert cache.get(digest_of(old)) == old
             assert cache.size_bytes <= 700
             on_disk = sum(p.stat().st_size for p in (root / "chunks").rglob("*") if p.is_file())
-            assert on_disk <= 700 + 300  # a temporary file at most
+            assert on_disk <= 700 + 300  # room for one temporary file
         cache.close()
-        again = Cache(root, 700)
-        assert again.get(digest_of(old)) == old
-        again.close()
+        reopened = Cache(root, 700)
+        assert reopened.get(digest_of(old)) == old
+        reopened.close()
 
 
-def test_a_chunk_whose_use_cannot_be_written_down_is_given(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    def read_only(*_: Any, **_named: Any) -> None:
+def test_a_chunk_is_returned_although_utime_fails(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_read_only(*_: Any, **_named: Any) -> None:
         raise OSError(errno.EROFS, "Read-only file system")
 
     data, further = b"d" * 300, b"e" * 300
     cache = Cache(tmp_path, 1000)
     cache.put(digest_of(data), data)
-    monkeypatch.setattr(os, "utime", read_only)
+    monkeypatch.setattr(os, "utime", raise_read_only)
     assert cache.get(digest_of(data)) == data
     cache.put(digest_of(further), further)
     assert cache.get(digest_of(further)) == further
     cache.close()
 
 
-def test_a_chunk_that_cannot_be_read_now_is_not_set_aside(tmp_path: Path) -> None:
+def test_an_unreadable_chunk_is_not_set_aside(tmp_path: Path) -> None:
     data = b"d" * 300
     cache = Cache(tmp_path, 1000)
     cache.put(digest_of(data), data)
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
         disk.fail(errno.EIO, 1, 1)
-        assert cache.get(digest_of(data)) == data  # once more
+        assert cache.get(digest_of(data)) == data  # read again after the error
         disk.fail(errno.EIO, 1)
         assert cache.get(digest_of(data)) is None
         assert digest_of(data) not in cache
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: what is wrong is told in one line with file, path and what was expected."""
+"""Settings: an error is reported in one line with file, path and what was expected."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 from martenlead.days.script import Day, plan
 
 ROOT = Path(__file__).parent.parent
-GOOD = "{ roster: { port: 1 }, offerings: [(import 'shapes.libsonnet').offering('x', 500, 2000)] }"
+VALID = "{ roster: { port: 1 }, offerings: [(import 'shapes.libsonnet').offering('x', 500, 2000)] }"
 
 
 def write(tmp_path: Path, text: str) -> Path:
+    """Writes settings to `edge.jsonnet` and returns its path."""
     path = tmp_path / "edge.jsonnet"
     path.write_text(text)
     return path
@@ -28,10 +29,10 @@
     [
         ("{ roster: }", "{path}: "),
         ("{}", "{path}: $: Object missing required field `roster`"),
-        (GOOD + "+ { rooster: 1 }", "{path}: $: Object contains unknown field `rooster`"),
-        (GOOD + "+ { tick_ms: 'fast' }", "{path}: $.tick_ms: Expected `float`, got `str`"),
-        (GOOD + "+ { offerings: [] }", "{path}: $.offerings: Expected `array` of length >= 1"),
-        (GOOD + "+ { offerings+: super.offerings }", "{path}: $.offerings[1].name: 'x' is used twice"),
+        (VALID + "+ { rooster: 1 }", "{path}: $: Object contains unknown field `rooster`"),
+        (VALID + "+ { tick_ms: 'fast' }", "{path}: $.tick_ms: Expected `float`, got `str`"),
+        (VALID + "+ { offerings: [] }", "{path}: $.offerings: Expected `array` of length >= 1"),
+        (VALID + "+ { offerings+: super.offerings }", "{path}: $.offerings[1].name: 'x' is used twice"),
         (
             "{ roster: { port: 1 }, offerings: [{ name: 'x', soft_limit_ms: 9, hard_limit_ms: 5, "
             "effect: 'idempotent' }] }",
@@ -45,7 +46,7 @@
         ("import 'nothing.libsonnet'", "{path}: "),
     ],
 )
-def test_what_is_wrong_is_one_line(tmp_path: Path, text: str, expected: str) -> None:
+def test_invalid_settings_are_reported_in_one_line(tmp_path: Path, text: str, expected: str) -> None:
     path = write(tmp_path, text)
     with pytest.raises(ConfigError) as caught:
         read_edge_settings(path)
@@ -53,32 +54,32 @@
     assert "\n" not in str(caught.value)
 
 
-def test_a_good_one_is_checked_shown_and_decoded(tmp_path: Path) -> None:
-    path = write(tmp_path, GOOD)
+def test_valid_settings_are_checked_shown_and_converted(tmp_path: Path) -> None:
+    path = write(tmp_path, VALID)
     shown = CliRunner().invoke(commands, ["config", "show", str(path)])
     assert json.loads(shown.output)["limits"]["open_tasks"] == 4000
     assert CliRunner().invoke(commands, ["config", "check", str(path)]).output == f"{path}: good\n"
-    told, offerings, _ = build_policy_settings(read_edge_settings(path))
-    assert told.request_classes == list(offerings.values())
-    assert told.retry_after_limit_ns == 500_000_000
+    policy_settings, request_classes, _ = build_policy_settings(read_edge_settings(path))
+    assert policy_settings.request_classes == list(request_classes.values())
+    assert policy_settings.retry_after_limit_ns == 500_000_000
 
 
-def test_the_schema_names_every_setting() -> None:
-    found = build_json_schema(EdgeSettings)
-    assert found["$defs"]["EdgeSettings"]["properties"].keys() == {
-        f for f in EdgeSettings.__struct_encode_fields__
+def test_the_schema_lists_every_setting() -> None:
+    schema = build_json_schema(EdgeSettings)
+    assert schema["$defs"]["EdgeSettings"]["properties"].keys() == {
+        key for key in EdgeSettings.__struct_encode_fields__
     }
 
 
-def test_every_script_and_example_can_be_read() -> None:
+def test_every_day_script_and_example_is_valid() -> None:
     for path in sorted((ROOT / "days").glob("*.jsonnet")):
-        made = plan(load(path, Day), 1)
-        assert plan(load(path, Day), 1) == made
+        planned = plan(load(path, Day), 1)
+        assert plan(load(path, Day), 1) == planned
     for path in sorted((ROOT / "deploy" / "examples").glob("*.jsonnet")):
         read_edge_settings(path)
 
 
-def test_an_unknown_trouble_is_named(tmp_path: Path) -> None:
+def test_an_unknown_kind_of_trouble_is_reported(tmp_path: Path) -> None:
     path = write(tmp_path, "local d = import 'day.libsonnet'; d { troubles: [{ kind: 'storm', at_s: 1 }] }")
     result = CliRunner().invoke(commands, ["day", str(path)])
     assert isinstance(result.exception, ConfigError)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Images, the cache at any byte, and the choice of sources in virtual time."""
+"""Images, the chunk cache under kills and failures, and the choice of chunk sources in virtual time."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 from martenlead.layers.image import BadImageError, Cutting, Layout, digest_of, pack, verify
 from support.swarm import Swarm
 
-MODEL = [digest_of(b"%d" % n) for n in range(60)]
+CHUNKS = [digest_of(b"%d" % n) for n in range(60)]
 
 
-def some_bytes(seed: int, size: int) -> bytes:
+def random_bytes(seed: int, size: int) -> bytes:
+    """Returns the same random bytes for the same seed and size."""
     return random.Random(seed).randbytes(size)
 
 
@@ -33,10 +34,10 @@
 @pytest.mark.parametrize(
     "cutting", [Cutting("fixed", 4096), Cutting("content", 4096), Cutting("content", 4096, 3)]
 )
-def test_an_image_is_packed_verified_and_shared_with_the_next(tmp_path: Path, cutting: Cutting) -> None:
+def test_an_image_is_packed_verified_and_shares_chunks_with_another(tmp_path: Path, cutting: Cutting) -> None:
     layout = Layout(tmp_path / "layout")
     files = [tmp_path / "weights", tmp_path / "words"]
-    base = some_bytes(1, 300_000)
+    base = random_bytes(1, 300_000)
     files[0].write_bytes(base)
     files[1].write_bytes(b"word\n" * 5000)
     first = pack(layout, "m:1", files, cutting)
@@ -44,25 +45,25 @@
     assert pack(layout, "again:1", files, cutting).new_chunks == 0
     files[0].write_bytes(base[:150_000] + b"inserted" + base[150_000:])
     pack(layout, "m:2", files, cutting)
-    told = image.diff(layout, "m:1", "m:2")
-    if cutting.kind == "content":  # what follows an insertion is cut at the same places again
-        assert told.fetched < 0.2 * told.stored
+    difference = image.diff(layout, "m:1", "m:2")
+    if cutting.kind == "content":  # the cuts after an insertion stay the same
+        assert difference.fetched < 0.2 * difference.stored
     else:
-        assert told.fetched > 0.4 * told.stored
+        assert difference.fetched > 0.4 * difference.stored
 
 
-def test_what_is_wrong_in_an_image_is_named(tmp_path: Path) -> None:
+def test_errors_in_an_image_are_reported_by_cause(tmp_path: Path) -> None:
     layout = Layout(tmp_path)
     file = tmp_path / "weights"
-    file.write_bytes(some_bytes(2, 50_000))
+    file.write_bytes(random_bytes(2, 50_000))
     pack(layout, "m:1", [file], Cutting("fixed", 8192))
     _, manifest = layout.manifest("m:1")
     (layer,) = layout.layers(manifest)
     path = layout.path(layer.chunks[2].digest)
     good = path.read_bytes()
-    for bad, why in ((good[:-1], "8191 bytes where 8192"), (good[:-1] + b"x", "another digest")):
+    for bad, reason in ((good[:-1], "8191 bytes where 8192"), (good[:-1] + b"x", "another digest")):
         path.write_bytes(bad)
-        with pytest.raises(BadImageError, match=why):
+        with pytest.raises(BadImageError, match=reason):
             verify(layout, "m:1")
     path.unlink()
     with pytest.raises(BadImageError, match="no such blob"):
@@ -74,18 +75,18 @@
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_are_taken_for_a_manifest_or_a_layer(data: bytes) -> None:
-    for reads in (image.read_manifest, image.read_layer):
+def test_arbitrary_bytes_are_rejected_as_manifest_and_layer(data: bytes) -> None:
+    for read in (image.read_manifest, image.read_layer):
         with pytest.raises(BadImageError):
-            reads(data, digest_of(data))
+            read(data, digest_of(data))
 
 
 # -- the cache
 
 
-def test_the_least_lately_used_goes_first_and_pins_stay(tmp_path: Path) -> None:
+def test_eviction_removes_the_least_recently_used_chunk_that_is_not_pinned(tmp_path: Path) -> None:
     cache = Cache(tmp_path, 3000)
-    chunks = {digest_of(data): data for data in (some_bytes(n, 1000) for n in range(5))}
+    chunks = {digest_of(data): data for data in (random_bytes(n, 1000) for n in range(5))}
     names = list(chunks)
     for name in names[:3]:
         cache.put(name, chunks[name])
@@ -101,9 +102,9 @@
     cache.close()
 
 
-def test_a_corrupt_chunk_is_found_set_aside_and_missing(tmp_path: Path) -> None:
+def test_a_corrupt_chunk_is_set_aside_and_counts_as_missing(tmp_path: Path) -> None:
     cache = Cache(tmp_path, 10_000)
-    data = some_bytes(1, 500)
+    data = random_bytes(1, 500)
     name = digest_of(data)
     cache.put(name, data)
     cache.path(name).write_bytes(data[:-1] + b"!")
@@ -119,13 +120,11 @@
     cache.close()
 
 
-def test_a_restart_knows_what_is_there_and_its_order_without_reading(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_restart_lists_chunks_without_reading_them(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     cache = Cache(tmp_path, 10_000)
     names = []
     for n in range(4):
-        data = some_bytes(n, 100)
+        data = random_bytes(n, 100)
         names.append(digest_of(data))
         cache.put(names[-1], data)
         os.utime(cache.path(names[-1]), (n + 1, 10 - n))
@@ -134,25 +133,25 @@
         Cache(tmp_path, 10_000)
     cache.close()
     monkeypatch.setattr(Path, "read_bytes", None)
-    again = Cache(tmp_path, 250)
-    assert list(again) == [names[1], names[0]]
+    reopened = Cache(tmp_path, 250)
+    assert list(reopened) == [names[1], names[0]]
     assert not list(tmp_path.rglob("*.new"))
-    again.close()
+    reopened.close()
     (tmp_path / "version").write_text("7")
     with pytest.raises(CacheRefusedError, match="format version 7"):
         Cache(tmp_path, 250)
 
 
-def test_a_full_disk_in_mid_write_leaves_nothing_behind(
+def test_a_failed_write_on_a_full_disk_leaves_no_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     cache = Cache(tmp_path, 10_000)
-    data = some_bytes(1, 500)
+    data = random_bytes(1, 500)
 
-    def full(*_: object) -> None:
+    def raise_disk_full(*_: object) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "replace", full)
+    monkeypatch.setattr(os, "replace", raise_disk_full)
     with pytest.raises(CacheFullError, match="No space left"):
         cache.put(digest_of(data), data)
     monkeypatch.undo()
@@ -161,7 +160,7 @@
     cache.close()
 
 
-KILLER = """
+KILL_SCRIPT = """
 import os
 import signal
 import sys
@@ -197,33 +196,33 @@
 """
 
 
-def test_killed_at_any_moment_it_holds_whole_chunks_only(tmp_path: Path) -> None:
-    done = subprocess.run(
-        [sys.executable, "-c", KILLER, str(tmp_path)], capture_output=True, text=True, timeout=120
+def test_the_cache_has_only_complete_chunks_after_a_kill_at_any_moment(tmp_path: Path) -> None:
+    result = subprocess.run(
+        [sys.executable, "-c", KILL_SCRIPT, str(tmp_path)], capture_output=True, text=True, timeout=120
     )
-    assert (done.stdout, done.stderr) == ("True True\n", "")
+    assert (result.stdout, result.stderr) == ("True True\n", "")
 
 
-def test_what_came_last_is_lent_from_memory_and_within_its_bound(tmp_path: Path) -> None:
+def test_the_latest_chunks_are_lent_from_memory_within_its_limit(tmp_path: Path) -> None:
     cache = Cache(tmp_path, 10_000, memory_limit_bytes=2500)
     names = []
     for n in range(4):
-        data = some_bytes(n, 1000)
+        data = random_bytes(n, 1000)
         names.append(digest_of(data))
         cache.put(names[-1], data)
     for name in names:
         cache.path(name).write_bytes(b"rot")
     assert [cache.lend(name) is not None for name in names] == [False, False, True, True]
-    assert cache.get(names[3]) is None  # a load of its own trusts the disk only
-    assert cache.lend(names[3]) is None  # and what is missing is not lent
+    assert cache.get(names[3]) is None  # `get` reads the disk only
+    assert cache.lend(names[3]) is None  # and a missing chunk is not lent
     cache.close()
 
 
-def test_the_older_release_goes_while_the_newer_loads_and_what_they_share_stays(tmp_path: Path) -> None:
+def test_a_newer_release_evicts_the_older_one_except_shared_chunks(tmp_path: Path) -> None:
     cache = Cache(tmp_path, 6000)
-    chunks = {digest_of(data): data for data in (some_bytes(n, 1000) for n in range(8))}
+    chunks = {digest_of(data): data for data in (random_bytes(n, 1000) for n in range(8))}
     names = list(chunks)
-    older, newer = names[:5], names[3:]  # two are in both
+    older, newer = names[:5], names[3:]  # share two chunks
     for name in older:
         cache.put(name, chunks[name])
     with cache.pinned(newer):
@@ -231,7 +230,7 @@
             if name not in cache:
                 cache.put(name, chunks[name])
         assert [n for n in names if n in cache] == names[2:]
-        cache.put(digest_of(b"x"), b"x")  # the last of the older goes for it
+        cache.put(digest_of(b"x"), b"x")  # evicts the last chunk of the older one
         assert names[2] not in cache
         assert set(newer) <= set(cache)
     cache.close()
@@ -240,145 +239,145 @@
 # -- where chunks come from
 
 
-def storm(boxes: int, **about: int) -> Swarm:
-    swarm = Swarm(boxes, **about)  # type: ignore[arg-type]
-    for box in swarm.boxes:
-        box.load(MODEL)
+def start_loads(agent_count: int, **options: int) -> Swarm:
+    """Returns a swarm in which every agent loads `CHUNKS`."""
+    swarm = Swarm(agent_count, **options)  # type: ignore[arg-type]
+    for agent in swarm.boxes:
+        agent.load(CHUNKS)
     return swarm
 
 
-def story(swarm: Swarm) -> str:
-    ends = [box.finished for box in swarm.boxes]
-    alive = [box for box in swarm.boxes if not box.dead]
-    whole = sum(box.finished is not None and not box.failures for box in alive)
-    last = max((e for e in ends if e is not None), default=0) // 1_000_000
+def summarize(swarm: Swarm) -> str:
+    """Returns the result of a run in one line, for messages and comparisons."""
+    finish_times = [agent.finished for agent in swarm.boxes]
+    live_agents = [agent for agent in swarm.boxes if not agent.dead]
+    complete = sum(agent.finished is not None and not agent.failures for agent in live_agents)
+    last_ms = max((time for time in finish_times if time is not None), default=0) // 1_000_000
     return (
-        f"{whole} of {len(alive)} boxes whole, {swarm.vault_chunks / len(MODEL):.2f} models from the vault, "
-        f"{swarm.turned_away} turned away, {swarm.worst} at once there, last after {last} ms"
+        f"{complete} of {len(live_agents)} agents complete, {swarm.vault_chunks / len(CHUNKS):.2f} images "
+        f"from the store, {swarm.turned_away} rejected, {swarm.worst} at once, last after {last_ms} ms"
     )
 
 
-def test_boxes_that_start_together_read_the_vault_about_once() -> None:
-    told = []
-    for boxes in (1, 4, 16, 32):
-        swarm = storm(boxes)
+def test_simulated_agents_that_load_together_read_the_store_about_once() -> None:
+    summaries = []
+    for agent_count in (1, 4, 16, 32):
+        swarm = start_loads(agent_count)
         swarm.run()
-        told.append(story(swarm))
-        assert swarm.vault_chunks <= 1.2 * len(MODEL)
-        assert all(box.has == set(MODEL) for box in swarm.boxes)
-        most = max(box.sent for box in swarm.boxes)
-        assert most <= 6 * len(MODEL) * max(1, boxes - 1) / boxes  # no uplink carries the whole release
-    again = [storm(32), storm(32)]
-    for swarm in again:
+        summaries.append(summarize(swarm))
+        assert swarm.vault_chunks <= 1.2 * len(CHUNKS)
+        assert all(agent.has == set(CHUNKS) for agent in swarm.boxes)
+        largest_sent = max(agent.sent for agent in swarm.boxes)
+        assert largest_sent <= 6 * len(CHUNKS) * max(1, agent_count - 1) / agent_count  # uploads are spread
+    repeated = [start_loads(32), start_loads(32)]
+    for swarm in repeated:
         swarm.run()
-    assert story(again[0]) == story(again[1]) == told[-1]
+    assert summarize(repeated[0]) == summarize(repeated[1]) == summaries[-1]
 
 
-def test_dead_lying_and_stalling_boxes_cost_time_and_no_wrong_byte() -> None:
+def test_loads_complete_despite_dead_corrupting_and_stalling_agents() -> None:
     for fault in ("dead", "lies", "stalls"):
         swarm = Swarm(8)
         setattr(swarm.boxes[3], fault, True)
-        for box in swarm.boxes:
-            if box.mark != 3:
-                box.load(MODEL)
+        for agent in swarm.boxes:
+            if agent.mark != 3:
+                agent.load(CHUNKS)
         swarm.run()
-        good = [box for box in swarm.boxes if box.mark != 3]
-        assert all(box.has == set(MODEL) and not box.failures for box in good), (fault, story(swarm))
-        assert swarm.vault_chunks <= 3 * len(MODEL)
+        healthy = [agent for agent in swarm.boxes if agent.mark != 3]
+        assert all(a.has == set(CHUNKS) and not a.failures for a in healthy), (fault, summarize(swarm))
+        assert swarm.vault_chunks <= 3 * len(CHUNKS)
         if fault == "lies":
-            assert all(box.chooser.peers[3].trust < 1 for box in good)
-            assert (
-                swarm.boxes[3].wrong_served <= 8 * 7
-            )  # each box, as often as it had asked before the first was read
+            assert all(agent.chooser.peers[3].trust < 1 for agent in healthy)
+            assert swarm.boxes[3].wrong_served <= 8 * 7  # requests before the agents' first checks
 
 
-def test_the_vault_stops_in_the_middle_and_comes_back() -> None:
-    swarm = storm(16)
+def test_loads_complete_after_a_store_outage() -> None:
+    swarm = start_loads(16)
     swarm.vault_down = (60_000_000, 1_500_000_000)
     swarm.run()
-    assert all(box.has == set(MODEL) for box in swarm.boxes), story(swarm)
-    assert swarm.vault_chunks <= 1.5 * len(MODEL)
+    assert all(agent.has == set(CHUNKS) for agent in swarm.boxes), summarize(swarm)
+    assert swarm.vault_chunks <= 1.5 * len(CHUNKS)
 
 
-def test_a_vault_that_stays_away_is_a_failure_of_that_name_in_time() -> None:
-    swarm = storm(4)
+def test_an_unreachable_store_fails_all_loads_in_time() -> None:
+    swarm = start_loads(4)
     swarm.vault_down = (0, 1 << 62)
     swarm.run(13_000)
-    failures = {failure for box in swarm.boxes for failure in box.failures}
+    failures = {failure for agent in swarm.boxes for failure in agent.failures}
     assert failures == {Failure.STORE_AWAY}
-    assert all(box.failures for box in swarm.boxes)
+    assert all(agent.failures for agent in swarm.boxes)
 
 
-def test_wrong_bytes_at_the_vault_are_a_clear_error_and_never_kept() -> None:
-    swarm = storm(8)
-    swarm.vault_wrong = {MODEL[7]}
+def test_wrong_bytes_from_the_store_fail_loads_and_are_never_cached() -> None:
+    swarm = start_loads(8)
+    swarm.vault_wrong = {CHUNKS[7]}
     swarm.run()
-    for box in swarm.boxes:
-        assert box.has == set(MODEL) - {MODEL[7]}
-        assert box.failures in ([Failure.CORRUPT], [Failure.MISSING])
-    assert any(box.failures == [Failure.CORRUPT] for box in swarm.boxes)
+    for agent in swarm.boxes:
+        assert agent.has == set(CHUNKS) - {CHUNKS[7]}
+        assert agent.failures in ([Failure.CORRUPT], [Failure.MISSING])
+    assert any(agent.failures == [Failure.CORRUPT] for agent in swarm.boxes)
 
 
-def test_a_small_vault_is_not_pushed_over() -> None:
-    swarm = storm(32, pace=4, most=8)
+def test_a_small_store_is_not_overloaded() -> None:
+    swarm = start_loads(32, pace=4, most=8)
     swarm.run()
-    assert all(box.has == set(MODEL) for box in swarm.boxes), story(swarm)
+    assert all(agent.has == set(CHUNKS) for agent in swarm.boxes), summarize(swarm)
     assert swarm.worst <= 8
-    assert swarm.turned_away < 2 * len(MODEL)
+    assert swarm.turned_away < 2 * len(CHUNKS)
 
 
-def test_a_load_that_nobody_waits_for_gives_its_place_up() -> None:
+def test_downloads_without_waiters_end() -> None:
     swarm = Swarm(1, pace=1, most=1)
-    box = swarm.boxes[0]
-    wants = [box.get(digest, 10**12, lambda _: None) for digest in MODEL]
+    agent = swarm.boxes[0]
+    downloads = [agent.get(digest, 10**12, lambda _: None) for digest in CHUNKS]
     swarm.run(200)
-    for want in wants:
-        box.chooser.remove_waiter(want)
+    for download in downloads:
+        agent.chooser.remove_waiter(download)
     swarm.run()
     assert swarm.vault_chunks < 15
-    assert not box.chooser.downloads
+    assert not agent.chooser.downloads
 
 
-def test_two_loads_of_one_model_make_one_fetch() -> None:
+def test_concurrent_loads_of_one_image_share_downloads() -> None:
     swarm = Swarm(1)
     for _ in range(3):
-        swarm.boxes[0].load(MODEL)
+        swarm.boxes[0].load(CHUNKS)
     swarm.run()
-    assert swarm.vault_chunks == len(MODEL)
+    assert swarm.vault_chunks == len(CHUNKS)
 
 
 @settings(max_examples=25, deadline=None)
 @given(st.integers(0, 10**6), st.integers(2, 12), st.sets(st.integers(0, 11), max_size=4), st.integers(0, 2))
-def test_whatever_boxes_fail_the_others_have_all_or_know_why(
-    seed: int, count: int, bad: set[int], how: int
+def test_loads_of_healthy_agents_complete_whichever_others_fail(
+    seed: int, count: int, failed_workers: set[int], fault: int
 ) -> None:
     swarm = Swarm(count, seed=seed)
-    for mark in bad:
-        if mark < count:
-            setattr(swarm.boxes[mark], ("dead", "lies", "stalls")[how], True)
-    good = [box for box in swarm.boxes if box.mark not in bad]
-    for box in good:
-        box.load(MODEL[:20])
+    for worker_id in failed_workers:
+        if worker_id < count:
+            setattr(swarm.boxes[worker_id], ("dead", "lies", "stalls")[fault], True)
+    healthy = [agent for agent in swarm.boxes if agent.mark not in failed_workers]
+    for agent in healthy:
+        agent.load(CHUNKS[:20])
     swarm.run()
-    for box in good:
-        assert box.has == set(MODEL[:20])
-        assert box.chooser.sending == box.chooser.store_in_flight == 0
-        assert all(peer.in_flight == 0 for peer in box.chooser.peers.values())
+    for agent in healthy:
+        assert agent.has == set(CHUNKS[:20])
+        assert agent.chooser.sending == agent.chooser.store_in_flight == 0
+        assert all(peer.in_flight == 0 for peer in agent.chooser.peers.values())
 
 
-def test_the_command_line(tmp_path: Path) -> None:
+def test_the_layers_commands_pack_verify_and_compare_images(tmp_path: Path) -> None:
     file = tmp_path / "weights"
-    file.write_bytes(some_bytes(1, 100_000))
+    file.write_bytes(random_bytes(1, 100_000))
     layout = str(tmp_path / "layout")
 
-    def run(*words: str) -> tuple[int, str]:
-        told = CliRunner().invoke(commands, ["layers", words[0], layout, *words[1:]])
-        return told.exit_code, told.output.strip()
+    def run_command(*arguments: str) -> tuple[int, str]:
+        result = CliRunner().invoke(commands, ["layers", arguments[0], layout, *arguments[1:]])
+        return result.exit_code, result.output.strip()
 
-    assert run("pack", "m:1", str(file), "--average-kb", "4")[0] == 0
-    file.write_bytes(some_bytes(1, 100_000)[:-1])
-    assert run("pack", "m:2", str(file), "--average-kb", "4")[0] == 0
-    assert run("verify", "m:2")[1].endswith("99999 bytes")
-    code, text = run("diff", "m:1", "m:2")
+    assert run_command("pack", "m:1", str(file), "--average-kb", "4")[0] == 0
+    file.write_bytes(random_bytes(1, 100_000)[:-1])
+    assert run_command("pack", "m:2", str(file), "--average-kb", "4")[0] == 0
+    assert run_command("verify", "m:2")[1].endswith("99999 bytes")
+    code, text = run_command("diff", "m:1", "m:2")
     assert (code, float(text.split("(")[1].rstrip("%)")) < 25) == (0, True)
-    assert run("verify", "m:3") == (1, f"m:3: no manifest of that name in {layout}")
+    assert run_command("verify", "m:3") == (1, f"m:3: no manifest of that name in {layout}")
--- a/tests/test_naming.py
+++ b/tests/test_naming.py
@@ -1,4 +1,4 @@
-"""Which release a name stands for: short scripts of what the vault says, against what is decided."""
+"""Which release a name refers to: scripted responses of the store and the decisions that follow."""
 
 from __future__ import annotations
 
@@ -13,71 +13,72 @@
 OLD, NEW = Release("sha256:old", "2026-01-01T00:00:01Z"), Release("sha256:new", "2026-01-01T00:00:02Z")
 
 
-class Vault:
-    """Plays its words one after the other, the last for ever; each takes 10 ms."""
+class ScriptedStore:
+    """Gives scripted responses in turn, then repeats the last; each takes 10 ms."""
 
     def __init__(self, *, last_known: bool = True) -> None:
-        self.now = 0
-        self.names = Names(lambda: self.now, lambda wait: self.now + int(wait), last_known=last_known)
-        self.asked = 0
-
-    def resolve(self, *words: Any, within: int = 20 * SECOND) -> str:
-        steps = self.names.resolve("m", self.now + within)
-        begun, value, left = self.now, None, list(words)
+        self.now_ns = 0
+        self.names = Names(lambda: self.now_ns, lambda wait: self.now_ns + int(wait), last_known=last_known)
+        self.request_count = 0
+
+    def resolve(self, *responses: Any, within_ns: int = 20 * SECOND) -> str:
+        """Resolves a name with these responses; returns the result and its time."""
+        steps = self.names.resolve("m", self.now_ns + within_ns)
+        started_ns, reply, remaining = self.now_ns, None, list(responses)
         try:
             while True:
-                action = steps.send(value)
+                action = steps.send(reply)
                 if isinstance(action, NameRequest):
-                    self.asked += 1
-                    self.now += 10 * MS
-                    word = left.pop(0) if len(left) > 1 else left[0]
-                    value = (NameOutcome.RESOLVED, word) if isinstance(word, Release) else (word, None)
+                    self.request_count += 1
+                    self.now_ns += 10 * MS
+                    step = remaining.pop(0) if len(remaining) > 1 else remaining[0]
+                    reply = (NameOutcome.RESOLVED, step) if isinstance(step, Release) else (step, None)
                 else:
-                    self.now = max(self.now, action.until_ns)
-                    value = None
+                    self.now_ns = max(self.now_ns, action.until_ns)
+                    reply = None
         except StopIteration as stop:
-            end: Resolved | Failure = stop.value
-        took = (self.now - begun) // MS
-        if isinstance(end, Failure):
-            return f"{end.value} after {took} ms"
-        return f"{end.release.digest}{', stale' if end.is_stale else ''} after {took} ms"
-
-
-def test_an_old_word_never_takes_a_box_back() -> None:
-    vault = Vault()
-    assert vault.resolve(OLD) == "sha256:old after 10 ms"
-    assert vault.resolve(NEW) == "sha256:new after 10 ms"
-    assert vault.resolve(OLD) == "sha256:new, stale after 10 ms"
-    assert vault.names.old_release_count == 1
-    untold = Release("sha256:untold")
-    assert vault.resolve(untold) == "sha256:untold after 10 ms"  # whose age is not known is taken at its word
-
-
-def test_a_vault_that_is_away_is_waited_for_and_then_done_without() -> None:
-    vault = Vault()
-    assert vault.resolve(NameOutcome.BROKEN, NameOutcome.BUSY, NEW) == "sha256:new after 330 ms"
-    assert vault.resolve(NameOutcome.BROKEN, within=4 * SECOND) == "sha256:new, stale after 1550 ms"
-    assert vault.resolve(NameOutcome.BUSY, within=4 * SECOND) == "sha256:new, stale after 1550 ms"
-    assert vault.resolve(NameOutcome.MISSING) == "missing after 10 ms"
-    assert Vault().resolve(NameOutcome.BROKEN) == "vault-away after 8620 ms"
-    assert Vault().resolve(NameOutcome.BROKEN, within=2 * SECOND) == "vault-away after 2000 ms"
-    assert Vault().resolve(NameOutcome.BUSY, within=2 * SECOND) == "late after 2000 ms"
-    strict = Vault(last_known=False)
-    strict.resolve(NEW)
-    assert strict.resolve(NameOutcome.BROKEN) == "vault-away after 8620 ms"
-
-
-def test_what_is_no_manifest_is_asked_for_once_more() -> None:
-    vault = Vault()
-    assert vault.resolve(NameOutcome.WRONG, NEW) == "sha256:new after 120 ms"
-    assert vault.resolve(NameOutcome.WRONG) == "sha256:new, stale after 120 ms"
-    assert Vault().resolve(NameOutcome.WRONG) == "corrupt after 120 ms"
-
-
-def test_a_load_doubts_its_name_only_when_chunks_are_gone_and_a_few_times() -> None:
-    names = Vault().names
-    doubted = [(f.value, names.should_resolve_again(f, 0), names.should_resolve_again(f, 3)) for f in Failure]
-    assert doubted == [
+            result: Resolved | Failure = stop.value
+        elapsed_ms = (self.now_ns - started_ns) // MS
+        if isinstance(result, Failure):
+            return f"{result.value} after {elapsed_ms} ms"
+        return f"{result.release.digest}{', stale' if result.is_stale else ''} after {elapsed_ms} ms"
+
+
+def test_an_older_release_never_replaces_a_newer_one() -> None:
+    store = ScriptedStore()
+    assert store.resolve(OLD) == "sha256:old after 10 ms"
+    assert store.resolve(NEW) == "sha256:new after 10 ms"
+    assert store.resolve(OLD) == "sha256:new, stale after 10 ms"
+    assert store.names.old_release_count == 1
+    undated = Release("sha256:undated")
+    assert store.resolve(undated) == "sha256:undated after 10 ms"  # one of unknown age is accepted
+
+
+def test_an_unreachable_store_is_retried_before_the_known_release_is_used() -> None:
+    store = ScriptedStore()
+    assert store.resolve(NameOutcome.BROKEN, NameOutcome.BUSY, NEW) == "sha256:new after 330 ms"
+    assert store.resolve(NameOutcome.BROKEN, within_ns=4 * SECOND) == "sha256:new, stale after 1550 ms"
+    assert store.resolve(NameOutcome.BUSY, within_ns=4 * SECOND) == "sha256:new, stale after 1550 ms"
+    assert store.resolve(NameOutcome.MISSING) == "missing after 10 ms"
+    assert ScriptedStore().resolve(NameOutcome.BROKEN) == "vault-away after 8620 ms"
+    assert ScriptedStore().resolve(NameOutcome.BROKEN, within_ns=2 * SECOND) == "vault-away after 2000 ms"
+    assert ScriptedStore().resolve(NameOutcome.BUSY, within_ns=2 * SECOND) == "late after 2000 ms"
+    without_last_known = ScriptedStore(last_known=False)
+    without_last_known.resolve(NEW)
+    assert without_last_known.resolve(NameOutcome.BROKEN) == "vault-away after 8620 ms"
+
+
+def test_an_invalid_manifest_is_requested_once_more() -> None:
+    store = ScriptedStore()
+    assert store.resolve(NameOutcome.WRONG, NEW) == "sha256:new after 120 ms"
+    assert store.resolve(NameOutcome.WRONG) == "sha256:new, stale after 120 ms"
+    assert ScriptedStore().resolve(NameOutcome.WRONG) == "corrupt after 120 ms"
+
+
+def test_a_name_is_resolved_again_a_few_times_if_chunks_are_missing_or_corrupt() -> None:
+    names = ScriptedStore().names
+    results = [(f.value, names.should_resolve_again(f, 0), names.should_resolve_again(f, 3)) for f in Failure]
+    assert results == [
         ("vault-away", False, False),
         ("corrupt", True, False),
         ("missing", True, False),
@@ -86,22 +87,22 @@
     ]
 
 
-WORDS = st.one_of(
+RESPONSES = st.one_of(
     st.sampled_from([NameOutcome.BROKEN, NameOutcome.BUSY, NameOutcome.WRONG, NameOutcome.MISSING]),
     st.builds(lambda n: Release(f"sha256:{n}", f"2026-01-01T00:00:{n:02}Z"), st.integers(0, 59)),
 )
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.lists(st.lists(WORDS, min_size=1, max_size=5), min_size=1, max_size=6), st.integers(1, 20))
-def test_whatever_the_vault_says_it_ends_in_time_and_never_goes_back(asks: list[Any], within: int) -> None:
-    vault = Vault()
+@given(st.lists(st.lists(RESPONSES, min_size=1, max_size=5), min_size=1, max_size=6), st.integers(1, 20))
+def test_a_resolution_ends_in_time_and_never_goes_back(scripts: list[Any], within_seconds: int) -> None:
+    store = ScriptedStore()
     newest = -1
-    for words in asks:
-        begun = vault.now
-        told = vault.resolve(*words, within=within * SECOND)
-        assert vault.now - begun <= within * SECOND + 10 * MS
-        if told.startswith("sha256:"):
-            number = int(told.partition(" ")[0].rstrip(",").removeprefix("sha256:"))
+    for responses in scripts:
+        started_ns = store.now_ns
+        result = store.resolve(*responses, within_ns=within_seconds * SECOND)
+        assert store.now_ns - started_ns <= within_seconds * SECOND + 10 * MS
+        if result.startswith("sha256:"):
+            number = int(result.partition(" ")[0].rstrip(",").removeprefix("sha256:"))
             assert number >= newest
             newest = number
