--- a/martenlead/__init__.py
+++ b/martenlead/__init__.py
@@ -1,1 +1,1 @@
-"""martenlead: a router before runners that keep some of many models loaded."""
+"""martenlead: a gateway that runs requests on workers, which load functions on demand."""
--- a/martenlead/capture/__init__.py
+++ b/martenlead/capture/__init__.py
@@ -1,5 +1,5 @@
-"""What a dispatcher was notified of and decided, on disk, and the replay of it.
+"""Captures: the inputs and decisions of a dispatcher's policy on disk, and their replay.
 
-A recorder makes events, a writer stores them in segments, a reader gives them back, and a replayer
-drives the same policy with them. docs/format-capture.md is the format.
+A recorder creates events, a writer stores them in segments, a reader reads them back, and a
+replayer feeds them to the same policy. docs/format-capture.md describes the format.
 """
--- a/martenlead/capture/checkpoint.py
+++ b/martenlead/capture/checkpoint.py
@@ -1,8 +1,8 @@
-"""The state of a replayed dispatcher between two events, from which a replay can go on.
+"""Checkpoints: the state of a replayed dispatcher between two events, where a replay can resume.
 
-The policy's objects are pickled as they are, but for its suspended generators (suspension.py). A
-checkpoint is made by a replay, away from the dispatcher, and is of use to the same text of the
-policy only. It is read by an unpickler that knows the policy's classes, some of the standard
+The policy's objects are pickled directly, except for its suspended generators (suspension.py). A
+checkpoint is made by a replay, outside the dispatcher's process, and can only be restored with the
+same source code of the policy. The unpickler accepts the policy's classes, a few of the standard
 library's, and no others.
 """
 
@@ -46,20 +46,20 @@
 
 
 class Checkpoint(InputEvent, frozen=True, tag=12):
-    """In place of the events before it; stands in no segment but in a file of its own."""
+    """Replaces the events before it; stored in a file of its own, never in a segment."""
 
     policy_hash: str = msgspec.field(name="module")
     state: bytes
 
 
-# -- the objects
+# -- pickling
 
 
 class _Pickler(pickle.Pickler):
-    """Writes processes by where they wait, and everything else as it is."""
+    """Pickles a process as the description of its wait, and all other objects as usual."""
 
-    def reducer_override(self, value: object) -> Any:  # noqa: ANN401 - as pickle has it
-        """How an object is written, where that is not by its own fields."""
+    def reducer_override(self, value: object) -> Any:  # noqa: ANN401 - the signature of `pickle.Pickler`
+        """Reduces a process to a stub; leaves all other objects to pickle."""
         if isinstance(value, Process):
             described = describe_process(value).pack()
             return _Stub, (), {"alive": value.alive, "turn": value.turn, "told": described}
@@ -67,12 +67,12 @@
 
 
 class _Stub:
-    """A process as it was pickled. The module and the name of this class are stored."""
+    """The pickled form of a process. Checkpoints store the module and name of this class."""
 
     is_alive: bool
     turn: int
     suspension: Suspension
-    process: Process | None = None  # once it has been made anew
+    process: Process | None = None  # set once the process has been restored
 
     def __setstate__(self, stored: dict[str, Any]) -> None:
         self.is_alive, self.turn = stored["alive"], stored["turn"]
@@ -88,10 +88,10 @@
 
 
 class _Unpickler(pickle.Unpickler):
-    """Reads objects of the allowed classes only. Raises `CaptureFormatError`."""
+    """Unpickles the allowed classes only. Raises `CaptureFormatError` for any other."""
 
     def find_class(self, module_name: str, name: str, /) -> object:
-        """The class of a stored name. Raises `CaptureFormatError`."""
+        """Returns the class of a stored name. Raises `CaptureFormatError` if it is not allowed."""
         if (module_name, name) in ALLOWED:
             return ALLOWED[module_name, name]
         for module in (*DECISION_MODULES, types):
@@ -104,12 +104,12 @@
 
 
 def pack_state(replayer: ReplayState) -> bytes:
-    """The state between two events. Raises `CheckpointError`."""
+    """Serializes the state between two events. Raises `CheckpointError`."""
     if replayer.pending_decisions:
         error = "decisions have not been taken up yet"
         raise CheckpointError(error)
     engine = replayer.engine
-    # sorted, it is a heap again
+    # a sorted list is a valid heap
     due = sorted((e for e in engine._due if Engine._waiting(e)), key=lambda e: e[:2])
     state = {
         "policy": vars(replayer.policy),
@@ -127,10 +127,10 @@
 
 @contextmanager
 def _without_replicas_of_workers(policy: Policy, workers: Iterable[Worker]) -> Iterator[None]:
-    """Takes the replicas from the workers for a while, since functions have them too.
+    """Removes the replicas from the workers temporarily; the functions refer to them too.
 
-    Both together would join all objects to one graph, along which pickle recurses too deep. As a
-    checkpoint is read, the workers get them from the functions.
+    With both references all objects form one connected graph, on which pickle recurses too deep.
+    When a checkpoint is restored, the workers get their replicas back from the functions.
     """
     listed, functions = policy.state.workers, policy.state.functions
     known = {*workers, *listed, *(worker for f in functions for worker in f.replicas)}
@@ -145,7 +145,7 @@
 
 
 def restore(replayer: ReplayState, checkpoint: Checkpoint) -> None:
-    """Puts a replayer where the one was that wrote it. Raises `CaptureFormatError`."""
+    """Gives a replayer the state of the one that wrote it. Raises `CaptureFormatError`."""
     if checkpoint.policy_hash != policy_hash():
         error = "the checkpoint is of another version of the module"
         raise CaptureFormatError(error)
@@ -173,7 +173,7 @@
 def _restore_processes(
     replayer: ReplayState, due: list[tuple[int, int, _Stub, int]], count: int
 ) -> None:
-    """Makes the processes of open requests and of all waits anew."""
+    """Restores the processes of the open requests and of all scheduled waits."""
     policy, engine = replayer.policy, replayer.engine
     for request in replayer.requests.values():
         if isinstance(request.process, _Stub):
@@ -187,7 +187,7 @@
 def _restore_process(policy: Policy, stub: _Stub) -> Process:
     if stub.process is None:
         is_over = stub.suspension.wait == OVER
-        # one that is over is never resumed, so any iterator will do
+        # a finished process is never resumed, so any iterator will do
         steps: Any = iter(()) if is_over else resume_at(policy, stub.suspension)
         stub.process = Process(steps)
         stub.process.alive, stub.process.turn = stub.is_alive, stub.turn
@@ -198,19 +198,19 @@
 
 
 def checkpoint_path(segment: Path) -> Path:
-    """The file of the state before a segment."""
+    """The path of the checkpoint that holds the state before a segment."""
     return segment.with_suffix(SUFFIX)
 
 
 def save(path: Path, time_ns: int, replayer: ReplayState) -> None:
-    """Writes the state before an input of that time. Raises `CheckpointError` and OSError."""
+    """Writes the state before the input at `time_ns`. Raises `CheckpointError` and OSError."""
     body = msgspec.msgpack.encode((time_ns, policy_hash(), pack_state(replayer)))
     remove_leftovers(path)
     replace_file(path, MAGIC + xxhash.xxh3_64_digest(body) + body)
 
 
 def load(path: Path) -> Checkpoint:
-    """Reads a checkpoint's file. Raises `CaptureFormatError`, and OSError where there is none."""
+    """Reads a checkpoint file. Raises `CaptureFormatError`, or OSError if it cannot be read."""
     data = path.read_bytes()
     magic, checksum = data[: len(MAGIC)], data[len(MAGIC) : len(MAGIC) + CHECKSUM_BYTES]
     body = data[len(MAGIC) + CHECKSUM_BYTES :]
--- a/martenlead/capture/checkpoint_process.py
+++ b/martenlead/capture/checkpoint_process.py
@@ -1,4 +1,4 @@
-"""Checkpoints, made by a process of its own: neither the event loop nor the writer waits for it."""
+"""Makes checkpoints in a child process, so that neither the event loop nor the writer waits."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from collections.abc import Callable
 from pathlib import Path
 
-TIMEOUT_SECONDS = 600.0  # the longest that a checkpoint may take
+TIMEOUT_SECONDS = 600.0  # a checkpoint process that runs longer is killed
 LOWEST_PRIORITY = "19"
 
 
 class CheckpointProcess:
-    """At most one process, which makes the checkpoint before one segment."""
+    """Runs at most one child process at a time, which makes the checkpoint before one segment."""
 
     def __init__(self, log: Callable[[str, str], None]) -> None:
         self._log = log
         self._process: subprocess.Popen[bytes] | None = None
-        self._started_seconds = 0.0  # by the monotonic clock
-        self.segment: Path | None = None  # that was asked for last
+        self._started_seconds = 0.0  # monotonic clock
+        self.segment: Path | None = None  # the segment of the latest checkpoint process
 
     @property
     def is_running(self) -> bool:
-        """Whether a process is at work."""
+        """Whether the child process is running."""
         return self._process is not None and self._process.poll() is None
 
     def start(self, segment: Path) -> None:
-        """Begins to make the checkpoint before a segment."""
+        """Starts a process that makes the checkpoint before a segment."""
         self.segment, self._started_seconds = segment, time.monotonic()
         command = [sys.executable, "-m", "martenlead", "capture", "checkpoint", str(segment)]
         try:
@@ -41,7 +41,7 @@
             self._log("checkpoint_start_failed", str(error))
 
     def collect(self) -> bool:
-        """Whether none is at work any more. One that takes too long is killed."""
+        """Reaps an ended process; returns False while one runs. One that times out is killed."""
         if self._process is None:
             return True
         is_in_time = time.monotonic() - self._started_seconds < TIMEOUT_SECONDS
--- a/martenlead/capture/event_queue.py
+++ b/martenlead/capture/event_queue.py
@@ -1,4 +1,4 @@
-"""The events that wait for the disk, between the event loop and the writer's thread."""
+"""The bounded queue of events between the event loop and the writer's thread."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Loss:
-    """Events that did not fit, one after the other."""
+    """Consecutive events that were dropped because the queue was full."""
 
     first_ns: int
     last_ns: int
@@ -20,7 +20,7 @@
 
 
 class EventQueue:
-    """Never waits: what does not fit is counted, and leaves a `Gap` in its place."""
+    """Never blocks: events that do not fit are counted, and a `Gap` replaces them."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -29,11 +29,11 @@
         self.dropped = 0
 
     def __len__(self) -> int:
-        """How many events wait."""
+        """The number of queued events."""
         return len(self.events)
 
     def put(self, event: CaptureEvent) -> None:
-        """Adds an event, with a gap before it where earlier ones did not fit."""
+        """Appends an event, preceded by a gap if events before it were dropped."""
         events = self.events
         if len(events) < self._limit:
             if self._loss is not None:
@@ -55,12 +55,12 @@
         self.dropped += 1
 
     def take(self, limit: int) -> list[CaptureEvent]:
-        """Removes so many events at most, the oldest first."""
+        """Removes and returns at most `limit` events, the oldest first."""
         batch: list[CaptureEvent] = []
         while self.events and len(batch) < limit:
             batch.append(self.events.popleft())
         return batch
 
     def put_back(self, batch: list[CaptureEvent]) -> None:
-        """Puts events that were taken last before all others."""
+        """Returns the batch that was taken last to the front of the queue."""
         self.events.extendleft(reversed(batch))
--- a/martenlead/capture/events.py
+++ b/martenlead/capture/events.py
@@ -1,9 +1,9 @@
-"""What a dispatcher's policy was notified of and what it decided, as captures store it.
+"""The stored form of a policy's inputs and decisions.
 
 Each type is one kind of event. Inputs carry the time (monotonic ns) of the notification. A decision
-carries none: it is made in the course of the input before it. Numbers stand for objects, in the
-order in which these came; names stand where a number is given out. docs/format-capture.md has every
-field, by the stored names.
+carries none: the policy made it while it handled the input before it. Objects are referred to by
+number, in the order of their first appearance; the event that assigns a number also has the name.
+docs/format-capture.md describes every field by its stored name.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 class CaptureEvent(msgspec.Struct, array_like=True, tag_field="k", frozen=True):
-    """Anything that a capture stores."""
+    """The base of all stored events."""
 
 
 class InputEvent(CaptureEvent, frozen=True):
-    """Something that the policy was notified of."""
+    """An input of the policy."""
 
     time_ns: int = msgspec.field(name="t")
 
 
 class PackedWorkerFacts(msgspec.Struct, array_like=True, frozen=True):
-    """`WorkerFacts`, the mark in hexadecimal: it may be longer than an integer of the format."""
+    """`WorkerFacts` with a hexadecimal mark, which may not fit an integer of the format."""
 
     mark: str
     zone: str
@@ -48,31 +48,31 @@
 
 
 class RunStarted(InputEvent, frozen=True, tag=0):
-    """The policy was made, with these settings and this seed."""
+    """The policy was created with these settings and this seed."""
 
-    wall_seconds: float = msgspec.field(name="wall")  # since 1970, of the same moment
+    wall_seconds: float = msgspec.field(name="wall")  # Unix time of the same moment
     edge: str
-    policy_hash: str = msgspec.field(name="module")  # of the policy's text
+    policy_hash: str = msgspec.field(name="module")  # hash of the policy's source code
     program_version: str = msgspec.field(name="program")
     python_version: str = msgspec.field(name="python")
     seed: int
     settings: dict[str, Any]  # by stored names, with values of many types
     request_classes: list[str] = msgspec.field(name="offerings")
-    tenants: list[tuple[str, float]] = msgspec.field(name="customers")  # name, quota
+    tenants: list[tuple[str, float]] = msgspec.field(name="customers")  # name, rate limit
 
 
 class EngineStarted(InputEvent, frozen=True, tag=1):
-    """What runs as long as the dispatcher does began."""
+    """The engine started its periodic processes."""
 
 
 class TickChanged(InputEvent, frozen=True, tag=2):
-    """The event loop achieves another tick."""
+    """The tick that the event loop achieves has changed."""
 
     tick_ns: int = msgspec.field(name="tick")
 
 
 class WorkerAdded(InputEvent, frozen=True, tag=3):
-    """A worker was named for the first time, and got a number."""
+    """A worker appeared for the first time and was assigned a number."""
 
     worker: int = msgspec.field(name="runner")
     name: str
@@ -80,7 +80,7 @@
 
 
 class FunctionAdded(InputEvent, frozen=True, tag=4):
-    """A function was named for the first time, and got a number."""
+    """A function appeared for the first time and was assigned a number."""
 
     function: int = msgspec.field(name="model")
     name: str
@@ -90,27 +90,27 @@
 
 
 class WorkersUpdated(InputEvent, frozen=True, tag=5):
-    """What discovery said of some workers, or of all where it is complete."""
+    """Discovery reported some workers, or all of them if the update is complete."""
 
     is_complete: bool = msgspec.field(name="whole")
     workers: list[tuple[int, PackedWorkerFacts]] = msgspec.field(name="lines")
 
 
 class RequestAccepted(InputEvent, frozen=True, tag=6):
-    """A request arrived, and got a number."""
+    """A request arrived and was assigned a number."""
 
     request: int = msgspec.field(name="task")
     name: str
     function: int = msgspec.field(name="model")
     request_class: int = msgspec.field(name="offering")
-    tenant: int = msgspec.field(name="customer")  # -1: none
+    tenant: int = msgspec.field(name="customer")  # -1 without a tenant
     deadline_ns: int = msgspec.field(name="give_up")
     is_retry: bool = msgspec.field(name="again")
     cost: float
 
 
 class AttemptEnded(InputEvent, frozen=True, tag=7):
-    """An attempt had its result."""
+    """An attempt ended with a result."""
 
     request: int = msgspec.field(name="task")
     attempt: int = msgspec.field(name="hand_off")
@@ -121,7 +121,7 @@
 
 
 class LoadEnded(InputEvent, frozen=True, tag=8):
-    """A load request ended, and so many replicas are loaded at its worker."""
+    """A load request ended; `replicas` are now loaded at its worker."""
 
     load_request: int = msgspec.field(name="order")
     result: str
@@ -129,18 +129,18 @@
 
 
 class RequestClosed(InputEvent, frozen=True, tag=9):
-    """A request had its final response, or its client left."""
+    """A request got its final response, or its client disconnected."""
 
     request: int = msgspec.field(name="task")
     outcome: str = msgspec.field(name="final")
 
 
 class Advance(InputEvent, frozen=True, tag=10):
-    """Timers that were due fired."""
+    """Due timers fired."""
 
 
 class Gap(InputEvent, frozen=True, tag=11):
-    """So many events are missing between two times: nothing behind it can be replayed."""
+    """Events are missing between two times, so no later event can be replayed."""
 
     until_ns: int = msgspec.field(name="until")
     dropped: int
@@ -156,7 +156,7 @@
 
 
 class LoadPlanned(InputEvent, frozen=True, tag=14):
-    """A planner decided on a load request; `LoadRequested` follows if the budget allows it."""
+    """A planner planned a load request; `LoadRequested` follows if the load budget allows it."""
 
     plan_number: int = msgspec.field(name="plan")
     worker: int = msgspec.field(name="runner")
@@ -164,13 +164,13 @@
 
 
 class LoadRequestsAllowed(InputEvent, frozen=True, tag=15):
-    """Whether the dispatcher decides on replicas itself from here on."""
+    """The dispatcher itself was allowed, or forbidden, to decide on load requests."""
 
     is_allowed: bool = msgspec.field(name="on")
 
 
 class ReplicaConfirmed(InputEvent, frozen=True, tag=16):
-    """The answer to the question after a replica of an earlier run."""
+    """A worker confirmed whether a replica of an earlier run still exists."""
 
     worker: int = msgspec.field(name="runner")
     function: int = msgspec.field(name="model")
@@ -180,9 +180,9 @@
 
 
 class WorkerChoiceRequested(InputEvent, frozen=True, tag=17):
-    """Admission asked which worker would have such a request now.
+    """Admission asked which worker would get such a request now.
 
-    The choice draws from the policy's random numbers, so a replay has to make it too.
+    The choice draws from the policy's random numbers, so a replay has to repeat it.
     """
 
     function: int = msgspec.field(name="model")
@@ -192,16 +192,16 @@
 
 
 class KnowledgeRestored(InputEvent, frozen=True, tag=18):
-    """What an earlier run had learnt.
+    """The knowledge of an earlier run was restored.
 
-    A function is its number and the other fields of `EarlierFunction` in their order, a worker its
-    number, concurrency limit and weight.
+    A function is stored as its number and the other fields of `EarlierFunction` in their order, a
+    worker as its number, concurrency limit and weight.
     """
 
     succeeded_per_second: float = msgspec.field(name="rate")
     new_requests_per_second: float = msgspec.field(name="asked")
     weight: float = msgspec.field(name="worth")
-    # lists of numbers, and of lists of numbers
+    # lists of numbers and of nested lists of numbers
     functions: list[list[Any]] = msgspec.field(name="models")
     workers: list[list[Any]] = msgspec.field(name="runners")
     load_ages_ns: list[int] = msgspec.field(name="orders")
@@ -217,7 +217,7 @@
 
 
 class RequestRejected(CaptureEvent, frozen=True, tag=33):
-    """The policy rejected a request, which may come again after a while."""
+    """The policy rejected a request, with the time after which the client may retry."""
 
     request: int = msgspec.field(name="task")
     retry_after_ns: int = msgspec.field(name="wait")
@@ -237,7 +237,7 @@
 
 
 class LoadRequested(CaptureEvent, frozen=True, tag=36):
-    """The policy asked a worker for replicas; the load request got a number."""
+    """The policy sent a load request to a worker; the load request was assigned a number."""
 
     load_request: int = msgspec.field(name="order")
     worker: int = msgspec.field(name="runner")
@@ -246,7 +246,7 @@
 
 
 class WorkerListRequested(CaptureEvent, frozen=True, tag=37):
-    """The policy asked discovery for changes of the worker list."""
+    """The policy requested changes of the worker list from discovery."""
 
 
 AnyEvent = (
@@ -288,12 +288,12 @@
 
 
 def request_number(event: CaptureEvent) -> int | None:
-    """The number of the request that an event is about, None where it is about none."""
+    """The number of the request that an event refers to, or None."""
     return getattr(event, "request", None)
 
 
 def pack_facts(facts: WorkerFacts) -> PackedWorkerFacts:
-    """The stored form of what discovery said of a worker."""
+    """Converts the facts of a worker to their stored form."""
     return PackedWorkerFacts(
         f"{facts.mark:x}",
         facts.zone,
@@ -306,7 +306,7 @@
 
 
 def unpack_facts(packed: PackedWorkerFacts) -> WorkerFacts:
-    """What discovery said of a worker."""
+    """Reads the facts of a worker from their stored form."""
     return WorkerFacts(
         int(packed.mark, 16),
         packed.zone,
@@ -319,15 +319,15 @@
 
 
 def unpack_function_facts(event: FunctionAdded) -> FunctionFacts:
-    """What was stated of a function."""
+    """Reads the facts of a function from the event that introduced it."""
     return FunctionFacts(int(event.mark, 16), event.lanes, event.memory_mb)
 
 
 def pack_settings(settings: Settings) -> dict[str, object]:
-    """The stored form of all settings.
+    """Converts the settings to their stored form.
 
-    Request classes are lists of their fields, and a rate limit is text, since not every format has
-    infinity.
+    Request classes are stored as lists of their fields, and the rate limit as text, since not every
+    format can represent infinity.
     """
     stored_settings: dict[str, object] = {
         stored: getattr(settings, name) for stored, name in SETTING_FIELDS.items()
@@ -346,9 +346,10 @@
 
 
 def unpack_settings(stored_settings: dict[str, Any]) -> Settings:
-    """The settings of a run, from values of many types.
+    """Reads the settings of a run from their stored form.
 
-    A field that this version does not have is passed over; one that the writer lacked is absent.
+    Fields that this version does not know are ignored; fields that the writer did not have get
+    their defaults.
     """
     known = {
         SETTING_FIELDS[stored]: value
@@ -364,7 +365,7 @@
 
 
 def unpack_tenants(start: RunStarted) -> list[Tenant]:
-    """The tenants of a run, in their order."""
+    """The tenants of a run, in stored order."""
     return [Tenant(rate_limit_per_second) for _, rate_limit_per_second in start.tenants]
 
 
@@ -392,9 +393,9 @@
     LoadRequested: "Ordered",
     WorkerListRequested: "Asked",
 }
-"""The names of kinds that the command line prints, where they are not the classes' own."""
+"""The documented names of event kinds that differ from the names of their classes."""
 
 
 def kind_name(event: CaptureEvent) -> str:
-    """The documented name of an event's kind."""
+    """The documented name of an event's kind, as the command line prints it."""
     return KIND_NAMES.get(type(event), type(event).__name__)
--- a/martenlead/capture/explain.py
+++ b/martenlead/capture/explain.py
@@ -1,4 +1,4 @@
-"""The story of one request, read from a replay, so that the policy logs nothing."""
+"""Explains one request by a replay of its capture, so that the policy needs no logging for it."""
 
 from __future__ import annotations
 
@@ -11,60 +11,59 @@
 from martenlead.policy.types import Request
 
 NS_PER_MS = 1_000_000
-INDENT = " " * 17  # of lines that belong to the one before
+INDENT = " " * 17  # indent of the lines that add details to the line above
 
 
 def explain_request(events: Iterable[ev.CaptureEvent], name: str) -> list[str]:
-    """Lines on all attempts of one request: what came, what was decided, what was known.
+    """Describes the inputs, the decisions and the candidate workers of one request, line by line.
 
-    `name` is the event's id, its source and id with a blank between, or the request's number in the
-    capture. What is said of workers is the policy's own state right behind the decision, with the
-    attempt counted in.
+    `name` is the event's id, its source and id separated by a space, or the request's number in the
+    capture. The state of the workers is the policy's own at the time of the choice.
     """
-    story = _Story(name)
+    explanation = _Explanation(name)
     for event in events:
-        if not story.add(event):
+        if not explanation.add(event):
             break
-    return story.lines
+    return explanation.lines
 
 
-class _StoryReplayer(Replayer):
-    """A replayer that notes which requests a story is about, before the policy decides on them."""
+class _TrackingReplayer(Replayer):
+    """A replayer that collects the tracked requests before the policy decides on them."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.numbers: set[int] = set()
-        self.chosen: set[Request] = set()
+        self.tracked_numbers: set[int] = set()
+        self.tracked_requests: set[Request] = set()
 
     def create_request(self, event: ev.RequestAccepted) -> Request:
-        """The policy's object for a request, noted if the story is about it."""
+        """Creates the policy's object of a request, and collects it if it is tracked."""
         request = super().create_request(event)
-        if event.request in self.numbers:
-            self.chosen.add(request)
+        if event.request in self.tracked_numbers:
+            self.tracked_requests.add(request)
         return request
 
 
-class _Story:
-    """The lines on one request, event by event."""
+class _Explanation:
+    """Builds the lines on one request, event by event."""
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._replayer = _StoryReplayer()
+        self._replayer = _TrackingReplayer()
         self._started_ns = 0
         self.lines: list[str] = []
 
     def add(self, event: ev.CaptureEvent) -> bool:
-        """Whether the story goes on behind this event."""
+        """Processes one event; returns False where the replay cannot continue."""
         if isinstance(event, ev.RunStarted):
             self._started_ns = event.time_ns
         if isinstance(event, ev.RequestAccepted) and self._name in _names(event):
-            self._replayer.numbers.add(event.request)
-        is_chosen = ev.request_number(event) in self._replayer.numbers
+            self._replayer.tracked_numbers.add(event.request)
+        is_tracked = ev.request_number(event) in self._replayer.tracked_numbers
         if not isinstance(event, ev.InputEvent):
-            if is_chosen:
+            if is_tracked:
                 self._add_line(event)
             return True
-        if is_chosen:
+        if is_tracked:
             self._replayer.policy.state.now_ns = event.time_ns
             self._add_line(event)
         return self._feed(event)
@@ -76,7 +75,7 @@
             self.lines.append(f"(nothing further: {error})")
             return False
         if isinstance(event, ev.RunStarted):
-            self._watch_choices()
+            self._report_worker_choices()
         self._replayer.pending_decisions.clear()
         return True
 
@@ -84,19 +83,19 @@
         passed_ms = (self._replayer.policy.state.now_ns - self._started_ns) / NS_PER_MS
         self.lines.append(f"{passed_ms:12.3f} ms  {_describe(self._replayer, event)}")
 
-    def _watch_choices(self) -> None:
-        """Adds what is known of the workers whenever one is chosen for the request."""
+    def _report_worker_choices(self) -> None:
+        """Adds a line for each worker whenever the policy chooses one for a tracked request."""
         placement = self._replayer.policy.placement
         choose_worker = placement.choose_worker
 
-        def choose_and_report(request: Request, excluded: set[Worker]) -> Worker | None:
-            """Chooses as the policy does."""
-            if request in self._replayer.chosen:
+        def describe_and_choose(request: Request, excluded: set[Worker]) -> Worker | None:
+            """Describes the workers, then makes the policy's own choice."""
+            if request in self._replayer.tracked_requests:
                 known = describe_workers(self._replayer, request)
                 self.lines.extend(f"{INDENT}{line}" for line in known)
             return choose_worker(request, excluded)
 
-        placement.choose_worker = choose_and_report  # type: ignore[method-assign]
+        placement.choose_worker = describe_and_choose  # type: ignore[method-assign]
 
 
 def _names(event: ev.RequestAccepted) -> tuple[str, ...]:
@@ -104,7 +103,7 @@
 
 
 def _describe(replayer: Replayer, event: ev.CaptureEvent) -> str:
-    """One event in words."""
+    """The text for one event."""
     text = ev.kind_name(event)
     match event:
         case ev.RequestAccepted():
@@ -137,7 +136,7 @@
 
 
 def describe_workers(replayer: Replayer, request: Request) -> list[str]:
-    """A line for each worker, with every reason why it may not have the request now."""
+    """A line for each worker, with all reasons why it may not get the request now."""
     policy, lines = replayer.policy, []
     for worker in policy.state.workers:
         replica = _describe_replica(policy, request.function.replicas.get(worker))
@@ -163,7 +162,7 @@
 
 
 def _refusals(policy: Policy, worker: Worker, request: Request) -> list[str]:
-    """Why the worker may not have the request now."""
+    """The reasons why the worker may not get the request now."""
     accepts_work = policy.state.accepts_work(worker)
     refusals = {
         worker.facts.state.value: not accepts_work,
--- a/martenlead/capture/format.py
+++ b/martenlead/capture/format.py
@@ -1,8 +1,8 @@
-"""Segments of a capture, byte by byte, without I/O. docs/format-capture.md is the reference.
+"""Encodes and decodes segments of a capture, without I/O. docs/format-capture.md is the reference.
 
-A segment is a header and frames; a frame has some events, compressed, and is checked as a whole.
-The last frame of a segment that was closed in order is its index. Cut at any byte, a segment gives
-all frames before the cut.
+A segment is a header followed by frames; a frame holds compressed events and has one checksum. The
+last frame of a segment that was closed properly is its index. From a segment that is truncated at
+any byte, all complete frames before the cut can be read.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 
 MAGIC = b"mlcaptur"
 VERSION = 1
-# magic, version, 0, segment, run (ns since 1970), first time
+# magic, version, 0 (reserved), segment, run (Unix time in ns), first time
 HEADER = struct.Struct("<8sHHIqq")
-# kind, bytes of the payload, its bytes before compression, events, first time, last time
+# kind, payload bytes, payload bytes before compression, event count, first time, last time
 FRAME = struct.Struct("<4sIIIqq")
-CHECKSUM = struct.Struct("<Q")  # XXH3 of all before it in the header or frame
+CHECKSUM = struct.Struct("<Q")  # XXH3 of the preceding bytes of the header or frame
 HEADER_BYTES = HEADER.size + CHECKSUM.size
 EVENTS, INDEX = b"EVTS", b"INDX"
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 
 class CaptureFormatError(Exception):
-    """The bytes are no capture that can be read; says why."""
+    """The bytes are not a readable capture; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class SegmentHeader:
-    """The first bytes of a segment."""
+    """The decoded header of a segment."""
 
     version: int
     segment: int
@@ -44,7 +44,7 @@
 
 
 class IndexEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A frame in the index: where it begins, its times, and the requests of its events."""
+    """A frame in the index: its offset, its first and last times, and its requests' numbers."""
 
     offset: int
     first_time_ns: int
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Frame:
-    """One whole frame. `end` is the offset of the next."""
+    """One complete frame. `end` is the offset of the next."""
 
     offset: int
     end: int
@@ -65,20 +65,21 @@
     payload: bytes
 
     def events(self) -> list[CaptureEvent]:
-        """Its events, in their order."""
+        """Decodes the events of the frame, in stored order."""
         return list(decode(self.payload))
 
 
 def pack_header(segment: int, run: int, first_time_ns: int) -> bytes:
-    """The first bytes of a segment, with their checksum."""
+    """Encodes a segment's header with its checksum."""
     header = HEADER.pack(MAGIC, VERSION, 0, segment, run, first_time_ns)
     return header + CHECKSUM.pack(xxhash.xxh3_64_intdigest(header))
 
 
 def unpack_header(data: bytes) -> SegmentHeader:
-    """Reads the first bytes of a segment.
+    """Decodes a segment's header.
 
-    Raises `CaptureFormatError`: no capture, a torn header, or a version above this program's.
+    Raises `CaptureFormatError` if the bytes are not a capture, the header is damaged, or its
+    version is newer than this program's.
     """
     if len(data) < HEADER_BYTES or not data.startswith(MAGIC):
         error = "no capture: its first bytes are others"
@@ -95,20 +96,20 @@
 
 
 class FrameEncoder:
-    """Packs events into frames. Not for several threads at once."""
+    """Encodes events as frames. Not thread-safe."""
 
     def __init__(self, level: int = 3) -> None:
         self._compressor = zstandard.ZstdCompressor(level=level)
         self._last_time_ns = 0
 
     def pack_events(self, events: Sequence[CaptureEvent]) -> bytes:
-        """One frame of events."""
+        """Encodes one frame of events."""
         times_ns = _input_times_ns(events) or [self._last_time_ns]
         self._last_time_ns = times_ns[-1]
         return self._frame(EVENTS, encode(events), len(events), (min(times_ns), max(times_ns)))
 
     def pack_index(self, entries: Sequence[IndexEntry]) -> bytes:
-        """The last frame of a segment."""
+        """Encodes the index, the last frame of a segment."""
         times_ns = (entries[0].first_time_ns, entries[-1].last_time_ns) if entries else (0, 0)
         return self._frame(INDEX, encode(entries), len(entries), times_ns)
 
@@ -123,14 +124,14 @@
 
 
 def index_entry(offset: int, events: Sequence[CaptureEvent]) -> IndexEntry:
-    """The entry of a frame that begins there."""
+    """The index entry of the frame at `offset`."""
     times_ns = _input_times_ns(events) or [0]
     requests = {number for e in events if (number := request_number(e)) is not None}
     return IndexEntry(offset, min(times_ns), max(times_ns), sorted(requests))
 
 
 def read_frame(data: memoryview, offset: int) -> Frame | None:
-    """The frame that begins there, None where there is no whole one."""
+    """Decodes the frame at `offset`; None if it is incomplete or damaged."""
     if len(data) - offset < FRAME.size + CHECKSUM.size:
         return None
     kind, payload_bytes, content_bytes, count, first_ns, last_ns = FRAME.unpack_from(data, offset)
@@ -156,7 +157,7 @@
 
 
 class Segment:
-    """The whole frames of one segment's bytes; `torn_bytes` at its end belong to none."""
+    """The complete frames of one segment; `torn_bytes` counts the bytes after the last of them."""
 
     def __init__(self, data: bytes) -> None:
         """Raises `CaptureFormatError`."""
@@ -166,7 +167,7 @@
         self.is_closed = False
 
     def frames(self) -> Iterator[Frame]:
-        """All frames of events."""
+        """Iterates over all frames of events."""
         offset = HEADER_BYTES
         while offset < len(self._data):
             frame = read_frame(self._data, offset)
@@ -180,7 +181,7 @@
                 yield frame
 
     def index(self) -> list[IndexEntry]:
-        """Its index; one that has none, as after a kill, is read through instead."""
+        """The stored index; rebuilt from the frames if there is none, as after a killed process."""
         entries: list[IndexEntry] = []
         offset = HEADER_BYTES
         while (frame := read_frame(self._data, offset)) is not None:
--- a/martenlead/capture/outcomes.py
+++ b/martenlead/capture/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of the requests of some runs, read from their events alone."""
+"""Summarizes the outcomes of captured requests from the events alone, without a replay."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from martenlead.capture import events as ev
 
 LOST_WITH_DISPATCHER = "lost with its dispatcher"
-SUCCEEDED = "satisfied"  # as captures store it
+SUCCEEDED = "satisfied"  # the stored name of the outcome
 IN_FLIGHT = "out"
 NEVER_SENT = "never handed off"
 EXAMPLES_SHOWN = 3
@@ -19,8 +19,8 @@
 class OutcomeSummary:
     """Counts of outcomes and their causes.
 
-    A request without an outcome was open when its dispatcher died. A cause is the ends of the
-    attempts.
+    A request without an outcome was open when its dispatcher died. A cause is the sequence of the
+    attempts' results.
     """
 
     requests: int = 0
@@ -29,7 +29,7 @@
     examples: dict[tuple[str, str], list[str]] = field(default_factory=lambda: defaultdict(list))
 
     def format_lines(self) -> list[str]:
-        """The summary as a table of text."""
+        """The lines of the summary as a text table."""
         outcomes = ", ".join(f"{n} {name}" for name, n in sorted(self.outcomes.items()))
         lines = [f"tasks {self.requests}: {outcomes}"]
         for (outcome, cause), n in self.causes.most_common():
@@ -38,7 +38,7 @@
         return lines
 
     def add(self, outcome: str, request: OpenRequest) -> None:
-        """Counts one request."""
+        """Counts one request with its outcome."""
         self.outcomes[outcome] += 1
         if outcome != SUCCEEDED:
             cause = outcome, ", then ".join(request.results) or NEVER_SENT
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request without an outcome yet, and the ends of its attempts."""
+    """A request without an outcome yet, and the results of its attempts."""
 
     name: str
     results: list[str] = field(default_factory=list)
@@ -57,7 +57,7 @@
 def summarize_outcomes(
     events: Iterable[ev.CaptureEvent], into: OutcomeSummary | None = None
 ) -> OutcomeSummary:
-    """Groups what did not succeed by its outcome and the ends of its attempts, in order."""
+    """Groups requests that did not succeed by outcome and by their attempts' results."""
     summary = into or OutcomeSummary()
     open_requests: dict[int, OpenRequest] = {}
     for event in events:
@@ -79,16 +79,17 @@
 
 
 def list_outcomes(events: Iterable[ev.CaptureEvent]) -> dict[str, list[str]]:
-    """The outcomes of all requests with one event's id, in order, by that id."""
+    """The outcomes by event id, in order of arrival; several requests may have the same id."""
     outcomes: dict[str, list[str]] = defaultdict(list)
-    places: dict[int, tuple[str, int]] = {}  # of open requests: the id, and which of its outcomes
+    # of each open request: its event id and the position of its outcome in the list
+    positions: dict[int, tuple[str, int]] = {}
     for event in events:
         match event:
             case ev.RequestAccepted(request=number, name=name):
                 event_id = name.rpartition(" ")[2]
-                places[number] = event_id, len(outcomes[event_id])
+                positions[number] = event_id, len(outcomes[event_id])
                 outcomes[event_id].append(LOST_WITH_DISPATCHER)
-            case ev.RequestClosed(request=number, outcome=outcome) if number in places:
-                event_id, place = places.pop(number)
-                outcomes[event_id][place] = outcome
+            case ev.RequestClosed(request=number, outcome=outcome) if number in positions:
+                event_id, position = positions.pop(number)
+                outcomes[event_id][position] = outcome
     return outcomes
--- a/martenlead/capture/reader.py
+++ b/martenlead/capture/reader.py
@@ -1,4 +1,4 @@
-"""Reads runs back from their segments, with gaps where events are missing."""
+"""Reads runs from their segments, with gaps where events are missing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CaptureRun:
-    """The segments of one life of a dispatcher, in order."""
+    """The segments of one run of a dispatcher, in order."""
 
     def __init__(self, name: str, number: int, paths: list[Path]) -> None:
         self.name, self.number, self.paths = name, number, paths
@@ -21,17 +21,18 @@
         self.missing_segments: list[int] = []
 
     def events(self) -> Iterator[CaptureEvent]:
-        """All events that are whole.
+        """Iterates over all events that can be read.
 
-        Where the first segments are gone and the first that is there has a checkpoint, that comes
-        first, in place of what was before. A segment that is missing, or a torn end with more
-        behind it, shows as a `Gap`. Raises `CaptureFormatError` for what is no capture.
+        If the first segments have been removed and the oldest remaining one has a checkpoint, the
+        checkpoint comes first, in place of the removed events. A missing segment, and a torn end
+        that is followed by another segment, appear as a `Gap`. Raises `CaptureFormatError` for a
+        file that is not a capture.
         """
         return _RunEvents(self).read()
 
 
 class _RunEvents:
-    """One pass through a run: which segment is expected next, and the time of the last event."""
+    """One pass over a run; tracks the next expected segment and the time of the last event."""
 
     def __init__(self, run: CaptureRun) -> None:
         self._run = run
@@ -39,11 +40,11 @@
         self._last_ns = 0
 
     def read(self) -> Iterator[CaptureEvent]:
-        """All events that are whole. Raises `CaptureFormatError`."""
+        """Iterates over all events that can be read. Raises `CaptureFormatError`."""
         for path in self._run.paths:
             try:
                 segment = Segment(path.read_bytes())
-            except FileNotFoundError:  # removed by the bound on disk while it was about to be read
+            except FileNotFoundError:  # removed by retention after the run was listed
                 continue
             except CaptureFormatError as error:
                 yield from self._skip_without_header(path, error)
@@ -53,7 +54,7 @@
             self._expected_segment = segment.header.segment + 1
 
     def _skip_without_header(self, path: Path, error: CaptureFormatError) -> Iterator[CaptureEvent]:
-        """Passes over a segment that was begun as the process was killed or the power was cut."""
+        """Skips a segment whose header was lost when the process was killed or power failed."""
         if not _is_without_header(path):
             message = f"{path}: {error}"
             raise CaptureFormatError(message) from None
@@ -96,12 +97,12 @@
 
 
 def _is_decision(event: CaptureEvent) -> bool:
-    """What stands before the first input was decided before the checkpoint."""
+    """Decisions before a segment's first input were made before its checkpoint."""
     return not isinstance(event, InputEvent)
 
 
 def _load_if_intact(path: Path) -> Checkpoint | None:
-    """The checkpoint before a segment, None without one, or where a power cut has torn it."""
+    """The checkpoint before a segment; None if there is none or a power failure tore it."""
     try:
         return load(checkpoint_path(path))
     except (OSError, CaptureFormatError):
@@ -109,16 +110,16 @@
 
 
 def _is_without_header(path: Path) -> bool:
-    """Whether the disk lost a segment's first bytes: too few, or zeros that a power cut left."""
+    """Whether the header was lost: the file is too short, or a power failure left zeros."""
     with path.open("rb") as file:
         header = file.read(HEADER_BYTES)
     return len(header) < HEADER_BYTES or not any(header)
 
 
 def find_runs(paths: list[Path]) -> list[CaptureRun]:
-    """The runs in some files and folders, by name and time.
+    """The runs in the given files and folders, sorted by name and time.
 
-    Raises `CaptureFormatError` where there is none.
+    Raises `CaptureFormatError` if there are none.
     """
     files: dict[tuple[str, int], set[Path]] = {}
     for path in paths:
--- a/martenlead/capture/recorder.py
+++ b/martenlead/capture/recorder.py
@@ -1,7 +1,7 @@
-"""Turns the policy's notifications and decisions into the events that captures store.
+"""Converts the policy's notifications and decisions to the events that captures store.
 
-Numbers stand for objects in stored events. The recorder gives them out in the order in which the
-objects come, and reads nothing of the policy's state.
+Stored events refer to objects by number. The recorder numbers objects in the order of their first
+appearance, and does not read the policy's state.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 PROGRAM_VERSION = "0.2.0"
 NS_PER_SECOND = 1e9
-NO_TENANT = -1  # in place of a tenant's number
+NO_TENANT = -1  # stored for a request without a tenant
 DECISION_MODULES = (
     attempts,
     candidates,
@@ -70,7 +70,7 @@
     tenant_shares,
 )
 
-# the recorder's state by the names that checkpoints store
+# stored name in a checkpoint -> attribute of the recorder
 STORED_STATE = {
     "_runners": "_worker_numbers",
     "_models": "_function_numbers",
@@ -85,13 +85,13 @@
 
 
 def policy_hash() -> str:
-    """The hash of the text of all modules that decide: equal ones decide the same."""
+    """Hash of the source code of all modules that decide; equal hashes mean equal decisions."""
     source = "".join(inspect.getsource(module) for module in DECISION_MODULES)
     return hashlib.sha256(source.encode()).hexdigest()[:16]
 
 
 class CaptureRecorder:
-    """Numbers the objects of one run, and gives each stored event to a sink."""
+    """Numbers the objects of one run, and passes each stored event to a sink."""
 
     def __init__(self, sink: Callable[[ev.CaptureEvent], None], edge: str) -> None:
         """`edge` is the dispatcher's name."""
@@ -102,9 +102,9 @@
         self._load_numbers: dict[LoadRequest, int] = {}
         self._request_class_numbers: dict[RequestClass, int] = {}
         self._tenant_numbers: dict[Tenant, int] = {}
-        self._closed_requests: set[Request] = set()  # with attempts that have no result yet
+        self._closed_requests: set[Request] = set()  # closed, with attempts still in flight
         self._request_count = self._load_count = 0
-        # each method takes its own kind of event, so what the table's methods take is `Any`
+        # each handler takes its own type of event, hence `Any`
         self._record: dict[type[boundary.BoundaryEvent], Callable[[Any], None]] = {
             boundary.RunStarted: self._record_start,
             boundary.EngineStarted: self._record_engine_start,
@@ -129,36 +129,36 @@
         """Stores one notification."""
         self._record[type(event)](event)
 
-    # -- the numbers that stand for objects
+    # -- numbers of objects
 
     @property
     def worker_numbers(self) -> dict[Worker, int]:
-        """Of all workers."""
+        """The numbers of all workers."""
         return self._worker_numbers
 
     @property
     def function_numbers(self) -> dict[Function, int]:
-        """Of all functions."""
+        """The numbers of all functions."""
         return self._function_numbers
 
     @property
     def request_numbers(self) -> dict[Request, int]:
-        """Of all requests that are open, or have an attempt without a result."""
+        """The numbers of all requests that are open or have an attempt in flight."""
         return self._request_numbers
 
     @property
     def tenant_numbers(self) -> dict[Tenant, int]:
-        """Of all tenants."""
+        """The numbers of all tenants."""
         return self._tenant_numbers
 
-    # -- its state in a checkpoint
+    # -- state in a checkpoint
 
     def pack_state(self) -> dict[str, object]:
-        """All that it has numbered, by the names that checkpoints store."""
+        """The recorder's state, by the names that checkpoints store."""
         return {stored: getattr(self, name) for stored, name in STORED_STATE.items()}
 
     def restore_state(self, state: dict[str, object]) -> None:
-        """Takes over what another recorder has numbered."""
+        """Restores the state of another recorder from `pack_state`."""
         for stored, value in state.items():
             setattr(self, STORED_STATE[stored], value)
 
@@ -240,7 +240,7 @@
                 result.latency_ns,
             )
         )
-        # the policy sets the result after this: so the last one without has just ended
+        # the policy sets the result after this call, so one attempt without a result is this one
         if (
             request in self._closed_requests
             and sum(a.result is None for a in request.attempts) == 1
@@ -320,7 +320,7 @@
         )
 
     def _pack_earlier_function(self, earlier: EarlierFunction) -> list[object]:
-        """All fields in their order, with the function's number in place of the function."""
+        """All fields in order, with the function replaced by its number."""
         return [
             self._function_numbers[earlier.function],
             earlier.bins,
--- a/martenlead/capture/replay.py
+++ b/martenlead/capture/replay.py
@@ -1,7 +1,7 @@
-"""Replays a capture, and compares what the policy decides with what it decided then.
+"""Replays a capture and compares the policy's decisions with the recorded ones.
 
-A run is deterministic: the settings, the seed, the policy's text and the inputs with their times
-decide everything. Decisions are compared one by one, in order, with their place between the inputs.
+A run is deterministic: the settings, the seed, the policy's source code and the inputs with their
+times determine every decision. Decisions are compared one by one, in their order among the inputs.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass
 class Divergence:
-    """The first decision that is not the recorded one, and the events before it."""
+    """The first decision that differs from the recorded one, and the events before it."""
 
     position: int
     recorded: ev.CaptureEvent | None
@@ -32,7 +32,7 @@
 
 @dataclass
 class ReplayOutcome:
-    """How far a replay went, and why no further."""
+    """The extent of a replay, and the reason why it stopped."""
 
     events: int = 0
     decisions: int = 0
@@ -41,17 +41,17 @@
     last_time_ns: int = 0
     elapsed_seconds: float = 0.0
     divergence: Divergence | None = None
-    stop_reason: str = ""  # a gap: why nothing behind it was replayed
-    is_resumed: bool = False  # began at a checkpoint, and not at the start
+    stop_reason: str = ""  # empty if all events were replayed
+    is_resumed: bool = False  # began at a checkpoint instead of at the start of the run
 
     @property
     def recorded_seconds(self) -> float:
-        """The time that the events took as they were recorded."""
+        """The time between the first and the last input as recorded, s."""
         return (self.last_time_ns - self.first_time_ns) / NS_PER_SECOND
 
 
 class _Comparison:
-    """One replay, event by event."""
+    """Replays event by event and compares the decisions."""
 
     def __init__(self, replayer: Replayer) -> None:
         self._replayer = replayer
@@ -59,7 +59,7 @@
         self.outcome = ReplayOutcome()
 
     def add(self, event: ev.CaptureEvent) -> bool:
-        """Whether the replay goes on behind this event."""
+        """Processes one event; returns whether the replay continues."""
         if isinstance(event, ev.InputEvent):
             if not self._feed(event):
                 return False
@@ -100,9 +100,9 @@
 
 
 def replay(events: Iterable[ev.CaptureEvent], replayer: Replayer | None = None) -> ReplayOutcome:
-    """Feeds all events and compares each decision.
+    """Feeds all inputs and compares each decision.
 
-    Stops at the first that differs, or at a gap.
+    Stops at the first difference or at a gap.
     """
     comparison = _Comparison(replayer or Replayer())
     started = perf_counter()
@@ -118,8 +118,8 @@
 ) -> None:
     """Replays `earlier` and writes the state before the first input of `later`.
 
-    Decisions of `later` before its first input are still of the input before. Raises `ReplayError`
-    where a decision differs, and `CheckpointError`.
+    Decisions of `later` before its first input belong to the last input of `earlier`. Raises
+    `ReplayError` if a decision differs, and `CheckpointError`.
     """
     replayer = Replayer()
     for event in earlier:
@@ -137,7 +137,7 @@
 
 
 def _feed_or_compare(replayer: Replayer, event: ev.CaptureEvent) -> None:
-    """Feeds an input, or compares a decision. Raises `ReplayError` where it differs."""
+    """Feeds an input or compares a decision. Raises `ReplayError` for a difference."""
     decisions = replayer.pending_decisions
     if isinstance(event, ev.InputEvent):
         is_same = not decisions
--- a/martenlead/capture/replay_state.py
+++ b/martenlead/capture/replay_state.py
@@ -1,7 +1,7 @@
-"""What a checkpoint reads and replaces of a replay: the interface between the two.
+"""The state of a replay that checkpoints save and restore.
 
-The checkpoint needs a replay's state and the replay needs checkpoints; both import this module, and
-the checkpoint does not import the replay.
+Checkpoints need a replay's state and replays need checkpoints. Both import this module, so the
+checkpoint module does not import the replay.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from martenlead.policy.state import Function, Worker
 from martenlead.policy.types import Action, LoadRequest, Request, Settings, Tenant
 
-# the names by which checkpoints store the attributes of a `ReplayState`
+# stored name in a checkpoint -> attribute of a `ReplayState`
 STORED_STATE = {
     "runners": "workers",
     "models": "functions",
@@ -30,15 +30,15 @@
 
 
 class ReplayState(Protocol):
-    """The state of one replayed dispatcher between two events, as `Replayer` has it."""
+    """The state of one replayed dispatcher between two events; `Replayer` implements it."""
 
-    pending_decisions: deque[CaptureEvent]  # that have not been compared yet
+    pending_decisions: deque[CaptureEvent]  # decisions not yet compared
     start: RunStarted | None
     settings: Settings
     policy: Policy
     engine: Engine
     recorder: CaptureRecorder
-    workers: list[Worker]  # by number, as are the others
+    workers: list[Worker]  # indexed by number, like functions, tenants and requests
     functions: list[Function]
     tenants: list[Tenant]
     requests: dict[int, Request]
@@ -48,4 +48,4 @@
     names: dict[object, str]  # of workers, functions and requests
 
     def perform(self, action: Action) -> None:
-        """Takes what the engine decides."""
+        """Handles one decision of the engine."""
--- a/martenlead/capture/replayer.py
+++ b/martenlead/capture/replayer.py
@@ -1,4 +1,4 @@
-"""One dispatcher's policy, driven by the inputs of a capture."""
+"""Drives one dispatcher's policy with the inputs of a capture."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 class ReplayError(Exception):
-    """The events cannot be replayed from here on; says why."""
+    """The replay cannot continue; the message gives the reason."""
 
 
 class Replayer:
-    """Feeds a policy with inputs, and collects its decisions since the last one as events."""
+    """Feeds inputs to a policy and collects its decisions as events."""
 
     def __init__(self, change: Callable[[Settings], Settings] | None = None) -> None:
         """`change` is applied to the settings of the run."""
@@ -48,11 +48,11 @@
         self.functions: list[Function] = []
         self.tenants: list[Tenant] = []
         self.requests: dict[int, Request] = {}
-        self.closed_requests: set[int] = set()  # with attempts that have no result yet
+        self.closed_requests: set[int] = set()  # closed, with attempts still in flight
         self.load_requests: dict[int, LoadRequest] = {}
         self.load_count = 0
         self.names: dict[object, str] = {}
-        # each method takes its own kind of event, so what the table's methods take is `Any`
+        # each handler takes its own type of event, hence `Any`
         self._handlers: dict[type[ev.InputEvent], Callable[[Any], None]] = {
             ev.EngineStarted: self._start_engine,
             ev.TickChanged: self._change_tick,
@@ -73,9 +73,10 @@
         }
 
     def feed(self, event: ev.CaptureEvent) -> None:
-        """Hands one input to the policy.
+        """Feeds one input to the policy.
 
-        Raises `ReplayError` for a gap, or a capture that does not begin at its start.
+        Raises `ReplayError` for a gap, or for a capture that begins neither with `RunStarted` nor
+        with a checkpoint.
         """
         match event:
             case ev.RunStarted():
@@ -95,7 +96,7 @@
             self._handlers[type(event)](event)
 
     def perform(self, action: Action) -> None:
-        """Takes what the engine decides."""
+        """Records one decision of the engine."""
         if isinstance(action, LoadRequest):
             self.load_count += 1
             self.load_requests[self.load_count] = action
@@ -153,7 +154,7 @@
         self.engine.handle_request(request)
 
     def create_request(self, event: ev.RequestAccepted) -> Request:
-        """The policy's object for a request, before the policy decides anything."""
+        """Creates the policy's object of a request, before the policy decides on it."""
         return Request(
             self.functions[event.function],
             self.settings.request_classes[event.request_class],
@@ -166,7 +167,7 @@
     def _record_result(self, event: ev.AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
-            return  # an attempt that this run never made: only where settings or the policy differ
+            return  # attempt not made in this replay: the settings or the policy differ
         attempt = request.attempts[event.attempt]
         if attempt.result is not None:
             return
@@ -174,7 +175,7 @@
         ended = AttemptResult(attempt, result, event.is_final, warmth, event.latency_ns)
         self.recorder.record(boundary.AttemptEnded(event.time_ns, ended))
         self.engine.record_result(ended)
-        self._forget_if_over(event.request, request)
+        self._remove_if_finished(event.request, request)
 
     def _record_load_end(self, event: ev.LoadEnded) -> None:
         load = self.load_requests.pop(event.load_request, None)
@@ -186,9 +187,9 @@
         self.recorder.record(boundary.RequestClosed(event.time_ns, request, event.outcome))
         self.engine.close_request(request)
         self.closed_requests.add(event.request)
-        self._forget_if_over(event.request, request)
+        self._remove_if_finished(event.request, request)
 
-    def _forget_if_over(self, number: int, request: Request) -> None:
+    def _remove_if_finished(self, number: int, request: Request) -> None:
         is_ended = all(attempt.result is not None for attempt in request.attempts)
         if number in self.closed_requests and is_ended:
             self.closed_requests.discard(number)
--- a/martenlead/capture/retention.py
+++ b/martenlead/capture/retention.py
@@ -1,7 +1,7 @@
-"""The bound on the disk space of one name's segments: the oldest go first.
+"""Limits the disk space of one dispatcher's segments by removing the oldest first.
 
-A segment goes only once the one behind it has its checkpoint, so that the rest of the run can be
-replayed.
+A segment is removed only after a checkpoint has been made before the following one, so that the
+rest of the run can be replayed.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 from martenlead.capture.run_folder import RunFolder, parse_segment_name
 from martenlead.system.durable_file import remove_leftovers
 
-MAX_FAILURES = 4  # segments begun while older ones cannot be removed; beyond it nothing is written
+# new segments that may be started while removal fails; after that, writing fails too
+MAX_FAILURES = 4
 
 
 class Retention:
-    """Removes the oldest segments of a folder beyond a number of bytes."""
+    """Removes the oldest segments of a folder while their total size exceeds `max_bytes`."""
 
     def __init__(
         self,
@@ -33,12 +34,12 @@
         self._max_bytes = max_bytes
         self._has_checkpoints = has_checkpoints
         self._log = log
-        self._failures = 0  # in a row
+        self._failures = 0  # consecutive
 
     def enforce(self) -> None:
-        """Removes what is beyond the bound.
+        """Removes segments beyond the limit.
 
-        Raises OSError where that could not be done for a while: the bound comes before what is new.
+        Raises OSError after repeated failures: the disk limit takes precedence over new events.
         """
         try:
             self._remove_oldest()
@@ -51,7 +52,7 @@
                 raise
 
     def _remove_oldest(self) -> None:
-        """Stops where a checkpoint has to be made first; meanwhile the bound is overrun."""
+        """Stops where a checkpoint has to be made first; until then the limit is exceeded."""
         segments = self._folder.segments()
         total_bytes = sum(path.stat().st_size for path in segments)
         if not self.checkpoint_process.collect():
@@ -66,7 +67,7 @@
             self._remove(path)
 
     def _needs_checkpoint(self, path: Path, following: Path) -> bool:
-        """Whether a checkpoint is still to be made before a segment goes; it is tried once."""
+        """Whether a checkpoint must be made before a segment is removed; it is tried only once."""
         if not self._has_checkpoints or _run_of(path) != _run_of(following):
             return False
         is_made = checkpoint_path(following).exists()
--- a/martenlead/capture/run_folder.py
+++ b/martenlead/capture/run_folder.py
@@ -1,8 +1,8 @@
-"""The folder of a dispatcher's captures: names of files, the lock, and the number of a run.
+"""The folder of a dispatcher's captures: file names, the lock, and run numbers.
 
-Files are named NAME-RUN-SEGMENT.mlc, and one run is one life of a dispatcher. Only the holder of
-NAME.lock writes or removes files of that name, so dispatchers share a folder as long as their names
-differ.
+Files are named NAME-RUN-SEGMENT.mlc; one run is one incarnation of a dispatcher. Only the holder of
+NAME.lock writes or removes files of that name, so dispatchers with different names can share a
+folder.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class AlreadyLockedError(Exception):
-    """Another process writes under this name."""
+    """Another process holds the lock of this name."""
 
     def __init__(self, folder: Path, name: str) -> None:
         super().__init__(f"{folder}: another dispatcher named {name} writes there")
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentName:
-    """What the name of a segment's file says."""
+    """The parts of a segment's file name."""
 
     name: str
     run: int
@@ -38,7 +38,7 @@
 
 
 def parse_segment_name(path: Path) -> SegmentName | None:
-    """What a file's name says, None where it is no segment's."""
+    """Parses a segment's file name; returns None for any other file."""
     match = SEGMENT_NAME.match(path.name)
     if match is None:
         return None
@@ -50,16 +50,16 @@
 
     def __init__(self, path: Path, name: str) -> None:
         self.path, self.name = path, NOT_IN_NAMES.sub("_", name)
-        self.run = 0  # until the folder is locked
+        self.run = 0  # assigned when the folder is locked
         self._lock: int | None = None
 
     @property
     def is_locked(self) -> bool:
-        """Whether this process writes under the name."""
+        """Whether this process holds the lock."""
         return self._lock is not None
 
     def lock(self) -> None:
-        """Begins a run. Raises OSError, and `AlreadyLockedError` where another process writes."""
+        """Starts a run. Raises OSError, or `AlreadyLockedError` if another process has the lock."""
         self.path.mkdir(parents=True, exist_ok=True)
         flags = os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC
         lock = os.open(self.path / f"{self.name}.lock", flags, FILE_MODE)
@@ -75,25 +75,25 @@
         self._lock = lock
 
     def unlock(self) -> None:
-        """Ends the run; another process may write under the name."""
+        """Ends the run and releases the lock."""
         if self._lock is not None:
             os.close(self._lock)
             self._lock = None
 
     def _next_run(self) -> int:
-        """The Unix time in nanoseconds, but above the numbers of all earlier runs of this name.
+        """The Unix time in ns, but always above the numbers of all earlier runs of this name.
 
-        So the order of runs is kept, and no file is written twice, whatever the wall clock says.
+        This keeps the order of runs and prevents reused file names even if the wall clock steps.
         """
         found = (parse_segment_name(path) for path in self.path.glob(f"{self.name}-*"))
         latest = max((f.run for f in found if f is not None and f.name == self.name), default=0)
         return max(clocks.wall_ns(), latest + 1)
 
     def segment_path(self, segment: int) -> Path:
-        """The file of a segment of this run."""
+        """The path of a segment of this run."""
         return self.path / f"{self.name}-{self.run:019d}-{segment:06d}{SEGMENT_SUFFIX}"
 
     def segments(self) -> list[Path]:
-        """All segments of this name, the oldest first."""
+        """The paths of all segments of this name, the oldest first."""
         found = self.path.glob(f"{self.name}-*{SEGMENT_SUFFIX}")
         return sorted(path for path in found if parse_segment_name(path) is not None)
--- a/martenlead/capture/segments.py
+++ b/martenlead/capture/segments.py
@@ -1,6 +1,7 @@
-"""The segments of one run as they are written: begun, appended to, synced and closed.
+"""Writes the segments of one run: opens, appends to, syncs and closes them.
 
-After an error no event is in a file that counts as lost, as far as the disk still takes orders.
+After an error, events that were counted as lost are removed from the files again, as far as the
+disk still accepts operations.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Tail:
-    """The end of a file from an offset on."""
+    """The part of a file from an offset to its end."""
 
     path: Path
     offset: int
 
 
 class SegmentWriter:
-    """Appends frames to the segment that is open, and begins one where none is."""
+    """Appends frames to the open segment, and opens a new one if there is none."""
 
     def __init__(
         self,
@@ -43,24 +44,24 @@
         self._folder, self._sync, self._retention, self._log = folder, sync, retention, log
         self._encoder = FrameEncoder()
         self._file: int | None = None
-        self._path = folder.path  # of the segment that was begun last
-        self._segment = 0  # number of the next one
+        self._path = folder.path  # path of the latest segment
+        self._segment = 0  # number of the next segment
         self._entries: list[IndexEntry] = []
-        self._events = 0  # in the open segment
-        self._opened_seconds = 0.0  # by the monotonic clock
-        self._empty_path: Path | None = None  # of a segment that was begun and has no events yet
-        self._lost_tail: Tail | None = None  # events that count as lost, but can be read
-        self.size_bytes = 0  # of the open segment
-        self.written_bytes = 0  # of all
-        self.unsynced_events = 0  # in segments whose sync has failed: may be on the disk or not
+        self._events = 0  # number of events in the open segment
+        self._opened_seconds = 0.0  # monotonic clock
+        self._empty_path: Path | None = None  # segment without events yet
+        self._lost_tail: Tail | None = None  # events counted as lost but still readable
+        self.size_bytes = 0  # size of the open segment
+        self.written_bytes = 0  # total of all segments
+        self.unsynced_events = 0  # in segments whose sync failed; they may not be durable
 
     @property
     def age_seconds(self) -> float:
-        """The time since the open segment was begun."""
+        """The time since the open segment was started."""
         return time.monotonic() - self._opened_seconds
 
     def append_events(self, events: Sequence[CaptureEvent]) -> None:
-        """Writes one frame. Raises OSError; then none of its events are in the file."""
+        """Writes one frame. Raises OSError; its events then count as lost."""
         if self._file is None:
             self._begin(events)
         assert self._file is not None
@@ -69,7 +70,7 @@
         try:
             if self._sync == "flush":
                 os.fsync(self._file)
-        except OSError:  # it may be on the disk or not; a second sync would not tell
+        except OSError:  # durability unknown; a second sync would not show it
             self._lost_tail = Tail(self._path, offset)
             raise
         if not self._entries:
@@ -90,9 +91,9 @@
         self._close()
 
     def abandon(self) -> None:
-        """Leaves the open segment after an error.
+        """Closes the open segment after an error.
 
-        What was written before stays readable; a segment without any of it is removed.
+        Events written before it stay readable; a segment without events is removed.
         """
         if self._entries and self._sync == "segment":
             self._sync_segment()
@@ -101,7 +102,7 @@
             self._remove_failed()
 
     def _begin(self, events: Sequence[CaptureEvent]) -> None:
-        """Begins a segment, once what failed attempts have left behind is gone."""
+        """Starts a segment after removing the remains of failed attempts."""
         self._remove_failed()
         self._path = self._folder.segment_path(self._segment)
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC
@@ -116,7 +117,7 @@
         self._retention.enforce()
 
     def _append(self, data: bytes) -> None:
-        """Writes all of it or raises OSError; a part that a full disk took is cut off again."""
+        """Writes all bytes or raises OSError; a partial write is truncated again."""
         assert self._file is not None
         try:
             write_all(self._file, data)
@@ -128,7 +129,7 @@
         self.written_bytes += len(data)
 
     def _sync_segment(self) -> None:
-        """Syncs once: after a failed sync the next may report success with nothing on the disk."""
+        """Syncs once: after a failed sync, the next may report success without durable data."""
         if self._file is None or self._sync == "never":
             return
         try:
@@ -139,7 +140,7 @@
             self._log("segment_sync_failed", f"{self._path}: {error}")
 
     def _remove_failed(self) -> None:
-        """Removes a segment without events, and events that count as lost. Raises OSError."""
+        """Removes a segment without events, and events counted as lost. Raises OSError."""
         if self._empty_path is not None:
             self._empty_path.unlink(missing_ok=True)
             self._empty_path = self._lost_tail = None
@@ -150,5 +151,5 @@
     def _close(self) -> None:
         if self._file is not None:
             file, self._file = self._file, None
-            with suppress(OSError):  # the descriptor is gone all the same
+            with suppress(OSError):  # the descriptor is closed even if this fails
                 os.close(file)
--- a/martenlead/capture/setting_names.py
+++ b/martenlead/capture/setting_names.py
@@ -1,6 +1,6 @@
-"""The names by which captures store the policy's settings.
+"""The names under which captures store the policy's settings.
 
-`replay --set` takes them too.
+`replay --set` accepts the same names.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from martenlead.policy.types import Settings
 
-# by the fields of `Settings`; a field that is not here is stored by its own name
+# field of `Settings` -> stored name; other fields are stored under their own names
 SETTING_NAMES = {
     "dispatchers": "front_ends",
     "tick_ns": "tick",
@@ -35,5 +35,5 @@
     "connect_timeout_ns": "reach",
     "function_limit": "functions",
 }
-# the fields of `Settings`, by the names under which they are stored
+# stored name -> field of `Settings`
 SETTING_FIELDS = {SETTING_NAMES.get(f.name, f.name): f.name for f in fields(Settings)}
--- a/martenlead/capture/suspension.py
+++ b/martenlead/capture/suspension.py
@@ -1,11 +1,12 @@
-"""Where a suspended generator of the policy waits, and a new one that waits at the same place.
+"""Describes where a suspended generator of the policy waits, and recreates it at the same wait.
 
-A suspended generator cannot be written to a file. What it waits for and what it has in hand can:
-three waits exist in the policy, a request's for its latest attempt, a request's for all attempts in
-flight, and the one of the periodic check. A wait that is not known here is an error, never a guess.
+A suspended generator cannot be serialized, but its wait and the local variables it needs there can.
+The policy has three kinds of wait: a request waits for its latest attempt, a request waits for all
+attempts in flight, and the periodic check waits for its next turn. An unknown wait is an error,
+never a guess.
 
-A new generator is led to its wait by resuming it while the policy's own choices are replaced by
-those of then, on this one instance; whatever that changed is put back.
+A new generator is advanced to its wait while the policy's choices are replaced, on this instance
+only, by the recorded ones; all state that this changes is restored afterwards.
 """
 
 from __future__ import annotations
@@ -24,30 +25,30 @@
 from martenlead.policy.replica_scaling import ReplicaScaling
 from martenlead.policy.types import Attempt, Request, Result, Steps, Wait
 
-# the waits, by the names that checkpoints store
+# the names under which checkpoints store the kinds of wait
 OVER = "over"
 LATEST_ATTEMPT = "latest"
 ALL_ATTEMPTS = "all"
 FIRST_CHECK = "first"
 NEXT_CHECK = "period"
-TICK_PART = 3  # of the time that is left: a tick so short changes nothing of it
+TICK_PART = 3  # a tick of this part of the remaining time leaves the wait unchanged
 
 
 class CheckpointError(Exception):
-    """A generator waits where no checkpoint knows it."""
+    """The state cannot be stored in a checkpoint, for instance because a wait is unknown."""
 
 
 @dataclass(slots=True)
 class Suspension:
-    """Where a generator waits, and what it has in hand there."""
+    """The wait of a generator and the local variables that it needs to resume."""
 
     wait: str
     request: Request | None = None
-    last_ns: int | None = None  # the last moment that its local variables name
+    last_ns: int | None = None  # a request's: end of its attempts; a check's: begin of its period
     begun_ns: int | None = None
 
     def pack(self) -> dict[str, object]:
-        """Its fields by the names that checkpoints store."""
+        """The fields by the names that checkpoints store."""
         if self.wait == OVER:
             return {"stand": self.wait}
         if self.request is not None:
@@ -56,15 +57,15 @@
 
     @classmethod
     def unpack(cls, stored: dict[str, Any]) -> Suspension:
-        """Reads what `pack` gives, with values of many types."""
+        """Reads the result of `pack`."""
         return cls(stored["stand"], stored.get("task"), stored.get("last"), stored.get("born"))
 
 
-# -- reading a living generator
+# -- describing a suspended generator
 
 
 def describe_process(process: Process) -> Suspension:
-    """Where the generator of a process waits. Raises `CheckpointError`."""
+    """Describes where the generator of a process waits. Raises `CheckpointError`."""
     frame = getattr(process.steps, "gi_frame", None)
     if not process.alive or frame is None:
         return Suspension(OVER)
@@ -89,7 +90,7 @@
 
 
 def _line_of(function: Callable[..., object], text: str) -> int:
-    """The line of the one statement of a function that has a text."""
+    """The number of the only line of a function that contains `text`."""
     lines, first = inspect.getsourcelines(function)
     found = [first + n for n, line in enumerate(lines) if text in line]
     if len(found) != 1:
@@ -98,20 +99,20 @@
     return found[0]
 
 
-# -- leading a new generator to the same wait
+# -- recreating a generator at the same wait
 
 
 def resume_at(policy: Policy, suspension: Suspension) -> Steps:
-    """A generator that waits where the described one did. Leaves the policy as it was."""
-    with _policy_put_back(policy):
+    """Creates a generator that waits where the described one did. Leaves the policy unchanged."""
+    with _policy_restored(policy):
         if suspension.request is not None:
             return _resume_request(policy, suspension.request, suspension)
         return _resume_checks(policy, suspension)
 
 
 @contextmanager
-def _policy_put_back(policy: Policy) -> Iterator[None]:
-    """Puts back whatever is changed meanwhile, methods that were replaced included."""
+def _policy_restored(policy: Policy) -> Iterator[None]:
+    """Restores the state of the policy's parts afterwards, including replaced methods."""
     state = policy.state
     parts: list[object] = [
         state,
@@ -135,8 +136,8 @@
 
 
 @contextmanager
-def _request_put_back(policy: Policy, request: Request) -> Iterator[None]:
-    """Puts back the request's attempts, their results and their workers' retry budgets."""
+def _request_restored(policy: Policy, request: Request) -> Iterator[None]:
+    """Restores the request's attempts, their results and their workers' retry budgets."""
     attempts, attempt_limit = list(request.attempts), policy.settings.attempt_limit
     results = [attempt.result for attempt in attempts]
     budgets = {attempt.worker: attempt.worker.retry_budget for attempt in attempts}
@@ -161,34 +162,34 @@
     waits_for_all = suspension.wait == ALL_ATTEMPTS
     attempts = list(request.attempts)
     results = [attempt.result for attempt in attempts]
-    with _request_put_back(policy, request):
+    with _request_restored(policy, request):
         _repeat_choices(policy, request, attempts)
-        # so long before its end that its tick is no share of its time, and comes out as it was
+        # early enough before the deadline that the tick is not limited to a share of the time left
         left_ns = request.deadline_ns - last_ns
         policy.state.now_ns = last_ns - round((left_ns + 1) / MARGIN_SHARE)
         policy.settings.tick_ns = left_ns // TICK_PART
         policy.settings.attempt_limit = len(attempts) + waits_for_all
         request.attempts = []
         for attempt in attempts if waits_for_all else attempts[:-1]:
-            attempt.result = Result.NO_RESPONSE  # ended, and no error that would end the request
+            attempt.result = Result.NO_RESPONSE  # ended, without an error that ends the request
         steps = policy.handle_request(request)
         action = next(steps)
         while not isinstance(action, Wait):
             if waits_for_all and len(request.attempts) == len(attempts):
                 _set_results(attempts, results)
-                # the latest may be in flight: it is passed over as one that is waited for no more
+                # the latest attempt may be in flight; its own wait is skipped as already over
                 policy.state.now_ns = last_ns + 1
             action = steps.send(None)
     return steps
 
 
 def _repeat_choices(policy: Policy, request: Request, attempts: list[Attempt]) -> None:
-    """Has the attempts placed and begun as they were, one after the other."""
+    """Makes the policy place and begin the recorded attempts in their order."""
     workers = iter([attempt.worker for attempt in attempts])
     remaining = iter(attempts)
 
     def begin_next(*_: object) -> Attempt:
-        """Begins the attempt that came next then."""
+        """Begins the next recorded attempt."""
         attempt = next(remaining)
         request.attempts.append(attempt)
         return attempt
@@ -201,7 +202,7 @@
 def _resume_checks(policy: Policy, suspension: Suspension) -> Steps:
     state = policy.state
     state.random = lambda: 0.0
-    if suspension.last_ns is not None:  # earlier checkpoints have none while the first wait lasts
+    if suspension.last_ns is not None:  # older checkpoints have none during the first wait
         state.now_ns = suspension.last_ns
     steps = policy.scaling.run()
     next(steps)
--- a/martenlead/capture/what_if.py
+++ b/martenlead/capture/what_if.py
@@ -1,4 +1,4 @@
-"""What would have been decided with another policy, or with other settings."""
+"""Compares recorded decisions with those of another policy or of other settings."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 
 MAX_EXAMPLES = 10
 NOWHERE = "nowhere"
-UNCHANGEABLE = "offerings"  # by its stored name: a list of records
+UNCHANGEABLE = "offerings"  # stored name of a setting that is a list of records
 
 
 @dataclass
 class WhatIfReport:
-    """Two readings of the same inputs: as it was, and with the change.
+    """Compares two runs over the same inputs: the recorded one and one with the change.
 
-    Results are fed as they were recorded, whichever worker an attempt went to: a replay cannot know
-    what another worker would have answered. So what comes after a request's first difference is a
-    tendency only.
+    Results are fed as recorded, whichever worker an attempt went to, since a replay cannot know
+    what another worker would have answered. Decisions after a request's first difference therefore
+    show a tendency only.
     """
 
     requests: int = 0
     moved: int = 0  # requests whose first attempt would have gone to another worker
-    no_longer_sent: int = 0  # requests with no attempt at all now, that had one
-    newly_sent: int = 0  # and the other way round
-    recorded_counts: Counter[str] = field(default_factory=Counter)  # decisions by kind
+    no_longer_sent: int = 0  # requests that had an attempt and now have none
+    newly_sent: int = 0  # requests that had no attempt and now have one
+    recorded_counts: Counter[str] = field(default_factory=Counter)  # by kind of decision
     replayed_counts: Counter[str] = field(default_factory=Counter)
     examples: list[str] = field(default_factory=list)
     stop_reason: str = ""
 
 
 class _Decisions:
-    """The decisions of one reading: how many of each kind, and where each request went first."""
+    """The decisions of one run: counts by kind, and each request's first worker."""
 
     def __init__(self, counts: Counter[str]) -> None:
         self._counts = counts
-        self.first_workers: dict[int, int] = {}  # by request, by their numbers
+        self.first_workers: dict[int, int] = {}  # number of the request -> number of the worker
 
     def add(self, event: ev.CaptureEvent) -> None:
         """Counts one decision."""
@@ -92,9 +92,9 @@
 
 
 def parse_setting_change(text: str) -> Callable[[Settings], Settings]:
-    """A change from NAME=VALUE, by the stored name of a setting, with times in ns.
+    """Parses NAME=VALUE, the stored name of a setting and its value, with times in ns.
 
-    What it returns raises ValueError for a name or a value that does not fit.
+    The returned function raises ValueError for an unknown name or an unsuitable value.
     """
     stored_name, _, value = text.partition("=")
 
@@ -104,7 +104,7 @@
             error = f"{stored_name}: no such setting"
             raise ValueError(error)
         name = SETTING_FIELDS[stored_name]
-        # a field of any type, by its name
+        # `Any`: fields have different types
         new: dict[str, Any] = {name: _parse_value(stored_name, getattr(settings, name), value)}
         return replace(settings, **new)
 
@@ -112,7 +112,7 @@
 
 
 def _parse_value(name: str, present: bool | float, text: str) -> bool | float:
-    """A value of the type that the setting has at present. Raises ValueError."""
+    """Parses a value as the type of the present one. Raises ValueError."""
     if isinstance(present, bool):
         if text not in ("true", "false"):
             error = f"{name}: true or false was expected"
--- a/martenlead/capture/writer.py
+++ b/martenlead/capture/writer.py
@@ -1,9 +1,9 @@
-"""Writes a dispatcher's events to its folder, by a thread of its own.
+"""Writes a dispatcher's events to its folder in a separate thread.
 
-The event loop never waits for the disk. A disk that fails for a while costs the batches that were
-tried meanwhile: they are counted, a `Gap` stands in their place, and writing goes on in a new
-segment once an attempt succeeds. Attempts back off; in between, events wait in the bounded queue,
-and so does the beginning of a run until it is written.
+The event loop never waits for the disk. While the disk fails, the batches of the failed attempts
+are lost: they are counted, a `Gap` replaces them, and writing continues in a new segment after the
+first successful attempt. Attempts back off; between them, events stay in the bounded queue. The
+first events of a run stay there until they are written.
 """
 
 from __future__ import annotations
@@ -31,36 +31,35 @@
 
 
 class CaptureSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """Where and how captures are written; the names are keys of the settings."""
+    """Where and how captures are written; the field names are keys of the settings."""
 
     folder: str
     segment_bytes: int = 16 * 1024 * 1024
     segment_s: float = 600
-    total_bytes: int = 1024 * 1024 * 1024  # of this name; the oldest segments go first
-    queue: int = 100_000  # events that may wait for the disk; a gap stands for those beyond
+    total_bytes: int = 1024 * 1024 * 1024  # per dispatcher name; the oldest segments go first
+    queue: int = 100_000  # largest number of queued events; a gap replaces dropped ones
     flush_ms: float = 50
     sync: SyncPolicy = "segment"
-    checkpoints: bool = True  # made before a segment goes, so that the rest can be replayed
+    checkpoints: bool = True  # made before a segment is removed, so that the rest replays
 
 
 class CounterOwner(Protocol):
-    """Whoever has the counters that operators see."""
+    """An object with counters that operators see."""
 
     @property
     def counts(self) -> Counter[tuple[str, str]]:
-        """Numbers by group and name."""
+        """Counters by kind and name."""
 
 
 class CaptureWriter:
-    """One run of one dispatcher: `put` takes its events, a thread of its own writes them."""
+    """Writes one run of one dispatcher: `put` queues events, and a thread writes them."""
 
     def __init__(
         self, settings: CaptureSettings, name: str, log: Callable[[str, str], None]
     ) -> None:
-        """Raises `AlreadyLockedError` where another process writes under that name.
+        """Raises `AlreadyLockedError` if another process writes captures of that name.
 
-        A folder that cannot be used is tried again by the thread. `log` takes an event and a
-        reason.
+        The thread retries a folder that cannot be used. `log` is called with an event and a reason.
         """
         self.settings = settings
         self._folder = RunFolder(Path(settings.folder), name)
@@ -68,11 +67,11 @@
         try:
             self._folder.lock()
         except OSError as error:
-            self._disk.begin(error)
+            self._disk.record_failure(error)
         self.retention = Retention(self._folder, settings.total_bytes, settings.checkpoints, log)
         self._segments = SegmentWriter(self._folder, settings.sync, self.retention, log)
         self.queue = EventQueue(settings.queue)
-        self.put: Callable[[CaptureEvent], None] = self.queue.put  # for the event loop; never waits
+        self.put: Callable[[CaptureEvent], None] = self.queue.put  # never blocks the event loop
         self.written = 0
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._work, name="capture", daemon=True)
@@ -80,37 +79,37 @@
 
     @property
     def run(self) -> int:
-        """The number of this run, 0 until the folder can be used."""
+        """The number of this run, 0 until the folder is locked."""
         return self._folder.run
 
     @property
     def dropped(self) -> int:
-        """Events that are in no file."""
+        """The number of events that were dropped or lost."""
         return self.queue.dropped + self._disk.lost_events
 
     @property
     def unsynced(self) -> int:
-        """Events in segments whose sync has failed."""
+        """The number of events in segments whose sync failed."""
         return self._segments.unsynced_events
 
     @property
     def failures(self) -> int:
-        """Attempts to write that failed."""
+        """The number of failed write attempts."""
         return self._disk.failures
 
     @property
     def recoveries(self) -> int:
-        """Times that the disk took events again."""
+        """The number of times that writing succeeded after failures."""
         return self._disk.recoveries
 
     def close(self) -> None:
-        """Writes what waits, and the index, and ends the thread."""
+        """Writes the queued events and the index, and stops the thread."""
         self._stop.set()
         self._thread.join(CLOSE_TIMEOUT_SECONDS)
         self._folder.unlock()
 
     async def publish_counters(self, dispatcher: CounterOwner) -> None:
-        """Copies the counters to where operators see them, as long as the dispatcher runs."""
+        """Copies the counters to the dispatcher's periodically until it is cancelled."""
         while True:
             for name in ("written", "dropped", "unsynced", "failures", "recoveries"):
                 dispatcher.counts["capture", name] = getattr(self, name)
@@ -123,15 +122,15 @@
             is_stopping = self._stop.wait(self.settings.flush_ms / MS_PER_SECOND)
             if not is_stopping and not self._disk.is_attempt_due:
                 continue
-            while (self.queue or self._disk.has_unnoted_loss) and self._write_batch():
+            while (self.queue or self._disk.has_unrecorded_loss) and self._write_batch():
                 pass
             if is_stopping:
-                self._disk.lose(self.queue.take(len(self.queue)))
+                self._disk.count_lost(self.queue.take(len(self.queue)))
                 self._segments.finish()
                 return
 
     def _write_batch(self) -> bool:
-        """Whether the disk took a batch. One that it did not take is lost, and counted."""
+        """Writes one batch; returns False on failure. A failed batch is lost and counted."""
         batch = self.queue.take(MAX_FRAME_EVENTS)
         try:
             if not self._folder.is_locked:
@@ -139,14 +138,14 @@
             self._segments.append_events([*self._disk.gap_before(batch), *batch])
         except (OSError, AlreadyLockedError) as error:
             if self.written:
-                self._disk.lose(batch)
-            else:  # a run whose beginning is missing cannot be replayed
+                self._disk.count_lost(batch)
+            else:  # a run without its first events cannot be replayed
                 self.queue.put_back(batch)
-            self._disk.begin(error)
+            self._disk.record_failure(error)
             self._segments.abandon()
             return False
         self.written += len(batch)
-        self._disk.end()
+        self._disk.record_success()
         is_old = self._segments.age_seconds > self.settings.segment_s
         if self._segments.size_bytes > self.settings.segment_bytes or is_old:
             self._segments.finish()
