--- a/martenlead/cli/__init__.py
+++ b/martenlead/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one file a sub-command, each only parses and calls."""
+"""The command line: one module per sub-command, which parses its arguments and calls the rest."""
--- a/martenlead/cli/call.py
+++ b/martenlead/cli/call.py
@@ -14,8 +14,8 @@
 
 CONNECT_TIMEOUT_NS = 2_000_000_000
 MS_PER_SECOND = 1000
-EXTRA_SECONDS = 1  # that a response is waited for beyond the request's own time
-EXIT_CODES = {200: 0, 429: 3, 503: 3, 502: 4, 504: 4}  # by the status of the response
+EXTRA_SECONDS = 1  # added to the request's time limit while waiting for the response
+EXIT_CODES = {200: 0, 429: 3, 503: 3, 502: 4, 504: 4}  # status of the response -> exit code
 NO_RESPONSE = 1
 
 
@@ -26,9 +26,15 @@
 @click.option("--model", "function", required=True)
 @click.option("--customer", "tenant")
 @click.option(
-    "--within", "within_ms", type=float, default=5000, show_default=True, help="time left, ms"
+    "--within", "within_ms", type=float, default=5000, show_default=True, help="time limit, ms"
+)
+@click.option(
+    "--set",
+    "extra",
+    multiple=True,
+    metavar="NAME=VALUE",
+    help="an additional attribute of the event",
 )
-@click.option("--set", "extra", multiple=True, metavar="NAME=VALUE", help="a further attribute")
 @click.option("--data", default="{}", show_default=True, help="JSON, or - for standard input")
 def call(
     host: str,
@@ -63,7 +69,7 @@
 
 
 async def _send(host: str, port: int, event: Event, timeout_seconds: float) -> int:
-    """Sends an event, prints the response, and gives the exit code."""
+    """Sends an event, prints the response, and returns the exit code."""
     headers, body = encode_event(event)
     pool = Pool(host, port, connect_timeout_ns=CONNECT_TIMEOUT_NS)
     exchange: Exchange | None = None
--- a/martenlead/cli/capture.py
+++ b/martenlead/cli/capture.py
@@ -1,4 +1,4 @@
-"""`martenlead capture`: reads captures."""
+"""`martenlead capture`: shows, summarizes and explains captures, and makes checkpoints."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from martenlead.capture.replayer import ReplayError
 from martenlead.cli.capture_runs import find_runs_or_exit, format_event, paths_argument
 
-REQUEST_KIND = "Take"  # the kind of event that begins a request
+REQUEST_KIND = "Take"  # the documented name of `RequestAccepted`
 
 
 @click.group()
 def capture() -> None:
-    """Read what dispatchers were notified of and decided."""
+    """Read the recorded inputs and decisions of dispatchers."""
 
 
 @capture.command()
 @paths_argument
 def show(paths: tuple[Path, ...]) -> None:
-    """Every event, a line each."""
+    """Print every event on a line of its own."""
     for run in find_runs_or_exit(paths):
         for event in run.events():
             click.echo(format_event(event))
@@ -38,7 +38,7 @@
 @capture.command()
 @paths_argument
 def stats(paths: tuple[Path, ...]) -> None:
-    """Counts and bytes by kind of event."""
+    """Print counts and bytes by kind of event."""
     for run in find_runs_or_exit(paths):
         _print_stats(run)
 
@@ -62,13 +62,15 @@
 @capture.command()
 @paths_argument
 @click.option(
-    "--task", "request", help="an event's id, its source and id, or a number in the capture"
+    "--task",
+    "request",
+    help="the event's id, its source and id, or the request's number in the capture",
 )
 @click.option(
     "--scrapped", "by_cause", is_flag=True, help="group all requests that did not succeed by cause"
 )
 def explain(paths: tuple[Path, ...], request: str | None, by_cause: bool) -> None:
-    """The course of one request, or the causes of all that did not succeed, over all captures."""
+    """Explain one request, or group all requests that did not succeed by cause."""
     if bool(request) == by_cause:
         error = "one of --task and --scrapped is wanted"
         raise click.UsageError(error)
@@ -83,7 +85,7 @@
 
 
 def _explain_request(runs: list[CaptureRun], request: str) -> None:
-    """Prints a request's course; exits 1 if no capture has it."""
+    """Prints what happened to a request; exits 1 if no capture has it."""
     is_found = False
     for run in runs:
         lines = explain_request(run.events(), request)
@@ -100,22 +102,22 @@
 @capture.command()
 @click.argument("segment", type=click.Path(path_type=Path, exists=True))
 def checkpoint(segment: Path) -> None:
-    """Write the state before a segment, so that it replays when those before it are gone.
+    """Write the state before a segment, so that it replays after earlier ones are removed.
 
-    Edges do this by themselves before the bound on disk removes a segment.
+    Edges do this automatically before the disk limit removes a segment.
     """
-    (only,) = find_runs_or_exit((segment,))
+    (segment_run,) = find_runs_or_exit((segment,))
     try:
-        _write_checkpoint(only, segment)
+        _write_checkpoint(segment_run, segment)
     except (CaptureFormatError, ReplayError, CheckpointError) as error:
         click.echo(f"{segment}: {error}", err=True)
         sys.exit(1)
     click.echo(f"{checkpoint_path(segment)}")
 
 
-def _write_checkpoint(only: CaptureRun, segment: Path) -> None:
-    """Replays the run up to the segment; `only` is the run of the segment alone."""
-    key = only.name, only.number
+def _write_checkpoint(segment_run: CaptureRun, segment: Path) -> None:
+    """Replays the run up to the segment; `segment_run` has this segment only."""
+    key = segment_run.name, segment_run.number
     run = next(r for r in find_runs([segment.parent]) if (r.name, r.number) == key)
     position = [path.name for path in run.paths].index(segment.name)
     earlier = CaptureRun(run.name, run.number, run.paths[:position])
--- a/martenlead/cli/capture_runs.py
+++ b/martenlead/cli/capture_runs.py
@@ -1,4 +1,4 @@
-"""What the sub-commands on captures share: finding runs, and printing events."""
+"""Shared by the sub-commands that read captures: finding runs and formatting events."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def find_runs_or_exit(paths: tuple[Path, ...]) -> list[CaptureRun]:
-    """The runs in these files and folders; exits where one cannot be read."""
+    """Finds the runs in files and folders; exits if one cannot be read."""
     try:
         return find_runs(list(paths))
     except CaptureFormatError as error:
@@ -29,7 +29,7 @@
 
 
 def format_event(event: ev.CaptureEvent | None) -> str:
-    """An event in one line, by the names that captures store."""
+    """Formats an event as one line, with the stored names of its fields."""
     if event is None:
         return "nothing"
     names = zip(event.__struct_encode_fields__, event.__struct_fields__, strict=True)
--- a/martenlead/cli/config.py
+++ b/martenlead/cli/config.py
@@ -1,4 +1,4 @@
-"""`martenlead config`: checks, shows and describes settings."""
+"""`martenlead config`: checks and prints settings, and prints their JSON Schema."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
     type=click.Choice(list(KINDS)),
     default="edge",
     show_default=True,
-    help="whose settings",
+    help="kind of settings",
 )
 
 
 def read_settings(kind: str, path: Path) -> msgspec.Struct:
-    """The settings of a kind in a Jsonnet file. Raises `ConfigError`."""
+    """Reads settings of a kind from a Jsonnet file. Raises `ConfigError`."""
     return read_edge_settings(path) if kind == "edge" else load(path, KINDS[kind])
 
 
 @click.group()
 def config() -> None:
-    """Check, show and describe settings."""
+    """Check settings, print them, or print their JSON Schema."""
 
 
 @config.command()
 @kind_option
 @click.argument("config", type=click.Path(path_type=Path))
 def check(kind: str, config: Path) -> None:
-    """Exit 0 if the settings are good; else one line and 2."""
+    """Check settings. Exit 0 if they are valid, else print one line and exit 2."""
     read_settings(kind, config)
     click.echo(f"{config}: good")
 
@@ -55,12 +55,12 @@
 @kind_option
 @click.argument("config", type=click.Path(path_type=Path))
 def show(kind: str, config: Path) -> None:
-    """All settings in effect, with defaults and templates filled in, as JSON."""
+    """Print all effective settings, including defaults and templates, as JSON."""
     print_json(read_settings(kind, config))
 
 
 @config.command("schema")
 @kind_option
 def show_schema(kind: str) -> None:
-    """The JSON Schema of the settings."""
+    """Print the JSON Schema of the settings."""
     print_json(build_json_schema(KINDS[kind]))
--- a/martenlead/cli/day.py
+++ b/martenlead/cli/day.py
@@ -25,13 +25,13 @@
 from martenlead.standins.record import read
 
 TERMINATED_EXIT_CODE = 128 + signal.SIGTERM
-STEPS_PER_SECOND = 10  # of the progress bar
+STEPS_PER_SECOND = 10  # progress bar steps per second of the day
 
-Report = dict[str, Any]  # the audit's, as days/report.py builds it
+Report = dict[str, Any]  # the audit report, as days/report.py builds it
 
 
 class LedgerReport(TypedDict):
-    """How the dispatchers' captures agree with the clients' records."""
+    """The result of comparing the dispatchers' captures with the clients' records."""
 
     entries: dict[str, int]
     odd: list[str]
@@ -39,24 +39,29 @@
 
 @click.command()
 @click.argument("script", type=click.Path(path_type=Path))
-@click.option("--seed", type=int, help="in place of the script's")
+@click.option("--seed", type=int, help="default: the script's")
 @click.option(
-    "--report", "report_file", type=click.Path(path_type=Path), help="take the report as JSON"
+    "--report",
+    "report_file",
+    type=click.Path(path_type=Path),
+    help="write the report to this file as JSON",
 )
 @click.option(
     "--keep",
     "keep_folder",
     type=click.Path(path_type=Path),
-    help="folder for records and logs, kept",
+    help="folder in which records and logs are kept",
 )
-@click.option("--layers", type=click.Choice(["on", "off"]), help="in place of the script's")
+@click.option("--layers", type=click.Choice(["on", "off"]), help="default: the script's")
 @click.option(
     "--planner",
     type=click.Choice(["none", "beside", "one"]),
-    help="in place of the script's: who decides on replicas",
+    help="which process plans replicas; default: the script's",
 )
 @click.option(
-    "--capture", is_flag=True, help="each edge captures, into captures/ of the folder kept"
+    "--capture",
+    is_flag=True,
+    help="every edge writes captures to captures/ in the folder of --keep",
 )
 def day(
     script: Path,
@@ -75,8 +80,8 @@
         if played.layers is None:
             error = f"{script}: $.layers: none, so there is nothing to be turned {layers}"
             raise ConfigError(error)
-        own_layers = msgspec.structs.replace(played.layers, on=layers == "on")
-        played = msgspec.structs.replace(played, layers=own_layers)
+        changed_layers = msgspec.structs.replace(played.layers, on=layers == "on")
+        played = msgspec.structs.replace(played, layers=changed_layers)
     if planner:
         planners = msgspec.structs.replace(played.planners, kind=planner)
         played = msgspec.structs.replace(played, planners=planners)
@@ -90,10 +95,11 @@
     report_file: Path | None,
     keep_folder: Path | None = None,
 ) -> NoReturn:
-    """Plays a day on sockets, reports on it, and exits."""
+    """Plays a day on sockets, prints its report, and exits."""
     seed = day.seed if seed is None else seed
     _check(day, script, seed)
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED_EXIT_CODE))  # ends its processes
+    # exits by an exception, so that the cleanup stops the child processes
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED_EXIT_CODE))
     with tempfile.TemporaryDirectory(prefix="martenlead-day-") as temporary:
         folder = keep_folder or Path(temporary)
         _clear(folder)
@@ -120,7 +126,7 @@
 
 
 def _clear(folder: Path) -> None:
-    """Makes the folder, and removes what an earlier day left in it."""
+    """Creates the folder and removes the files of an earlier day."""
     folder.mkdir(parents=True, exist_ok=True)
     for records in folder.glob("*.jsonl"):
         records.unlink()
@@ -129,12 +135,12 @@
 
 
 def _play(day: Day, seed: int, folder: Path) -> Report:
-    """Plays the day behind a progress bar; exits 1 if it fails."""
+    """Plays the day with a progress bar; exits 1 if it fails."""
     steps = int(day.seconds * STEPS_PER_SECOND)
     with click.progressbar(length=steps, label=f"{day.name}, seed {seed}") as bar:
 
         def show_progress(played_seconds: float) -> None:
-            """Moves the bar to this time of the day."""
+            """Moves the progress bar to this time of the day."""
             bar.update(int(played_seconds * STEPS_PER_SECOND) - bar.pos)
 
         try:
--- a/martenlead/cli/edge.py
+++ b/martenlead/cli/edge.py
@@ -26,7 +26,7 @@
 @click.command()
 @click.argument("config", type=click.Path(path_type=Path))
 @click.option(
-    "--with-planner", is_flag=True, help="decide on replicas here, whatever $.planner says"
+    "--with-planner", is_flag=True, help="plan replicas in this process, ignoring $.planner"
 )
 def edge(config: Path, with_planner: bool) -> None:
     """Run one dispatcher. It prints its port as JSON on standard output."""
@@ -49,14 +49,14 @@
 
 
 def _open_capture(settings: EdgeSettings, config: Path) -> CaptureWriter | None:
-    """The writer of captures, where the settings have one. Raises `ConfigError`."""
+    """Opens the capture writer if the settings ask for captures. Raises `ConfigError`."""
     if not settings.capture:
         return None
     log = structlog.get_logger().bind(edge=settings.name)
     capture = decode(msgspec.to_builtins(settings.capture), CaptureSettings, str(config))
 
     def warn(event: str, reason: str) -> None:
-        """Logs what a disk or a process did to the capture."""
+        """Logs a problem of the disk or of a checkpoint process."""
         log.warning(event, reason=reason)
 
     try:
@@ -69,7 +69,7 @@
 def _choose_recorder(
     settings: EdgeSettings, writer: CaptureWriter | None, client: PlannerClient | None
 ) -> Recorder | None:
-    """The recorder for captures, the one for the planner, both, or none."""
+    """The recorder for captures, the recorder for the planner, both combined, or none."""
     captured = CaptureRecorder(writer.put, settings.name) if writer is not None else None
     if client is None:
         return captured
@@ -81,7 +81,7 @@
 def _list_companions(
     settings: EdgeSettings, writer: CaptureWriter | None, client: PlannerClient | None
 ) -> list[Companion]:
-    """What runs beside the dispatcher."""
+    """The background coroutines that run beside the dispatcher."""
     companions: list[Companion] = []
     if client is not None:
         companions.append(client.run)
--- a/martenlead/cli/emulate.py
+++ b/martenlead/cli/emulate.py
@@ -19,29 +19,32 @@
     from martenlead.emulator.fleet import Fleet
     from martenlead.emulator.job import Job, Outcome
 
-STEPS_PER_SECOND = 10  # of the progress bar
+STEPS_PER_SECOND = 10  # progress bar steps per second of the day
 
 
 @click.command()
 @click.argument("script", type=click.Path(path_type=Path))
-@click.option("--seed", type=int, help="in place of the script's")
+@click.option("--seed", type=int, help="default: the script's")
 @click.option(
     "--policy",
     default="module",
-    help="who decides: module, random, two, least, hash, oracle",
+    help="the deciding policy: module, random, two, least, hash, oracle",
 )
-@click.option("--runners", "workers", type=click.IntRange(1), help="in place of the script's")
-@click.option("--edges", type=click.IntRange(1), help="in place of the script's")
+@click.option("--runners", "workers", type=click.IntRange(1), help="default: the script's")
+@click.option("--edges", type=click.IntRange(1), help="default: the script's")
 @click.option(
     "--rate",
     type=click.FloatRange(0, min_open=True),
-    help="requests a second, for the script's",
+    help="requests per second; default: the script's",
 )
 @click.option(
-    "--audit/--no-audit", default=True, help="check the rules; keeps all records in memory"
+    "--audit/--no-audit", default=True, help="audit the rules; keeps all records in memory"
 )
 @click.option(
-    "--report", "report_file", type=click.Path(path_type=Path), help="take the report as JSON"
+    "--report",
+    "report_file",
+    type=click.Path(path_type=Path),
+    help="write the report to this file as JSON",
 )
 def emulate(
     script: Path,
@@ -70,7 +73,7 @@
 def run_emulated(
     day: Day, script: str, seed: int | None, policy: str, audit: bool, report_file: Path | None
 ) -> None:
-    """Plays a day in virtual time and reports on it; exits 1 if a rule was broken.
+    """Plays a day in virtual time and prints its report; exits 1 if a rule was broken.
 
     Raises:
         ConfigError: the script cannot be played.
@@ -98,14 +101,14 @@
 
 
 def _run_job(job: Job) -> tuple[Outcome, Fleet]:
-    """Runs a job behind a progress bar. Raises ValueError for a script that cannot be played."""
+    """Runs a job with a progress bar. Raises ValueError for a script that cannot be played."""
     from martenlead.emulator.job import run
 
     steps = int(job.day.seconds * STEPS_PER_SECOND)
     with click.progressbar(length=steps, label=f"{job.day.name}, seed {job.seed}") as bar:
 
         def show_progress(played_seconds: float) -> None:
-            """Moves the bar to this time of the day."""
+            """Moves the progress bar to this time of the day."""
             position = min(bar.length or 0, int(played_seconds * STEPS_PER_SECOND))
             bar.update(position - bar.pos)
 
--- a/martenlead/cli/experiment.py
+++ b/martenlead/cli/experiment.py
@@ -24,13 +24,17 @@
     "--out",
     "results_folder",
     type=click.Path(path_type=Path),
-    help="folder of the results; else the plan's name",
+    help="folder of the results; default: named like the plan",
 )
-@click.option("--processes", type=click.IntRange(1), help="at once; as many as there are cores")
 @click.option(
-    "--against", "commits", multiple=True, help="compare with the policy at this commit too"
+    "--processes",
+    type=click.IntRange(1),
+    help="number of parallel processes; default: one per core",
 )
-@click.option("--seeds", type=click.IntRange(1), help="in place of the plan's")
+@click.option(
+    "--against", "commits", multiple=True, help="also compare with the policy at this commit"
+)
+@click.option("--seeds", type=click.IntRange(1), help="number of seeds; default: the plan's")
 def experiment(
     plan: Path,
     results_folder: Path | None,
@@ -38,9 +42,9 @@
     commits: tuple[str, ...],
     seeds: int | None,
 ) -> None:
-    """Run a plan's emulated days in parallel; one table and one page.
+    """Run a plan's emulated days in parallel; write one table and one page.
 
-    After an interruption it goes on where it was.
+    After an interruption, the next run resumes where it stopped.
     """
     from martenlead.emulator import experiment as experiments
 
@@ -63,7 +67,7 @@
 
 
 def _add_policies(plan: Plan, commits: tuple[str, ...]) -> Plan:
-    """The plan, with the policies of these commits besides its own. Raises `ConfigError`."""
+    """Adds the policies at these commits to the plan. Raises `ConfigError`."""
     from martenlead.emulator.policies import find
 
     policies = [f"module@{commit}" for commit in commits]
@@ -76,13 +80,13 @@
 
 
 def _run_jobs(plan: Plan, jobs: list[Job], folder: Path, processes: int) -> list[tuple[Job, str]]:
-    """Runs the jobs that have no outcome yet; gives those that failed, with the reasons."""
+    """Runs the jobs without an outcome yet; returns the failed ones with the reasons."""
     from martenlead.emulator.experiment import do
 
     with click.progressbar(length=len(jobs), label=plan.name) as bar:
 
         def show_progress(done: int, _: object) -> None:
-            """Moves the bar to this number of jobs."""
+            """Moves the progress bar to this number of jobs."""
             bar.update(done - bar.pos)
 
         return list(do(jobs, folder / "jobs", processes, show_progress))
@@ -100,7 +104,7 @@
     for title, drawn in plots(plan, outcomes).items():
         path = folder / "plots" / f"{title.lower().replace(' ', '-')}.svg"
         path.write_text(drawn[drawn.index("<svg") :])
-    for one in compare(outcomes, plan.baseline):
-        interval = f"{one.difference:+.4f} ({one.low:+.4f} to {one.high:+.4f})"
-        click.echo(f"{one.script} {one.at} {one.policy:12} {one.mean:.4f}  {interval}")
+    for result in compare(outcomes, plan.baseline):
+        interval = f"{result.difference:+.4f} ({result.low:+.4f} to {result.high:+.4f})"
+        click.echo(f"{result.script} {result.at} {result.policy:12} {result.mean:.4f}  {interval}")
     click.echo(f"{table}, {report}")
--- a/martenlead/cli/layers.py
+++ b/martenlead/cli/layers.py
@@ -1,4 +1,4 @@
-"""`martenlead layers`: images of functions in chunks, and a worker's agent."""
+"""`martenlead layers`: packs, verifies and compares chunked images, and runs an agent."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @click.group()
 def layers() -> None:
-    """Images of functions in chunks."""
+    """Work with chunked images of functions, or run a worker's agent."""
 
 
 folder_argument = click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
@@ -45,12 +45,12 @@
     type=click.IntRange(0, 19),
     default=3,
     show_default=True,
-    help="of Zstandard; 0: none",
+    help="Zstandard compression level; 0: uncompressed",
 )
 def pack(
     folder: Path, ref: str, files: tuple[Path, ...], cut: str, average_kb: int, level: int
 ) -> None:
-    """Make an image of FILES in an OCI image layout and name it REF."""
+    """Pack FILES as an image in an OCI image layout and name it REF."""
     cutting = image.Cutting(
         "fixed" if cut == "fixed" else "content", average_kb * BYTES_PER_KB, level
     )
@@ -66,9 +66,9 @@
 @folder_argument
 @click.argument("config", type=click.Path(path_type=Path))
 def make(folder: Path, config: Path) -> None:
-    """Make functions to rehearse with, as CONFIG says, and pack them.
+    """Generate sample functions as CONFIG describes, and pack them.
 
-    They come in families, variants and releases.
+    The samples have families, variants and releases.
     """
     settings = load(config, samples.Samples)
     try:
@@ -83,7 +83,7 @@
 @folder_argument
 @click.argument("ref")
 def verify(folder: Path, ref: str) -> None:
-    """Read an image through and check every byte. Exit 1 names what is wrong."""
+    """Read an image completely and check every byte. Exit 1 with the error if damaged."""
     try:
         chunks, size_bytes = image.verify(image.Layout(folder), ref)
     except image.BadImageError as error:
@@ -96,7 +96,7 @@
 @click.argument("present", metavar="HAS")
 @click.argument("requested", metavar="WANTS")
 def diff(folder: Path, present: str, requested: str) -> None:
-    """What a worker that has one image would download for another."""
+    """Print how much a worker that has image HAS would download for image WANTS."""
     try:
         difference = image.diff(image.Layout(folder), present, requested)
     except image.BadImageError as error:
@@ -125,15 +125,15 @@
 
 
 async def _serve_agent(settings: AgentSettings, cache: Cache) -> None:
-    """Serves until SIGTERM or SIGINT, then finishes what is in progress."""
-    own = Agent(settings, cache)
+    """Serves until SIGTERM or SIGINT, then finishes the requests in progress."""
+    agent_process = Agent(settings, cache)
     listener, port = await listen("127.0.0.1", settings.port)
     print_ready(port)
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with anyio.create_task_group() as group:
-            group.start_soon(own.run, listener)
+            group.start_soon(agent_process.run, listener)
             await anext(signals)
-            await own.drain()
+            await agent_process.drain()
             group.cancel_scope.cancel()
 
 
--- a/martenlead/cli/limits.py
+++ b/martenlead/cli/limits.py
@@ -24,8 +24,8 @@
 def limits(port: int, config: Path, host: str) -> None:
     """Change the limits of a running edge's queues.
 
-    PORT is its admin's, CONFIG Jsonnet with `waiting`, `bytes` and `weights`. Exit 1, and nothing
-    has changed, if they are wrong.
+    PORT is the port of its admin server, CONFIG a Jsonnet file with `waiting`, `bytes` and
+    `weights`. If they are invalid, exit 1 without changing anything.
     """
     body = msgspec.json.encode(evaluate(config))
     exchange = anyio.run(_put_limits, host, port, body)
--- a/martenlead/cli/main.py
+++ b/martenlead/cli/main.py
@@ -1,4 +1,4 @@
-"""`martenlead`: the sub-commands, and one line for what is wrong with a configuration."""
+"""`martenlead`: the sub-commands, and the one-line report of an invalid configuration."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def main() -> None:
-    """Runs a sub-command; exits 2 with one line for a wrong configuration."""
+    """Runs a sub-command; prints one line and exits 2 for an invalid configuration."""
     try:
         commands()
     except ConfigError as error:
--- a/martenlead/cli/output.py
+++ b/martenlead/cli/output.py
@@ -1,4 +1,4 @@
-"""What several sub-commands print in the same way."""
+"""Output that several sub-commands have in common."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def format_json(value: object) -> bytes:
-    """A value as indented JSON."""
+    """Formats a value as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(value))
 
 
@@ -17,5 +17,5 @@
 
 
 def print_ready(port: int) -> None:
-    """Tells whoever started this process the port that it listens on."""
+    """Prints the port that this process listens on, for the process that started it."""
     click.echo(f'{{"ready": {{"port": {port}}}}}')
--- a/martenlead/cli/replay.py
+++ b/martenlead/cli/replay.py
@@ -24,13 +24,13 @@
 @click.command("replay")
 @paths_argument
 @click.option(
-    "--set", "change", metavar="NAME=VALUE", help="a what-if: with this setting in place of its own"
+    "--set", "change", metavar="NAME=VALUE", help="report a what-if with this setting changed"
 )
 def replay_command(paths: tuple[Path, ...], change: str | None) -> None:
     """Replay captures and compare each decision.
 
-    Exit 0 if all are identical, 1 if one is not. With --set, or with another version of the policy,
-    the differences are reported as a what-if.
+    Exit 0 if all decisions are identical, 1 if one differs. With --set, or for a capture of another
+    version of the policy, report the differences as a what-if.
     """
     is_identical = True
     for run in find_runs_or_exit(paths):
@@ -40,12 +40,12 @@
             else:
                 is_identical &= _print_replay(run)
         except (CaptureFormatError, ValueError) as error:
-            click.echo(f"{_name(run)}: {error}", err=True)
+            click.echo(f"{_run_label(run)}: {error}", err=True)
             sys.exit(UNREADABLE_EXIT_CODE)
     sys.exit(0 if is_identical else 1)
 
 
-def _name(run: CaptureRun) -> str:
+def _run_label(run: CaptureRun) -> str:
     return f"{run.name} {run.number}"
 
 
@@ -55,8 +55,8 @@
 
 
 def _print_replay(run: CaptureRun) -> bool:
-    """Replays a run; tells whether its decisions are identical."""
-    name, outcome = _name(run), replay(run.events())
+    """Replays a run, prints the result, and returns whether its decisions are identical."""
+    name, outcome = _run_label(run), replay(run.events())
     replayed = f"{outcome.requests} tasks, {outcome.events} events, {outcome.decisions} decisions"
     if outcome.divergence is not None:
         _print_divergence(name, outcome.divergence)
@@ -85,7 +85,7 @@
     change_settings = parse_setting_change(change) if change else lambda settings: settings
     found = compare_with_change(run.events(), change_settings)
     premise = change or "this module had decided"
-    click.echo(f"{_name(run)}: what if {premise}: answers are those of then, wherever a")
+    click.echo(f"{_run_label(run)}: what if {premise}: answers are those of then, wherever a")
     click.echo("  task would have gone; behind its first difference a task shows a tendency only")
     moved = f"{found.moved} first elsewhere, {found.no_longer_sent} not handed off at all,"
     click.echo(f"  of {found.requests} tasks {moved}")
--- a/martenlead/cli/standin.py
+++ b/martenlead/cli/standin.py
@@ -1,4 +1,4 @@
-"""`martenlead standin`: runs one stand-in of what surrounds an edge."""
+"""`martenlead standin`: runs one stand-in of a client or of a service that an edge uses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from martenlead.config.load import load
 from martenlead.standins import client, depot, roster, runner, settings, vault
 
-# by kind: its settings, and the function that runs it; `Any`, as it takes no other settings
+# kind -> type of its settings and the function that runs it; `Any`, as each takes only its own type
 KINDS: dict[str, tuple[type[Any], Callable[[Any], Awaitable[None]]]] = {
     "runner": (settings.Host, runner.run),
     "roster": (settings.RosterPart, roster.run),
@@ -26,6 +26,6 @@
 @click.argument("kind", type=click.Choice(list(KINDS)))
 @click.argument("config", type=click.Path(path_type=Path))
 def standin(kind: str, config: Path) -> None:
-    """Run one stand-in by itself."""
+    """Run one stand-in process."""
     settings_type, run = KINDS[kind]
     anyio.run(run, load(config, settings_type), backend_options={"use_uvloop": True})
--- a/martenlead/cli/state.py
+++ b/martenlead/cli/state.py
@@ -17,16 +17,18 @@
     from martenlead.durable_state.store import StoredState
 
 SET_ASIDE_SUFFIX, TEMPORARY_SUFFIX = ".aside", ".part"
-SET_ASIDE, UNREADABLE, COMPLETE = "set aside", "unreadable", "whole"  # as operators see them
+SET_ASIDE, UNREADABLE, COMPLETE = "set aside", "unreadable", "whole"  # in the output
 NS_PER_SECOND = 1e9
 MAX_STATE_BYTES = 1 << 30
 
 folder_argument = click.argument("folder", type=click.Path(path_type=Path))
-deployment_option = click.option("--deployment", default="martenlead", help="as in the settings")
+deployment_option = click.option(
+    "--deployment", default="martenlead", help="name of the deployment in the settings"
+)
 
 
 class StateFile(msgspec.Struct, frozen=True, kw_only=True):
-    """What one file of a state folder holds; `contents` depends on the kind of state."""
+    """Describes one file of a state folder; `contents` depends on the kind of state."""
 
     file: str
     state: str
@@ -38,7 +40,7 @@
     contents: dict[str, object] = msgspec.field(default_factory=dict)
 
     def to_json_object(self) -> dict[str, object]:
-        """By the keys that operators see, without what is not known."""
+        """The known fields, by the keys of the output."""
         fields: dict[str, object | None] = {
             "file": self.file,
             "bytes": self.size_bytes,
@@ -54,11 +56,11 @@
 
 @click.group()
 def state() -> None:
-    """What dispatchers keep over their incarnations, in a folder."""
+    """Inspect the durable state that dispatchers keep across restarts in a folder."""
 
 
 def _read_folder(folder: Path, deployment: str) -> list[StateFile]:
-    """Every state file below a folder; reads only, and takes no lock. Raises `ConfigError`."""
+    """Describes every state file below a folder, without a lock. Raises `ConfigError`."""
     from martenlead.durable_state.store import STATE_FILE_NAME
 
     _check_folder(folder)
@@ -79,7 +81,7 @@
 
 
 def _read_file(path: Path, name: str, kind: str, deployment: str) -> StateFile:
-    """Reads a file as it was written, of whatever version: nothing is migrated."""
+    """Reads a state file of any version, without migrating it."""
     from martenlead.durable_state.store import (
         EPOCHS_KIND,
         StateKind,
@@ -101,13 +103,13 @@
         state=COMPLETE,
         generation=stored.generation,
         version=stored.version,
-        age_seconds=round(_age(stored) / NS_PER_SECOND, 1),
+        age_seconds=round(_age_ns(stored) / NS_PER_SECOND, 1),
         contents=_summarize(stored.value, is_epoch=kind == EPOCHS_KIND),
     )
 
 
 def _summarize(value: object, *, is_epoch: bool) -> dict[str, object]:
-    """The fields of a state, with the lengths of its lists."""
+    """The fields of a state, with each list replaced by its length."""
     if is_epoch:
         return {"epoch": value}
     if not isinstance(value, dict):
@@ -115,10 +117,10 @@
     return {name: len(part) if isinstance(part, list) else part for name, part in value.items()}
 
 
-def _age(stored: StoredState) -> int:
+def _age_ns(stored: StoredState) -> int:
     """The time since a state was saved, ns.
 
-    By the boot clock where the state has a time of this start of the machine.
+    Uses the boot clock if the state was saved since the machine booted, else the wall clock.
     """
     from martenlead.system import clocks
 
@@ -133,7 +135,7 @@
 @folder_argument
 @deployment_option
 def show(folder: Path, deployment: str) -> None:
-    """What is kept: files, ages, and how much of each."""
+    """Print the state files with their ages and summaries of their contents."""
     print_json([found.to_json_object() for found in _read_folder(folder, deployment)])
 
 
@@ -141,7 +143,7 @@
 @folder_argument
 @deployment_option
 def check(folder: Path, deployment: str) -> None:
-    """Exit 1 if a state cannot be read."""
+    """Check all state files. Exit 1 if one cannot be read."""
     files = _read_folder(folder, deployment)
     unreadable = [found for found in files if found.state == UNREADABLE]
     for found in unreadable:
@@ -152,7 +154,7 @@
 @state.command()
 @folder_argument
 def prune(folder: Path) -> None:
-    """Remove what was set aside, and what is left of interrupted writes."""
+    """Remove state files that were set aside and temporary files of interrupted writes."""
     _check_folder(folder)
     set_aside, temporary = (
         folder.rglob(f"*{SET_ASIDE_SUFFIX}"),
--- a/martenlead/cli/status.py
+++ b/martenlead/cli/status.py
@@ -1,4 +1,4 @@
-"""`martenlead status`: what running edges and planners report."""
+"""`martenlead status`: prints the status of running edges and planners."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 TIMEOUT_SECONDS = 2
 
-Status = dict[str, Any]  # a process's status page: its keys depend on the program and its version
+Status = dict[str, Any]  # decoded JSON; the keys depend on the program and its version
 
 
 @click.command()
 @click.argument("places", nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="all that they report")
+@click.option("--json", "as_json", is_flag=True, help="print the complete status as JSON")
 def status(places: tuple[str, ...], as_json: bool) -> None:
-    """What edges and planners hold.
+    """Print the status of edges and planners.
 
-    PLACES are [HOST:]PORT of `admin`. Exit 1: one does not answer.
+    PLACES are [HOST:]PORT of their `admin` servers. Exit 1 if one does not answer.
     """
     for place in places:
         if not place.rpartition(":")[2].isdigit():
@@ -48,7 +48,7 @@
 
 
 async def _read_status(place: str) -> Status | str:
-    """The status of the process at a place, or the reason why there is none."""
+    """The status of the process at an address, or the reason why it could not be read."""
     host, _, port = place.rpartition(":")
     with anyio.move_on_after(TIMEOUT_SECONDS):
         pool = Pool(host or "127.0.0.1", int(port))
@@ -63,7 +63,7 @@
 
 
 def format_status(place: str, status: Status) -> list[str]:
-    """One line for an edge; one for a planner, and one for each of its edges."""
+    """Formats one line for an edge, or one for a planner and one for each of its edges."""
     if "edge" in status:
         return [_format_edge(place, status)]
     if "planner" in status:
--- a/martenlead/cli/trace.py
+++ b/martenlead/cli/trace.py
@@ -1,4 +1,4 @@
-"""`martenlead trace`: public cluster traces, inspected, converted and played."""
+"""`martenlead trace`: inspects, converts and plays public cluster traces."""
 
 # ruff: noqa: PLC0415 - reading Parquet and the emulator are slow to import; only these commands need them
 
@@ -33,7 +33,7 @@
 
 
 class ReadOptions(TypedDict):
-    """How a trace is read: the options that `reading_options` adds."""
+    """The options for reading a trace that `reading_options` adds to a command."""
 
     schema: str | None
     durations: Path | None
@@ -44,7 +44,7 @@
 
 
 class MappingOptions(TypedDict):
-    """Options that replace a field of the mapping."""
+    """Options that override fields of the mapping."""
 
     from_s: float | None
     until_s: float | None
@@ -53,7 +53,7 @@
 
 
 class TraceReading(NamedTuple):
-    """A trace that is being read, and what was wrong with it so far."""
+    """A trace that is being read, and the problems found so far."""
 
     schema: str
     invocations: Iterator[Invocation]
@@ -62,26 +62,31 @@
 
 @click.group()
 def trace() -> None:
-    """Public cluster traces in CSV: inspected, converted, and played."""
+    """Inspect, convert and play public cluster traces in CSV."""
 
 
 def reading_options(command: Command) -> Command:
     """Adds the options of `ReadOptions` to a command."""
     options = [
-        click.option("--schema", type=click.Choice(KINDS), help="else guessed"),
+        click.option("--schema", type=click.Choice(KINDS), help="default: guessed"),
         click.option(
             "--durations",
             type=file_type,
-            help="beside a `minutes` file: its functions' durations",
+            help="file of function durations for a `minutes` file",
         ),
         click.option(
-            "--memory", type=file_type, help="beside a `minutes` file: its applications' memory"
+            "--memory", type=file_type, help="file of application memory for a `minutes` file"
         ),
         click.option(
-            "--day", type=click.IntRange(0), default=0, help="which day a `minutes` file is"
+            "--day", type=click.IntRange(0), default=0, help="day that a `minutes` file covers"
+        ),
+        click.option("--seed", default=1, help="seed for the details that a `minutes` file lacks"),
+        click.option(
+            "--bad",
+            type=click.FloatRange(0, 1),
+            default=0.05,
+            help="accepted share of unusable rows",
         ),
-        click.option("--seed", default=1, help="of what a `minutes` file leaves open"),
-        click.option("--bad", type=click.FloatRange(0, 1), default=0.05, help="share that may be"),
     ]
     for option in reversed(options):
         command = option(command)
@@ -89,7 +94,7 @@
 
 
 def _open(file: Path, options: ReadOptions) -> TraceReading:
-    """Begins to read a trace. Raises `TraceError`."""
+    """Starts reading a trace. Raises `TraceError`."""
     from martenlead.traces import schemas, store
     from martenlead.traces.problems import TraceProblems
 
@@ -97,17 +102,17 @@
     if file.suffix == ".parquet":
         return TraceReading("converted", store.read_trace(file), problems)
     schema = options["schema"] or schemas.guess_schema(file)
-    own = schemas.ReaderOptions(
+    reader_options = schemas.ReaderOptions(
         durations_path=options["durations"],
         memory_path=options["memory"],
         day=options["day"],
         seed=options["seed"],
     )
-    return TraceReading(schema, schemas.SCHEMAS[schema](file, own, problems), problems)
+    return TraceReading(schema, schemas.SCHEMAS[schema](file, reader_options, problems), problems)
 
 
 class TraceSummary:
-    """What a trace contains."""
+    """Collects the statistics of a trace."""
 
     def __init__(self, durations: Latencies) -> None:
         self.durations = durations
@@ -127,7 +132,7 @@
         self.last_ns = max(self.last_ns, invocation.start_ns)
 
     def to_json_object(self) -> dict[str, object]:
-        """By the keys that `inspect` prints."""
+        """The statistics, by the keys that `inspect` prints."""
         total = self.functions.total()
         span_seconds = max(1.0, (self.last_ns - self.first_ns) / NS_PER_SECOND)
         top = sum(count for _, count in self.functions.most_common(TOP_FUNCTIONS))
@@ -155,7 +160,7 @@
 @click.argument("file", type=file_type)
 @reading_options
 def inspect(file: Path, **options: Unpack[ReadOptions]) -> None:
-    """What is in a trace: its span, its functions, how skewed they are, and what is wrong."""
+    """Print a trace's time span, functions, skew and problems."""
     from martenlead.emulator.tally import Latencies
     from martenlead.traces.problems import TraceError
 
@@ -189,7 +194,7 @@
 
 
 def _read_checked(reading: TraceReading) -> Iterator[Invocation]:
-    """All invocations; raises `TraceError` at their end, before the file is put in its place."""
+    """All invocations; raises `TraceError` after the last one, before the file is renamed."""
     yield from reading.invocations
     reading.problems.check_unusable_share()
 
@@ -202,24 +207,32 @@
     "clock",
     type=click.Choice(["virtual", "sockets"]),
     default="virtual",
-    help="where it is played",
+    help="play in virtual time or on sockets",
 )
-@click.option("--map", "mapping", type=file_type, help="settings of the mapping; else the script's")
 @click.option(
-    "--from", "from_s", type=float, help="s of the trace's time; in place of the mapping's"
+    "--map", "mapping", type=file_type, help="settings of the mapping; default: the script's"
 )
+@click.option("--from", "from_s", type=float, help="start in the trace, s; default: the mapping's")
 @click.option("--until", "until_s", type=float)
 @click.option(
-    "--speed", type=click.FloatRange(0, min_open=True), help="60 plays an hour in a minute"
+    "--speed",
+    type=click.FloatRange(0, min_open=True),
+    help="speed-up: 60 plays an hour in a minute",
+)
+@click.option(
+    "--sample", type=click.FloatRange(0, 1, min_open=True), help="share of the functions to play"
+)
+@click.option(
+    "--seconds",
+    type=click.FloatRange(0, min_open=True),
+    help="length of the day; default: the script's",
 )
-@click.option("--sample", type=click.FloatRange(0, 1, min_open=True), help="share of the functions")
+@click.option("--seed", type=int, help="default: the script's")
+@click.option("--policy", default="module", help="the deciding policy (virtual time only)")
+@click.option("--audit/--no-audit", default=True, help="audit the rules (virtual time only)")
 @click.option(
-    "--seconds", type=click.FloatRange(0, min_open=True), help="of the day; else the script's"
+    "--report", "report_file", type=file_type, help="write the report to this file as JSON"
 )
-@click.option("--seed", type=int, help="in place of the script's")
-@click.option("--policy", default="module", help="virtual time only: who decides")
-@click.option("--audit/--no-audit", default=True, help="virtual time only: check the rules")
-@click.option("--report", "report_file", type=file_type, help="take the report as JSON")
 def run(
     file: Path,
     script: Path,
@@ -241,7 +254,7 @@
     day = _make_day(file, script, mapping, changes)
     day = msgspec.structs.replace(day, seconds=seconds or day.seconds)
     try:
-        next(read_trace(file), None)  # reports a file that is no trace here, not in a child process
+        next(read_trace(file), None)  # reports an invalid file here instead of in a child process
         if clock == "virtual":
             run_emulated(day, str(script), seed, policy, audit, report_file)
         else:
@@ -251,7 +264,7 @@
 
 
 def _make_day(file: Path, script: Path, mapping_file: Path | None, changes: MappingOptions) -> Day:
-    """The script's day, with the trace in place of its clients' own requests."""
+    """The script's day, with its clients' requests replaced by the trace."""
     from martenlead.days.script import Day
     from martenlead.standins.settings import Mapping
 
@@ -270,7 +283,7 @@
 @click.argument("folder", type=file_type)
 @click.option("--seed", default=1)
 def sample(folder: Path, seed: int) -> None:
-    """Write small traces of the project's own, in each schema."""
+    """Write small generated traces, one for each schema."""
     from martenlead.traces.samples import write_samples
 
     try:
