--- a/martenlead/capture/disk_failures.py
+++ b/martenlead/capture/disk_failures.py
@@ -22,7 +22,7 @@
         self._failing_since: float | None = None  # monotonic clock
         self._next_attempt = 0.0  # monotonic clock
         self._lost_since_ns = 0  # the dispatcher's clock
-        self._unrecorded_events = 0  # lost events that are not yet recorded in a gap
+        self._unrecorded = 0  # lost events that are not yet recorded in a gap
         self.lost_events = 0
         self.failures = 0
         self.recoveries = 0
@@ -35,24 +35,22 @@
     @property
     def has_unrecorded_loss(self) -> bool:
         """Whether lost events are still to be recorded in a gap."""
-        return self._unrecorded_events > 0
+        return self._unrecorded > 0
 
     def gap_before(self, batch: Sequence[CaptureEvent]) -> list[CaptureEvent]:
         """The gap that records the events lost before a batch; empty if none were lost."""
-        if not self._unrecorded_events:
+        if not self._unrecorded:
             return []
         times = (e.time_ns for e in batch if isinstance(e, InputEvent))
         until_ns = next(times, self._lost_since_ns)
-        return [
-            Gap(self._lost_since_ns or until_ns, until_ns, self._unrecorded_events, NOT_WRITTEN)
-        ]
+        return [Gap(self._lost_since_ns or until_ns, until_ns, self._unrecorded, NOT_WRITTEN)]
 
     def count_lost(self, batch: Sequence[CaptureEvent]) -> None:
         """Counts events that are in no file; those of a gap in the batch were counted before."""
-        if batch and not self._unrecorded_events:
+        if batch and not self._unrecorded:
             times = (e.time_ns for e in batch if isinstance(e, InputEvent))
             self._lost_since_ns = next(times, 0)
-        self._unrecorded_events += sum(e.dropped if isinstance(e, Gap) else 1 for e in batch)
+        self._unrecorded += sum(e.dropped if isinstance(e, Gap) else 1 for e in batch)
         self.lost_events += sum(not isinstance(e, Gap) for e in batch)
 
     def record_failure(self, error: Exception) -> None:
@@ -69,9 +67,7 @@
         if self._failing_since is None:
             return
         seconds = time.monotonic() - self._failing_since
-        self._log(
-            "capture_resumed", f"{self._unrecorded_events} events were lost in {seconds:.1f} s"
-        )
-        self._failing_since, self._next_attempt, self._unrecorded_events = None, 0.0, 0
+        self._log("capture_resumed", f"{self._unrecorded} events were lost in {seconds:.1f} s")
+        self._failing_since, self._next_attempt, self._unrecorded = None, 0.0, 0
         self._backoff.reset()
         self.recoveries += 1
--- a/martenlead/capture/events.py
+++ b/martenlead/capture/events.py
@@ -56,7 +56,7 @@
     program_version: str = msgspec.field(name="program")
     python_version: str = msgspec.field(name="python")
     seed: int
-    settings: dict[str, Any]  # by stored names, with values of many types
+    settings: dict[str, Any]  # stored name -> value
     request_classes: list[str] = msgspec.field(name="offerings")
     tenants: list[tuple[str, float]] = msgspec.field(name="customers")  # name, rate limit
 
@@ -348,8 +348,7 @@
 def unpack_settings(stored_settings: dict[str, Any]) -> Settings:
     """Reads the settings of a run from their stored form.
 
-    Fields that this version does not know are ignored; fields that the writer did not have get
-    their defaults.
+    Ignores fields that this version does not know; fields that the writer lacked get defaults.
     """
     known = {
         SETTING_FIELDS[stored]: value
--- a/martenlead/capture/replay_state.py
+++ b/martenlead/capture/replay_state.py
@@ -45,7 +45,7 @@
     closed_requests: set[int]
     load_requests: dict[int, LoadRequest]
     load_count: int
-    names: dict[object, str]  # of workers, functions and requests
+    names: dict[object, str]  # names of workers, functions and requests
 
     def perform(self, action: Action) -> None:
         """Handles one decision of the engine."""
--- a/martenlead/capture/what_if.py
+++ b/martenlead/capture/what_if.py
@@ -30,7 +30,7 @@
     moved: int = 0  # requests whose first attempt would have gone to another worker
     no_longer_sent: int = 0  # requests that had an attempt and now have none
     newly_sent: int = 0  # requests that had no attempt and now have one
-    recorded_counts: Counter[str] = field(default_factory=Counter)  # by kind of decision
+    recorded_counts: Counter[str] = field(default_factory=Counter)  # kind of decision -> count
     replayed_counts: Counter[str] = field(default_factory=Counter)
     examples: list[str] = field(default_factory=list)
     stop_reason: str = ""
--- a/tools/rename.py
+++ b/tools/rename.py
@@ -1,8 +1,8 @@
-"""Renames modules, top-level names and members of classes across the tree, as a table says.
+"""Renames modules, top-level names and class members across the tree, as a table specifies.
 
     python -m tools.rename TABLE [--root FOLDER]
 
-A table (TOML) has up to three parts:
+A table (TOML) has up to four parts:
 
     [modules]                             # dotted module -> dotted module; files are moved with `git mv`
     "package.old" = "package.new"
@@ -11,17 +11,17 @@
     OldName = "NewName"
     Moved = "package.other.NewName"       # dotted: it has moved to another module
 
-    [members."package.module.Class"]      # attributes and methods, seen on that class and its subclasses
+    [members."package.module.Class"]      # attributes and methods of that class and its subclasses
     old = "new"
     other = "part.new"                    # dotted: the member has moved to an object that the class has
 
-    [receivers]                           # expressions by which objects of a class go where mypy sees `Any`
+    [receivers]                           # class -> regular expression of receivers that mypy sees as `Any`
     "package.module.Class" = '(\\w+\\.)*(task|request)'
 
-Members are told apart by the type that mypy gives the expression before the dot. A module's move is applied
-first; the names in the other parts are those after it. A string that is a dotted name, as
-`monkeypatch.setattr` takes it, follows. What a table asks for may be done already: running it again changes
-nothing. Run the formatter afterwards.
+Members are identified by the type that mypy infers for the expression before the dot. Module moves are
+applied first, so the other parts use the new module names. A string that is a dotted name, as
+`monkeypatch.setattr` takes it, is renamed too. Applying a table twice changes nothing the second time. Run
+the formatter afterwards.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def rename(root: Path, table: Table) -> list[Path]:
-    """Applies a table to a tree; the files that changed."""
+    """Applies a table to a tree and returns the files that changed."""
     root = root.resolve()
     changed: set[Path] = set()
     if table.modules:
@@ -68,7 +68,8 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Renames across the tree, as a table says.")
+    """Parses the command line, applies the table and prints the number of changed files."""
+    parser = argparse.ArgumentParser(description="Renames across the tree, as a table specifies.")
     parser.add_argument("table", type=Path)
     parser.add_argument("--root", type=Path, default=Path())
     options = parser.parse_args()
--- a/tools/renaming/__init__.py
+++ b/tools/renaming/__init__.py
@@ -1,1 +1,1 @@
-"""Renames of modules, names and members across the tree; `tools/rename.py` is the command."""
+"""Renames modules, names and members across the tree; `tools/rename.py` is the command."""
--- a/tools/renaming/inference.py
+++ b/tools/renaming/inference.py
@@ -1,4 +1,4 @@
-"""The types that mypy gives to expressions, by which members are told apart."""
+"""Infers the types of expressions with mypy; members are identified by them."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 
 UNKNOWN = "?"
 
-Place = tuple[str, int, int]  # path, line, and column behind the expression
+Place = tuple[str, int, int]  # path, end line and end column of an expression
 
 
 @dataclass
 class Types:
-    """For each member access, the classes that the expression before the dot may be of."""
+    """The inferred types of the expressions in a tree."""
 
-    members: dict[Place, set[str]] = field(default_factory=dict)
-    classes: dict[Place, str] = field(default_factory=dict)  # for each expression that names a class: which
-    bases: dict[str, set[str]] = field(default_factory=dict)
+    members: dict[Place, set[str]] = field(default_factory=dict)  # member access -> classes of its receiver
+    classes: dict[Place, str] = field(default_factory=dict)  # expression that names a class -> that class
+    bases: dict[str, set[str]] = field(default_factory=dict)  # class -> its bases, itself included
 
-    def is_a(self, name: str, wanted: str) -> bool:
-        return name == wanted or wanted in self.bases.get(name, ())
+    def is_a(self, name: str, base: str) -> bool:
+        """Whether the class `name` is `base` or a subclass of it."""
+        return name == base or base in self.bases.get(name, ())
 
 
 def infer_types(root: Path, files: list[Path]) -> Types:
-    """Checks the tree with mypy and reads the types that it gave."""
+    """Checks the tree with mypy and collects the inferred types."""
     options = Options()
     options.export_types = options.preserve_asts = True
     options.incremental = False
--- a/tools/renaming/modules.py
+++ b/tools/renaming/modules.py
@@ -1,4 +1,4 @@
-"""Moves of modules: the files, the import statements and the strings that name them."""
+"""Moves modules: their files, and the import statements and strings that name them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def move_modules(root: Path, modules: dict[str, str]) -> None:
-    """Moves files and folders; what has moved already is passed over."""
+    """Moves files and folders; skips those that have moved already."""
     for old, new in modules.items():
         before, after = (root / Path(*name.split(".")) for name in (old, new))
         if before.is_dir():
@@ -21,7 +21,7 @@
 
 
 def _move_folder(root: Path, source: Path, target: Path) -> None:
-    """Moves what is in a folder: the target may be there already, with modules that moved before."""
+    """Moves the files in a folder; the target may already have modules of earlier moves."""
     for path in sorted(source.rglob("*")):
         if path.is_file() and "__pycache__" not in path.parts:
             _move(root, path, target / path.relative_to(source))
@@ -31,12 +31,12 @@
 def _move(root: Path, source: Path, target: Path) -> None:
     target.parent.mkdir(parents=True, exist_ok=True)
     done = subprocess.run(["git", "mv", str(source), str(target)], cwd=root, check=False)
-    if done.returncode:  # not under version control, as in a test
+    if done.returncode:  # outside a git repository, as in a test
         source.rename(target)
 
 
 def moved(name: str, modules: dict[str, str]) -> str:
-    """A dotted name after the moves."""
+    """The dotted name after the moves."""
     for old, new in modules.items():
         if name == old or name.startswith(old + "."):
             return new + name[len(old) :]
@@ -44,7 +44,7 @@
 
 
 def dotted(node: cst.BaseExpression | None) -> str:
-    """The dotted name that an expression is, or nothing."""
+    """The dotted name that an expression consists of, else an empty string."""
     if isinstance(node, cst.Name):
         return node.value
     if isinstance(node, cst.Attribute):
@@ -54,11 +54,12 @@
 
 
 class OneImportALine(cst.CSTTransformer):
-    """Gives an import statement that became two a line of its own for each."""
+    """Puts each part of an import statement that was split on a line of its own."""
 
     def leave_SimpleStatementLine(
         self, original_node: cst.SimpleStatementLine, updated_node: cst.SimpleStatementLine
     ) -> cst.SimpleStatementLine | cst.FlattenSentinel[cst.SimpleStatementLine]:
+        """Splits a line whose statement was replaced by several."""
         if len(updated_node.body) == len(original_node.body):
             return updated_node
         first, *others = [one.with_changes(semicolon=cst.MaybeSentinel.DEFAULT) for one in updated_node.body]
@@ -67,8 +68,10 @@
 
 
 class MoveImports(OneImportALine):
-    """Import statements after moves of modules. `from package import module` takes the local name that the
-    module had, so that the code below stays as it is."""
+    """Rewrites import statements after modules have moved.
+
+    `from package import module` keeps the local name of the module, so that the code using it is unchanged.
+    """
 
     def __init__(self, modules: dict[str, str]) -> None:
         self.modules = modules
@@ -76,6 +79,7 @@
     def leave_ImportFrom(
         self, original_node: cst.ImportFrom, updated_node: cst.ImportFrom
     ) -> cst.ImportFrom | cst.FlattenSentinel[cst.ImportFrom]:
+        """Rewrites `from ... import`, which may split into several statements."""
         module = dotted(updated_node.module)
         if not module or isinstance(updated_node.names, cst.ImportStar):
             return updated_node
@@ -84,7 +88,7 @@
     def _move_from(
         self, module: str, statement: cst.ImportFrom, names: object
     ) -> cst.ImportFrom | cst.FlattenSentinel[cst.ImportFrom]:
-        """The module may have moved, and so may modules in it, each to a place of its own."""
+        """Handles moves of the module itself and of the modules imported from it."""
         new_module = moved(module, self.modules)
         if new_module != module:
             statement = statement.with_changes(module=cst.parse_expression(new_module))
@@ -106,6 +110,7 @@
         return cst.FlattenSentinel([*kept, *others])
 
     def leave_Import(self, original_node: cst.Import, updated_node: cst.Import) -> cst.Import:
+        """Rewrites `import` of moved modules."""
         names = [
             alias.with_changes(name=cst.parse_expression(moved(dotted(alias.name), self.modules)))
             for alias in updated_node.names
@@ -115,7 +120,7 @@
     def leave_SimpleString(
         self, original_node: cst.SimpleString, updated_node: cst.SimpleString
     ) -> cst.SimpleString:
-        """A string that is a module's dotted name, as `monkeypatch.setattr` takes it."""
+        """Rewrites a string that is a module's dotted name, as `monkeypatch.setattr` takes it."""
         text = updated_node.value
         name = text[1:-1]
         new = moved(name, self.modules) if re.fullmatch(r"[\w.]+", name) else name
