--- a/martenlead/cli/state.py
+++ b/martenlead/cli/state.py
@@ -103,7 +103,7 @@
         state=COMPLETE,
         generation=stored.generation,
         version=stored.version,
-        age_seconds=round(_age_ns(stored) / NS_PER_SECOND, 1),
+        age_seconds=round(_age(stored) / NS_PER_SECOND, 1),
         contents=_summarize(stored.value, is_epoch=kind == EPOCHS_KIND),
     )
 
@@ -117,7 +117,7 @@
     return {name: len(part) if isinstance(part, list) else part for name, part in value.items()}
 
 
-def _age_ns(stored: StoredState) -> int:
+def _age(stored: StoredState) -> int:
     """The time since a state was saved, ns.
 
     Uses the boot clock if the state was saved since the machine booted, else the wall clock.
--- a/tests/test_capture_format.py
+++ b/tests/test_capture_format.py
@@ -24,7 +24,6 @@
 
 
 def decode_events(data: bytes) -> list[ev.CaptureEvent]:
-    """All events of a segment."""
     return [event for frame in fm.Segment(data).frames() for event in frame.events()]
 
 
--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -1,7 +1,7 @@
-"""docs/on-call.md names each log event, metric, counter kind and status field of the code, and no other.
+"""docs/on-call.md lists exactly the log events, metrics, counter kinds and status fields of the code.
 
-What the code has is read from its syntax trees; what the page has, from the first column of its tables.
-Whoever adds, renames or removes one changes the page in the same commit: it is what somebody reads at night.
+The names in the code are read from its syntax trees, those on the page from the first column of its tables.
+A commit that adds, renames or removes a name has to change the page too: operators rely on it.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "on-call.md"
-NOT_OPERATED = {"emulator", "scenarios", "standins", "traces"}  # they run in tests, no operator sees them
+NOT_OPERATED = {"emulator", "scenarios", "standins", "traces"}  # used in tests and experiments only
 
 LEVELS = {"debug", "info", "warning", "error", "exception", "critical"}
 LOGGERS = {"log", "_log", "logger", "_logger"}
-COUNTERS = {"counts", "_counts"}  # counted by kind and name
-COUNT_CALLS = {"count", "_count"}  # callbacks that count by kind and name
+COUNTERS = {"counts", "_counts"}  # maps from kind and name to a count
+COUNT_CALLS = {"count", "_count"}  # callbacks with the arguments kind and name
 GAUGE_TYPES = {"Gauge", "Histogram", "Summary"}
 METRIC_FAMILY = "MetricFamily"
-COUNTER_SUFFIX = "_total"  # that the text format adds to the name of a counter
+COUNTER_SUFFIX = "_total"  # added to counters by the exposition format
 
-FORWARDS = {  # calls that pass an event on which is literal where they are called
+FORWARDS = {  # modules with a function that forwards the literal event of its callers
     "martenlead/cli/edge.py",
 }
 
 
 @dataclass(frozen=True)
 class Module:
-    """A file of the program, as its syntax tree; `name` is its path from the root."""
+    """The syntax tree of a file of the program; `name` is its path from the root."""
 
     name: str
     tree: ast.Module
@@ -49,17 +49,17 @@
     ]
 
 
-def module_of(source: str, name: str = "martenlead/edge/example.py") -> Module:
+def parse_module(source: str, name: str = "martenlead/edge/example.py") -> Module:
     return Module(name, ast.parse(source))
 
 
-# -- what the code has
+# -- names in the code
 
 
 def walk_with_functions(
     tree: ast.AST, functions: tuple[ast.AST, ...] = ()
 ) -> Iterator[tuple[ast.AST, tuple[ast.AST, ...]]]:
-    """Each node with the functions and loops that it stands in, the innermost last."""
+    """Each node with its enclosing functions and loops, the innermost last."""
     for node in ast.iter_child_nodes(tree):
         yield node, functions
         is_scope = isinstance(node, (ast.FunctionDef, ast.AsyncFunctionDef, ast.Lambda, ast.For))
@@ -75,7 +75,7 @@
 
 
 def is_logger(node: ast.expr) -> bool:
-    """Whether this is a structlog logger: one kept under a usual name, or one just made."""
+    """Whether this is a structlog logger: one stored under a usual name, or a new one."""
     match node:
         case ast.Call(func=ast.Attribute(value=value, attr="bind")):
             return is_logger(value)
@@ -85,7 +85,7 @@
 
 
 def texts_of(node: ast.expr, scopes: tuple[ast.AST, ...]) -> set[str] | None:
-    """The literal texts that an expression may be; None where they cannot be told."""
+    """The possible literal values of an expression; None if they cannot be determined."""
     match node:
         case ast.Constant(value=str(text)):
             return {text}
@@ -98,7 +98,7 @@
 
 
 def texts_assigned(name: str, scopes: tuple[ast.AST, ...]) -> set[str] | None:
-    """The texts that a variable is given in the innermost function, loop or module that gives it any."""
+    """The literal values of a variable, from the innermost function, loop or module that assigns it."""
     for scope in reversed(scopes):
         if isinstance(scope, ast.For):
             if name in loop_variables(scope):
@@ -117,13 +117,13 @@
 
 
 def loop_variables(loop: ast.For) -> list[str]:
-    """The variable of a loop, or the first of two: the key of an item."""
+    """The variable of a loop; the first of two, which is the key of an item."""
     target = loop.target.elts[0] if isinstance(loop.target, ast.Tuple) else loop.target
     return [target.id] if isinstance(target, ast.Name) else []
 
 
 def texts_looped_over(node: ast.expr, scopes: tuple[ast.AST, ...]) -> set[str] | None:
-    """The elements of a literal tuple, or the keys of the map that a function of the module returns."""
+    """The elements of a literal sequence, or the keys of the map that a function of the module returns."""
     match node:
         case ast.Tuple(elts=elements) | ast.List(elts=elements):
             return texts_of_all(elements)
@@ -135,26 +135,28 @@
 
 
 def texts_of_all(nodes: list[ast.expr]) -> set[str] | None:
+    """The possible literal values of all expressions; None if those of one cannot be determined."""
     found = [texts_of(node, ()) for node in nodes]
     return None if None in found else set().union(*(texts for texts in found if texts))
 
 
 @dataclass
 class Found:
-    """What was found, and the places where it cannot be told."""
+    """The names found, and the places where a name cannot be determined."""
 
     names: set[str]
-    unclear: list[str]
+    undetermined: list[str]
 
     def add(self, module: Module, node: ast.expr, texts: set[str] | None) -> None:
+        """Adds the names of an expression, or its place if `texts` is None."""
         if texts is None:
-            self.unclear.append(f"{module.name}:{node.lineno}: {ast.unparse(node)}")
+            self.undetermined.append(f"{module.name}:{node.lineno}: {ast.unparse(node)}")
         else:
             self.names |= texts
 
 
 def log_events(modules: list[Module]) -> Found:
-    """First arguments of calls of loggers."""
+    """The first arguments of all calls of loggers."""
     found = Found(set(), [])
     for module in modules:
         for node, scopes in walk_with_functions(module.tree, (module.tree,)):
@@ -173,7 +175,7 @@
 
 
 def metrics(modules: list[Module]) -> Found:
-    """Names that are given to Prometheus metrics, as they are exported."""
+    """The names of Prometheus metrics, as they are exported."""
     found = Found(set(), [])
     for module in modules:
         for node, scopes in walk_with_functions(module.tree, (module.tree,)):
@@ -190,7 +192,7 @@
 
 
 def metric_names(node: ast.expr, scopes: tuple[ast.AST, ...]) -> set[str] | None:
-    """Of a literal, or of an f-string with one variable in it."""
+    """The names that a literal or an f-string gives to a metric."""
     if not isinstance(node, ast.JoinedStr):
         return texts_of(node, scopes)
     names = {""}
@@ -203,7 +205,7 @@
 
 
 def counter_kinds(modules: list[Module]) -> Found:
-    """Kinds of what is counted by kind and name: `counts["final", name]`, `count("state_saved", state)`."""
+    """The kinds of counters, as in `counts["final", name]` and `count("state_saved", state)`."""
     found = Found(set(), [])
     for module in modules:
         for node, scopes in walk_with_functions(module.tree, (module.tree,)):
@@ -221,8 +223,8 @@
 class StatusReport:
     """A function or class whose fields operators see.
 
-    `section` is the heading of the page's table, `prefix` stands before each field; `is_counter` where the
-    fields are the names that a class counts.
+    `section` is the heading of the page's table, `prefix` is prepended to each field; with `is_counter` the
+    fields are the names of a class's counters.
     """
 
     section: str
@@ -230,7 +232,7 @@
     name: str
     prefix: str = ""
     is_counter: bool = False
-    omitted: str = ""  # a field that is not sent as such
+    omitted: str = ""  # a field that is not sent under its own name
 
 
 def find_definition(tree: ast.Module, name: str) -> ast.AST:
@@ -257,7 +259,7 @@
 
 
 def counted_names(definition: ast.AST) -> set[str]:
-    """`name` of each `counts["name"]` that is changed, also of one that is either of two."""
+    """The names of all `counts["name"]` that are changed; a conditional name counts as both its values."""
     names: set[str] = set()
     for node in ast.walk(definition):
         match node:
@@ -271,7 +273,7 @@
 
 
 def struct_fields(definition: ast.ClassDef) -> set[str]:
-    """Fields of a record, by the names that they are sent under."""
+    """The fields of a record, by their encoded names."""
     names = set()
     for node in definition.body:
         if isinstance(node, ast.AnnAssign) and isinstance(node.target, ast.Name):
@@ -288,7 +290,7 @@
 
 
 def returned_keys(definition: ast.AST) -> set[str]:
-    """Keys of the literal maps that a function returns, those of maps in them behind a dot."""
+    """The keys of the literal maps that a function returns; keys of nested maps follow a dot."""
     names: set[str] = set()
     for node in ast.walk(definition):
         if isinstance(node, ast.Return) and node.value is not None:
@@ -297,6 +299,7 @@
 
 
 def keys_of(node: ast.expr) -> set[str]:
+    """The keys of a literal map, or of the maps in a list comprehension."""
     match node:
         case ast.ListComp(elt=element):
             return keys_of(element)
@@ -336,14 +339,14 @@
     ),
     StatusReport("Status of an agent", "martenlead/layers/agent_messages.py", "AgentStatus"),
 ]
-"""What operators see, besides log events and metrics. A function that reports a status is named here, or
-`test_every_status_report_is_compared` fails."""
+"""What operators see besides log events and metrics. `test_every_status_report_is_compared` fails if a
+function that reports a status is missing."""
 
-STATUS_FUNCTIONS = {"report_status", "status_report", "report_workers"}  # names that status reports have
+STATUS_FUNCTIONS = {"report_status", "status_report", "report_workers"}  # all functions of these names
 
 
 def read_status(modules: list[Module]) -> dict[str, set[str]]:
-    """Fields by section of the page."""
+    """The status fields by section of the page."""
     trees = {module.name: module.tree for module in modules}
     found: dict[str, set[str]] = {}
     for report in STATUS_REPORTS:
@@ -353,29 +356,29 @@
     return found
 
 
-# -- what the page has
+# -- names on the page
 
 
 def page_names(text: str, section: str) -> list[str]:
-    """The names in code style that begin the rows of a section's table."""
+    """The names in code style in the first column of a section's table."""
     match = re.search(rf"^##+ {re.escape(section)}\n(.*?)(?=^##|\Z)", text, re.MULTILINE | re.DOTALL)
     assert match is not None, f"the page has no section {section!r}"
     return re.findall(r"^\| `([^`]+)` \|", match[1], re.MULTILINE)
 
 
 def differences(text: str, section: str, names: set[str]) -> list[str]:
-    """What is missing in a section's table, stands there without need, or twice."""
+    """The missing, surplus and duplicate names of a section's table."""
     rows = page_names(text, section)
     missing = [f"{section}: `{name}` is not on the page" for name in sorted(names - set(rows))]
     surplus = [f"{section}: `{name}` is not in the code" for name in sorted(set(rows) - names)]
-    double = [f"{section}: `{name}` has two rows" for name in sorted(set(rows)) if rows.count(name) > 1]
-    return missing + surplus + double
+    duplicate = [f"{section}: `{name}` has two rows" for name in sorted(set(rows)) if rows.count(name) > 1]
+    return missing + surplus + duplicate
 
 
 def rename_problems(text: str, names: set[str]) -> list[str]:
-    """Of the table of renamed events: old ones that the code still has, and new ones that it has not.
+    """In the table of renamed events: old names that the code still has, and new names that it lacks.
 
-    An old event with words behind it is that of some programs alone, and others may still have it.
+    Words after an old name restrict it to some programs, so that the others may still have it.
     """
     section = text[text.index("## Renamed log events") :]
     rows = re.findall(r"^\| `([^`]+)`([^|]*) \| `([^`]+)` \|", section, re.MULTILINE)
@@ -392,17 +395,17 @@
     ("section", "find"),
     [("Log events", log_events), ("Metrics", metrics), ("Counter kinds", counter_kinds)],
 )
-def test_the_page_has_what_the_code_has(
+def test_the_page_lists_the_names_of_the_code(
     section: str, find: Callable[[list[Module]], Found], program: list[Module]
 ) -> None:
     found = find(program)
-    assert found.unclear == []
+    assert found.undetermined == []
     assert found.names
     assert differences(PAGE.read_text(), section, found.names) == []
 
 
 @pytest.mark.parametrize("section", sorted({report.section for report in STATUS_REPORTS}))
-def test_the_page_has_each_status_field(section: str, program: list[Module]) -> None:
+def test_the_page_lists_each_status_field(section: str, program: list[Module]) -> None:
     assert differences(PAGE.read_text(), section, read_status(program)[section]) == []
 
 
@@ -420,11 +423,11 @@
     assert left == []
 
 
-def test_old_and_new_events_of_the_page(program: list[Module]) -> None:
+def test_renamed_events_of_the_page_match_the_code(program: list[Module]) -> None:
     assert rename_problems(PAGE.read_text(), log_events(program).names) == []
 
 
-# -- that a difference is found
+# -- tests of this comparison
 
 EXAMPLE = """
 import structlog
@@ -473,8 +476,8 @@
 """
 
 
-def test_what_code_has_is_found() -> None:
-    modules = [module_of(EXAMPLE)]
+def test_names_in_the_code_are_found() -> None:
+    modules = [parse_module(EXAMPLE)]
     events = "one_started two_failed three_failed four_listed five_listed six_resumed seven_stopped"
     assert log_events(modules) == Found(set(events.split()), [])
     assert metrics(modules) == Found(
@@ -492,7 +495,7 @@
     ],
 )
 def test_status_fields_are_found(name: str, is_counter: bool, fields: set[str]) -> None:
-    module = module_of(EXAMPLE)
+    module = parse_module(EXAMPLE)
     report = StatusReport("a section", module.name, name, "x.", is_counter)
     assert status_fields(find_definition(module.tree, name), report) == fields
 
@@ -505,16 +508,16 @@
         ({"one_started"}, ["Log events: `two_failed` is not in the code"]),
     ],
 )
-def test_a_missing_and_a_surplus_entry_are_told(names: set[str], found: list[str]) -> None:
+def test_a_missing_and_a_surplus_entry_are_reported(names: set[str], found: list[str]) -> None:
     assert differences(PAGE_EXAMPLE, "Log events", names) == found
 
 
-def test_an_entry_that_stands_twice_is_told() -> None:
-    twice = PAGE_EXAMPLE.replace("| `two_failed` | - |", "| `one_started` | - |")
-    assert differences(twice, "Log events", {"one_started"}) == ["Log events: `one_started` has two rows"]
+def test_a_duplicate_entry_is_reported() -> None:
+    page = PAGE_EXAMPLE.replace("| `two_failed` | - |", "| `one_started` | - |")
+    assert differences(page, "Log events", {"one_started"}) == ["Log events: `one_started` has two rows"]
 
 
-def test_a_page_without_the_section_is_told() -> None:
+def test_a_page_without_the_section_is_reported() -> None:
     with pytest.raises(AssertionError, match="no section 'Counter kinds'"):
         differences(PAGE_EXAMPLE, "Counter kinds", set())
 
@@ -529,17 +532,17 @@
         ("GaugeMetricFamily(name, name)", metrics),
     ],
 )
-def test_what_cannot_be_told_from_the_code_is_told(line: str, find: Callable[[list[Module]], Found]) -> None:
-    found = find([module_of(f"def f(self, event, kind, name):\n    {line}\n")])
+def test_an_undetermined_name_is_reported(line: str, find: Callable[[list[Module]], Found]) -> None:
+    found = find([parse_module(f"def f(self, event, kind, name):\n    {line}\n")])
     assert found.names == set()
-    assert len(found.unclear) == 1
+    assert len(found.undetermined) == 1
 
 
-def test_an_event_that_is_passed_on_is_read_where_it_is_given() -> None:
+def test_a_forwarded_event_is_read_from_the_callers() -> None:
     source = "f = lambda what, why: log.warning(what, why=why)\n"
     for name in FORWARDS:
-        assert log_events([module_of(source, name)]) == Found(set(), [])
-    assert log_events([module_of(source)]).unclear != []
+        assert log_events([parse_module(source, name)]) == Found(set(), [])
+    assert log_events([parse_module(source)]).undetermined != []
 
 
 @pytest.mark.parametrize(
@@ -551,6 +554,6 @@
         ({"two_failed", "one_failed", "it ends"}, []),
     ],
 )
-def test_a_rename_that_the_code_has_not_made_is_told(names: set[str], found: list[str]) -> None:
+def test_a_rename_that_the_code_has_not_made_is_reported(names: set[str], found: list[str]) -> None:
     page = "## Renamed log events\n\n| `it fails` | `two_failed` |\n| `it ends` of edges | `one_failed` |\n"
     assert rename_problems(page, names) == found
--- a/tests/test_simulator_capture.py
+++ b/tests/test_simulator_capture.py
@@ -41,7 +41,7 @@
             {"clock": clock, "happened": [request, {"msg": "deadline-hit", "dispatcher": 2, "tag": "check"}]}
         )
         end = "served" if n % 4 else "no_connection"
-        attempt_end = {
+        ended = {
             "msg": "closed-attempt",
             **header,
             "reason": end,
@@ -49,14 +49,12 @@
             "terminal": bool(n % 4),
             "note": 1,
         }
-        batches.append({"clock": clock + 0.05, "happened": [attempt_end]})
-    lines = b"".join(msgspec.json.encode(batch) + b"\n" for batch in batches)
+        batches.append({"clock": clock + 0.05, "happened": [ended]})
+    text = b"".join(msgspec.json.encode(batch) + b"\n" for batch in batches)
     replies = []
-    for environment in ({}, {"MARTENLEAD_CAPTURE": str(tmp_path)}):
+    for env in ({}, {"MARTENLEAD_CAPTURE": str(tmp_path)}):
         command = [sys.executable, "-m", "martenlead.simulator_adapter"]
-        done = subprocess.run(
-            command, input=lines, env={**os.environ, **environment}, capture_output=True, check=True
-        )
+        done = subprocess.run(command, input=text, env={**os.environ, **env}, capture_output=True, check=True)
         replies.append(done.stdout)
     assert replies[0] == replies[1]
     assert b"panic" not in replies[0]
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -41,7 +41,6 @@
 
 
 def packages() -> set[str]:
-    """The packages of the program."""
     return {p.name for p in ROOT.iterdir() if p.is_dir() and (p / "__init__.py").exists()}
 
 
@@ -75,7 +74,6 @@
 
 
 def withdrawn_in(path: Path) -> list[str]:
-    """The withdrawn words in the name and the identifiers of a module."""
     module = path.relative_to(ROOT).as_posix()
     found = [f"{module}: its name"] if is_withdrawn(path.stem) else []
     for line, name in names_given(ast.parse(path.read_text())):
