--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -54,7 +54,7 @@
         if new:
             client.close()
             client = socket.create_connection(("127.0.0.1", p.port))
-        client.sendall(caller.task(ONE_ATTEMPT, wait=WAIT))
+        client.sendall(caller.encode_request(ONE_ATTEMPT, wait=WAIT))
         time.sleep(BLOCKED)  # the event loop is blocked before it reads
         with anyio.fail_after(5):
             while not stated:
@@ -73,13 +73,13 @@
     async with run_node(tmp_path, {"a": [noting]}) as p:
         door = p.node.listener
         door.connection_limit, original_limit = -EXTRA_DESCRIPTORS, door.connection_limit
-        client, idle = await p.client(), await p.client()
-        await client.ask(ONE_ATTEMPT, wait=WAIT)
+        client, idle = await p.connect_client(), await p.connect_client()
+        await client.send_request(ONE_ATTEMPT, wait=WAIT)
         await anyio.sleep(BLOCKED)  # the connections wait in the backlog
         assert not door.clients
         door.connection_limit = original_limit
         door.on_connection_closed()
-        assert outcome_of(await client.answer()) == "satisfied"
+        assert outcome_of(await client.receive_response()) == "satisfied"
         for other in (client, idle):  # requests sent now have not waited
             assert await other.call(ONE_ATTEMPT, wait=WAIT, id=f"{len(stated) + 9:016x}") == "satisfied"
         late, *prompt = stated
@@ -96,7 +96,7 @@
 
     allowed = SETTINGS["allowed"] | {"connect-timeout": 1.0}
     async with run_node(tmp_path, {"a": [noting]}, settings=SETTINGS | {"allowed": allowed}) as p:
-        client = await p.client()
+        client = await p.connect_client()
         real = p.node.worker_client._connect
 
         async def late(conn: Any) -> None:
@@ -254,7 +254,7 @@
 
 async def test_bytes_after_a_full_read_may_have_arrived_with_it(tmp_path: Path, monkeypatch: Any) -> None:
     async with run_node(tmp_path) as p:
-        await p.client()
+        await p.connect_client()
         while not p.node.listener.clients:
             await asyncio.sleep(0.002)
         (own,) = p.node.listener.clients
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -100,13 +100,15 @@
     """Repeatedly writes a hundred requests at once on each connection, and reads all responses."""
 
     async def connection(number: int) -> None:
-        caller = await p.client()
-        caller.number = NOISY * (number + 1)
-        p.group.start_soon(read_and_discard, caller.stream)
+        caller = await p.connect_client()
+        caller.last_number = NOISY * (number + 1)
+        p.task_group.start_soon(read_and_discard, caller.stream)
         with suppress(*CONNECTION_ERRORS):
             while True:
                 wait = round(WAIT * 1000)
-                await caller.send(b"".join(caller.task(tenant="noisy", wait=wait) for _ in range(FLOOD)))
+                await caller.send(
+                    b"".join(caller.encode_request(tenant="noisy", wait=wait) for _ in range(FLOOD))
+                )
                 await anyio.sleep(FLOOD_EVERY)
 
     async with anyio.create_task_group() as group:
@@ -134,11 +136,11 @@
 
 async def never_read_node(p: NodeRig) -> None:
     """Sends requests and reads no response: these wait in the socket buffers and in the node."""
-    caller = await p.client()
-    caller.number = NOISY
+    caller = await p.connect_client()
+    caller.last_number = NOISY
     for _ in range(UNREAD // 10):
         with suppress(*CONNECTION_ERRORS), anyio.move_on_after(0.05):
-            await caller.send(b"".join(caller.task(tenant="noisy", blob=LARGE) for _ in range(10)))
+            await caller.send(b"".join(caller.encode_request(tenant="noisy", blob=LARGE) for _ in range(10)))
 
 
 @asynccontextmanager
@@ -161,11 +163,11 @@
     settings = SETTINGS | {"orgs": TENANTS, "over-share-worth": OVER_SHARE}
     async with run_node(tmp_path, parts, settings=settings) as p:
         if workers == "refusing":
-            for runner in p.runners.values():
+            for runner in p.workers.values():
                 await runner.listener.aclose()
         if workers == "not listed":
             await until(lambda: p.journal.streams)
-            await p.journal.tell(kind=1)
+            await p.journal.publish(kind=1)
             await until(lambda: not any(box.is_up for box in p.node.dispatcher.workers.values()))
         yield p
 
@@ -183,10 +185,10 @@
 ) -> None:
     at_workers = RequestsAtWorkers()
     async with node_with_faults(tmp_path, workers, at_workers) as p:
-        asker = PipeliningClient(await p.client())
-        p.group.start_soon(asker.read_responses)
+        asker = PipeliningClient(await p.connect_client())
+        p.task_group.start_soon(asker.read_responses)
         max_pending_requests: Counter[str] = Counter()
-        p.group.start_soon(watch_open, p, max_pending_requests)
+        p.task_group.start_soon(watch_open, p, max_pending_requests)
         async with anyio.create_task_group() as group:
             if clients in NODE_CLIENTS:
                 group.start_soon(NODE_CLIENTS[clients], p)
--- a/tests/test_long_outages.py
+++ b/tests/test_long_outages.py
@@ -137,7 +137,7 @@
         self.port = listener.extra(SocketAttribute.local_port)
         async with listener:
             with anyio.CancelScope() as self.running:
-                await listener.serve(self.connected)
+                await listener.serve(self.serve_connection)
 
     async def fail(self) -> None:
         """Stops the listener and closes all connections."""
@@ -169,8 +169,8 @@
     journal = FailingJournal()
     async with run_node(tmp_path, {name: [one_at_a_time(succeed)] for name in "abc"}, journal) as p:
         await until(lambda: journal.streams)
-        asker = PipeliningClient(await p.client())
-        p.group.start_soon(asker.read_responses)
+        asker = PipeliningClient(await p.connect_client())
+        p.task_group.start_soon(asker.read_responses)
 
         over = anyio.Event()
 
@@ -178,7 +178,7 @@
             while not asker.connection_ended and not p.node.is_stopping and not over.is_set():
                 with suppress(*CONNECTION_ERRORS):
                     await asker.send_request(
-                        method, wait=REQUEST_TIME_MS, key=f"{asker.client.number % 7:016x}"
+                        method, wait=REQUEST_TIME_MS, key=f"{asker.client.last_number % 7:016x}"
                     )
                 await anyio.sleep(0.02)
 
@@ -187,25 +187,25 @@
             await anyio.sleep(0.1)
             await journal.fail()
             await anyio.sleep(OUTAGE_SECONDS / 2)
-            a, b = p.runners["a"], p.runners["b"]
+            a, b = p.workers["a"], p.workers["b"]
             await end_process(b)
             await end_process(a)
-            await p.runner("a", one_at_a_time(succeed), port=a.port)
-            await p.runner("d", one_at_a_time(succeed))
+            await p.start_worker("a", one_at_a_time(succeed), port=a.port)
+            await p.start_worker("d", one_at_a_time(succeed))
             await anyio.sleep(OUTAGE_SECONDS / 2)
-            await journal.tell(
-                p.record("a", started=1),
+            await journal.publish(
+                p.worker_record("a", started=1),
                 record(ord("b"), b.port, GONE),
-                p.record("c", DRAINING),
-                p.record("d", started=1),
+                p.worker_record("c", DRAINING),
+                p.worker_record("d", started=1),
             )
-            p.group.start_soon(journal.serve)
+            p.task_group.start_soon(journal.serve)
             boxes = p.node.dispatcher.workers
             await until(lambda: not boxes["s-00000063"].is_up, within=4)
             known = len(p.log)
             if stops:
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: p.ended, within=5)
+                await until(lambda: p.node_ended, within=5)
             else:
                 await anyio.sleep(0.5)
             over.set()
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -113,10 +113,10 @@
     """If the node can notice the end no request fails, otherwise at most one; none runs twice."""
     worker = ForgetfulWorker(CONNECTION_ENDS[how])
     async with run_node(tmp_path, {"a": [worker]}) as p:
-        client = await p.client()
+        client = await p.connect_client()
         for number in (1, 2, 3):
             assert await client.call(method, once=once(method, number)) == "satisfied"
-        await worker.end_idle_connections(how, p.runners["a"])
+        await worker.end_idle_connections(how, p.workers["a"])
         began = anyio.current_time()
         first = await client.call(method, wait=600, once=once(method, 4))
         assert anyio.current_time() - began < 0.6 + LATEST
@@ -182,8 +182,8 @@
     workers = {name: [one_at_a_time(part)] for name in "abcd"}
     async with run_node(tmp_path, workers, settings=SETTINGS | {"allowed": allowed}) as p:
         for place, method in enumerate(METHODS):
-            asker = PipeliningClient(await p.client(), first=place * AT_ONCE)
-            p.group.start_soon(asker.read_responses)
+            asker = PipeliningClient(await p.connect_client(), first=place * AT_ONCE)
+            p.task_group.start_soon(asker.read_responses)
             for number in range(AT_ONCE):
                 keyed = {"once": once(method, place * AT_ONCE + number + 1)} if method == "keyed" else {}
                 await asker.send_request(method, wait=800, key=f"{number:016x}", **keyed)
@@ -191,7 +191,7 @@
             assert asker.has_one_response_each()
             assert asker.outcomes() <= {"turned back", "error -32000"}
             assert max(asker.latencies()) < 0.8 + LATEST
-        attempts = Counter(line[-2:] for line in p.did())
+        attempts = Counter(line[-2:] for line in p.received())
         assert max(attempts.values()) <= SETTINGS["allowed"]["attempts-cap"]
         unsafe = {f"{2 * AT_ONCE + number + 1:02x}" for number in range(AT_ONCE)}
         if not never_ran:
@@ -224,15 +224,18 @@
     """Runs in process time: half a second in which this process gets no core would make a response late."""
     follow_loop_time(monkeypatch)
     async with run_node(tmp_path, {"a": [drops_late_ones], "b": [drops_late_ones]}) as p:
-        hurried, usual = PipeliningClient(await p.client()), PipeliningClient(await p.client(), first=1000)
+        hurried, usual = (
+            PipeliningClient(await p.connect_client()),
+            PipeliningClient(await p.connect_client(), first=1000),
+        )
         for asker in (hurried, usual):
-            p.group.start_soon(asker.read_responses)
+            p.task_group.start_soon(asker.read_responses)
         for number in range(30):
             keyed = {"once": once(method, number + 1)} if method == "keyed" else {}
-            await hurried.ask(method, wait=left, key=f"{number % 3:016x}", **keyed)
+            await hurried.send_request(method, wait=left, key=f"{number % 3:016x}", **keyed)
             if number % 3 == 0:
                 keyed = {"once": once(method, number + 1001)} if method == "keyed" else {}
-                await usual.ask(method, key=f"{number % 3:016x}", **keyed)
+                await usual.send_request(method, key=f"{number % 3:016x}", **keyed)
             await anyio.sleep(0.01)
         for asker in (hurried, usual):
             await until(lambda asker=asker: len(asker.responses) >= len(asker.sent_at))  # type: ignore[misc]
@@ -344,21 +347,21 @@
     async with run_node(tmp_path) as p:
         async with anyio.create_task_group() as group:
             for _ in range(3):
-                group.start_soon(p.journal.tell, p.record("a"))
-        assert await (await p.client()).call("safe") == "satisfied"
+                group.start_soon(p.journal.publish, p.worker_record("a"))
+        assert await (await p.connect_client()).call("safe") == "satisfied"
 
 
 async def test_streams_of_the_scripted_peers_take_several_writers_at_once(tmp_path: Path) -> None:
     """A test and the journal's heartbeat may write at the same time: all messages arrive complete."""
     async with run_node(tmp_path, {"a": [send_bytes(b""), succeed]}) as p:
         await until(lambda: p.journal.streams)
-        client = await p.client()
-        await client.ask("safe")
-        await until(p.did)
+        client = await p.connect_client()
+        await client.send_request("safe")
+        await until(p.received)
         beat, unknown = frame(len(p.journal.events) + 1, 0), answer("FIT", "0")
         async with anyio.create_task_group() as group:
             for _ in range(5):
                 group.start_soon(p.journal.streams[0].send, beat)
-                group.start_soon(p.runners["a"].streams[0].send, unknown)
-        assert await (await p.client()).call("safe", id="b" * 16) == "satisfied"
-        assert (len(p.journal.asked), count_faults(p)) == (1, 0)
+                group.start_soon(p.workers["a"].streams[0].send, unknown)
+        assert await (await p.connect_client()).call("safe", id="b" * 16) == "satisfied"
+        assert (len(p.journal.resume_positions), count_faults(p)) == (1, 0)
--- a/tests/test_shutdown_faults.py
+++ b/tests/test_shutdown_faults.py
@@ -74,9 +74,9 @@
 
     async def join(self) -> PipeliningClient:
         """Connects another client."""
-        asker = PipeliningClient(await self.p.client(), first=10_000 * len(self.askers))
+        asker = PipeliningClient(await self.p.connect_client(), first=10_000 * len(self.askers))
         self.askers.append(asker)
-        self.p.group.start_soon(asker.read_responses)
+        self.p.task_group.start_soon(asker.read_responses)
         return asker
 
     async def ask_until(self, end: float, method: str) -> None:
@@ -121,7 +121,7 @@
 
         group.start_soon(clients)
         yield crowd
-    await until(lambda: p.ended and all(asker.connection_ended for asker in crowd.askers))
+    await until(lambda: p.node_ended and all(asker.connection_ended for asker in crowd.askers))
     crowd.check(start + KILL)
 
 
@@ -145,7 +145,7 @@
     ) as p:
         async with shutdown(p, method) as crowd:
             pass
-        assert p.did()
+        assert p.received()
         assert "satisfied" not in {word for asker in crowd.askers for word in asker.outcomes()}
 
 
@@ -172,7 +172,7 @@
         async with shutdown(p, "unsafe") as crowd:
             pass
         assert {word for asker in crowd.askers for word in asker.outcomes()} == {"turned back"}
-        assert p.did() == []
+        assert p.received() == []
 
 
 # -- endpoint lists that arrive slowly
@@ -185,11 +185,11 @@
         super().__init__()
         self.late, self.pause = late, pause
 
-    async def connected(self, stream: SocketStream) -> None:
+    async def serve_connection(self, stream: SocketStream) -> None:
         async with stream:
             with suppress(*CONNECTION_ERRORS):
                 told = int.from_bytes(await stream.receive(8), "big") - 1
-                self.asked.append(told + 1)
+                self.resume_positions.append(told + 1)
                 await anyio.sleep(self.late)
                 while True:
                     data = b"".join(self.events[told:]) or frame(len(self.events) + 1, 0)
@@ -221,16 +221,16 @@
     async with run_node(tmp_path, parts, journal, settings=SETTINGS) as p:
         crowd = Crowd(p)
         await crowd.join()
-        journal.add(p.record("a", state=DRAINING))
+        journal.add(p.worker_record("a", state=DRAINING))
         async with anyio.create_task_group() as group:
             group.start_soon(crowd.ask_until, anyio.current_time() + 1.2, "unsafe")
             await until(lambda: not is_up(p, "a"), within=4)
             before = len(p.log)
         assert any(line.startswith("b DO") for line in p.log[before:])
         assert not any(line.startswith("a DO") for line in p.log[before:])
-        await until(lambda: len(crowd.askers[0].answers) == len(crowd.askers[0].asked))
+        await until(lambda: len(crowd.askers[0].responses) == len(crowd.askers[0].sent_at))
         crowd.check()
-        assert len(journal.asked) == 1  # a slow service is not silent: the node does not reconnect
+        assert len(journal.resume_positions) == 1  # a slow service is not silent: the node does not reconnect
 
 
 @pytest.mark.parametrize("how", SLOW_JOURNALS)
@@ -240,7 +240,7 @@
     known: list[int] = []
     async with run_node(tmp_path, {"a": [answers], "b": [answers]}, journal, settings=SETTINGS) as p:
         async with shutdown(p, "unsafe"):
-            journal.add(p.record("a", state=DRAINING))
+            journal.add(p.worker_record("a", state=DRAINING))
             with anyio.move_on_after(KILL):
                 await until(lambda: not is_up(p, "a"))
                 known.append(len(p.log))
@@ -261,14 +261,14 @@
     journals = [ScriptedJournal() for _ in range(RELOADS)]
     for journal in journals:
         journal.events = list(p.journal.events)
-        p.group.start_soon(journal.serve)
+        p.task_group.start_soon(journal.serve)
     await until(lambda: all(journal.port for journal in journals))
-    journals[-1].events.append(frame(len(p.journal.events) + 2, 2, p.record(drained, state=DRAINING)))
+    journals[-1].events.append(frame(len(p.journal.events) + 2, 2, p.worker_record(drained, state=DRAINING)))
     for count, journal in enumerate(journals):
         if count % 3 == 1:
-            p.path.write_text('{"journal":')
+            p.config_path.write_text('{"journal":')
         else:
-            p.write(journal.port, settings=SETTINGS)
+            p.write_config(journal.port, settings=SETTINGS)
         os.kill(os.getpid(), signal.SIGHUP)
         await anyio.sleep(SUCCESSION / RELOADS)
     return journals
--- a/tests/test_stalled_loop.py
+++ b/tests/test_stalled_loop.py
@@ -64,13 +64,13 @@
     follow_loop_time(monkeypatch)
     async with run_node(tmp_path) as p:
         prevent_connections(p)
-        client, other = await p.client(), await p.client()
-        await client.ask(method, **KEY[method])
+        client, other = await p.connect_client(), await p.connect_client()
+        await client.send_request(method, **KEY[method])
         await until(lambda: is_waiting_for_connection(p))
-        write_at_once(other, other.task(id="00000000000000bb"))
+        write_at_once(other, other.encode_request(id="00000000000000bb"))
         stall(DEADLINE_MS / 1000)
-        assert outcome_of(await client.answer()) == "turned back"
-        assert p.did() == []
+        assert outcome_of(await client.receive_response()) == "turned back"
+        assert p.received() == []
 
 
 @virtual_time
@@ -82,12 +82,12 @@
     follow_loop_time(monkeypatch)
     async with run_node(tmp_path, settings=SETTINGS | with_deadlines(9.0)) as p:
         prevent_connections(p)
-        client = await p.client()
-        await client.ask(method, wait=9000, **KEY[method])
+        client = await p.connect_client()
+        await client.send_request(method, wait=9000, **KEY[method])
         await until(lambda: is_waiting_for_connection(p))
         os.kill(os.getpid(), signal.SIGTERM)
-        assert outcome_of(await client.answer()) == "turned back"
-        assert p.did() == []
+        assert outcome_of(await client.receive_response()) == "turned back"
+        assert p.received() == []
 
 
 @pytest.mark.parametrize("kind", ("estimate", "post", "notice"))
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -99,15 +99,15 @@
             with socket.socket() as probe:
                 probe.bind(("127.0.0.1", 0))
                 p.port = int(probe.getsockname()[1])
-            p.write(p.journal.port)
+            p.write_config(p.journal.port)
             faults.add("bind", number, to_port(p.port), times=2)
             faults.add("listen", number, from_port(p.port), times=1)
             started = anyio.Event()
-            p.group.start_soon(type(p.node)(p.path).serve, started.set)
+            p.task_group.start_soon(type(p.node)(p.config_path).serve, started.set)
             with anyio.fail_after(5):
                 await started.wait()
             assert faults.failed == {"bind": 2, "listen": 1}
-            assert await (await p.client()).call() == "satisfied"
+            assert await (await p.connect_client()).call() == "satisfied"
 
 
 FORBIDDEN = """
@@ -127,7 +127,7 @@
 async def test_the_node_exits_at_once_if_it_may_not_bind_its_address(tmp_path: Path) -> None:
     """It logs one line with the reason and exits with the status of a failed start."""
     async with run_node(tmp_path) as p:
-        path = p.path
+        path = p.config_path
     environment = {**os.environ, "ROUTER_CONFIG": str(path)}
     with anyio.fail_after(10):
         ended = await anyio.run_process(
@@ -156,10 +156,10 @@
     with faults.installed():
         async with run_node(tmp_path) as p:
             faults.add("accept", number, from_port(p.port), times=3)
-            client = await p.client()
+            client = await p.connect_client()
             assert await client.call(wait=LONG) == "satisfied"
             assert faults.failed["accept"] == 3
-            assert await (await p.client()).call(id="a" * 16) == "satisfied"
+            assert await (await p.connect_client()).call(id="a" * 16) == "satisfied"
 
 
 @opening
@@ -183,12 +183,12 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path, {"a": [succeed]}) as p:
-            client = await p.client()
-            faults.add(connect_call, number, to_port(p.runners["a"].port))
+            client = await p.connect_client()
+            faults.add(connect_call, number, to_port(p.workers["a"].port))
             reply = await send_load_request(p)
             assert reply.result is (Result.NOT_SENT if number in SHORTAGES else Result.UNREACHABLE)
             assert await client.call("unsafe", wait=LONG) in FINAL
-            assert not p.did() and faults.failed[connect_call]
+            assert not p.received() and faults.failed[connect_call]
             assert sum(pool.open_connections for pool in p.node.worker_client.pools) == 0
             faults.end()
             await until_served(client)
@@ -201,8 +201,8 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path) as p:
-            client = await p.client()
-            faults.add(connect_call, number, to_port(p.runners["a"].port))
+            client = await p.connect_client()
+            faults.add(connect_call, number, to_port(p.workers["a"].port))
             for _ in range(3):
                 assert await client.call("unsafe", wait=LONG) == "turned back"
             assert faults.failed[connect_call] == 3
@@ -218,11 +218,11 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path, {"a": [succeed]}) as p:
-            client = await p.client()
+            client = await p.connect_client()
             faults.add("socket", number)
             assert (await send_load_request(p)).result is Result.NOT_SENT
             assert await client.call("unsafe", wait=LONG) in FINAL
-            assert not p.did() and faults.failed["socket"]
+            assert not p.received() and faults.failed["socket"]
             assert sum(pool.open_connections for pool in p.node.worker_client.pools) == 0
             faults.end()
             await until_served(client)
@@ -236,11 +236,11 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path, {"a": [send_bytes(b""), succeed], "b": [succeed]}) as p:
-            client = await p.client()
-            for runner in p.runners.values():
-                runner.parts = [send_bytes(b""), succeed]
-            await client.ask("unsafe", wait=LONG)
-            await until(p.did)
+            client = await p.connect_client()
+            for runner in p.workers.values():
+                runner.behaviours = [send_bytes(b""), succeed]
+            await client.send_request("unsafe", wait=LONG)
+            await until(p.received)
             (conn,) = [
                 c for pool in p.node.worker_client.pools for c in pool.connections if c.outstanding_calls
             ]
@@ -248,10 +248,10 @@
                 break_transport(conn, conn.transport, number)
             else:
                 faults.add("recv", number, to_port(conn.pool.port), times=1)
-                stream = next(r for r in p.runners.values() if r.port == conn.pool.port).streams[-1]
+                stream = next(r for r in p.workers.values() if r.port == conn.pool.port).streams[-1]
                 await stream.send(answer("FIT", "0"))  # makes the connection readable
-            assert outcome_of(await client.answer()) == "error -32000"
-            assert len(p.did()) == 1
+            assert outcome_of(await client.receive_response()) == "error -32000"
+            assert len(p.received()) == 1
             assert conn not in conn.pool.connections
             faults.end()
             await until_served(client)
@@ -263,11 +263,11 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
-            client = await p.client()
-            for runner in p.runners.values():
+            client = await p.connect_client()
+            for runner in p.workers.values():
                 faults.add("send", number, to_port(runner.port), times=1)
             assert await client.call("unsafe", wait=LONG) == "turned back"
-            assert faults.failed["send"] == 2 and not p.did()
+            assert faults.failed["send"] == 2 and not p.received()
             faults.end()
             await until_served(client)
             assert all(conn.transport for pool in p.node.worker_client.pools for conn in pool.connections)
@@ -281,12 +281,12 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path) as p:
-            client = await p.client()
-            to_worker = faults.short_selects = to_port(p.runners["a"].port)
+            client = await p.connect_client()
+            to_worker = faults.short_selects = to_port(p.workers["a"].port)
             faults.short_writes = bytes_leave
             faults.add("send", number, to_worker, times=20, share=0.2 if bytes_leave else 1.0)
             assert await client.call("unsafe", wait=LONG) == "satisfied"
-            assert faults.failed["send"] and len(p.did()) == 1
+            assert faults.failed["send"] and len(p.received()) == 1
             assert [pool.connections_opened for pool in p.node.worker_client.pools] == [1]
 
 
@@ -295,12 +295,12 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path, {"a": [send_bytes(b"")]}) as p:
-            client = await p.client()
-            await client.ask("unsafe", wait=400)
-            await until(p.did)
-            faults.add("send", number, to_port(p.runners["a"].port), times=3)
-            assert outcome_of(await client.answer()) == "error -32000"
-            await until(lambda: p.did("UNDO") and not p.runners["a"].open)
+            client = await p.connect_client()
+            await client.send_request("unsafe", wait=400)
+            await until(p.received)
+            faults.add("send", number, to_port(p.workers["a"].port), times=3)
+            assert outcome_of(await client.receive_response()) == "error -32000"
+            await until(lambda: p.received("UNDO") and not p.workers["a"].open)
             assert faults.failed["send"] == 3
 
 
@@ -312,10 +312,10 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path) as p:
-            client = await p.client()
-            faults.add("send", number, to_port(p.runners["a"].port))
+            client = await p.connect_client()
+            faults.add("send", number, to_port(p.workers["a"].port))
             assert await client.call("unsafe", wait=400) == "turned back"
-            assert faults.failed["send"] > 1 and not p.did()
+            assert faults.failed["send"] > 1 and not p.received()
             ends = {how: n for (what, how), n in p.node.dispatcher.counts.items() if what == "hand-off"}
             assert ends == {"not sent": 1}
 
@@ -348,14 +348,14 @@
 async def test_a_worker_that_ends_a_connection_under_a_request(tmp_path: Path, ending: str) -> None:
     """Requests that may run twice go to the other worker, others fail; none is left waiting."""
     async with run_node(tmp_path, {"a": [succeed], "b": [succeed]}) as p:
-        client = await p.client()
-        for runner in p.runners.values():
-            runner.parts = [ENDINGS[ending], succeed]
+        client = await p.connect_client()
+        for runner in p.workers.values():
+            runner.behaviours = [ENDINGS[ending], succeed]
         with anyio.fail_after(LONG / 1000):
             assert await client.call("unsafe", wait=LONG) == "error -32000"
-        assert len(p.did()) == 1
-        for runner in p.runners.values():
-            runner.parts = [ENDINGS[ending], succeed]
+        assert len(p.received()) == 1
+        for runner in p.workers.values():
+            runner.behaviours = [ENDINGS[ending], succeed]
         with anyio.fail_after(LONG / 1000):
             assert await client.call("safe", wait=LONG) in FINAL
         await until_served(client)
@@ -374,16 +374,16 @@
     with faults.installed():
         async with run_node(tmp_path, {"a": [dribbled]}) as p:
             faults.short_reads = faults.short_writes = not is_uvloop(anyio_backend)
-            client = await p.client()
-            await dribble(client.send, client.task(wait=LONG))
-            found = await client.answer()
+            client = await p.connect_client()
+            await dribble(client.send, client.encode_request(wait=LONG))
+            found = await client.receive_response()
             assert (
                 outcome_of(found) == "satisfied"
                 and found is not None
                 and found["result"]["blob"] == "Ym9keQ=="
             )
-            await p.runner("b", succeed)
-            await p.journal.tell(p.record("b"))
+            await p.start_worker("b", succeed)
+            await p.journal.publish(p.worker_record("b"))
             await until(lambda: len(p.node.dispatcher.workers) == 2, within=10)
             assert is_uvloop(anyio_backend) or (faults.shortened["recv"] and faults.shortened["send"])
 
@@ -415,9 +415,9 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path, {"a": [send_bytes(b""), succeed]}) as p:
-            lost, other = await p.client(), await p.client()
-            await lost.ask(wait=LONG)
-            await until(p.did)
+            lost, other = await p.connect_client(), await p.connect_client()
+            await lost.send_request(wait=LONG)
+            await until(p.received)
             own = next(client for client in p.node.listener.clients if client.open_requests)
             if is_uvloop(anyio_backend):
                 break_transport(own, own.transport, number)
@@ -444,21 +444,21 @@
     faults.short_selects = lambda call, subject: from_port(p.port)(call, subject)
     with faults.installed():
         async with run_node(tmp_path) as p:
-            client = await p.client()
+            client = await p.connect_client()
             if bytes_leave:
                 faults.short_writes = True
                 faults.add("send", number, from_port(p.port), share=0.2)
             else:
                 faults.add("send", number, from_port(p.port), times=5)
             for _ in range(3):
-                await client.ask(wait=LONG)
-            assert [outcome_of(await client.answer()) for _ in range(3)] == ["satisfied"] * 3
+                await client.send_request(wait=LONG)
+            assert [outcome_of(await client.receive_response()) for _ in range(3)] == ["satisfied"] * 3
             assert faults.failed["send"]
             assert await client.call() == "satisfied"
             faults.add("send", number, from_port(p.port), times=2)
             await client.send(b"no head\r\n\r\n")
-            assert outcome_of(await client.answer()) == "error -32600"
-            assert await client.answer() is None
+            assert outcome_of(await client.receive_response()) == "error -32600"
+            assert await client.receive_response() is None
 
 
 @temporary
@@ -470,14 +470,14 @@
     faults = SocketFaults()
     with faults.installed():
         async with run_node(tmp_path) as p:
-            client = await p.client()
+            client = await p.connect_client()
             faults.add("send", number, from_port(p.port))
             for _ in range(2):
-                await client.ask(wait=LONG)
+                await client.send_request(wait=LONG)
             await until(lambda: any(own.write_blocked_since_ns for own in p.node.listener.clients))
             (own,) = p.node.listener.clients
             faults.end()
-            assert [outcome_of(await client.answer()) for _ in range(2)] == ["satisfied"] * 2
+            assert [outcome_of(await client.receive_response()) for _ in range(2)] == ["satisfied"] * 2
             assert not own.write_blocked_since_ns
             faults.add("send", number, from_port(p.port))
             assert await client.call() == "closed"
@@ -493,14 +493,14 @@
             with closing(socket.create_connection(("127.0.0.1", p.port))) as client:
                 await until(lambda: p.node.listener.clients)
                 (own,) = p.node.listener.clients
-                client.sendall(Client.task(Client(None), id="c" * 16))  # type: ignore[arg-type]
+                client.sendall(Client.encode_request(Client(None), id="c" * 16))  # type: ignore[arg-type]
                 faults.add("os.read", number, times=1)
                 own.read_unread_input()
                 assert faults.failed["os.read"] == 1
                 assert own.is_closed == (number != errno.EAGAIN)
                 if not own.is_closed:
-                    await until(p.did)
-                assert await (await p.client()).call(id="d" * 16) == "satisfied"
+                    await until(p.received)
+                assert await (await p.connect_client()).call(id="d" * 16) == "satisfied"
 
 
 @broken
@@ -541,10 +541,10 @@
                 await stream.aclose()
             p.journal.streams.clear()
             await until(lambda: faults.failed[connect_call] == 3)
-            client = await p.client()
+            client = await p.connect_client()
             assert await client.call() == "satisfied"
-            await p.runner("b", succeed)
-            await p.journal.tell(p.record("b"))
+            await p.start_worker("b", succeed)
+            await p.journal.publish(p.worker_record("b"))
             await until(lambda: len(p.node.dispatcher.workers) == 2, within=5)
 
 
@@ -557,9 +557,9 @@
     with faults.installed():
         async with run_node(tmp_path) as p:
             faults.add("recv", number, to_port(p.journal.port), times=1)
-            await until(lambda: len(p.journal.asked) == 2, within=5)
+            await until(lambda: len(p.journal.resume_positions) == 2, within=5)
             assert faults.failed["recv"] == 1
-            assert await (await p.client()).call() == "satisfied"
+            assert await (await p.connect_client()).call() == "satisfied"
 
 
 # -- the HTTP pool
@@ -745,14 +745,14 @@
             raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
 
     async with run_node(tmp_path) as p:
-        client = await p.client()
+        client = await p.connect_client()
         with monkeypatch.context() as patch:
             patch.setattr("martenlead.system.sockets.select.poll", Poll)
             with socket.socket() as any_socket:
                 assert readable(any_socket) and not has_ended(any_socket)
             assert await client.call(wait=LONG) == "satisfied"
         assert await client.call(wait=LONG) == "satisfied"
-        assert len(p.did()) == 2
+        assert len(p.received()) == 2
 
 
 async def test_signals_that_interrupt_every_wait_fail_no_request(tmp_path: Path) -> None:
@@ -761,7 +761,7 @@
     async with run_node(tmp_path) as p:
         signal.setitimer(signal.ITIMER_REAL, 0.002, 0.002)
         try:
-            client = await p.client()
+            client = await p.connect_client()
             for _ in range(30):
                 assert await client.call(wait=LONG) == "satisfied"
         finally:
@@ -781,9 +781,9 @@
     with faults.installed():
         parts = [chance.choice([succeed, succeed, succeed, *ENDINGS.values()]) for _ in range(100)]
         async with run_node(tmp_path, {"a": [succeed], "b": [succeed], "c": [succeed]}) as p:
-            p.runners["a"].parts = [*parts, succeed]
-            clients = [await p.client() for _ in range(4)]
-            ports = [*(runner.port for runner in p.runners.values()), p.journal.port]
+            p.workers["a"].behaviours = [*parts, succeed]
+            clients = [await p.connect_client() for _ in range(4)]
+            ports = [*(runner.port for runner in p.workers.values()), p.journal.port]
             for number in OPENING:
                 faults.add("accept", number, from_port(p.port), share=0.02)
                 for port in ports:
@@ -797,7 +797,7 @@
             async def ask(at: int) -> None:
                 for count in range(25):
                     words.append(await clients[at].call(wait=LONG, id=f"{at:04x}{count:012x}"))
-                    late = await p.client()
+                    late = await p.connect_client()
                     words.append(await late.call(wait=LONG, id=f"{at + 16:04x}{count:012x}"))
                     await late.stream.aclose()
 
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -140,17 +140,17 @@
 
 async def run_node_client(rig: NodeRig, audit: Audit, number: int) -> None:
     """Sends requests to the node, one after the other, until the audit is stopped."""
-    client = await rig.client()
+    client = await rig.connect_client()
     random = Random(number)
     while not audit.stopped:
         sent = anyio.current_time()
         audit.sent.append(sent)
-        key = f"{choose_function(random, number, client.number):016x}"
-        await client.ask(
-            "safe", wait=round(DEADLINE_SECONDS * 1000), key=key, id=f"{number:04x}{client.number:012x}"
+        key = f"{choose_function(random, number, client.last_number):016x}"
+        await client.send_request(
+            "safe", wait=round(DEADLINE_SECONDS * 1000), key=key, id=f"{number:04x}{client.last_number:012x}"
         )
-        answer = await client.answer()
-        assert answer is not None and answer["id"] == client.number
+        answer = await client.receive_response()
+        assert answer is not None and answer["id"] == client.last_number
         outcome = {"satisfied": "succeeded", "turned back": "rejected"}[nodes.outcome_of(answer)]
         audit.outcomes.append((outcome, anyio.current_time() - sent))
         await anyio.sleep(PAUSE_SECONDS * (0.5 + random.random()))
@@ -177,19 +177,21 @@
         "family-info": nodes.SETTINGS["family-info"] | family | {"loads-per-request": BUDGET_SHARE},
     }
     audit = Audit()
-    monkeypatch.setattr(nodes, "Play", lambda: make_play(audit))
+    monkeypatch.setattr(nodes, "NodeRig", lambda: make_play(audit))
     async with run_node(tmp_path, {"a": [succeed], "b": [succeed], "d": [succeed]}, settings=settings) as rig:
         await until(lambda: rig.node.discovery.worker_ages._confirmed_ns)
         async with anyio.create_task_group() as clients:
             for number in range(CLIENT_COUNT):
                 clients.start_soon(run_node_client, rig, audit, number)
             await anyio.sleep(0.6)
-            await rig.runner("c", succeed)
+            await rig.start_worker("c", succeed)
             audit.cold["c"] = anyio.current_time()
-            await send_event_between_heartbeats(rig, rig.record("c", started=wall.true_clock() // NS_PER_MS))
+            await send_event_between_heartbeats(
+                rig, rig.worker_record("c", started=wall.true_clock() // NS_PER_MS)
+            )
             await anyio.sleep(1.2)
             audit.drained["a"] = anyio.current_time()
-            await send_event_between_heartbeats(rig, rig.record("a", state=1))
+            await send_event_between_heartbeats(rig, rig.worker_record("a", state=1))
             await anyio.sleep(0.9)
             audit.stopped = True
     assert wall.reads
--- a/tests/test_worker_age.py
+++ b/tests/test_worker_age.py
@@ -69,10 +69,10 @@
 
 async def send_event_between_heartbeats(rig: NodeRig, record: bytes) -> None:
     """Sends an event while no heartbeat is being written: the journal service here cannot write both."""
-    rig.journal.beats = False
+    rig.journal.sends_heartbeats = False
     await anyio.sleep(0.02)
-    await rig.journal.tell(record)
-    rig.journal.beats = True
+    await rig.journal.publish(record)
+    rig.journal.sends_heartbeats = True
 
 
 def is_near(computed_age: float | None, age: int) -> bool:
@@ -233,10 +233,12 @@
     stepped_clock = clocks.wall_ns
     monkeypatch.setattr(clocks, "_read_wall", lambda read=clocks._read_wall: read() + step)
     async with run_node(tmp_path, {"a": [succeed]}) as rig:
-        await rig.runner("b", succeed)
+        await rig.start_worker("b", succeed)
         source = rig.node.discovery
         await until(lambda: source.worker_ages._confirmed_ns)
-        await send_event_between_heartbeats(rig, rig.record("b", started=(stepped_clock() - step) // MS))
+        await send_event_between_heartbeats(
+            rig, rig.worker_record("b", started=(stepped_clock() - step) // MS)
+        )
         worker_id = f"s-{ord('b'):08x}"
         await until(lambda: worker_id in rig.node.dispatcher.workers)
         worker = rig.node.dispatcher.workers[worker_id]
