--- a/martenlead/layers/cache.py
+++ b/martenlead/layers/cache.py
@@ -95,7 +95,7 @@
         if version not in ("", VERSION):
             self._lock.close()
             raise CacheRefusedError(
-                self.folder, f"format version {version}; this program supports version {VERSION}"
+                self.folder, f"of version {version}; this program knows version {VERSION}"
             )
         if not version:
             replace_file(path, VERSION.encode())
--- a/martenlead/node/config.py
+++ b/martenlead/node/config.py
@@ -101,7 +101,7 @@
 
 def _build(file: ConfigFile, profile: Profile) -> NodeConfig:
     if len(profile.deadlines_ns) < len(profile.request_classes):
-        detail = "a request class has no deadline"
+        detail = "a class has no give-up"
         raise SettingsError(detail)
     tables = JournalTables(
         profile.decoded.azs or [],
--- a/martenlead/planner/edge_session.py
+++ b/martenlead/planner/edge_session.py
@@ -268,7 +268,7 @@
         if sequence > self._heartbeat_sequence or sequence >= self._sent_sequence:
             self._heartbeat_sequence, self._progress_ns = sequence, now_ns
         elif now_ns - self._progress_ns > STALLED_LEASES * self.limits.lease_ns:
-            error = "the planner sends heartbeats but acknowledges no events"
+            error = "the planner is alive and acknowledges nothing"
             raise LinkProtocolError(error)
         self._acknowledge(sequence)
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -138,7 +138,7 @@
     assert not list(tmp_path.rglob("*.new"))
     reopened.close()
     (tmp_path / "version").write_text("7")
-    with pytest.raises(CacheRefusedError, match="format version 7"):
+    with pytest.raises(CacheRefusedError, match="of version 7"):
         Cache(tmp_path, 250)
 
 
