--- a/martenlead/capture/events.py
+++ b/martenlead/capture/events.py
@@ -62,7 +62,7 @@
 
 
 class EngineStarted(InputEvent, frozen=True, tag=1):
-    """The engine started its periodic processes."""
+    """The engine started its background processes."""
 
 
 class TickChanged(InputEvent, frozen=True, tag=2):
--- a/martenlead/capture/suspension.py
+++ b/martenlead/capture/suspension.py
@@ -31,7 +31,7 @@
 ALL_ATTEMPTS = "all"
 FIRST_CHECK = "first"
 NEXT_CHECK = "period"
-TICK_PART = 3  # a tick of this part of the remaining time leaves the wait unchanged
+TICK_PART = 3  # ticks between `last_ns` and the deadline, as in policy/attempts.py
 
 
 class CheckpointError(Exception):
@@ -44,7 +44,7 @@
 
     wait: str
     request: Request | None = None
-    last_ns: int | None = None  # a request's: end of its attempts; a check's: begin of its period
+    last_ns: int | None = None  # a request's: end of its attempts; a check's: start of its period
     begun_ns: int | None = None
 
     def pack(self) -> dict[str, object]:
--- a/tests/test_capture_disk_faults.py
+++ b/tests/test_capture_disk_faults.py
@@ -1,5 +1,4 @@
-"""Captures on a failing disk: lost events are counted, written ones stay readable, and writing continues
-after the disk has recovered."""
+"""Captures on a failing disk: losses are counted, the rest stays readable, and writing resumes afterwards."""
 
 from __future__ import annotations
 
--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -16,7 +16,7 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "on-call.md"
-NOT_OPERATED = {"emulator", "scenarios", "standins", "traces"}  # used in tests and experiments only
+NOT_OPERATED = {"emulator", "scenarios", "standins", "traces"}  # run in tests; operators do not see them
 
 LEVELS = {"debug", "info", "warning", "error", "exception", "critical"}
 LOGGERS = {"log", "_log", "logger", "_logger"}
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -112,6 +112,7 @@
 async def test_an_edge_caches_its_list_with_the_boot_clock(
     tmp_path: Path, machine: Machine, step: int
 ) -> None:
+    """The age of a worker in the cached list does not depend on a clock step after the list was written."""
     path = tmp_path / "kept"
     async with fleet({"a": [satisfied]}) as f:
         worker = f.dispatcher.workers["a"]
@@ -251,7 +252,7 @@
 
 # -- reservations
 
-SECRET = "the same at all doors"
+SECRET = "the same at all edges"
 REQUEST_KEY = ("/c", "t")
 WAIT = 4 * SECOND
 
