--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -22,7 +22,7 @@
 from martenlead.admission.limits import AdmissionLimits
 from martenlead.admission.queues import AdmissionRequest, QueueState, ServiceResult
 from martenlead.admission.units import NS_PER_MS
-from support.crowd import Crowd, Customer
+from support.crowd import AdmissionSimulation, TenantLoad
 
 TWO = {"portal": 1.0, "desk": 1.0}
 
@@ -33,22 +33,26 @@
 
 
 def one(load: float, queues: bool, doors: int = 1, seconds: int = 60) -> dict[str, Any]:
-    customers = [Customer("portal", load * 70), Customer("desk", load * 30)]
-    crowd = Crowd(10, customers, queues=queues, doors=doors, weights=TWO)
+    customers = [TenantLoad("portal", load * 70), TenantLoad("desk", load * 30)]
+    crowd = AdmissionSimulation(10, customers, queues=queues, controllers=doors, weights=TWO)
     crowd.run(seconds)
-    tens = [sum(crowd.series[s] for s in range(at, at + 10)) / 10 for at in range(0, seconds - 10)]
-    parts = {c.name: crowd.part(c.name) for c in customers}
+    tens = [
+        sum(crowd.on_time_per_second[s] for s in range(at, at + 10)) / 10 for at in range(0, seconds - 10)
+    ]
+    parts = {c.name: crowd.on_time_share(c.name) for c in customers}
     return {
         "load": load,
         "queues": queues,
         "doors": doors,
-        "in time a second": round(sum(crowd.in_time.values()) / seconds, 1),
+        "in time a second": round(sum(crowd.on_time.values()) / seconds, 1),
         "worst ten seconds": round(min(tens), 1),
         **{f"part of {name}'s in time": round(part, 3) for name, part in parts.items()},
-        "Jain's index of work": round(jain([crowd.work_in_time[c.name] for c in customers]), 3),
-        "came when told": crowd.came,
-        "of them served in time": round(crowd.met / crowd.came, 3) if crowd.came else None,
-        "longest wait of one turned back, ms": crowd.sat_on // NS_PER_MS,
+        "Jain's index of work": round(jain([crowd.on_time_work_s[c.name] for c in customers]), 3),
+        "came when told": crowd.retries_sent,
+        "of them served in time": round(crowd.retries_on_time / crowd.retries_sent, 3)
+        if crowd.retries_sent
+        else None,
+        "longest wait of one turned back, ms": crowd.longest_rejected_wait_ns // NS_PER_MS,
     }
 
 
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -28,14 +28,14 @@
 from martenlead.durable_state.store import StateKind, StateStore
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import FunctionFacts, WorkerFacts, WorkerState
-from support.fleet import OFFERINGS
+from support.fleet import REQUEST_CLASSES
 
 
 def module(models: int) -> tuple[Policy, dict[Any, str], dict[Any, tuple[str, str, bool]]]:
     from martenlead.config.edge import EdgeSettings
 
     told, _, _ = build_policy_settings(
-        decode({"roster": {"port": 1}, "offerings": OFFERINGS}, EdgeSettings, "bench")
+        decode({"roster": {"port": 1}, "offerings": REQUEST_CLASSES}, EdgeSettings, "bench")
     )
     policy = Policy(told, 1)
     policy.state.now_ns = 1000 * SECOND
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -62,36 +62,36 @@
     kind, fetches = WAYS[way]
     swarm = Swarm(boxes, chooser=kind, fetches_for_others=fetches)
     model = [digest_of(b"%d" % n) for n in range(chunks)]
-    for n, box in enumerate(swarm.boxes):
-        swarm.at(n * apart_ms * MS, lambda box=box: box.load(model, 120_000))  # type: ignore[misc]
+    for n, box in enumerate(swarm.agents):
+        swarm.call_at(n * apart_ms * MS, lambda box=box: box.load(model, 120_000))  # type: ignore[misc]
     said = 0
 
     def tell() -> None:
         nonlocal said
-        for box in swarm.boxes:
-            for other in swarm.boxes:
+        for box in swarm.agents:
+            for other in swarm.agents:
                 if other is not box:
                     told = other.chooser.__dict__.setdefault("told", {})
-                    told[box.mark] = set(box.has)
-                    said += 40 + len(box.has) * 10 // 8
-        if not all(box.finished for box in swarm.boxes):
-            swarm.at(swarm.now + EVERY, tell)
+                    told[box.worker_id] = set(box.chunks)
+                    said += 40 + len(box.chunks) * 10 // 8
+        if not all(box.finished_ns for box in swarm.agents):
+            swarm.call_at(swarm.now + EVERY, tell)
 
     if way == "summaries":
-        swarm.at(EVERY, tell)
+        swarm.call_at(EVERY, tell)
     swarm.run(600_000)
-    ends = [box.finished for box in swarm.boxes if box.finished]
+    ends = [box.finished_ns for box in swarm.agents if box.finished_ns]
     return {
         "way": way,
         "boxes": boxes,
         "apart ms": apart_ms,
         "whole": len(ends),
-        "models from the vault": round(swarm.vault_chunks / chunks, 2),
-        "turned away": swarm.turned_away,
+        "models from the vault": round(swarm.store_chunks / chunks, 2),
+        "turned away": swarm.store_rejections,
         "last ms": max(ends, default=0) // MS,
-        "asks between boxes": sum(box.chooser.counts.peer_requests for box in swarm.boxes),
+        "asks between boxes": sum(box.chooser.counts.peer_requests for box in swarm.agents),
         "KB told": said // 1000,
-        "most sent by one, models": round(max(box.sent for box in swarm.boxes) / chunks, 2),
+        "most sent by one, models": round(max(box.sent_chunks for box in swarm.agents) / chunks, 2),
     }
 
 
--- a/support/node_wire.py
+++ b/support/node_wire.py
@@ -41,7 +41,7 @@
         {"name": "unsafe", "effect": "non_idempotent", "on-time": 0.4, "give-up": 2.0},
     ],
 }
-"""The settings object of a configuration, for tests that ask for nothing else."""
+"""The default settings object of a node's configuration."""
 
 
 @dataclass(frozen=True)
@@ -50,11 +50,12 @@
 
     number: int
     port: int
-    started_ms: int = 0  # Unix time; 0 for one that has long been warm
+    started_ms: int = 0  # Unix time; 0 for a worker that started long ago
 
 
 def with_deadlines(seconds: float) -> dict[str, Any]:
-    """The settings with this deadline for each class, and half of it as the latency objective."""
+    """Returns the settings with this deadline for each request class, and half of it as the latency
+    objective."""
     classes = [c | {"on-time": seconds / 2, "give-up": seconds} for c in SETTINGS["classes"]]
     return SETTINGS | {"classes": classes}
 
@@ -62,7 +63,7 @@
 def configuration(
     name: str, port: int, journal_port: int, workers: list[ListedWorker], **more: Any
 ) -> dict[str, Any]:
-    """The content of a node's configuration file; `more` replaces whole entries of it."""
+    """Returns the content of a node's configuration file; `more` replaces whole entries of it."""
     members = [
         {
             "id": f"s-{worker.number:08x}",
@@ -89,25 +90,25 @@
 
 
 def frame(number: int, kind: int, *records: bytes) -> bytes:
-    """One event of the journal service."""
+    """Returns one event of the journal service; without records of workers it is a heartbeat (kind 0)."""
     payload = b"".join(records)
     return struct.pack(">IQB", 9 + len(payload), number, kind) + payload
 
 
 def record(number: int, port: int, state: int = 0, started: int = 0) -> bytes:
-    """One worker in an event; `started` is a Unix time in ms."""
+    """Returns the record of one worker for an event; `started` is a Unix time in ms."""
     return struct.pack(
         ">IIHBBBHIQ", number, LOOPBACK_ADDRESS, port, state, 0, 0, 0, WEIGHT_THOUSANDTHS, started
     )
 
 
-def message(told: Any) -> bytes:
-    """A JSON-RPC message of a client, with its head."""
-    body = json.dumps(told).encode()
+def message(content: Any) -> bytes:
+    """Returns a JSON-RPC message of a client, with its header."""
+    body = json.dumps(content).encode()
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 def answer(word: str, txn: str, why: str = "", raw: str = "", **more: Any) -> bytes:
-    """A worker's answer."""
+    """Returns a response line of a worker; `word` is its outcome, `more` further properties."""
     props = {**({"why": why} if why else {}), **more}
     return json.dumps({"m": word, "txn": txn, "props": props, "raw": raw}).encode() + b"\n"
--- a/support/peers.py
+++ b/support/peers.py
@@ -1,7 +1,6 @@
 """Listeners and streams of the scripted peers around a program under test.
 
-They keep two faults of the tests themselves out of the results: a cancelled accept, and two writers on one
-stream.
+They avoid two errors of tests themselves: a cancelled accept, and two tasks that write to one stream.
 """
 
 from __future__ import annotations
@@ -19,16 +18,16 @@
 from martenlead.system.listener import ClientDescriptors
 
 BACKLOG = 4096
-EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")  # of ports of outgoing connections
-FIRST_PORT = 10_000  # of those that tests take
-DESCRIPTORS = 1 << 20  # the limit of the process holds for the program under test, not for its peers
+EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")  # ports of outgoing connections
+FIRST_PORT = 10_000  # lowest port that tests use
+PEER_DESCRIPTOR_LIMIT = 1 << 20  # the limit of the process is for the program under test, not for peers
 
 
 class SingleWriterStream(SocketStream):
     """A stream that any task may write to: each `send` waits for the one before it.
 
-    A stream of anyio raises `BusyResourceError` for a second writer. A test that sends on a connection whose
-    peer sends heartbeats by itself would meet it now and then.
+    A stream of anyio raises `BusyResourceError` for a second writer. A test that sends on a connection on
+    which heartbeats are sent too would get it now and then.
     """
 
     def __init__(self, stream: SocketStream) -> None:
@@ -36,11 +35,11 @@
         self._writer = anyio.Lock(fast_acquire=True)
 
     async def receive(self, max_bytes: int = 65_536) -> bytes:
-        """The next bytes; raises `anyio.EndOfStream` at the end."""
+        """Returns the next bytes; raises `anyio.EndOfStream` at the end."""
         return await self._stream.receive(max_bytes)
 
     async def send(self, item: bytes) -> None:
-        """Sends all of it, behind what other tasks are sending."""
+        """Sends all of it, after what other tasks are sending."""
         async with self._writer:
             await self._stream.send(item)
 
@@ -49,7 +48,7 @@
         await self._stream.send_eof()
 
     async def aclose(self) -> None:
-        """Closes the connection at once, also under a writer."""
+        """Closes the connection at once, also while a task writes."""
         await self._stream.aclose()
 
     @property
@@ -60,19 +59,19 @@
 class PeerListener:
     """A listener of a scripted peer on the loopback address.
 
-    anyio's listener waits in `loop.sock_accept`. Cancelled in the turn in which a connection comes, asyncio
-    sets the result of a cancelled future and reports an `InvalidStateError`, as a fault of the program or of
-    the test.
+    anyio's listener waits in `loop.sock_accept`. If that is cancelled in the turn in which a connection
+    arrives, asyncio sets the result of a cancelled future and reports an `InvalidStateError`, which
+    looks like a fault of the program or of the test.
     """
 
     def __init__(self, port: int = 0) -> None:
         """Listens at `port`, or at a free one."""
         server = socket.create_server(("127.0.0.1", port), backlog=BACKLOG)
-        self._listener = StreamListener(server, ClientDescriptors(lambda: DESCRIPTORS))
+        self._listener = StreamListener(server, ClientDescriptors(lambda: PEER_DESCRIPTOR_LIMIT))
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port that it listens at."""
         return self._listener.port
 
     async def serve(self, handler: Callable[[SocketStream], Awaitable[None]]) -> None:
@@ -98,12 +97,12 @@
             group.cancel_scope.cancel()
 
     async def aclose(self) -> None:
-        """Accepts nothing more."""
+        """Stops accepting connections."""
         await self._listener.aclose()
 
 
 def unused_port() -> int:
-    """A port of the loopback address that nothing listens at, and that no outgoing connection is given.
+    """Returns a port of the loopback address that nothing listens at, outside the ephemeral range.
 
     Ports of the ephemeral range may be taken by any connection before the program under test binds.
     """
--- a/support/planned.py
+++ b/support/planned.py
@@ -14,55 +14,58 @@
 from martenlead.planner.planner_client import PlannerClient
 from martenlead.planner.server import Planner
 from martenlead.planner.settings import PlannerSettings
-from support.fleet import OFFERINGS, Fleet, fleet
+from support.fleet import REQUEST_CLASSES, EdgeRig, run_edge
 
-RATION = {"ration": {"window_ms": 5000, "free": 20, "share": 0.5}}
+LOAD_BUDGET = {"ration": {"window_ms": 5000, "free": 20, "share": 0.5}}
 
 
-async def until(what: Any, seconds: float = 20) -> None:
-    """Waits for it to come true; fails after `seconds`."""
+async def until(condition: Any, seconds: float = 20) -> None:
+    """Waits until the condition is true; fails after `seconds`."""
     with anyio.fail_after(seconds):
-        while not what():
+        while not condition():
             await anyio.sleep(0.01)
 
 
 @asynccontextmanager
-async def planned(
+async def run_planned_edge(
     ports: list[int], name: str = "edge", **link: Any
-) -> AsyncIterator[tuple[Fleet, PlannerClient]]:
-    """A fleet whose edge is planned for at these ports."""
-    told = {
+) -> AsyncIterator[tuple[EdgeRig, PlannerClient]]:
+    """Runs an edge with planners at these ports; `link` are further settings of the planner link."""
+    settings = {
         "name": name,
         "seed": 5,
         "roster": {"port": 1},
-        "offerings": OFFERINGS,
-        "models": RATION,
+        "offerings": REQUEST_CLASSES,
+        "models": LOAD_BUDGET,
         "planner": {"at": [{"port": p} for p in ports], "lease_ms": 400, "retry_ms": 20, **link},
     }
-    edge = decode(told, EdgeSettings, "test")
-    assert edge.planner is not None
-    side = PlannerClient(edge, edge.planner)
-    async with fleet(tape=side.recorder, models=RATION, name=name) as f, anyio.create_task_group() as group:
-        group.start_soon(side.run, f.dispatcher)
-        yield f, side
+    edge_settings = decode(settings, EdgeSettings, "test")
+    assert edge_settings.planner is not None
+    planner_client = PlannerClient(edge_settings, edge_settings.planner)
+    async with (
+        run_edge(recorder=planner_client.recorder, models=LOAD_BUDGET, name=name) as rig,
+        anyio.create_task_group() as group,
+    ):
+        group.start_soon(planner_client.run, rig.dispatcher)
+        yield rig, planner_client
         group.cancel_scope.cancel()
 
 
 @asynccontextmanager
-async def planner(port: int = 0, **settings: Any) -> AsyncIterator[tuple[Planner, int]]:
-    """A planner that listens, and its port."""
-    made = Planner(decode(settings, PlannerSettings, "test"))
+async def run_planner(port: int = 0, **settings: Any) -> AsyncIterator[tuple[Planner, int]]:
+    """Runs a planner; yields it and its port."""
+    planner = Planner(decode(settings, PlannerSettings, "test"))
     listener, port = await listen("127.0.0.1", port)
     async with anyio.create_task_group() as group:
-        group.start_soon(made.run, listener)
-        yield made, port
+        group.start_soon(planner.run, listener)
+        yield planner, port
         group.cancel_scope.cancel()
     await listener.aclose()
 
 
-async def answered(f: Fleet, count: int = 5) -> None:
-    """Requests one after the other are answered, each within half a second."""
+async def assert_prompt_responses(rig: EdgeRig, count: int = 5) -> None:
+    """Checks that requests, sent one after the other, each succeed within half a second."""
     for _ in range(count):
-        begun = anyio.current_time()
-        assert (await f.call("estimate"))[0] == 200
-        assert anyio.current_time() - begun < 0.5
+        started = anyio.current_time()
+        assert (await rig.call("estimate"))[0] == 200
+        assert anyio.current_time() - started < 0.5
--- a/support/soak/__main__.py
+++ b/support/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m support.soak`: plays seeds, prints a line for each, and exits 1 if one failed."""
+"""`python -m support.soak`: runs seeds of the soak, prints a line for each, and exits 1 if one failed."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @click.option("--jobs", type=click.IntRange(1), default=1, show_default=True, help="how many at a time")
 @click.option("--keep", type=click.Path(path_type=Path), help="a folder for logs and reports")
 def main(seed: int, seeds: int, jobs: int, keep: Path | None) -> None:
-    """Play seeds of the soak, each for about twelve seconds."""
+    """Run seeds of the soak, each for about twelve seconds."""
     numbers = range(seed, seed + seeds)
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
         lines = []
--- a/support/soak/play.py
+++ b/support/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one seed from start to end, and says in a line what came of it."""
+"""Runs one seed of the soak from start to end, and describes its result in a line."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 def play(seed: int, folder: Path) -> list[Failure]:
-    """Plays one seed in a folder, which keeps configurations, logs, records and the report."""
+    """Runs one seed; writes configurations, logs, records and the report to `folder`."""
     schedule = draw_schedule(seed)
     run = SoakRun(schedule, folder)
     book = anyio.run(run.play)
     failures = judge(book, run.settings)
-    ends = [record["what"] for record in book.clients if record["what"] != "sent"]
+    outcomes = [record["what"] for record in book.clients if record["what"] != "sent"]
     report = {
         "schedule": schedule.to_json_object(),
-        "requests": len(ends),
-        "ends": {what: ends.count(what) for what in sorted(set(ends))},
+        "requests": len(outcomes),
+        "ends": {what: outcomes.count(what) for what in sorted(set(outcomes))},
         "ready_seconds": book.ready_seconds,
         "failures": [{"kind": f.kind, "count": f.count, "examples": f.examples} for f in failures],
     }
@@ -34,7 +34,7 @@
 
 
 def play_seed(seed: int, keep: Path | None) -> str:
-    """Plays one seed; `keep` is a folder for logs and reports."""
+    """Runs one seed and describes its result; `keep` is a folder for logs and reports."""
     if keep is not None:
         folder = keep / f"seed-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
@@ -45,8 +45,8 @@
 
 def _describe(seed: int, failures: list[Failure], folder: Path) -> str:
     report = json.loads((folder / "report.json").read_text())
-    told = f"seed {seed}: {report['requests']} requests, {report['ends']}"
+    summary = f"seed {seed}: {report['requests']} requests, {report['ends']}"
     if not failures:
-        return f"{told}: passed"
+        return f"{summary}: passed"
     kinds = "; ".join(f"{failure.count} x {failure.kind}" for failure in failures)
-    return f"{told}: FAILED: {kinds}\n    again: python -m support.soak --seed {seed} --keep found"
+    return f"{summary}: FAILED: {kinds}\n    again: python -m support.soak --seed {seed} --keep found"
--- a/support/soak/records.py
+++ b/support/soak/records.py
@@ -1,4 +1,4 @@
-"""What passed on the sockets of a run, in the form that `martenlead.days.audit` reads."""
+"""The records of a run, in the form that `martenlead.days.audit` reads."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass
 class ProcessSample:
-    """What the kernel says of one node's process."""
+    """Resident memory and open descriptors of one node's process at one time."""
 
     node: int
     resident_bytes: int
@@ -26,26 +26,28 @@
     workers: list[Record] = field(default_factory=list)
     membership: list[Record] = field(default_factory=list)
     processes: list[Record] = field(default_factory=list)
-    ready_seconds: list[float] = field(default_factory=list)  # from the start of a process until it was up
-    exit_statuses: list[int] = field(default_factory=list)  # of processes that ended by themselves
+    ready_seconds: list[float] = field(default_factory=list)  # from start until up, for each process
+    exit_statuses: list[int] = field(default_factory=list)  # of processes that were not killed
     samples: list[ProcessSample] = field(default_factory=list)
-    own_lag_ns: int = 0  # the most by which the loop of the peers was late within the last second or so
+    own_lag_ns: int = 0  # largest delay of the peers' event loop within about the last second
     wrong_bodies: list[str] = field(default_factory=list)  # ids of requests served with another body
 
-    def client(self, what: str, **about: Any) -> None:
-        """A client sent a request, or a request of it ended."""
+    def record_client(self, what: str, **about: Any) -> None:
+        """Records that a client sent a request, or that a request ended."""
         self.clients.append({"t": monotonic_ns(), "what": what, **about})
 
-    def worker(self, what: str, **about: Any) -> None:
-        """An attempt came to a worker, ran, was refused or ended."""
+    def record_worker(self, what: str, **about: Any) -> None:
+        """Records that an attempt reached a worker, ran, was refused or ended."""
         self.workers.append({"t": monotonic_ns(), "what": what, **about})
 
-    def told(self, edge: str, lines: list[tuple[str, str, str]], *, is_whole: bool = False) -> None:
-        """A node counts as told of these workers: name, state and life."""
+    def record_membership(
+        self, edge: str, lines: list[tuple[str, str, str]], *, is_whole: bool = False
+    ) -> None:
+        """Records that a node must know these workers from now on: name, state and incarnation."""
         self.membership.append(
             {"t": monotonic_ns(), "what": "told", "edge": edge, "whole": is_whole, "lines": lines}
         )
 
-    def killed(self, node: int) -> None:
-        """A process of a node was killed."""
+    def record_kill(self, node: int) -> None:
+        """Records that a process of a node was killed."""
         self.processes.append({"t": monotonic_ns(), "what": "killed", "edge": node})
--- a/support/soak/run.py
+++ b/support/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a schedule around real nodes."""
+"""Carries out a schedule around real nodes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from martenlead.system.clocks import wall_ns
 from support.node_wire import ListedWorker, configuration, with_deadlines
 from support.peers import unused_port
-from support.soak.client import SoakClient, crowd
+from support.soak.client import SoakClient, run_crowd
 from support.soak.journal import SoakJournal
 from support.soak.node_process import NodeProcess
 from support.soak.records import RecordBook
@@ -32,11 +32,11 @@
 
 UP, DRAINING, GONE = 0, 1, 2  # states of a worker in events
 NS_PER_MS = 1_000_000
-SAMPLE_SECONDS = 0.2  # between two looks at a process
-LAG_SAMPLE_SECONDS, LAG_SAMPLES = 0.01, 100  # of the event loop that the peers share
-TOLD_GONE_SECONDS = 0.3  # after a worker has vanished
-AWAY_SECONDS = 0.8  # from its end until it comes back under its old name
-CROWD_CONNECTIONS = 40  # of a node; with the clients' own, a third of its descriptors at most
+SAMPLE_SECONDS = 0.2  # between two samples of a process
+LAG_SAMPLE_SECONDS, LAG_SAMPLES = 0.01, 100  # for the delay of the event loop that the peers share
+REPORT_GONE_AFTER_SECONDS = 0.3  # until discovery reports a worker that has vanished
+WORKER_AWAY_SECONDS = 0.8  # from a worker's end until a new one starts under its name
+CROWD_CONNECTIONS = 40  # for each node; with the clients' own at most a third of its descriptors
 
 
 class SoakRun:
@@ -51,10 +51,11 @@
         self.journals = [SoakJournal(f"n{node}", self.book) for node in range(NODES)]
         self.nodes = [NodeProcess(node, unused_port(), folder, self.book) for node in range(NODES)]
         self._peers: TaskGroup
-        self._locks = [anyio.Lock() for _ in range(NODES)]  # a configuration is not replaced at a restart
+        # Held while a node restarts, so that its configuration is not replaced then.
+        self._locks = [anyio.Lock() for _ in range(NODES)]
 
     async def play(self) -> RecordBook:
-        """Plays it from start to end."""
+        """Runs the schedule from start to end, and returns the records."""
         async with anyio.create_task_group() as self._peers:
             group = self._peers
             for worker in self.workers.values():
@@ -88,7 +89,9 @@
             async with anyio.create_task_group() as crowds:
                 if self.schedule.has_crowd:
                     for node in range(NODES):
-                        crowds.start_soon(crowd, self.nodes[node].port, CROWD_CONNECTIONS, f"ff{node:02x}")
+                        crowds.start_soon(
+                            run_crowd, self.nodes[node].port, CROWD_CONNECTIONS, f"ff{node:02x}"
+                        )
                 async with anyio.create_task_group() as events:
                     self._start_events(events)
                     await anyio.sleep(RUN_SECONDS)
@@ -119,11 +122,11 @@
         return configuration(f"n{node}", port, journal_port, workers, settings=self.settings)
 
     async def _start(self, node: int) -> None:
-        """A new life: its configuration has the list as it is now."""
-        self.journals[node].begin_life()
+        """Starts a process of a node, with the current list in its configuration."""
+        self.journals[node].begin_incarnation()
         self.nodes[node].write_configuration(self._configuration(node))
         lines = [(n, "up", str(w.started_ms)) for n, w in self.workers.items() if self.states[n] == UP]
-        self.book.told(f"n{node}", lines, is_whole=True)
+        self.book.record_membership(f"n{node}", lines, is_whole=True)
         await self.nodes[node].start()
 
     async def _restart(self, restart: Restart) -> None:
@@ -183,12 +186,12 @@
         worker = self.workers[trouble.worker]
         match trouble.kind:
             case "drains":
-                await self._tell(worker, DRAINING)
+                await self._publish_state(worker, DRAINING)
                 await anyio.sleep(trouble.seconds)
                 await self._replace(worker)
             case "vanishes":
                 await worker.stop()
-                await anyio.sleep(TOLD_GONE_SECONDS)
+                await anyio.sleep(REPORT_GONE_AFTER_SECONDS)
                 await self._replace(worker)
             case "resets idle":
                 await worker.reset_idle_connections(trouble.seconds)
@@ -198,15 +201,15 @@
                 worker.behaviour = ""
 
     async def _replace(self, worker: SoakWorker) -> None:
-        """Its process ends, and another one comes back under its name and at its ports."""
+        """Ends a worker's process; another one starts later under its name and at its ports."""
         await worker.stop()
-        await self._tell(worker, GONE)
-        await anyio.sleep(AWAY_SECONDS)
+        await self._publish_state(worker, GONE)
+        await anyio.sleep(WORKER_AWAY_SECONDS)
         worker.started_ms = wall_ns() // NS_PER_MS
         worker.start(self._peers)
-        await self._tell(worker, UP)
+        await self._publish_state(worker, UP)
 
-    async def _tell(self, worker: SoakWorker, state: int) -> None:
+    async def _publish_state(self, worker: SoakWorker, state: int) -> None:
         self.states[worker.name] = state
         for node, journal in enumerate(self.journals):
-            await journal.tell(worker.name, worker.ports[node], state, worker.started_ms)
+            await journal.publish(worker.name, worker.ports[node], state, worker.started_ms)
--- a/support/soak/schedule.py
+++ b/support/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What happens in a run, drawn from its seed alone."""
+"""What happens in a run, chosen from its seed alone."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 NODES = 2
 WORKERS = ("a", "b", "c", "d")
 CLIENTS_PER_NODE = 3
-DEADLINES_SECONDS = (0.3, 1.0, 2.0)  # of all request classes; the kill after SIGTERM follows from it
-CROWD_SHARE = 1 / 3  # of the runs
+DEADLINES_SECONDS = (0.3, 1.0, 2.0)  # for all request classes; it sets the time of the kill after SIGTERM
+CROWD_SHARE = 1 / 3  # share of the runs that have a crowd
 
 RESTART_SIGNALS = (
     ("TERM",),
@@ -23,12 +23,13 @@
 RELOADS = ("moved", "unreadable", "twice")
 WORKER_TROUBLES = ("drains", "vanishes", "hangs", "answers late", "answers twice", "resets idle", "is full")
 JOURNAL_TROUBLES = ("silent", "cut inside an event", "away")
-EARLIEST_SECONDS, LATEST_SECONDS = 1.0, 6.0  # in which troubles begin
+EARLIEST_SECONDS, LATEST_SECONDS = 1.0, 6.0  # time in which troubles begin
 
 
 @dataclass(frozen=True)
 class Restart:
-    """SIGTERM among other signals; the kill comes at the protocol's earliest, a new process takes over."""
+    """SIGTERM, with other signals around it, and then a new process. A process that does not end is killed at
+    the earliest time that the protocol allows."""
 
     at_seconds: float
     node: int
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True)
 class WorkerTrouble:
-    """What a worker does for a while."""
+    """A fault of a worker, for a while."""
 
     at_seconds: float
     worker: str
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True)
 class JournalTrouble:
-    """What a node's journal service does for a while."""
+    """A fault of a node's journal service, for a while."""
 
     at_seconds: float
     node: int
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Schedule:
-    """Everything that is drawn before a run begins."""
+    """All random choices of a run, made before it begins."""
 
     seed: int
     deadline_seconds: float
@@ -78,12 +79,12 @@
     journal_troubles: tuple[JournalTrouble, ...]
 
     def to_json_object(self) -> dict[str, Any]:
-        """For the report."""
+        """Returns the schedule as the report has it."""
         return asdict(self)
 
 
 def draw_schedule(seed: int) -> Schedule:
-    """The same for the same seed."""
+    """Returns the schedule of a seed, the same one each time."""
     random = Random(seed)
 
     def moment() -> float:
@@ -94,7 +95,7 @@
         for node in range(NODES)
     )
     reloads = tuple(Reload(moment(), node, random.choice(RELOADS)) for node in range(NODES))
-    troubled = random.sample(WORKERS, k=len(WORKERS) - 1)  # one worker stays well
+    troubled = random.sample(WORKERS, k=len(WORKERS) - 1)  # one worker stays without a fault
     worker_troubles = tuple(
         WorkerTrouble(moment(), worker, random.choice(WORKER_TROUBLES), round(random.uniform(0.5, 3), 3))
         for worker in troubled
--- a/support/soak/verdict.py
+++ b/support/soak/verdict.py
@@ -1,4 +1,4 @@
-"""Judges a run by its records: by the audit of the scripted days, and by what a platform asks besides."""
+"""Checks the records of a run: with the audit of the scripted days, and for the platform's other demands."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from support.soak.schedule import NODES, WORKERS
 
 READY_SECONDS, READY_SHARE, READY_LIMIT_SECONDS = 10.0, 0.9, 30.0
-MEMORY_BYTES, DESCRIPTORS = 64 * 2**20, 256  # the limits in the configuration
-SLACK_MS = 500.0  # behind a request's time: an answer that comes later counts as lost
-TRANSIT_MS = 100.0  # between two processes on one machine, and the leave of 0.1 s for a cancel
+MEMORY_LIMIT_BYTES, DESCRIPTOR_LIMIT = 64 * 2**20, 256  # the limits in the configuration
+SLACK_MS = 500.0  # after the deadline: a response that comes later counts as lost
+TRANSIT_MS = 100.0  # between two processes on one machine; includes the 0.1 s allowed for a cancel
 GRACE_MS = 250.0
-RULES = ("one_answer", "no_effect_twice", "drains")  # cold starts and load requests are not forced here
-SHOWN = 5  # breaches of a kind that a report holds
+RULES = ("one_answer", "no_effect_twice", "drains")  # the soak does not force cold starts or load requests
+MAX_EXAMPLES = 5  # of each kind of failure in a report
 
 
 @dataclass(frozen=True)
 class Failure:
-    """One kind of failure in a run, how often it was met, and examples of it."""
+    """One kind of failure in a run, how often it occurred, and examples of it."""
 
     kind: str
     count: int
@@ -28,7 +28,7 @@
 
 
 def judge(book: RecordBook, settings: dict[str, Any]) -> list[Failure]:
-    """Everything that was not as it has to be."""
+    """Returns all failures of a run."""
     checks = {
         **_audit(book, settings),
         "an attempt for a request that crossed a close": _forwarded_crossings(book),
@@ -38,7 +38,7 @@
         "killed after SIGTERM: it had not ended by itself": [r for r in book.processes if "t" in r],
         "over its memory or its descriptors": _over_limits(book),
     }
-    return [Failure(kind, len(found), found[:SHOWN]) for kind, found in checks.items() if found]
+    return [Failure(kind, len(found), found[:MAX_EXAMPLES]) for kind, found in checks.items() if found]
 
 
 def _audit(book: RecordBook, settings: dict[str, Any]) -> dict[str, list[Any]]:
@@ -69,8 +69,8 @@
 
 
 def _forwarded_crossings(book: RecordBook) -> list[str]:
-    came = {record["try"] for record in book.workers if record["what"] == "came"}
-    return [r["try"] for r in book.clients if r["what"] == "unreached" and r["try"] in came]
+    arrived = {record["try"] for record in book.workers if record["what"] == "came"}
+    return [r["try"] for r in book.clients if r["what"] == "unreached" and r["try"] in arrived]
 
 
 def _late_starts(book: RecordBook) -> list[float]:
@@ -83,5 +83,5 @@
     return [
         str(sample)
         for sample in book.samples
-        if sample.resident_bytes > MEMORY_BYTES or sample.descriptors > DESCRIPTORS
+        if sample.resident_bytes > MEMORY_LIMIT_BYTES or sample.descriptors > DESCRIPTOR_LIMIT
     ]
--- a/support/virtual_time.py
+++ b/support/virtual_time.py
@@ -1,8 +1,8 @@
 """Event loops for tests on real sockets whose time does not depend on how busy the machine is.
 
-`VirtualTimeLoop`: time passes only while nothing is left to do. Timers are due in their order and as far
-apart as they were set, and no test waits for them. Computing takes no time: a test of how fast something is
-must not use it.
+`VirtualTimeLoop`: time passes only while nothing is left to do. Timers fire in their order and as far
+apart as they were set, and no test waits for them. Computing takes no time, so a test of how fast something
+is must not use it.
 
 `ProcessTimeLoop`: time passes while the loop waits and while it computes, but not while this process waits
 for a core. Both the program and its peers have to be in this process, in one thread.
@@ -23,18 +23,18 @@
 from martenlead.system import clocks
 
 START_SECONDS = 1_000.0
-DELIVERY_SECONDS = 0.001  # of real time, in which the kernel delivers what was sent on the loopback device
+DELIVERY_SECONDS = 0.001  # real time for the kernel to deliver what was sent on the loopback device
 
 
 class VirtualTimeSelector(selectors.DefaultSelector):
-    """Moves the time to the next timer where no descriptor is ready."""
+    """Advances the time to the next timer if no descriptor is ready."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_seconds = START_SECONDS
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """What is ready; without a timer it waits for that."""
+        """Returns what is ready; waits for it if there is no timer."""
         if timeout is None:
             return super().select(None)
         ready = super().select(0)
@@ -47,30 +47,30 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """For the `loop_factory` of anyio's backend options."""
+    """An event loop for the `loop_factory` of anyio's backend options."""
 
     def __init__(self) -> None:
         self._virtual = VirtualTimeSelector()
         super().__init__(self._virtual)
 
     def time(self) -> float:
-        """In seconds, as the timers of the loop and the deadlines of anyio count it."""
+        """Returns seconds, as the timers of the loop and the deadlines of anyio count it."""
         return self._virtual.now_seconds
 
     def stall(self, seconds: float) -> None:
-        """Time passes in which the loop runs nothing, as on a machine that has no core for it."""
+        """Advances the time while the loop runs nothing, as on a machine that has no core for it."""
         self._virtual.now_seconds += seconds
 
 
 class ProcessTimeSelector(selectors.DefaultSelector):
-    """Adds up for how long the loop has waited, each time up to its next timer."""
+    """Adds up how long the loop has waited, each time at most until its next timer."""
 
     def __init__(self) -> None:
         super().__init__()
         self.waited_seconds = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """What is ready."""
+        """Returns what is ready."""
         began, computed = time.monotonic(), time.thread_time()
         ready = super().select(timeout)
         waited = time.monotonic() - began - (time.thread_time() - computed)
@@ -79,14 +79,14 @@
 
 
 class ProcessTimeLoop(asyncio.SelectorEventLoop):
-    """For the `loop_factory` of anyio's backend options."""
+    """An event loop for the `loop_factory` of anyio's backend options."""
 
     def __init__(self) -> None:
         self._process = ProcessTimeSelector()
         super().__init__(self._process)
 
     def time(self) -> float:
-        """In seconds, as the timers of the loop and the deadlines of anyio count it."""
+        """Returns seconds, as the timers of the loop and the deadlines of anyio count it."""
         return START_SECONDS + self._process.waited_seconds + time.thread_time()
 
 
@@ -97,8 +97,8 @@
 
 def follow_loop_time(monkeypatch: pytest.MonkeyPatch) -> Callable[[], int]:
     """Has all modules of the program that import `monotonic` or `monotonic_ns`, and the clocks of
-    `martenlead.system.clocks` that run with it, read the time of the running loop; returns that clock in ns,
-    for those that are given one."""
+    `martenlead.system.clocks` that depend on it, read the time of the running loop. Returns that clock, in
+    ns, for objects that take one."""
     loop = asyncio.get_running_loop()
 
     def clock() -> int:
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -18,7 +18,7 @@
 from anyio.abc import SocketAttribute, SocketStream
 
 from martenlead.node.serve import Node
-from support.fleet import GONE, until
+from support.fleet import LISTENER_CLOSED_ERRORS, until
 from support.node_wire import (
     SETTINGS as SETTINGS,
 )
@@ -121,7 +121,7 @@
         """Accepts connections until the listener is closed."""
         self.listener = PeerListener(self.port)
         self.port = self.listener.port
-        with suppress(*GONE):
+        with suppress(*LISTENER_CLOSED_ERRORS):
             await self.listener.serve(self.serve_connection)
 
     async def serve_connection(self, stream: SocketStream) -> None:
--- a/tests/test_capture_disk_faults.py
+++ b/tests/test_capture_disk_faults.py
@@ -22,7 +22,7 @@
 from martenlead.edge.status_report import report_status
 from martenlead.system.durable_file import Backoff
 from support.disk_faults import ERRNOS, DiskFaults
-from support.fleet import fleet, until
+from support.fleet import run_edge, until
 
 QUICK = partial(Backoff, first_seconds=0.001, longest_seconds=0.004)
 each_errno = pytest.mark.parametrize("code", ERRNOS, ids=[errno.errorcode[e] for e in ERRNOS])
@@ -156,8 +156,8 @@
         put(made, 3, 1)
         disk.heal()
         put(made, 4, 1)
-        async with fleet() as f:
-            f.group.start_soon(made.publish_counters, f.dispatcher)
+        async with run_edge() as f:
+            f.task_group.start_soon(made.publish_counters, f.dispatcher)
             await until(lambda: f.dispatcher.counts["capture", "written"])
             counts = report_status(f.dispatcher).counts
         made.close()
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -18,7 +18,16 @@
 from martenlead.capture.replay import replay
 from martenlead.capture.replayer import Replayer
 from martenlead.policy.policy import Policy
-from support.fleet import after, closes, draining, error, fleet, full, satisfied, silent
+from support.fleet import (
+    after_delay,
+    close_connection,
+    reject_at_capacity,
+    reject_draining,
+    respond_error,
+    respond_ok,
+    run_edge,
+    silent,
+)
 from tests.capture_rig import CAPTURES
 
 pytestmark = pytest.mark.anyio
@@ -27,18 +36,21 @@
 async def played(**settings: Any) -> list[ev.CaptureEvent]:
     """A short troubled life of a real edge, on tape."""
     events: list[ev.CaptureEvent] = []
-    parts = {"a": [satisfied, error, closes, after(50, satisfied)], "b": [full, satisfied, draining]}
-    async with fleet(parts, tape=CaptureRecorder(events.append, "edge"), **settings) as f:
+    parts = {
+        "a": [respond_ok, respond_error, close_connection, after_delay(50, respond_ok)],
+        "b": [reject_at_capacity, respond_ok, reject_draining],
+    }
+    async with run_edge(parts, recorder=CaptureRecorder(events.append, "edge"), **settings) as f:
         async with anyio.create_task_group() as group:
             for n in range(40):
                 kind = ("estimate", "post", "notice")[n % 3]
                 group.start_soon(lambda kind, n: f.call(kind, model=f"m{n % 4}", left=600), kind, n)
                 await anyio.sleep(0.01)
-            await f.say("b", "gone")
-        f.first = [silent]
+            await f.publish_state("b", "gone")
+        f.shared_behaviours = [silent]
         with anyio.move_on_after(0.05):
             await f.exchange("notice")
-        await f.say("a", "draining")
+        await f.publish_state("a", "draining")
         await f.call("estimate", left=1)
         await anyio.sleep(0.3)
     return events
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -14,7 +14,7 @@
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.events.cloudevent import Event, encode_event
-from support.fleet import OFFERINGS, after, fleet, satisfied, silent
+from support.fleet import REQUEST_CLASSES, after_delay, respond_ok, run_edge, silent
 
 pytestmark = pytest.mark.anyio
 DAYS = sorted((Path(__file__).parent / "days").glob("*.jsonnet"))
@@ -37,10 +37,12 @@
 
 async def ended(parts: list[object], signals: list[float]) -> tuple[int, int]:
     """An edge of its own process with one task out; the answer's status and the exit's after the signals."""
-    async with fleet({"a": parts}) as f:  # type: ignore[dict-item]
+    async with run_edge({"a": parts}) as f:  # type: ignore[dict-item]
         folder = anyio.Path(await anyio.mkdtemp())
         config = folder / "edge.json"
-        await config.write_text(json.dumps({"roster": {"port": f.roster_port}, "offerings": OFFERINGS}))
+        await config.write_text(
+            json.dumps({"roster": {"port": f.discovery_port}, "offerings": REQUEST_CLASSES})
+        )
         process = await anyio.open_process(
             [sys.executable, "-m", "martenlead", "edge", str(config)], stderr=None
         )
@@ -68,7 +70,7 @@
 
 
 async def test_the_first_signal_lets_held_tasks_end() -> None:
-    assert await ended([after(600, satisfied)], [0.1]) == (200, 0)
+    assert await ended([after_delay(600, respond_ok)], [0.1]) == (200, 0)
 
 
 async def test_the_second_signal_ends_them_at_once_and_scraps_what_may_have_run() -> None:
@@ -76,10 +78,10 @@
 
 
 async def test_a_port_in_use_is_one_line_and_an_exit() -> None:
-    async with fleet() as f:
+    async with run_edge() as f:
         folder = anyio.Path(await anyio.mkdtemp())
         config = folder / "edge.json"
-        settings = {"roster": {"port": 1}, "offerings": OFFERINGS, "listen": {"port": f.port}}
+        settings = {"roster": {"port": 1}, "offerings": REQUEST_CLASSES, "listen": {"port": f.port}}
         await config.write_text(json.dumps(settings))
         done = await anyio.run_process([sys.executable, "-m", "martenlead", "edge", str(config)], check=False)
         assert done.returncode == 1
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -19,7 +19,7 @@
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.node.client_acceptor import EXTRA_DESCRIPTORS
-from support.fleet import Fleet, after, fleet, full, satisfied
+from support.fleet import EdgeRig, after_delay, reject_at_capacity, respond_ok, run_edge
 from tests.nodes import SETTINGS, Client, outcome_of, run_node, succeed
 
 pytestmark = pytest.mark.anyio
@@ -113,9 +113,9 @@
 
     async def noting(runner: Any, stream: Any, message: Any) -> None:
         stated.append(int(message.header(b"ce-timeleftms")))
-        await satisfied(runner, stream, message)
+        await respond_ok(runner, stream, message)
 
-    async with fleet({"a": [noting]}) as f:
+    async with run_edge({"a": [noting]}) as f:
         client = socket.create_connection(("127.0.0.1", f.port))
         await anyio.sleep(STEADY)
         client.sendall(encode_request(WAIT))
@@ -132,9 +132,9 @@
 
     async def noting(runner: Any, stream: Any, message: Any) -> None:
         stated.append(int(message.header(b"ce-timeleftms")))
-        await satisfied(runner, stream, message)
+        await respond_ok(runner, stream, message)
 
-    async with fleet({"a": [noting]}) as f:
+    async with run_edge({"a": [noting]}) as f:
         real = Pool._connect
 
         async def late(pool: Pool) -> Any:
@@ -172,10 +172,10 @@
         stated.append((int(message.header(b"ce-timeleftms")), left))
         if count > 1:
             await anyio.sleep(BLOCKED / 2)
-        await satisfied(runner, stream, message)
+        await respond_ok(runner, stream, message)
 
-    async with fleet({"a": [noting], "b": [noting]}, **settings) as f:
-        f.group.start_soon(f.door.run)
+    async with run_edge({"a": [noting], "b": [noting]}, **settings) as f:
+        f.task_group.start_soon(f.event_listener.run)
         await anyio.sleep(STEADY)
         client = socket.create_connection(("127.0.0.1", f.port))
         if "new" not in delay:
@@ -192,7 +192,7 @@
 
 
 async def send_with_delay(
-    f: Fleet, delay: str, client: socket.socket, told: bytes, sent: list[float], monkeypatch: Any
+    f: EdgeRig, delay: str, client: socket.socket, told: bytes, sent: list[float], monkeypatch: Any
 ) -> None:
     """Sends the request with the delay of this case and records when."""
     sent.append(time.monotonic())
@@ -210,13 +210,16 @@
                 client.sendall(told[-1:])
                 time.sleep(BLOCKED)
         case "a further attempt":
-            f.first = [after(BLOCKED * 1000, full)]
+            f.shared_behaviours = [after_delay(BLOCKED * 1000, reject_at_capacity)]
             client.sendall(told)
         case "a wait at the gate":
-            assert f.door.admission_controller is not None
+            assert f.event_listener.admission_controller is not None
             # the controller finds no placement until `opens`, which is within the latency objective
-            find_placement, opens = f.door.admission_controller.find_placement, sent[0] + BLOCKED / 2
-            f.door.admission_controller.find_placement = lambda ticket: (
+            find_placement, opens = (
+                f.event_listener.admission_controller.find_placement,
+                sent[0] + BLOCKED / 2,
+            )
+            f.event_listener.admission_controller.find_placement = lambda ticket: (
                 find_placement(ticket) if time.monotonic() > opens else None
             )
             client.sendall(told)
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -8,7 +8,7 @@
 from structlog.testing import capture_logs
 
 from martenlead.policy.types import LoadRequest
-from support.fleet import fleet, satisfied, until
+from support.fleet import respond_ok, run_edge, until
 
 pytestmark = pytest.mark.anyio
 
@@ -21,7 +21,7 @@
 async def test_decisions_and_their_results_are_logged() -> None:
     """Compares the entries of a decision and of its result, for an attempt and for a load request."""
     with capture_logs() as logs:
-        async with fleet({"a": [satisfied]}, log={"decisions": True}) as rig:
+        async with run_edge({"a": [respond_ok]}, log={"decisions": True}) as rig:
             assert (await rig.call("estimate"))[0] == 200
             await until(lambda: entries_of(logs, "attempt_ended"))
             (function,) = rig.dispatcher.functions_by_name.values()
@@ -48,6 +48,6 @@
 async def test_nothing_is_logged_unless_configured(event: str) -> None:
     """Serves a request with the default settings."""
     with capture_logs() as logs:
-        async with fleet() as rig:
+        async with run_edge() as rig:
             assert (await rig.call("estimate"))[0] == 200
     assert not entries_of(logs, event)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -16,21 +16,21 @@
 
 from martenlead.edge.admin import AdminListener
 from martenlead.events.http import Message
-from support.fleet import Fleet, Part, Runner, after, fleet, satisfied
+from support.fleet import Behaviour, EdgeRig, ScriptedWorker, after_delay, respond_ok, run_edge
 
 pytestmark = pytest.mark.anyio
-SLOW_RESPONSE = after(100, satisfied)
+SLOW_RESPONSE = after_delay(100, respond_ok)
 
 
-def make_limited_worker(concurrency: int) -> Part:
+def make_limited_worker(concurrency: int) -> Behaviour:
     """Returns a behavior of a worker: 100 ms per request, at most `concurrency` at once, others wait."""
     slots = anyio.Semaphore(concurrency)
 
-    async def respond(worker: Runner, stream: SocketStream, message: Message) -> None:
+    async def respond(worker: ScriptedWorker, stream: SocketStream, message: Message) -> None:
         """Responds once a slot is free and 100 ms have passed."""
         async with slots:
             await anyio.sleep(0.1)
-        await satisfied(worker, stream, message)
+        await respond_ok(worker, stream, message)
 
     return respond
 
@@ -45,7 +45,7 @@
 
 
 async def call_many(
-    rig: Fleet, count: int, tenant: str = "portal", **attributes: Any
+    rig: EdgeRig, count: int, tenant: str = "portal", **attributes: Any
 ) -> list[tuple[int, Any]]:
     """Sends `count` concurrent requests; returns their statuses and answers."""
     answers: list[tuple[int, Any]] = []
@@ -67,13 +67,13 @@
         released = anyio.Event()
 
         async def respond_when_released(
-            worker: Runner, stream: SocketStream, message: Message, released: Any = released
+            worker: ScriptedWorker, stream: SocketStream, message: Message, released: Any = released
         ) -> None:
             """Responds once all requests have arrived at the edge."""
             await released.wait()
-            await satisfied(worker, stream, message)
+            await respond_ok(worker, stream, message)
 
-        async with fleet(
+        async with run_edge(
             {"a": [SLOW_RESPONSE, SLOW_RESPONSE, SLOW_RESPONSE, respond_when_released]},
             customers=TENANTS,
             offerings=LONG_DEADLINE_CLASSES,
@@ -82,14 +82,14 @@
             await call_many(rig, 3)
             answers: list[tuple[int, Any]] = []
 
-            async def call_once(rig: Fleet = rig, answers: list[tuple[int, Any]] = answers) -> None:
+            async def call_once(rig: EdgeRig = rig, answers: list[tuple[int, Any]] = answers) -> None:
                 """Records the answer to one request."""
                 answers.append(await rig.call("estimate", customer="portal", left=7000))
 
             async with anyio.create_task_group() as group:
                 for _ in range(40):
                     group.start_soon(call_once)
-                controller = rig.door.admission_controller
+                controller = rig.event_listener.admission_controller
                 with anyio.fail_after(5):
                     while (
                         len(answers)
@@ -111,8 +111,8 @@
 async def test_rejected_clients_that_retry_as_advised_are_served_under_constant_load() -> None:
     """Guards against a Retry-After that is too short: its clients would be rejected again and again."""
     queues = {"waiting": 20, "bytes": 4000}
-    async with fleet({"a": [make_limited_worker(10)]}, customers=TENANTS, queues=queues) as rig:
-        controller = rig.door.admission_controller
+    async with run_edge({"a": [make_limited_worker(10)]}, customers=TENANTS, queues=queues) as rig:
+        controller = rig.event_listener.admission_controller
         assert controller is not None
         served_retries, retries = 0, 0
         peak_usage = [0, 0]
@@ -151,19 +151,19 @@
     queues = {"waiting": 1, "secret": "the same at all edges"}
     released = anyio.Event()
 
-    async def respond_when_released(worker: Runner, stream: SocketStream, message: Message) -> None:
+    async def respond_when_released(worker: ScriptedWorker, stream: SocketStream, message: Message) -> None:
         """Responds once the reservation has been issued."""
         await released.wait()
-        await satisfied(worker, stream, message)
+        await respond_ok(worker, stream, message)
 
     token = ""
     for edge_index, responses in enumerate(
-        ([SLOW_RESPONSE, SLOW_RESPONSE, SLOW_RESPONSE, respond_when_released], [satisfied])
+        ([SLOW_RESPONSE, SLOW_RESPONSE, SLOW_RESPONSE, respond_when_released], [respond_ok])
     ):
-        async with fleet(
+        async with run_edge(
             {"a": responses}, customers=TENANTS, offerings=LONG_DEADLINE_CLASSES, queues=queues
         ) as rig:
-            controller = rig.door.admission_controller
+            controller = rig.event_listener.admission_controller
             assert controller is not None
             if not edge_index:
                 await call_many(rig, 3)
@@ -180,7 +180,7 @@
                 assert token
                 continue
             _, start_ms, end_ms, _ = token.split(".")
-            rig.door.queue_admission.wall_clock_ns = lambda start=start_ms, end=end_ms: (
+            rig.event_listener.queue_admission.wall_clock_ns = lambda start=start_ms, end=end_ms: (
                 (int(start) + int(end)) // 2 * 1_000_000
             )
             forged = token[:-1] + ("A" if token[-1] != "A" else "B")
@@ -196,7 +196,7 @@
 
 async def test_queued_requests_are_admitted_by_the_weights_of_their_tenants() -> None:
     """A tenant that queues later but has a higher weight is not kept behind the earlier one."""
-    async with fleet({"a": [SLOW_RESPONSE]}, customers=TENANTS, queues={}) as rig:
+    async with run_edge({"a": [SLOW_RESPONSE]}, customers=TENANTS, queues={}) as rig:
         await call_many(rig, 3)
         served_tenants: list[str] = []
 
@@ -217,8 +217,8 @@
 
 async def test_a_client_that_leaves_the_queue_frees_its_place_at_once() -> None:
     """Guards against queued requests and bytes that remain counted for clients that are gone."""
-    async with fleet({"a": [after(600, satisfied)]}, customers=TENANTS, queues={}) as rig:
-        controller = rig.door.admission_controller
+    async with run_edge({"a": [after_delay(600, respond_ok)]}, customers=TENANTS, queues={}) as rig:
+        controller = rig.event_listener.admission_controller
         assert controller is not None
         async with anyio.create_task_group() as group:
             for _ in range(16):
@@ -233,7 +233,7 @@
 
 async def test_a_draining_listener_rejects_queued_requests_at_once() -> None:
     """Guards against queued requests that delay the shutdown or get no response."""
-    async with fleet({"a": [after(900, satisfied)]}, customers=TENANTS, queues={}) as rig:
+    async with run_edge({"a": [after_delay(900, respond_ok)]}, customers=TENANTS, queues={}) as rig:
         answers: list[tuple[int, Any]] = []
 
         async def call() -> None:
@@ -243,7 +243,7 @@
         async with anyio.create_task_group() as group:
             for _ in range(40):
                 group.start_soon(call)
-            controller = rig.door.admission_controller
+            controller = rig.event_listener.admission_controller
             assert controller is not None
             with anyio.fail_after(5):
                 while not controller.waiting_requests or (
@@ -254,7 +254,7 @@
                 ):
                     await anyio.sleep(0.001)  # a connection not read yet would be closed without a response
             waiting = controller.waiting_requests
-            rig.door.drain()
+            rig.event_listener.drain()
             assert controller.waiting_requests == 0
         reasons = [problem.get("detail") for status, problem in answers if status == 503]
         assert reasons.count("the dispatcher stops") >= waiting
@@ -263,10 +263,10 @@
 
 async def test_queue_limits_change_at_runtime_all_together_or_not_at_all() -> None:
     """An invalid body changes nothing; an edge without queues refuses the request."""
-    async with fleet({"a": [satisfied]}, customers=TENANTS, queues={}) as rig:
-        controller = rig.door.admission_controller
+    async with run_edge({"a": [respond_ok]}, customers=TENANTS, queues={}) as rig:
+        controller = rig.event_listener.admission_controller
         assert controller is not None
-        admin = AdminListener(rig.dispatcher, rig.door)
+        admin = AdminListener(rig.dispatcher, rig.event_listener)
 
         async def put_limits(body: bytes) -> tuple[int, Any]:
             """Sends the body by PUT /limits; returns the status and the decoded answer."""
@@ -288,8 +288,8 @@
         assert (await put_limits(b'{"waiting": 7, "weights": {"desk": 5}}'))[0] == 200
         assert (controller.limits.waiting, controller.limits.bytes) == (7, before.bytes)
         assert controller.limits.weights == {"portal": 1.0, "desk": 5.0}
-    async with fleet() as rig:
-        reply = await AdminListener(rig.dispatcher, rig.door).handle(
+    async with run_edge() as rig:
+        reply = await AdminListener(rig.dispatcher, rig.event_listener).handle(
             Message(method=b"PUT", target=b"/limits", body=b"{}"), 0
         )
         assert reply.status == 409
@@ -297,14 +297,14 @@
 
 async def test_the_limits_command_changes_a_running_edge(tmp_path: Path) -> None:
     """Runs the edge and the command as processes: valid limits are applied, invalid ones reported."""
-    async with fleet({"a": [satisfied]}) as rig:
-        from support.fleet import OFFERINGS
+    async with run_edge({"a": [respond_ok]}) as rig:
+        from support.fleet import REQUEST_CLASSES
 
         config, limits_file = tmp_path / "edge.json", tmp_path / "limits.jsonnet"
         admin = {"port": 0}
         settings = {
-            "roster": {"port": rig.roster_port},
-            "offerings": OFFERINGS,
+            "roster": {"port": rig.discovery_port},
+            "offerings": REQUEST_CLASSES,
             "queues": {},
             "admin": admin,
             "log": {"level": "info"},
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -14,7 +14,7 @@
 from martenlead.edge.status_report import report_status
 from martenlead.events.http import Message
 from martenlead.upstream import endpoints
-from support.fleet import after, draining, fleet, raw, satisfied, says, until
+from support.fleet import after_delay, reject_draining, respond_ok, respond_with, run_edge, send_bytes, until
 
 pytestmark = pytest.mark.anyio
 DRAIN_NOTICE_SECONDS = 0.25
@@ -24,7 +24,7 @@
 
 async def test_a_worker_that_drains_under_load_gets_nothing_new() -> None:
     """Discovery reports the drain of a home worker while requests for several functions arrive."""
-    async with fleet({"a": [after(600, satisfied)], "b": [after(600, satisfied)]}) as rig:
+    async with run_edge({"a": [after_delay(600, respond_ok)], "b": [after_delay(600, respond_ok)]}) as rig:
         statuses: list[int] = []
 
         async def call(function: str) -> None:
@@ -36,13 +36,13 @@
                 group.start_soon(call, f"m{number % 2}")
             await until(lambda: rig.arrivals)
             home_worker = rig.arrivals[0][1]
-            announced_at = await rig.say(home_worker, "draining")
+            announced_at = await rig.publish_state(home_worker, "draining")
             for number in range(30):
                 group.start_soon(call, f"m{number % 5}")
                 await anyio.sleep(0.02)
         late_arrivals = [
             arrival
-            for arrival in rig.arrivals + rig.orders
+            for arrival in rig.arrivals + rig.load_requests
             if arrival[1] == home_worker and arrival[0] > announced_at + DRAIN_NOTICE_SECONDS
         ]
         assert not late_arrivals
@@ -52,9 +52,9 @@
 
 async def test_a_worker_that_announces_its_own_drain_gets_no_further_attempt() -> None:
     """Guards against waiting for discovery after a worker has responded that it is draining."""
-    async with fleet({"a": [draining], "b": [draining]}) as rig:
+    async with run_edge({"a": [reject_draining], "b": [reject_draining]}) as rig:
         await rig.call("notice")
-        assert sorted(rig.ran()) == ["t1 at a", "t1 at b"]
+        assert sorted(rig.received()) == ["t1 at a", "t1 at b"]
         status, problem = await rig.call("notice")
         assert (status, problem["final"], len(rig.arrivals)) == (503, "turned back", 2)
 
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("left", [0, 1, 20])
 async def test_a_request_with_too_little_time_left_is_rejected_at_once_and_not_sent(left: float) -> None:
     """Guards against attempts that cannot be answered before the deadline."""
-    async with fleet() as rig:
+    async with run_edge() as rig:
         for request_class in ("estimate", "post", "notice"):
             before = anyio.current_time()
             status, problem = await rig.call(request_class, left=left)
@@ -73,7 +73,7 @@
 
 async def test_a_request_with_forty_ms_left_fails_if_it_was_sent_and_else_is_rejected() -> None:
     """The worker takes longer than the time left, so only a request that was not sent may be retried."""
-    async with fleet({"a": [after(300, satisfied)]}) as rig:
+    async with run_edge({"a": [after_delay(300, respond_ok)]}) as rig:
         status, problem = await rig.call("notice", left=40)
         assert (status, problem["final"]) in ((504, "scrapped"), (503, "turned back"))
         assert (status == 504) == bool(rig.arrivals)
@@ -81,16 +81,16 @@
 
 async def test_an_expiry_time_limits_a_request_as_the_time_left_does() -> None:
     """The event has the attribute `expirytime`, in the past, instead of `timeleftms`."""
-    async with fleet() as rig:
+    async with run_edge() as rig:
         status, problem = await rig.call(left=None, expirytime="2001-01-01T00:00:00Z")
         assert (status, problem["final"], rig.arrivals) == (503, "turned back", [])
 
 
 async def test_without_workers_a_request_is_rejected_with_a_retry_after() -> None:
     """Discovery removes all workers one after the other."""
-    async with fleet() as rig:
+    async with run_edge() as rig:
         for name in "ab":
-            await rig.say(name, "gone")
+            await rig.publish_state(name, "gone")
         await until(lambda: not rig.dispatcher.endpoint_list.endpoints)
         exchange = await rig.exchange("notice")
         message = exchange.message
@@ -102,8 +102,8 @@
 
 async def test_an_edge_serves_with_its_last_endpoint_list_without_discovery() -> None:
     """Guards against dropping the endpoint list when the stream from discovery breaks."""
-    async with fleet() as rig:
-        rig.roster_scope.cancel()
+    async with run_edge() as rig:
+        rig.discovery_scope.cancel()
         await until(lambda: rig.dispatcher.counts["roster", "lost"])
         assert [(await rig.call("notice"))[0] for _ in range(3)] == [200] * 3
         assert rig.dispatcher.counts["roster", "lost"] >= 1
@@ -112,9 +112,9 @@
 async def test_an_edge_starts_with_its_cached_endpoint_list(tmp_path: Path) -> None:
     """The list was saved by an earlier run, and discovery cannot be reached."""
     path = tmp_path / "kept"
-    async with fleet() as rig:
+    async with run_edge() as rig:
         lines = [
-            endpoints.Endpoint(id=name, port=stub.port, memory_mb=1.0) for name, stub in rig.runners.items()
+            endpoints.Endpoint(id=name, port=stub.port, memory_mb=1.0) for name, stub in rig.workers.items()
         ]
         endpoints.save_cached_endpoints(path, endpoints.CachedEndpoints(3, time.time(), lines))
         # A second edge, which cannot reach discovery.
@@ -123,7 +123,7 @@
 
         settings = {"roster": {"port": 1, "kept": str(path)}, "offerings": [{"name": "x"} | CLASS_LIMITS]}
         second = create_dispatcher(decode(settings, EdgeSettings, "test"))
-        rig.group.start_soon(second.run)
+        rig.task_group.start_soon(second.run)
         await until(lambda: len(report_status(second).workers) == 2)
         assert [worker.state for worker in report_status(second).workers] == ["up", "up"]
 
@@ -133,8 +133,8 @@
 
 async def test_a_thousand_clients_stay_within_a_limit_of_a_hundred_requests() -> None:
     """Requests over the limit are rejected; afterwards no request or byte counts as pending."""
-    async with fleet(
-        {"a": [after(150, satisfied)], "b": [after(150, satisfied)]},
+    async with run_edge(
+        {"a": [after_delay(150, respond_ok)], "b": [after_delay(150, respond_ok)]},
         limits={"open_tasks": 100, "runner_connections": 200},
     ) as rig:
         statuses: list[int] = []
@@ -158,7 +158,7 @@
 
 async def test_a_stalled_loop_widens_the_tick_and_answers_what_it_can() -> None:
     """Stalls the event loop twice while a request waits for a slow worker."""
-    async with fleet({"a": [after(2000, satisfied)]}) as rig:
+    async with run_edge({"a": [after_delay(2000, respond_ok)]}) as rig:
         async with anyio.create_task_group() as group:
             answers = []
 
@@ -179,7 +179,7 @@
 
 async def test_a_request_is_answered_although_the_clock_steps_back() -> None:
     """Guards against timers that never end because the clock jumps to an earlier time."""
-    async with fleet() as rig:
+    async with run_edge() as rig:
         await rig.call()
         # Both use the same clock: with different ones, a timer that is due by one of them only would be run
         # again and again.
@@ -223,7 +223,7 @@
 async def test_an_invalid_event_is_refused_with_the_name_of_the_attribute(case: str) -> None:
     """The connection remains usable after each invalid event."""
     headers, body, status, attribute = INVALID_EVENTS[case]
-    async with fleet() as rig:
+    async with run_edge() as rig:
         data = REQUEST_HEAD + headers + b"content-length: %d\r\n\r\n" % len(body) + body
         exchange = await rig.pool.exchange(data)
         assert exchange.message is not None
@@ -255,7 +255,7 @@
 async def test_an_unreadable_message_gets_an_error_and_closes_the_connection(case: str) -> None:
     """After such a message the start of the next one is unknown."""
     data, status = UNREADABLE_MESSAGES[case]
-    async with fleet(limits={"body_bytes": 1000}) as rig:
+    async with run_edge(limits={"body_bytes": 1000}) as rig:
         async with await anyio.connect_tcp("127.0.0.1", rig.port) as stream:
             await stream.send(data)
             received = b""
@@ -270,7 +270,7 @@
 
 async def test_other_paths_and_methods_are_refused() -> None:
     """Requests are accepted by POST to / only."""
-    async with fleet() as rig:
+    async with run_edge() as rig:
         exchange = await rig.pool.exchange(b"GET / HTTP/1.1\r\nhost: e\r\n\r\n")
         assert exchange.message is not None
         assert (exchange.message.status, exchange.message.header(b"allow")) == (405, b"POST")
@@ -281,9 +281,9 @@
 
 async def test_pipelined_requests_are_answered_in_sequence() -> None:
     """The first of the requests on one connection takes the longest."""
-    slow = after(200, raw(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nslow"))
-    fast = raw(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfast")
-    async with fleet({"a": [slow, fast]}) as rig:
+    slow = after_delay(200, send_bytes(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nslow"))
+    fast = send_bytes(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfast")
+    async with run_edge({"a": [slow, fast]}) as rig:
         request = REQUEST_HEAD + EVENT_HEADERS + b"ce-model: m\r\ncontent-length: 0\r\n\r\n"
         async with await anyio.connect_tcp("127.0.0.1", rig.port) as stream:
             await stream.send(
@@ -299,7 +299,7 @@
 
 async def test_expect_100_continue_is_answered_before_the_body() -> None:
     """The client sends the body only after the interim response."""
-    async with fleet() as rig, await anyio.connect_tcp("127.0.0.1", rig.port) as stream:
+    async with run_edge() as rig, await anyio.connect_tcp("127.0.0.1", rig.port) as stream:
         await stream.send(
             REQUEST_HEAD + EVENT_HEADERS + b"ce-model: m\r\nexpect: 100-continue\r\ncontent-length: 2\r\n\r\n"
         )
@@ -312,7 +312,7 @@
 async def test_a_slow_header_gets_408() -> None:
     """The client sends only a part of the header."""
     async with (
-        fleet(limits={"slow_ms": 100}) as rig,
+        run_edge(limits={"slow_ms": 100}) as rig,
         await anyio.connect_tcp("127.0.0.1", rig.port) as stream,
     ):
         await stream.send(REQUEST_HEAD)
@@ -328,9 +328,9 @@
         """Notes the received headers and body, and responds."""
         received.extend(message.headers)
         received.append((b"body", message.body))
-        await satisfied(_worker, stream, message)
+        await respond_ok(_worker, stream, message)
 
-    async with fleet({"a": [echo]}) as rig:
+    async with run_edge({"a": [echo]}) as rig:
         trace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
         await rig.call(myextension="Ärger €", traceparent=trace)
         headers = dict(received)
@@ -343,8 +343,8 @@
 async def test_a_request_over_its_tenants_share_gets_429() -> None:
     """The workers are at capacity; only one of the tenants is over its share."""
     tenants = [{"name": "portal", "quota_per_s": 0.001}, {"name": "desk", "quota_per_s": 1000}]
-    at_capacity = says(503, (b"martenlead-never-ran", b"1"))
-    async with fleet({"a": [at_capacity], "b": [at_capacity]}, customers=tenants, over_share=0.2) as rig:
+    at_capacity = respond_with(503, (b"martenlead-never-ran", b"1"))
+    async with run_edge({"a": [at_capacity], "b": [at_capacity]}, customers=tenants, over_share=0.2) as rig:
         rig.dispatcher.policy_boundary._policy.tenant_shares.requests_per_second[
             rig.dispatcher.tenants["portal"]
         ] = 50.0
@@ -358,7 +358,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The exception occurs while the request waits for a worker; the request ends at its deadline."""
-    async with fleet({"a": [raw(b"")], "b": [raw(b"")]}) as rig:
+    async with run_edge({"a": [send_bytes(b"")], "b": [send_bytes(b"")]}) as rig:
 
         def raise_error(*_: object) -> None:
             """Fails in place of a method of the policy."""
@@ -377,15 +377,15 @@
         assert [(status, answer["final"]) for status, answer in answers] == [(504, "scrapped")]
         assert rig.dispatcher.counts["fault", "ZeroDivisionError"] == 1
         monkeypatch.undo()
-        rig.runners["a"].parts = rig.runners["b"].parts = [satisfied]
+        rig.workers["a"].behaviours = rig.workers["b"].behaviours = [respond_ok]
         assert (await rig.call("estimate", model="other"))[0] == 200
 
 
 async def test_a_worker_that_resets_every_connection_causes_no_fault() -> None:
     """Guards against an exception of the socket that is counted as a fault of the dispatcher."""
-    async with fleet() as rig:
-        for worker in rig.runners.values():
-            worker.resets = True
+    async with run_edge() as rig:
+        for worker in rig.workers.values():
+            worker.resets_connections = True
         statuses = [(await rig.call("estimate", left=500))[0] for _ in range(20)]
         assert set(statuses) <= {200, 502, 503}
         assert not any(kind == "fault" for kind, _ in rig.dispatcher.counts)
@@ -393,13 +393,13 @@
 
 async def test_discovery_is_connected_again_after_a_malformed_update() -> None:
     """The updates lack fields, are not JSON, or have an unknown state."""
-    async with fleet() as rig:
+    async with run_edge() as rig:
         for malformed in (
             b"{}\n",
             b"no JSON\n",
             b'{"version": 9, "runners": [{"id": "a", "state": "odd"}]}\n',
         ):
-            for send in rig._news:
+            for send in rig._list_streams:
                 await send.send(malformed)
             await anyio.sleep(0.02)
         assert (await rig.call())[0] == 200
@@ -408,7 +408,7 @@
 
 async def test_an_attempt_without_a_free_connection_is_not_sent() -> None:
     """Three requests compete for a single connection to the worker."""
-    async with fleet({"a": [after(300, satisfied)]}, limits={"runner_connections": 1}) as rig:
+    async with run_edge({"a": [after_delay(300, respond_ok)]}, limits={"runner_connections": 1}) as rig:
         answers: list[tuple[int, dict[str, object]]] = []
 
         async def call() -> None:
@@ -426,20 +426,22 @@
 async def test_load_reports_are_read_from_responses_and_health_checks() -> None:
     """Malformed entries of a load report are skipped."""
     report = (b"martenlead-report", b"busy=0.5,x1=3,odd,=1,y=z")
-    async with fleet({"a": [says(200, report)]}, probes={"every_ms": 20}) as rig:
-        rig.runners["a"].order = says(200, (b"martenlead-report", b"busy=0.75"), body=b"ready")
+    async with run_edge({"a": [respond_with(200, report)]}, probes={"every_ms": 20}) as rig:
+        rig.workers["a"].load_behaviour = respond_with(
+            200, (b"martenlead-report", b"busy=0.75"), body=b"ready"
+        )
         await rig.call()
         worker = rig.dispatcher.workers["a"]
         assert worker.load_report["x1"] == 3.0
         with anyio.fail_after(5):
             while worker.load_report["busy"] != 0.75:
                 await anyio.sleep(0.01)
-        assert ("a", "/v2/health/ready") in [(name, target) for _, name, target in rig.orders]
+        assert ("a", "/v2/health/ready") in [(name, target) for _, name, target in rig.load_requests]
 
 
 async def test_state_and_metrics_can_be_read() -> None:
     """One request is counted in both reports of the admin listener."""
-    async with fleet() as rig:
+    async with run_edge() as rig:
         await rig.call()
         admin = AdminListener(rig.dispatcher)
         bodies = []
@@ -455,7 +457,7 @@
 async def test_decisions_are_logged_only_if_configured(capsys: pytest.CaptureFixture[str]) -> None:
     """Serves a request without and with the setting, and compares its log lines."""
     for is_enabled in (False, True):
-        async with fleet({"a": [satisfied]}, log={"decisions": is_enabled}) as rig:
+        async with run_edge({"a": [respond_ok]}, log={"decisions": is_enabled}) as rig:
             await rig.call(ident="logged")
         lines = [line for line in capsys.readouterr().out.splitlines() if "logged" in line]
         assert [" ".join(line.split()[2:]) for line in lines] == (
@@ -470,7 +472,7 @@
 
 async def test_due_timers_run_before_the_event_loop_gets_to_them() -> None:
     """The deadline passes while the event loop is blocked, so its own timers have not run."""
-    async with fleet({"a": [raw(b"")]}) as rig, anyio.create_task_group() as group:
+    async with run_edge({"a": [send_bytes(b"")]}) as rig, anyio.create_task_group() as group:
         group.start_soon(lambda: rig.call("notice", left=1000))
         await until(lambda: rig.arrivals)
         (pending,) = rig.dispatcher.pending_requests.values()
@@ -484,7 +486,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The exception occurs before any attempt, so the request is rejected at once."""
-    async with fleet() as rig:
+    async with run_edge() as rig:
 
         def raise_error(*_: object) -> None:
             """Fails in place of a method of the policy."""
--- a/tests/test_edge_client_gone.py
+++ b/tests/test_edge_client_gone.py
@@ -16,7 +16,7 @@
 from martenlead.events.client import Pool
 from martenlead.policy.types import Result
 from support.attempt_hooks import before_attempt
-from support.fleet import Fleet, fleet, full, satisfied, until
+from support.fleet import EdgeRig, reject_at_capacity, respond_ok, run_edge, until
 
 pytestmark = pytest.mark.anyio
 DISCONNECTS = ("half close", "close", "reset", "close after a further request")
@@ -51,7 +51,7 @@
             client.close()
 
 
-async def connect_workers(rig: Fleet) -> None:
+async def connect_workers(rig: EdgeRig) -> None:
     """Opens an idle connection to each worker, so that an attempt is sent as soon as it is decided."""
     outcomes: list[Any] = []
     for worker in rig.dispatcher.workers.values():
@@ -61,7 +61,7 @@
     await until(lambda: len(outcomes) == len(rig.dispatcher.workers))
 
 
-async def assert_cancelled(rig: Fleet, attempts: int) -> None:
+async def assert_cancelled(rig: EdgeRig, attempts: int) -> None:
     """Checks that the request ended after `attempts` attempts, all have ended, and the edge still serves."""
     await until(lambda: rig.dispatcher.counts["final", "left"])
     await until(lambda: not rig.dispatcher._in_flight and not rig.dispatcher.pending_requests)
@@ -77,9 +77,9 @@
     manner: str, queues: Any, attempt_index: int
 ) -> None:
     """The client disconnects between the decision on an attempt and its sending."""
-    async with fleet(queues=queues) as rig:
+    async with run_edge(queues=queues) as rig:
         await connect_workers(rig)
-        rig.first = [full] * attempt_index
+        rig.shared_behaviours = [reject_at_capacity] * attempt_index
         client = socket.create_connection(("127.0.0.1", rig.port))
         before_attempt(rig.dispatcher.link, attempt_index, lambda: disconnect(client, manner))
         client.sendall(encode_request("left"))
@@ -92,7 +92,7 @@
     manner: str, monkeypatch: Any
 ) -> None:
     """The attempt waits for a connection; the client disconnects just after that has been opened."""
-    async with fleet() as rig:
+    async with run_edge() as rig:
         client, connect = socket.create_connection(("127.0.0.1", rig.port)), Pool._connect
         disconnected: list[None] = []
 
@@ -111,7 +111,7 @@
 
 async def test_unread_pipelined_requests_do_not_cancel_a_request() -> None:
     """Guards against treating unread input of the connection as its end."""
-    async with fleet({"a": [satisfied], "b": [satisfied]}, limits={"pipelined": 1}) as rig:
+    async with run_edge({"a": [respond_ok], "b": [respond_ok]}, limits={"pipelined": 1}) as rig:
         client = socket.create_connection(("127.0.0.1", rig.port))
         before_attempt(
             rig.dispatcher.link, 0, lambda: client.sendall(encode_request("second") + encode_request("third"))
--- a/tests/test_edge_disk_faults.py
+++ b/tests/test_edge_disk_faults.py
@@ -18,7 +18,7 @@
 from martenlead.edge.status_report import report_status
 from martenlead.upstream import endpoints
 from support.disk_faults import DiskFaults
-from support.fleet import after, fleet, satisfied, until
+from support.fleet import after_delay, respond_ok, run_edge, until
 from tests.disk_fault_rig import QUICK, NoRetry, each_errno
 
 
@@ -32,11 +32,11 @@
     state_settings = DurableStateSettings(folder=str(tmp_path), every_ms=5)
     disk = DiskFaults(tmp_path, Random(1))
     with capture_logs() as logs, disk():
-        async with fleet({"a": [after(5, satisfied)]}) as rig:
+        async with run_edge({"a": [after_delay(5, respond_ok)]}) as rig:
             disk.fail(code, 1)
-            saver = KnowledgeSaver(rig.edge, state_settings)
+            saver = KnowledgeSaver(rig.settings, state_settings)
             assert saver.store is None
-            rig.group.start_soon(saver.run, rig.dispatcher)
+            rig.task_group.start_soon(saver.run, rig.dispatcher)
             counts = rig.dispatcher.counts
             for _ in range(3):
                 assert (await rig.call())[0] == 200
@@ -65,9 +65,9 @@
     """Guards against saving new knowledge over that of an earlier run that could not be read yet."""
     monkeypatch.setattr("martenlead.edge.knowledge_saver.Backoff", QUICK)
     state_settings = DurableStateSettings(folder=str(tmp_path), every_ms=5)
-    async with fleet({"a": [after(5, satisfied)]}) as rig:
-        saver = KnowledgeSaver(rig.edge, state_settings)
-        rig.group.start_soon(saver.run, rig.dispatcher)
+    async with run_edge({"a": [after_delay(5, respond_ok)]}) as rig:
+        saver = KnowledgeSaver(rig.settings, state_settings)
+        rig.task_group.start_soon(saver.run, rig.dispatcher)
         for _ in range(5):
             assert (await rig.call())[0] == 200
         await until(
@@ -75,12 +75,12 @@
         )
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
-        async with fleet({"a": [after(5, satisfied)]}) as rig:
+        async with run_edge({"a": [after_delay(5, respond_ok)]}) as rig:
             disk.fail(errno.EIO, 1)
-            saver = KnowledgeSaver(rig.edge, state_settings)
+            saver = KnowledgeSaver(rig.settings, state_settings)
             assert saver.store is None and saver.earlier_knowledge is None
             with capture_logs() as logs:
-                rig.group.start_soon(saver.run, rig.dispatcher)
+                rig.task_group.start_soon(saver.run, rig.dispatcher)
                 await until(lambda: saver.counts["failed"] > 3)
                 disk.heal()
                 await until(lambda: saver.counts["saved"])
@@ -99,10 +99,10 @@
     earlier.close()
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
-        async with fleet({"a": [after(5, satisfied)]}) as rig:
+        async with run_edge({"a": [after_delay(5, respond_ok)]}) as rig:
             disk.fail(errno.EIO, 1)
-            saver = KnowledgeSaver(rig.edge, state_settings)
-            rig.group.start_soon(saver.run, rig.dispatcher)
+            saver = KnowledgeSaver(rig.settings, state_settings)
+            rig.task_group.start_soon(saver.run, rig.dispatcher)
             assert (await rig.call())[0] == 200
             disk.heal()
         state = StateStore(StateFolder(tmp_path / "edge"), state_settings.deployment, lambda: 1).read(
@@ -120,14 +120,15 @@
     path = tmp_path / "list"
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
-        async with fleet() as rig:
+        async with run_edge() as rig:
             disk.fail(errno.ENOSPC, 1)
             second = create_dispatcher(
                 msgspec.structs.replace(
-                    rig.edge, endpoint_list=msgspec.structs.replace(rig.edge.endpoint_list, kept=str(path))
+                    rig.settings,
+                    endpoint_list=msgspec.structs.replace(rig.settings.endpoint_list, kept=str(path)),
                 )
             )
-            rig.group.start_soon(second.run)
+            rig.task_group.start_soon(second.run)
             await until(lambda: second.counts["state_save_failed", "list"] > 2)
             assert second.snapshot_received.is_set()
             disk.heal()
@@ -149,11 +150,11 @@
     )
     disk = DiskFaults(tmp_path, Random(1))
     with disk():
-        async with fleet() as rig:
+        async with run_edge() as rig:
             disk.fail(errno.EIO, 1)
-            unreachable = msgspec.structs.replace(rig.edge.endpoint_list, port=1, kept=str(path))
-            second = create_dispatcher(msgspec.structs.replace(rig.edge, endpoint_list=unreachable))
-            rig.group.start_soon(second.run)
+            unreachable = msgspec.structs.replace(rig.settings.endpoint_list, port=1, kept=str(path))
+            second = create_dispatcher(msgspec.structs.replace(rig.settings, endpoint_list=unreachable))
+            rig.task_group.start_soon(second.run)
             await until(lambda: len(disk.calls) > 5)
             assert not second.snapshot_received.is_set()
             disk.heal()
--- a/tests/test_edge_write_faults.py
+++ b/tests/test_edge_write_faults.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from support.fleet import fleet, satisfied
+from support.fleet import respond_ok, run_edge
 from support.socket_faults import SocketFaults, from_port
 
 pytestmark = pytest.mark.anyio
@@ -29,10 +29,10 @@
     """Guards against closing the connection, which would lose the response of a request that was served."""
     faults = SocketFaults()
     with faults.installed():
-        async with fleet({"a": [satisfied]}) as rig:
+        async with run_edge({"a": [respond_ok]}) as rig:
             faults.add("send", code, from_port(rig.port), times=FAILED_WRITES)
             assert (await rig.call("notice"))[0] == 200
-            assert faults.failed["send"] == FAILED_WRITES
+            assert faults.failure_counts["send"] == FAILED_WRITES
             assert (await rig.call("notice"))[0] == 200
             assert rig.pool.connections_opened == 1
 
@@ -42,10 +42,10 @@
     """Each write fails until the client has left; afterwards the edge serves the next request."""
     faults = SocketFaults()
     with faults.installed():
-        async with fleet({"a": [satisfied]}) as rig:
+        async with run_edge({"a": [respond_ok]}) as rig:
             faults.add("send", code, from_port(rig.port))
             with anyio.move_on_after(0.2):
                 await rig.call("notice")
-            faults.end()
+            faults.clear()
             assert (await rig.call("notice"))[0] == 200
             assert not any(kind == "fault" for kind, _ in rig.dispatcher.counts)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -19,7 +19,7 @@
 )
 from martenlead.admission.reservations import MAX_RESERVATIONS
 from martenlead.admission.units import NS_PER_MS, NS_PER_SECOND
-from support.crowd import Crowd, Customer
+from support.crowd import AdmissionSimulation, TenantLoad
 
 EQUAL_WEIGHTS = {"a": 1.0, "b": 1.0}
 
@@ -356,68 +356,76 @@
 def test_capacity_is_used_and_reservations_are_honored_at_any_load() -> None:
     goodput_by_load = []
     for load in (0.5, 1.0, 1.5, 3.0):
-        crowd = Crowd(10, [Customer("a", load * 70), Customer("b", load * 30)], weights=EQUAL_WEIGHTS)
+        crowd = AdmissionSimulation(
+            10, [TenantLoad("a", load * 70), TenantLoad("b", load * 30)], weights=EQUAL_WEIGHTS
+        )
         crowd.run(30)
-        goodput = sum(crowd.in_time.values()) / 30
+        goodput = sum(crowd.on_time.values()) / 30
         goodput_by_load.append(goodput)
         assert goodput >= 0.95 * min(100, load * 100)
-        assert not crowd.came or crowd.met / crowd.came >= 0.9
+        assert not crowd.retries_sent or crowd.retries_on_time / crowd.retries_sent >= 0.9
     assert goodput_by_load[3] >= 0.9 * goodput_by_load[1]
 
 
 def test_client_at_a_hundred_times_its_share_does_not_slow_other_tenants() -> None:
     shares_in_time = []
     for queues in (False, True):
-        customers = [Customer("a", 300, clients=20, flood=0.85), Customer("b", 30)]
-        crowd = Crowd(10, customers, queues=queues, weights=EQUAL_WEIGHTS)
+        customers = [TenantLoad("a", 300, clients=20, flood_share=0.85), TenantLoad("b", 30)]
+        crowd = AdmissionSimulation(10, customers, queues=queues, weights=EQUAL_WEIGHTS)
         crowd.run(30)
-        shares_in_time.append(crowd.part("b"))
+        shares_in_time.append(crowd.on_time_share("b"))
     assert shares_in_time[1] > 0.95 > 0.6 > shares_in_time[0]
 
 
 def test_weights_of_three_to_one_hold_for_requests_with_ten_times_the_work() -> None:
-    customers = [Customer("a", 300, 0.05, clients=50), Customer("b", 30, 0.5, soft=2.0, clients=50)]
-    crowd = Crowd(10, customers, weights={"a": 3.0, "b": 1.0})
+    customers = [
+        TenantLoad("a", 300, 0.05, clients=50),
+        TenantLoad("b", 30, 0.5, latency_objective_s=2.0, clients=50),
+    ]
+    crowd = AdmissionSimulation(10, customers, weights={"a": 3.0, "b": 1.0})
     crowd.run(60)
-    work_in_time = crowd.work_in_time
+    work_in_time = crowd.on_time_work_s
     assert 2.0 < work_in_time["a"] / work_in_time["b"] < 4.0
     assert work_in_time["a"] + work_in_time["b"] > 0.8 * 10 * 60
 
 
 def test_tenfold_burst_and_its_retries() -> None:
-    crowd = Crowd(10, [Customer("a", 50)], weights={"a": 1.0})
+    crowd = AdmissionSimulation(10, [TenantLoad("a", 50)], weights={"a": 1.0})
     crowd.run(5)
     for _ in range(1500):
-        crowd.at(
-            crowd.now + int(crowd.chance.uniform(0, 3) * NS_PER_SECOND),
-            lambda: crowd._comes(Customer("a", 0)),
+        crowd.call_at(
+            crowd.now + int(crowd.random.uniform(0, 3) * NS_PER_SECOND),
+            lambda: crowd._send_first_try(TenantLoad("a", 0)),
         )
     crowd.run(35)
-    assert crowd.met / crowd.came > 0.9
-    least_per_second = min(crowd.series[s] for s in range(5, 25))
+    assert crowd.retries_on_time / crowd.retries_sent > 0.9
+    least_per_second = min(crowd.on_time_per_second[s] for s in range(5, 25))
     assert least_per_second > 40  # a share is reserved for rejected requests, and half of the load is new
-    assert crowd.part("a") > 0.8
+    assert crowd.on_time_share("a") > 0.8
 
 
 def test_clients_that_honor_retry_after_do_no_worse_than_others() -> None:
-    honoring, ignoring = Customer("a", 100, clients=40), Customer("b", 100, clients=40, honours=0.0, tries=12)
-    crowd = Crowd(10, [honoring, ignoring], weights=EQUAL_WEIGHTS)
+    honoring, ignoring = (
+        TenantLoad("a", 100, clients=40),
+        TenantLoad("b", 100, clients=40, honours_retry_after_share=0.0, max_tries=12),
+    )
+    crowd = AdmissionSimulation(10, [honoring, ignoring], weights=EQUAL_WEIGHTS)
     crowd.run(40)
-    assert crowd.part("a") >= crowd.part("b") - 0.02
-    assert crowd.met / crowd.came > 0.9
+    assert crowd.on_time_share("a") >= crowd.on_time_share("b") - 0.02
+    assert crowd.retries_on_time / crowd.retries_sent > 0.9
 
 
 def test_throughput_recovers_after_five_seconds_without_capacity() -> None:
-    crowd = Crowd(10, [Customer("a", 80)], weights={"a": 1.0})
+    crowd = AdmissionSimulation(10, [TenantLoad("a", 80)], weights={"a": 1.0})
     crowd.run(5)
-    crowd.places["m"] = 0
+    crowd.capacity["m"] = 0
     crowd.run(5)
-    crowd.places["m"] = 10
+    crowd.capacity["m"] = 10
     crowd.run(20)
-    assert min(crowd.series[s] for s in range(12, 28)) > 50
-    assert sum(crowd.series[s] for s in range(12, 28)) > 16 * 72
-    assert crowd.gate is not None
-    assert crowd.gate.waiting_requests < 60
+    assert min(crowd.on_time_per_second[s] for s in range(12, 28)) > 50
+    assert sum(crowd.on_time_per_second[s] for s in range(12, 28)) > 16 * 72
+    assert crowd.controller is not None
+    assert crowd.controller.waiting_requests < 60
 
 
 @settings(max_examples=30, deadline=None)
@@ -433,18 +441,18 @@
 ) -> None:
     """Includes false declarations: latency objectives far below the declared work."""
     customers = [
-        Customer(f"c{index}", rate, work, soft, model=f"m{index % 2}", honours=0.5)
+        TenantLoad(f"c{index}", rate, work, soft, function=f"m{index % 2}", honours_retry_after_share=0.5)
         for index, (rate, work, soft) in enumerate(loads)
     ]
-    crowd = Crowd(capacity, customers, seed=seed, waiting=50)
+    crowd = AdmissionSimulation(capacity, customers, seed=seed, waiting=50)
     crowd.run(3)
     for customer in customers:
-        customer.rate = 0
-        customer.tries = 1
+        customer.rate_per_s = 0
+        customer.max_tries = 1
     crowd.run(200)
-    controller = crowd.gate
+    controller = crowd.controller
     assert controller is not None
-    assert controller.waiting_requests == controller.waiting_bytes == len(crowd.about) == 0
+    assert controller.waiting_requests == controller.waiting_bytes == len(crowd.queued) == 0
     assert controller.unconfirmed is None
     assert all(
         not queue.waiting_requests
--- a/tests/test_handoffs.py
+++ b/tests/test_handoffs.py
@@ -7,48 +7,50 @@
 
 from martenlead.events import http
 from support.fleet import (
-    Part,
-    after,
-    closes,
-    error,
-    fleet,
-    full,
-    missing,
-    raw,
-    satisfied,
+    Behaviour,
+    after_delay,
+    close_connection,
+    reject_at_capacity,
+    reject_not_found,
+    respond_error,
+    respond_ok,
+    run_edge,
+    send_bytes,
     silent,
     until,
 )
 
 pytestmark = pytest.mark.anyio
-TRUNCATED = raw(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf", end=True)
-NOT_HTTP = raw(b"\x00\x01 no HTTP at all\r\n\r\n")
-ENDLESS_HEADER = raw(b"HTTP/1.1 200 OK\r\n" + b"x: " + b"y" * 100_000)
-BOTH_LENGTHS = raw(b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n")
+TRUNCATED = send_bytes(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf", end=True)
+NOT_HTTP = send_bytes(b"\x00\x01 no HTTP at all\r\n\r\n")
+ENDLESS_HEADER = send_bytes(b"HTTP/1.1 200 OK\r\n" + b"x: " + b"y" * 100_000)
+BOTH_LENGTHS = send_bytes(
+    b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n"
+)
 LOAD_FAILURE_HEADER = (b"martenlead-load-failure", b"corrupt")
 
 
-def respond_load_failed(status: int, reason: bytes) -> Part:
+def respond_load_failed(status: int, reason: bytes) -> Behaviour:
     """Returns a worker's response that the function could not be loaded, with the reason."""
     headers = [
         (b"martenlead-never-ran", b"1"),
         (b"martenlead-copy", b"load-failed"),
         (b"martenlead-load-failure", reason),
     ]
-    return raw(http.response(status, headers))
+    return send_bytes(http.response(status, headers))
 
 
 # What the worker does at the first attempt; further attempts succeed. Expected are the status and the number
 # of attempts of the idempotent, the deduplicated and the unrepeatable request.
-CASES: dict[str, tuple[Part, str]] = {
-    "at capacity, never ran": (full, "200/2 200/2 200/2"),
-    "no replica, never ran": (missing, "200/2 200/2 200/2"),
+CASES: dict[str, tuple[Behaviour, str]] = {
+    "at capacity, never ran": (reject_at_capacity, "200/2 200/2 200/2"),
+    "no replica, never ran": (reject_not_found, "200/2 200/2 200/2"),
     "load failed, artifact store unavailable": (respond_load_failed(404, b"vault-away"), "200/2 200/2 200/2"),
     "load failed, no room": (respond_load_failed(503, b"no-room"), "200/2 200/2 200/2"),
-    "load failed, may have run": (raw(http.response(404, [LOAD_FAILURE_HEADER])), "200/2 200/2 502/1"),
-    "503, may have run": (raw(http.response(503, [])), "200/2 200/2 502/1"),
-    "error response": (error, "200/2 200/2 502/1"),
-    "closed before a response": (closes, "200/2 200/2 502/1"),
+    "load failed, may have run": (send_bytes(http.response(404, [LOAD_FAILURE_HEADER])), "200/2 200/2 502/1"),
+    "503, may have run": (send_bytes(http.response(503, [])), "200/2 200/2 502/1"),
+    "error response": (respond_error, "200/2 200/2 502/1"),
+    "closed before a response": (close_connection, "200/2 200/2 502/1"),
     "truncated response": (TRUNCATED, "200/2 200/2 502/1"),
     "response is not HTTP": (NOT_HTTP, "200/2 200/2 502/1"),
     "endless response header": (ENDLESS_HEADER, "200/2 200/2 502/1"),
@@ -63,8 +65,8 @@
     response, expected = CASES[case]
     results = []
     for request_class in ("estimate", "post", "notice"):
-        async with fleet() as rig:
-            rig.first = [response]
+        async with run_edge() as rig:
+            rig.shared_behaviours = [response]
             status, _ = await rig.call(request_class, left=700)
             results.append(f"{status}/{len(rig.arrivals)}")
     assert " ".join(results) == expected
@@ -73,10 +75,10 @@
 async def test_a_refused_connection_counts_as_not_run() -> None:
     """The home worker has stopped listening, so the attempt cannot have run."""
     for request_class in ("estimate", "post", "notice"):
-        async with fleet({"a": [satisfied], "b": [satisfied]}) as rig:
+        async with run_edge({"a": [respond_ok], "b": [respond_ok]}) as rig:
             await rig.call(ident="where")
             home_worker = rig.arrivals[0][1]
-            await rig.runners[home_worker].listener.aclose()
+            await rig.workers[home_worker].listener.aclose()
             await rig.dispatcher.workers[home_worker].connections.pool.close()
             await anyio.sleep(0.02)
             status, problem = await rig.call(request_class)
@@ -91,39 +93,41 @@
 
     async def respond_and_close(worker, stream, message):  # type: ignore[no-untyped-def]
         """Responds and closes the connection without announcing it."""
-        await satisfied(worker, stream, message)
+        await respond_ok(worker, stream, message)
         await stream.aclose()
 
-    async with fleet({"a": [respond_and_close]}) as rig:
+    async with run_edge({"a": [respond_and_close]}) as rig:
         for _ in range(3):
             status, _ = await rig.call("notice")
             assert status == 200
             await anyio.sleep(0.1)  # long enough for the edge to read the end of the connection
-        assert rig.runners["a"].connections == 3
+        assert rig.workers["a"].connection_count == 3
 
 
 async def test_an_attempt_on_a_pooled_connection_that_closes_meanwhile_may_have_run() -> None:
     """The worker reads the second request and closes the connection without a response."""
-    async with fleet({"a": [satisfied, closes]}) as rig:
+    async with run_edge({"a": [respond_ok, close_connection]}) as rig:
         assert (await rig.call("notice"))[0] == 200
         assert (await rig.call("notice"))[0] == 502
-        assert rig.runners["a"].connections == 1
-        assert rig.ran() == ["t1 at a", "t2 at a"]
+        assert rig.workers["a"].connection_count == 1
+        assert rig.received() == ["t1 at a", "t2 at a"]
 
 
 async def test_a_second_response_to_one_attempt_is_discarded() -> None:
     """Guards against giving the second response to the next request of the connection."""
     first = http.response(200, [(b"ce-id", b"1")], b'{"n": 1}')
     second = http.response(200, [(b"ce-id", b"2")], b'{"n": 2}')
-    async with fleet({"a": [raw(first + second), satisfied]}) as rig:
+    async with run_edge({"a": [send_bytes(first + second), respond_ok]}) as rig:
         assert await rig.call("notice") == (200, {"n": 1})
         assert await rig.call("notice") == (200, {})
-        assert rig.runners["a"].connections == 2  # the second response closed its connection
+        assert rig.workers["a"].connection_count == 2  # the second response closed its connection
 
 
 async def test_a_response_to_a_cancelled_attempt_is_discarded() -> None:
     """Guards against giving a late response to the next request."""
-    async with fleet({"a": [after(1200, raw(http.response(200, [], b'{"late": 1}'))), satisfied]}) as rig:
+    async with run_edge(
+        {"a": [after_delay(1200, send_bytes(http.response(200, [], b'{"late": 1}'))), respond_ok]}
+    ) as rig:
         status, problem = await rig.call("notice", left=1000)
         assert (status, problem["final"]) == (504, "scrapped")
         await anyio.sleep(0.35)
@@ -137,8 +141,8 @@
         """Sleeps for 1.2 s instead of reading or responding."""
         await anyio.sleep(1.2)
 
-    async with fleet() as rig:
-        rig.first = [ignore_request]
+    async with run_edge() as rig:
+        rig.shared_behaviours = [ignore_request]
         async with anyio.create_task_group() as group:
             statuses = []
 
@@ -165,7 +169,7 @@
             ends.append("closed")
             raise
 
-    async with fleet({"a": [wait_for_close]}) as rig:
+    async with run_edge({"a": [wait_for_close]}) as rig:
         with anyio.move_on_after(0.3):
             await rig.exchange("notice")
         await until(lambda: ends and not rig.dispatcher.pending_requests)
@@ -176,7 +180,7 @@
 
 async def test_a_further_attempt_is_sent_only_after_the_previous_one_is_cancelled() -> None:
     """No worker responds, so each attempt but the last has to be cancelled."""
-    async with fleet({"a": [silent], "b": [silent]}) as rig:
+    async with run_edge({"a": [silent], "b": [silent]}) as rig:
         status, _ = await rig.call("estimate", left=1900)
         assert status in (503, 504)
         assert rig.dispatcher.counts["hand-off", "called off"] + 1 >= len(rig.arrivals)
@@ -187,8 +191,8 @@
     reasons = [b"vault-away", b"no-room", b"corrupt", b"x" * 500, b'no room"}']
     results = []
     for reason in reasons:
-        async with fleet() as rig:
-            rig.first = [respond_load_failed(503 if reason == b"no-room" else 404, reason)]
+        async with run_edge() as rig:
+            rig.shared_behaviours = [respond_load_failed(503 if reason == b"no-room" else 404, reason)]
             assert (await rig.call("estimate", left=700))[0] == 200
             (counted,) = [name for kind, name in rig.dispatcher.counts if kind == "load failed"]
             (result,) = {name for kind, name in rig.dispatcher.counts if kind == "hand-off"} - {"satisfied"}
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -19,7 +19,7 @@
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.events.cloudevent import Event, encode_event
-from support.fleet import Fleet, Runner, fleet, satisfied, until
+from support.fleet import EdgeRig, ScriptedWorker, respond_ok, run_edge, until
 from support.virtual_time import PROCESS_TIME, follow_loop_time
 from tests.nodes import (
     CONNECTION_ERRORS,
@@ -224,13 +224,15 @@
     return exchange.message.status
 
 
-async def respond_with_large_body(_runner: Runner, stream: SocketStream, _message: http.Message) -> None:
+async def respond_with_large_body(
+    _runner: ScriptedWorker, stream: SocketStream, _message: http.Message
+) -> None:
     event = Event({"specversion": "1.0", "id": "r", "source": "/r", "type": "t"}, b"x" * 12_000, "text/plain")
     headers, body = encode_event(event)
     await stream.send(http.response(200, [*headers, (b"martenlead-copy", b"warm")], body))
 
 
-async def flood_edge(f: Fleet) -> None:
+async def flood_edge(f: EdgeRig) -> None:
     """Sends requests on as many connections as the flooding client may have requests open."""
     pool = Pool("127.0.0.1", f.port, connection_limit=FLOODS * OPEN, connect_timeout_ns=10_000_000_000)
 
@@ -243,7 +245,7 @@
             group.start_soon(client, number)
 
 
-async def never_read_edge(f: Fleet) -> None:
+async def never_read_edge(f: EdgeRig) -> None:
     """Sends pipelined requests and reads no response."""
     async with await anyio.connect_tcp("127.0.0.1", f.port) as stream:
         for number in range(UNREAD):
@@ -262,7 +264,7 @@
         await anyio.sleep_forever()
 
 
-EDGE_CLIENTS: dict[str, Callable[[Fleet], Awaitable[None]]] = {
+EDGE_CLIENTS: dict[str, Callable[[EdgeRig], Awaitable[None]]] = {
     "floods": flood_edge,
     "never reads": never_read_edge,
 }
@@ -270,25 +272,25 @@
 
 
 @asynccontextmanager
-async def edge_with_faults(workers: str, at_workers: RequestsAtWorkers) -> AsyncIterator[Fleet]:
+async def edge_with_faults(workers: str, at_workers: RequestsAtWorkers) -> AsyncIterator[EdgeRig]:
     """Starts an edge whose workers have one of the faults in `WORKERS`."""
 
-    async def counted(runner: Runner, stream: SocketStream, message: http.Message) -> None:
+    async def counted(runner: ScriptedWorker, stream: SocketStream, message: http.Message) -> None:
         tenant = "noisy" if (message.header(b"ce-id") or b"").startswith(b"noisy") else "acme"
         at_workers.start(tenant)
         if workers == "hung":
             return  # it never responds
         await anyio.sleep(RUN)
         at_workers.end(tenant)
-        await (respond_with_large_body if tenant == "noisy" else satisfied)(runner, stream, message)
+        await (respond_with_large_body if tenant == "noisy" else respond_ok)(runner, stream, message)
 
-    async with fleet({"a": [counted], "b": [counted]}, customers=CUSTOMERS, over_share=OVER_SHARE) as f:
+    async with run_edge({"a": [counted], "b": [counted]}, customers=CUSTOMERS, over_share=OVER_SHARE) as f:
         if workers == "refusing":
-            for runner in f.runners.values():
+            for runner in f.workers.values():
                 await runner.listener.aclose()
         if workers == "not listed":
-            for name in f.runners:
-                await f.say(name, "gone")
+            for name in f.workers:
+                await f.publish_state(name, "gone")
             await until(lambda: not any(box.is_up for box in f.dispatcher.workers.values()))
         yield f
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -37,7 +37,7 @@
 from martenlead.edge.knowledge_saver import KNOWLEDGE, KnowledgeSaver
 from martenlead.emulator.edge import Edge
 from martenlead.emulator.fleet import Fleet
-from support.fleet import after, fleet, satisfied, until
+from support.fleet import after_delay, respond_ok, run_edge, until
 
 DAYS = Path(__file__).parent.parent / "days"
 
@@ -222,9 +222,9 @@
 async def test_a_restarted_edge_confirms_its_replicas_instead_of_loading_them(tmp_path: Path) -> None:
     """The second run knows the latencies and the loaded replicas of the first one."""
     state_settings = DurableStateSettings(folder=str(tmp_path), every_ms=50)
-    async with fleet({"a": [after(5, satisfied)], "b": [after(5, satisfied)]}) as rig:
-        saver = KnowledgeSaver(rig.edge, state_settings)
-        rig.group.start_soon(saver.run, rig.dispatcher)
+    async with run_edge({"a": [after_delay(5, respond_ok)], "b": [after_delay(5, respond_ok)]}) as rig:
+        saver = KnowledgeSaver(rig.settings, state_settings)
+        rig.task_group.start_soon(saver.run, rig.dispatcher)
         for _ in range(12):
             assert (await rig.call())[0] == 200
         await until(
@@ -238,10 +238,10 @@
         await anyio.sleep(0.2)
     assert saver.store is not None
     saver.store.close()
-    async with fleet({"a": [after(5, satisfied)], "b": [after(5, satisfied)]}) as rig:
-        saver = KnowledgeSaver(rig.edge, state_settings)
+    async with run_edge({"a": [after_delay(5, respond_ok)], "b": [after_delay(5, respond_ok)]}) as rig:
+        saver = KnowledgeSaver(rig.settings, state_settings)
         assert saver.earlier_knowledge is not None and saver.earlier_knowledge[1] < 60 * SECOND
-        rig.group.start_soon(saver.run, rig.dispatcher)
+        rig.task_group.start_soon(saver.run, rig.dispatcher)
         await until(lambda: rig.dispatcher.counts["ask", "satisfied"])
         (function,) = rig.dispatcher.by_policy_function
         assert function.latency.total > 2
@@ -256,10 +256,10 @@
 async def test_an_unusable_folder_does_not_stop_the_edge(tmp_path: Path) -> None:
     """A file stands where the folder of the edge should be."""
     (tmp_path / "edge").write_text("no folder")
-    async with fleet() as rig:
-        saver = KnowledgeSaver(rig.edge, DurableStateSettings(folder=str(tmp_path)))
+    async with run_edge() as rig:
+        saver = KnowledgeSaver(rig.settings, DurableStateSettings(folder=str(tmp_path)))
         assert saver.store is None
-        rig.group.start_soon(saver.run, rig.dispatcher)
+        rig.task_group.start_soon(saver.run, rig.dispatcher)
         assert (await rig.call())[0] == 200
 
 
@@ -274,12 +274,12 @@
         raise ZeroDivisionError
 
     with capture_logs() as logs:
-        async with fleet() as rig:
-            saver = KnowledgeSaver(rig.edge, state_settings)
+        async with run_edge() as rig:
+            saver = KnowledgeSaver(rig.settings, state_settings)
             saver.earlier_knowledge = make_knowledge(), 0
             monkeypatch.setattr("martenlead.edge.knowledge_saver.build_earlier_run", raise_error)
             monkeypatch.setattr("martenlead.edge.knowledge_saver.gather_in_steps", raise_error)
-            rig.group.start_soon(saver.run, rig.dispatcher)
+            rig.task_group.start_soon(saver.run, rig.dispatcher)
             await until(lambda: saver.counts["failed"] > 3)
             assert (await rig.call())[0] == 200
             assert saver.counts["saved"] == 0
@@ -295,14 +295,14 @@
 ) -> None:
     """The folder is locked by the first edge, which has saved state of an unknown structure."""
     state_settings = DurableStateSettings(folder=str(tmp_path), every_ms=20)
-    async with fleet() as rig:
-        first = KnowledgeSaver(rig.edge, state_settings)
+    async with run_edge() as rig:
+        first = KnowledgeSaver(rig.settings, state_settings)
         assert first.store is not None
         first.store.write(KNOWLEDGE, {"models": "none"})
-        assert KnowledgeSaver(rig.edge, state_settings).store is None
+        assert KnowledgeSaver(rig.settings, state_settings).store is None
         first.store.close()
-        second = KnowledgeSaver(rig.edge, state_settings)
+        second = KnowledgeSaver(rig.settings, state_settings)
         assert second.earlier_knowledge is None and second.store is not None
-        rig.group.start_soon(second.run, rig.dispatcher)
+        rig.task_group.start_soon(second.run, rig.dispatcher)
         assert (await rig.call())[0] == 200
         await until(lambda: second.counts["saved"] >= 2)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -242,19 +242,19 @@
 
 def storm(boxes: int, **about: int) -> Swarm:
     swarm = Swarm(boxes, **about)  # type: ignore[arg-type]
-    for box in swarm.boxes:
-        box.load(MODEL)
+    for box in swarm.agents:
+        box.load_chunks(MODEL)
     return swarm
 
 
 def story(swarm: Swarm) -> str:
-    ends = [box.finished for box in swarm.boxes]
-    alive = [box for box in swarm.boxes if not box.dead]
-    whole = sum(box.finished is not None and not box.failures for box in alive)
+    ends = [box.finished_ns for box in swarm.agents]
+    alive = [box for box in swarm.agents if not box.is_down]
+    whole = sum(box.finished_ns is not None and not box.failures for box in alive)
     last = max((e for e in ends if e is not None), default=0) // 1_000_000
     return (
-        f"{whole} of {len(alive)} boxes whole, {swarm.vault_chunks / len(MODEL):.2f} models from the vault, "
-        f"{swarm.turned_away} turned away, {swarm.worst} at once there, last after {last} ms"
+        f"{whole} of {len(alive)} boxes whole, {swarm.store_chunks / len(MODEL):.2f} models from the vault, "
+        f"{swarm.store_rejections} turned away, {swarm.peak_requests} at once there, last after {last} ms"
     )
 
 
@@ -264,9 +264,9 @@
         swarm = storm(boxes)
         swarm.run()
         told.append(story(swarm))
-        assert swarm.vault_chunks <= 1.2 * len(MODEL)
-        assert all(box.has == set(MODEL) for box in swarm.boxes)
-        most = max(box.sent for box in swarm.boxes)
+        assert swarm.store_chunks <= 1.2 * len(MODEL)
+        assert all(box.chunks == set(MODEL) for box in swarm.agents)
+        most = max(box.sent_chunks for box in swarm.agents)
         assert most <= 6 * len(MODEL) * max(1, boxes - 1) / boxes  # no uplink carries the whole release
     again = [storm(32), storm(32)]
     for swarm in again:
@@ -275,76 +275,76 @@
 
 
 def test_dead_lying_and_stalling_boxes_cost_time_and_no_wrong_byte() -> None:
-    for fault in ("dead", "lies", "stalls"):
+    for fault in ("is_down", "sends_wrong_chunks", "is_stalled"):
         swarm = Swarm(8)
-        setattr(swarm.boxes[3], fault, True)
-        for box in swarm.boxes:
-            if box.mark != 3:
-                box.load(MODEL)
+        setattr(swarm.agents[3], fault, True)
+        for box in swarm.agents:
+            if box.worker_id != 3:
+                box.load_chunks(MODEL)
         swarm.run()
-        good = [box for box in swarm.boxes if box.mark != 3]
-        assert all(box.has == set(MODEL) and not box.failures for box in good), (fault, story(swarm))
-        assert swarm.vault_chunks <= 3 * len(MODEL)
-        if fault == "lies":
+        good = [box for box in swarm.agents if box.worker_id != 3]
+        assert all(box.chunks == set(MODEL) and not box.failures for box in good), (fault, story(swarm))
+        assert swarm.store_chunks <= 3 * len(MODEL)
+        if fault == "sends_wrong_chunks":
             assert all(box.chooser.peers[3].trust < 1 for box in good)
             assert (
-                swarm.boxes[3].wrong_served <= 8 * 7
+                swarm.agents[3].sent_wrong_chunks <= 8 * 7
             )  # each box, as often as it had asked before the first was read
 
 
 def test_the_vault_stops_in_the_middle_and_comes_back() -> None:
     swarm = storm(16)
-    swarm.vault_down = (60_000_000, 1_500_000_000)
+    swarm.store_outage_ns = (60_000_000, 1_500_000_000)
     swarm.run()
-    assert all(box.has == set(MODEL) for box in swarm.boxes), story(swarm)
-    assert swarm.vault_chunks <= 1.5 * len(MODEL)
+    assert all(box.chunks == set(MODEL) for box in swarm.agents), story(swarm)
+    assert swarm.store_chunks <= 1.5 * len(MODEL)
 
 
 def test_a_vault_that_stays_away_is_a_failure_of_that_name_in_time() -> None:
     swarm = storm(4)
-    swarm.vault_down = (0, 1 << 62)
+    swarm.store_outage_ns = (0, 1 << 62)
     swarm.run(13_000)
-    failures = {failure for box in swarm.boxes for failure in box.failures}
+    failures = {failure for box in swarm.agents for failure in box.failures}
     assert failures == {Failure.STORE_AWAY}
-    assert all(box.failures for box in swarm.boxes)
+    assert all(box.failures for box in swarm.agents)
 
 
 def test_wrong_bytes_at_the_vault_are_a_clear_error_and_never_kept() -> None:
     swarm = storm(8)
-    swarm.vault_wrong = {MODEL[7]}
+    swarm.store_corrupt = {MODEL[7]}
     swarm.run()
-    for box in swarm.boxes:
-        assert box.has == set(MODEL) - {MODEL[7]}
+    for box in swarm.agents:
+        assert box.chunks == set(MODEL) - {MODEL[7]}
         assert box.failures in ([Failure.CORRUPT], [Failure.MISSING])
-    assert any(box.failures == [Failure.CORRUPT] for box in swarm.boxes)
+    assert any(box.failures == [Failure.CORRUPT] for box in swarm.agents)
 
 
 def test_a_small_vault_is_not_pushed_over() -> None:
-    swarm = storm(32, pace=4, most=8)
+    swarm = storm(32, full_speed_requests=4, request_limit=8)
     swarm.run()
-    assert all(box.has == set(MODEL) for box in swarm.boxes), story(swarm)
-    assert swarm.worst <= 8
-    assert swarm.turned_away < 2 * len(MODEL)
+    assert all(box.chunks == set(MODEL) for box in swarm.agents), story(swarm)
+    assert swarm.peak_requests <= 8
+    assert swarm.store_rejections < 2 * len(MODEL)
 
 
 def test_a_load_that_nobody_waits_for_gives_its_place_up() -> None:
-    swarm = Swarm(1, pace=1, most=1)
-    box = swarm.boxes[0]
-    wants = [box.get(digest, 10**12, lambda _: None) for digest in MODEL]
+    swarm = Swarm(1, full_speed_requests=1, request_limit=1)
+    box = swarm.agents[0]
+    wants = [box.fetch_chunk(digest, 10**12, lambda _: None) for digest in MODEL]
     swarm.run(200)
     for want in wants:
         box.chooser.remove_waiter(want)
     swarm.run()
-    assert swarm.vault_chunks < 15
+    assert swarm.store_chunks < 15
     assert not box.chooser.downloads
 
 
 def test_two_loads_of_one_model_make_one_fetch() -> None:
     swarm = Swarm(1)
     for _ in range(3):
-        swarm.boxes[0].load(MODEL)
+        swarm.agents[0].load_chunks(MODEL)
     swarm.run()
-    assert swarm.vault_chunks == len(MODEL)
+    assert swarm.store_chunks == len(MODEL)
 
 
 @settings(max_examples=25, deadline=None)
@@ -355,13 +355,13 @@
     swarm = Swarm(count, seed=seed)
     for mark in bad:
         if mark < count:
-            setattr(swarm.boxes[mark], ("dead", "lies", "stalls")[how], True)
-    good = [box for box in swarm.boxes if box.mark not in bad]
+            setattr(swarm.agents[mark], ("is_down", "sends_wrong_chunks", "is_stalled")[how], True)
+    good = [box for box in swarm.agents if box.worker_id not in bad]
     for box in good:
-        box.load(MODEL[:20])
+        box.load_chunks(MODEL[:20])
     swarm.run()
     for box in good:
-        assert box.has == set(MODEL[:20])
+        assert box.chunks == set(MODEL[:20])
         assert box.chooser.sending == box.chooser.store_in_flight == 0
         assert all(peer.in_flight == 0 for peer in box.chooser.peers.values())
 
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -36,7 +36,7 @@
     faults.add("bind", errno.EACCES)
     with faults.installed(), pytest.raises(PermissionError):
         await bind(LOOPBACK, 60)
-    assert faults.failed["bind"] == 1
+    assert faults.failure_counts["bind"] == 1
 
 
 async def test_bind_fails_once_its_time_for_retries_is_over() -> None:
@@ -46,7 +46,7 @@
     with faults.installed(), pytest.raises(OSError) as raised, anyio.fail_after(5):
         await bind(LOOPBACK, 0.2, delayed=delayed.append)
     assert raised.value.errno == errno.ENOBUFS
-    assert len(delayed) == 1 and faults.failed["bind"] > 2
+    assert len(delayed) == 1 and faults.failure_counts["bind"] > 2
 
 
 async def test_bind_fails_at_once_if_a_name_does_not_resolve() -> None:
@@ -238,8 +238,8 @@
             group.start_soon(listener.serve, handler)
             client = await anyio.connect_tcp("127.0.0.1", port)
             await anyio.sleep(0.3)
-            assert 2 <= faults.failed["accept"] <= 0.3 / listening.RETRY_SECONDS + 2
-            faults.end()
+            assert 2 <= faults.failure_counts["accept"] <= 0.3 / listening.RETRY_SECONDS + 2
+            faults.clear()
             with anyio.fail_after(2):
                 assert await client.receive() == b"served"
             await client.aclose()
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -15,10 +15,10 @@
 from martenlead.cli.edge import edge
 from martenlead.cli.layers import agent
 from martenlead.cli.plan import plan
-from support.fleet import OFFERINGS
+from support.fleet import REQUEST_CLASSES
 
 PROGRAMS = {
-    "edge": (edge, {"name": "e", "roster": {"port": 1}, "offerings": OFFERINGS}),
+    "edge": (edge, {"name": "e", "roster": {"port": 1}, "offerings": REQUEST_CLASSES}),
     "planner": (plan, {}),
     "agent": (agent, {"name": "w", "cache": "cache", "vault": {"port": 1}}),
 }
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -22,8 +22,8 @@
 from martenlead.planner.planner_session import PlannerSession
 from martenlead.planner.server import Planner
 from martenlead.planner.settings import PlannerSettings
-from support.fleet import fleet
-from support.planned import answered, planned, planner, until
+from support.fleet import run_edge
+from support.planned import assert_prompt_responses, run_planned_edge, run_planner, until
 
 pytestmark = pytest.mark.anyio
 
@@ -52,26 +52,26 @@
 
 
 async def test_a_planner_decides_dies_and_comes_back_and_tasks_are_answered() -> None:
-    async with planner() as (first, port), planned([port], alone_ms=600_000) as (f, side):
+    async with run_planner() as (first, port), run_planned_edge([port], alone_ms=600_000) as (f, side):
         own = await mirrored(first, "edge", side)
         await until(lambda: not side.plans_locally)
         for _ in range(30):
-            await answered(f, 4)
+            await assert_prompt_responses(f, 4)
             await anyio.sleep(0.05)
-            if f.orders:
+            if f.load_requests:
                 break
-        assert f.orders
+        assert f.load_requests
         assert own.policy_replica is not None
         assert own.policy_replica.request_count >= 4
-    async with planned([port], alone_ms=300) as (f, side):
+    async with run_planned_edge([port], alone_ms=300) as (f, side):
         await until(lambda: side.counts["links lost"] > 1)
-        await answered(f)
+        await assert_prompt_responses(f)
         assert side.plans_locally  # nobody came: it never stopped
-        async with planner(port):
+        async with run_planner(port):
             await until(lambda: side.session.is_leased() and not side.plans_locally)
-            await answered(f)
+            await assert_prompt_responses(f)
         await until(lambda: side.plans_locally)
-        await answered(f)
+        await assert_prompt_responses(f)
         assert (side.counts["handed over"], side.counts["took over"]) == (1, 1)
 
 
@@ -109,24 +109,28 @@
 async def test_whatever_stands_in_a_planners_place_tasks_are_answered_and_the_standby_plans(
     play: Any,
 ) -> None:
-    async with odd(play) as bad, planner() as (_, good), planned([bad, good], outbox_bytes=2000) as (f, side):
+    async with (
+        odd(play) as bad,
+        run_planner() as (_, good),
+        run_planned_edge([bad, good], outbox_bytes=2000) as (f, side),
+    ):
         with anyio.fail_after(15):
             while not (side.session.is_leased() and side.session.planner_name == "planner"):
-                await answered(f, 1)
+                await assert_prompt_responses(f, 1)
                 await anyio.sleep(0.01)
                 assert side.session.report_status().outbox_bytes <= 2000
-        await answered(f)
+        await assert_prompt_responses(f)
 
 
 async def test_ten_edges_that_start_at_once_have_a_mirror_each() -> None:
-    async with planner(edges=10) as (one, port), anyio.create_task_group() as group:
+    async with run_planner(edges=10) as (one, port), anyio.create_task_group() as group:
         done = 0
 
         async def edge(n: int) -> None:
             nonlocal done
-            async with planned([port], f"edge-{n}", flush_ms=20) as (f, side):
+            async with run_planned_edge([port], f"edge-{n}", flush_ms=20) as (f, side):
                 own = await mirrored(one, f"edge-{n}", side)
-                await answered(f, 5)
+                await assert_prompt_responses(f, 5)
                 await until(lambda: own.policy_replica is not None and own.policy_replica.request_count == 5)
                 done += 1
                 await until(lambda: done == 10)
@@ -134,41 +138,41 @@
         for n in range(10):
             group.start_soon(edge, n)
         await until(lambda: done == 10)
-        async with planned([port], "one-too-many") as (f, side):
+        async with run_planned_edge([port], "one-too-many") as (f, side):
             await until(lambda: side.counts["links lost"] > 0)
-            await answered(f)
+            await assert_prompt_responses(f)
             assert not side.session.is_leased()
 
 
 async def test_both_die_and_what_was_held_is_asked_for(tmp_path: Path) -> None:
     kept = str(tmp_path / "kept")
-    async with planner(kept=kept) as (first, port), planned([port]) as (f, side):
+    async with run_planner(kept=kept) as (first, port), run_planned_edge([port]) as (f, side):
         await until(lambda: side.session.is_leased() and not side.plans_locally)
         while not side._retained:
-            await answered(f, 4)
+            await assert_prompt_responses(f, 4)
             await anyio.sleep(0.05)
         held = {f.dispatcher.workers[n].endpoint.id for n in f.dispatcher.workers}
         await until(lambda: Path(kept).exists() and '"m"' in Path(kept).read_text())
         assert first.store.saved.replicas_by_edge["edge"][0][:2][1] == "m"
-    async with planner(kept=kept) as (_, port), planned([port]) as (f, side):
+    async with run_planner(kept=kept) as (_, port), run_planned_edge([port]) as (f, side):
         await until(lambda: f.dispatcher.counts["ask", "satisfied"] > 0)
-        assert {name for _, name, target in f.orders if target.endswith("/m/load")} <= held
+        assert {name for _, name, target in f.load_requests if target.endswith("/m/load")} <= held
         model = f.dispatcher.functions_by_name["m"].policy_function
         await until(lambda: any(copy.is_retained and copy.is_loaded for copy in model.replicas.values()))
         assert (await f.call("estimate"))[0] == 200
-        assert f.arrivals[0][1] in {name for _, name, _ in f.orders}  # where the copy stands
+        assert f.arrivals[0][1] in {name for _, name, _ in f.load_requests}  # where the copy stands
 
 
 async def test_status_says_who_plans_and_what_is_held() -> None:
-    async with planner() as (one, port), planned([port]) as (f, side):
+    async with run_planner() as (one, port), run_planned_edge([port]) as (f, side):
         await until(lambda: side.session.is_leased() and not side.plans_locally)
-        await answered(f)
+        await assert_prompt_responses(f)
         (edge,) = format_status("7000", msgspec.to_builtins(report_status(f.dispatcher)))
         assert edge.startswith("7000 edge edge: 0 tasks held, 1 models; planned by planner; link up, epoch 1")
         (own, of_edge) = format_status("7001", msgspec.to_builtins(one.report_status()))
         assert own == "7001 planner planner: 1 edges"
         assert of_edge.startswith("  for edge: epoch 1, events ")
-    async with fleet() as f:
+    async with run_edge() as f:
         assert format_status("1", msgspec.to_builtins(report_status(f.dispatcher)))[0].endswith(
             "; plans itself, without a link"
         )
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -15,7 +15,7 @@
 from martenlead.planner.settings import PlannerSettings
 from martenlead.system.listener import LEAST_CONNECTIONS, ClientDescriptors
 from support.fleet import until
-from support.planned import planned
+from support.planned import run_planned_edge
 
 pytestmark = pytest.mark.anyio
 PLACES = LEAST_CONNECTIONS + 4
@@ -36,7 +36,7 @@
             for _ in range(2 * PLACES):
                 silent.enter_context(socket.create_connection(("127.0.0.1", port)))
             await until(lambda: listener.open_connections >= PLACES)
-            async with planned([port]) as (_, client):
+            async with run_planned_edge([port]) as (_, client):
                 await until(client.session.is_leased, within=5)
                 assert listener.open_connections <= PLACES
             group.cancel_scope.cancel()
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -20,8 +20,8 @@
 from martenlead.events import http
 from martenlead.events.cloudevent import Event, encode_event
 from martenlead.policy import types as io
-from support.fleet import Runner as EdgeRunner
-from support.fleet import fleet, satisfied, until
+from support.fleet import ScriptedWorker as EdgeRunner
+from support.fleet import respond_ok, run_edge, until
 from support.virtual_time import PROCESS_TIME, follow_loop_time
 from tests.nodes import (
     SETTINGS,
@@ -143,10 +143,10 @@
             await reset(stream)
             return
         rested.append(stream)
-        await satisfied(runner, stream, message)
+        await respond_ok(runner, stream, message)
 
     rested: list[Any] = []
-    async with fleet({"a": [forgetful], "b": [forgetful]}) as f:
+    async with run_edge({"a": [forgetful], "b": [forgetful]}) as f:
         for _ in range(6):
             assert (await f.call(kind))[0] == 200
         forgotten += rested
@@ -249,9 +249,9 @@
 ) -> None:
     async def drops(runner: EdgeRunner, stream: SocketStream, message: http.Message) -> None:
         if int(message.header(b"ce-timeleftms") or b"0") >= DROPPED_UNDER:
-            await satisfied(runner, stream, message)
+            await respond_ok(runner, stream, message)
 
-    async with fleet({"a": [drops], "b": [drops]}) as f:
+    async with run_edge({"a": [drops], "b": [drops]}) as f:
         for _ in range(10):
             began = anyio.current_time()
             status, _ = await f.call("notice", left=left)
@@ -316,10 +316,10 @@
 
 async def test_a_request_unread_at_the_end_of_an_idle_connection_of_the_edge_is_served() -> None:
     """All its bytes have arrived before the edge decides to end the connection, and are not read yet."""
-    async with fleet() as f:
+    async with run_edge() as f:
         head, _ = await end_idle_connection_with_request(
             f.port,
-            f.door,
+            f.event_listener,
             lambda own: own.close_if_overdue(own.last_read_ns + own.limits.idle_timeout_ns + 1),
         )
         assert b" 200 " in head.split(b"\r\n")[0]
@@ -327,8 +327,10 @@
 
 async def test_a_request_unread_when_the_edge_begins_to_drain_is_rejected_with_retry_after() -> None:
     """Like each request that the edge reads while it drains; no attempt is sent for it."""
-    async with fleet() as f:
-        head, body = await end_idle_connection_with_request(f.port, f.door, lambda _own: f.door.drain())
+    async with run_edge() as f:
+        head, body = await end_idle_connection_with_request(
+            f.port, f.event_listener, lambda _own: f.event_listener.drain()
+        )
         assert head.startswith(b"HTTP/1.1 503 ")
         assert b"\r\nretry-after: " in head.lower()
         assert json.loads(body)["final"] == "turned back"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: the same schedule for a seed, checks that can fail, and a few seeds of it."""
+"""The soak: a seed always gives the same schedule, each check can fail, and a few seeds pass."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from support.soak.play import play_seed
 from support.soak.records import ProcessSample, RecordBook
 from support.soak.schedule import draw_schedule
-from support.soak.verdict import DESCRIPTORS, MEMORY_BYTES, judge
+from support.soak.verdict import DESCRIPTOR_LIMIT, MEMORY_LIMIT_BYTES, judge
 
-SEEDS = (8, 11, 14)  # with a crowd, a journal service that moves, a deadline of 0.3 s
+SEEDS = (8, 11, 14)  # they have a crowd, a journal service that moves, a deadline of 0.3 s
 MS = 1_000_000
 
 
@@ -28,8 +28,8 @@
     assert {r.signals for s in schedules for r in s.restarts} >= {("TERM", "TERM"), ("HUP", "HUP", "TERM")}
 
 
-def well(method: str = "unsafe") -> RecordBook:
-    """One request that was served."""
+def make_successful_run(method: str = "unsafe") -> RecordBook:
+    """Returns the records of a run with one request, which succeeded."""
     book = RecordBook(ready_seconds=[0.5], exit_statuses=[0], samples=[ProcessSample(0, 1, 1)])
     request = {"try": "1", "edge": 0}
     came = {"way": "a 1", "id": "1", "try": "1", "offering": method, "runner": "a", "edge": "n0"}
@@ -100,15 +100,15 @@
 
 
 def had_to_be_killed(book: RecordBook) -> None:
-    book.killed(0)
+    book.record_kill(0)
 
 
 def too_much_memory(book: RecordBook) -> None:
-    book.samples.append(ProcessSample(0, MEMORY_BYTES + 1, 1))
+    book.samples.append(ProcessSample(0, MEMORY_LIMIT_BYTES + 1, 1))
 
 
 def too_many_descriptors(book: RecordBook) -> None:
-    book.samples.append(ProcessSample(0, 1, DESCRIPTORS + 1))
+    book.samples.append(ProcessSample(0, 1, DESCRIPTOR_LIMIT + 1))
 
 
 BREACHES = {
@@ -130,19 +130,19 @@
 }
 
 
-def test_a_run_in_which_all_is_well_has_no_failure() -> None:
-    assert judge(well(), SETTINGS) == []
+def test_a_run_without_breaches_has_no_failure() -> None:
+    assert judge(make_successful_run(), SETTINGS) == []
 
 
 @pytest.mark.parametrize("breach", BREACHES, ids=lambda breach: breach.__name__)
 def test_each_check_can_fail(breach: Any) -> None:
-    book = well()
+    book = make_successful_run()
     breach(book)
     assert BREACHES[breach] in {failure.kind for failure in judge(book, SETTINGS)}
 
 
 def test_a_few_seeds_keep_all_rules(tmp_path: Path) -> None:
-    """`python -m support.soak --seeds 50` plays more of them."""
+    """`python -m support.soak --seeds 50` runs more of them."""
     with ProcessPoolExecutor(len(SEEDS), mp_context=get_context("spawn")) as pool:
         lines = list(pool.map(partial(play_seed, keep=tmp_path), SEEDS))
     assert [line for line in lines if not line.endswith(": passed")] == []
--- a/tests/test_stalled_loop.py
+++ b/tests/test_stalled_loop.py
@@ -17,7 +17,7 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from support.fleet import fleet, satisfied, until
+from support.fleet import respond_ok, run_edge, until
 from support.virtual_time import VIRTUAL_TIME, VirtualTimeLoop, follow_loop_time
 from tests.nodes import SETTINGS, Client, NodeRig, outcome_of, run_node, with_deadlines
 
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("kind", ("estimate", "post", "notice"))
 async def test_the_edge_rejects_what_was_never_sent_after_a_stall_over_its_deadline(kind: str) -> None:
     """Guards against 504 instead of 503: another client's input resumes the policy first."""
-    async with fleet({"a": [satisfied]}, limits={"connect_ms": 5000}) as f:
+    async with run_edge({"a": [respond_ok]}, limits={"connect_ms": 5000}) as f:
         is_connecting = anyio.Event()
 
         async def connect() -> None:
@@ -112,11 +112,11 @@
             group.start_soon(call)
             await is_connecting.wait()
             other = await anyio.connect_tcp("127.0.0.1", f.port)
-            await until(lambda: len(f.door.server.connections) == 2)
+            await until(lambda: len(f.event_listener.server.connections) == 2)
             request = b"POST / HTTP/1.1\r\nhost: e\r\nce-specversion: 1.0\r\nce-id: o\r\nce-source: /c\r\n"
             request += b"ce-type: estimate\r\nce-model: m\r\ncontent-length: 0\r\n\r\n"
             os.write(other.extra(SocketAttribute.raw_socket).fileno(), request)
             time.sleep(1.0)
         await other.aclose()
         assert [(status, answer["final"]) for status, answer in responses] == [(503, "turned back")]
-        assert f.ran() == []
+        assert f.received() == []
--- a/tests/test_state_save_crashes.py
+++ b/tests/test_state_save_crashes.py
@@ -25,7 +25,7 @@
 from martenlead.system.clocks import Moment
 from martenlead.system.durable_file import read_if_there, remove_leftovers, replace_file
 from martenlead.upstream import endpoints
-from support.disk_faults import DiskFaults, Killed
+from support.disk_faults import DiskFaults, ProcessKilled
 from tests.disk_fault_rig import THING, each_errno, temporary_files
 
 
@@ -201,7 +201,7 @@
             with disk():
                 using = USERS[user](disk.root)
                 disk.kill(k)
-                with pytest.raises(Killed):
+                with pytest.raises(ProcessKilled):
                     using.save(2)
                 disk.crash()
                 at = found(disk, user)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,7 +22,7 @@
 from martenlead.planner.restored_policy import RestoredPolicy
 from martenlead.planner.snapshot import decode_snapshot, encode_snapshot
 from martenlead.policy.policy import Policy
-from support.pair import Pair
+from support.pair import EdgePlannerSimulation
 from tests.play import MS, SETTINGS, ScriptedDispatcher
 from tests.test_planner import busy
 
@@ -81,9 +81,9 @@
 
 
 def test_the_snapshot_of_an_edge_has_the_form_of_the_earlier_one() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     busy(pair, 1000)
-    state, _ = pair.side._take_snapshot()
+    state, _ = pair.planner_client._take_snapshot()
     now, then = msgspec.msgpack.decode(encode_snapshot(state)), stored_snapshot()
     assert now.keys() == then.keys()
     assert now["brain"].keys() == then["brain"].keys() | ADDED_TO_SNAPSHOT
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -27,9 +27,9 @@
 from martenlead.planner import frames
 from martenlead.policy.types import Result
 from martenlead.system.sockets import has_ended, readable
-from support.fleet import fleet, satisfied, until
-from support.planned import answered, planned, planner
-from support.socket_faults import SocketFaults, break_transport, dribble, from_port, to_port
+from support.fleet import respond_ok, run_edge, until
+from support.planned import assert_prompt_responses, run_planned_edge, run_planner
+from support.socket_faults import SocketFaults, break_transport, from_port, send_bytewise, to_port
 from tests.nodes import Client, answer, outcome_of, run_node, send_bytes, succeed
 from tests.test_late_connections import unreachable_listener
 
@@ -106,7 +106,7 @@
             p.group.start_soon(type(p.node)(p.path).serve, started.set)
             with anyio.fail_after(5):
                 await started.wait()
-            assert faults.failed == {"bind": 2, "listen": 1}
+            assert faults.failure_counts == {"bind": 2, "listen": 1}
             assert await (await p.client()).call() == "satisfied"
 
 
@@ -147,7 +147,7 @@
     with faults.installed(), anyio.fail_after(5):
         listener, _ = await listen("127.0.0.1", 0)
     listener.close()
-    assert faults.failed["bind"] == 2
+    assert faults.failure_counts["bind"] == 2
 
 
 @opening
@@ -158,7 +158,7 @@
             faults.add("accept", number, from_port(p.port), times=3)
             client = await p.client()
             assert await client.call(wait=LONG) == "satisfied"
-            assert faults.failed["accept"] == 3
+            assert faults.failure_counts["accept"] == 3
             assert await (await p.client()).call(id="a" * 16) == "satisfied"
 
 
@@ -166,10 +166,10 @@
 async def test_an_http_server_accepts_once_the_fault_has_passed(number: int) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with fleet() as f:
+        async with run_edge() as f:
             faults.add("accept", number, from_port(f.port), times=3)
             assert (await f.call(left=LONG))[0] == 200
-            assert faults.failed["accept"] == 3
+            assert faults.failure_counts["accept"] == 3
             assert (await f.call())[0] == 200
 
 
@@ -188,9 +188,9 @@
             reply = await send_load_request(p)
             assert reply.result is (Result.NOT_SENT if number in SHORTAGES else Result.UNREACHABLE)
             assert await client.call("unsafe", wait=LONG) in FINAL
-            assert not p.did() and faults.failed[connect_call]
+            assert not p.did() and faults.failure_counts[connect_call]
             assert sum(pool.open_connections for pool in p.node.worker_client.pools) == 0
-            faults.end()
+            faults.clear()
             await until_served(client)
 
 
@@ -205,8 +205,8 @@
             faults.add(connect_call, number, to_port(p.runners["a"].port))
             for _ in range(3):
                 assert await client.call("unsafe", wait=LONG) == "turned back"
-            assert faults.failed[connect_call] == 3
-            faults.end()
+            assert faults.failure_counts[connect_call] == 3
+            faults.clear()
             assert await client.call("unsafe", wait=LONG) == "satisfied"
 
 
@@ -222,9 +222,9 @@
             faults.add("socket", number)
             assert (await send_load_request(p)).result is Result.NOT_SENT
             assert await client.call("unsafe", wait=LONG) in FINAL
-            assert not p.did() and faults.failed["socket"]
+            assert not p.did() and faults.failure_counts["socket"]
             assert sum(pool.open_connections for pool in p.node.worker_client.pools) == 0
-            faults.end()
+            faults.clear()
             await until_served(client)
 
 
@@ -253,7 +253,7 @@
             assert outcome_of(await client.answer()) == "error -32000"
             assert len(p.did()) == 1
             assert conn not in conn.pool.connections
-            faults.end()
+            faults.clear()
             await until_served(client)
 
 
@@ -267,8 +267,8 @@
             for runner in p.runners.values():
                 faults.add("send", number, to_port(runner.port), times=1)
             assert await client.call("unsafe", wait=LONG) == "turned back"
-            assert faults.failed["send"] == 2 and not p.did()
-            faults.end()
+            assert faults.failure_counts["send"] == 2 and not p.did()
+            faults.clear()
             await until_served(client)
             assert all(conn.transport for pool in p.node.worker_client.pools for conn in pool.connections)
 
@@ -286,7 +286,7 @@
             faults.short_writes = bytes_leave
             faults.add("send", number, to_worker, times=20, share=0.2 if bytes_leave else 1.0)
             assert await client.call("unsafe", wait=LONG) == "satisfied"
-            assert faults.failed["send"] and len(p.did()) == 1
+            assert faults.failure_counts["send"] and len(p.did()) == 1
             assert [pool.connections_opened for pool in p.node.worker_client.pools] == [1]
 
 
@@ -301,7 +301,7 @@
             faults.add("send", number, to_port(p.runners["a"].port), times=3)
             assert outcome_of(await client.answer()) == "error -32000"
             await until(lambda: p.did("UNDO") and not p.runners["a"].open)
-            assert faults.failed["send"] == 3
+            assert faults.failure_counts["send"] == 3
 
 
 @temporary
@@ -315,7 +315,7 @@
             client = await p.client()
             faults.add("send", number, to_port(p.runners["a"].port))
             assert await client.call("unsafe", wait=400) == "turned back"
-            assert faults.failed["send"] > 1 and not p.did()
+            assert faults.failure_counts["send"] > 1 and not p.did()
             ends = {how: n for (what, how), n in p.node.dispatcher.counts.items() if what == "hand-off"}
             assert ends == {"not sent": 1}
 
@@ -369,13 +369,13 @@
     faults = SocketFaults()
 
     async def dribbled(_runner: Any, stream: Any, message: dict[str, Any]) -> None:
-        await dribble(stream.send, answer("DONE", message["txn"], "resident", message["raw"]))
+        await send_bytewise(stream.send, answer("DONE", message["txn"], "resident", message["raw"]))
 
     with faults.installed():
         async with run_node(tmp_path, {"a": [dribbled]}) as p:
             faults.short_reads = faults.short_writes = not is_uvloop(anyio_backend)
             client = await p.client()
-            await dribble(client.send, client.task(wait=LONG))
+            await send_bytewise(client.send, client.task(wait=LONG))
             found = await client.answer()
             assert (
                 outcome_of(found) == "satisfied"
@@ -385,7 +385,7 @@
             await p.runner("b", succeed)
             await p.journal.tell(p.record("b"))
             await until(lambda: len(p.node.dispatcher.workers) == 2, within=10)
-            assert is_uvloop(anyio_backend) or (faults.shortened["recv"] and faults.shortened["send"])
+            assert is_uvloop(anyio_backend) or (faults.short_counts["recv"] and faults.short_counts["send"])
 
 
 async def send_load_request(p: Any) -> Any:
@@ -453,7 +453,7 @@
             for _ in range(3):
                 await client.ask(wait=LONG)
             assert [outcome_of(await client.answer()) for _ in range(3)] == ["satisfied"] * 3
-            assert faults.failed["send"]
+            assert faults.failure_counts["send"]
             assert await client.call() == "satisfied"
             faults.add("send", number, from_port(p.port), times=2)
             await client.send(b"no head\r\n\r\n")
@@ -476,7 +476,7 @@
                 await client.ask(wait=LONG)
             await until(lambda: any(own.write_blocked_since_ns for own in p.node.listener.clients))
             (own,) = p.node.listener.clients
-            faults.end()
+            faults.clear()
             assert [outcome_of(await client.answer()) for _ in range(2)] == ["satisfied"] * 2
             assert not own.write_blocked_since_ns
             faults.add("send", number, from_port(p.port))
@@ -496,7 +496,7 @@
                 client.sendall(Client.task(Client(None), id="c" * 16))  # type: ignore[arg-type]
                 faults.add("os.read", number, times=1)
                 own.read_unread_input()
-                assert faults.failed["os.read"] == 1
+                assert faults.failure_counts["os.read"] == 1
                 assert own.is_closed == (number != errno.EAGAIN)
                 if not own.is_closed:
                     await until(p.did)
@@ -509,10 +509,10 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with fleet() as f:
+        async with run_edge() as f:
             stream = await anyio.connect_tcp("127.0.0.1", f.port)
-            await until(lambda: f.door.server.connections)
-            (connection,) = f.door.server.connections
+            await until(lambda: f.event_listener.server.connections)
+            (connection,) = f.event_listener.server.connections
             if is_uvloop(anyio_backend):
                 transport = connection.stream._transport  # type: ignore[attr-defined]
                 break_transport(connection.stream._protocol, transport, number)  # type: ignore[attr-defined]
@@ -520,7 +520,7 @@
                 peer = stream.extra(anyio.abc.SocketAttribute.local_port)
                 faults.add("recv", number, to_port(peer), times=1)
                 await stream.send(b"P")
-            await until(lambda: not f.door.server.connections)
+            await until(lambda: not f.event_listener.server.connections)
             assert (await f.call())[0] == 200
             await stream.aclose()
 
@@ -540,7 +540,7 @@
             for stream in p.journal.streams:
                 await stream.aclose()
             p.journal.streams.clear()
-            await until(lambda: faults.failed[connect_call] == 3)
+            await until(lambda: faults.failure_counts[connect_call] == 3)
             client = await p.client()
             assert await client.call() == "satisfied"
             await p.runner("b", succeed)
@@ -558,7 +558,7 @@
         async with run_node(tmp_path) as p:
             faults.add("recv", number, to_port(p.journal.port), times=1)
             await until(lambda: len(p.journal.asked) == 2, within=5)
-            assert faults.failed["recv"] == 1
+            assert faults.failure_counts["recv"] == 1
             assert await (await p.client()).call() == "satisfied"
 
 
@@ -576,7 +576,7 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with fleet() as f:
+        async with run_edge() as f:
             faults.add(connect_call, number, to_port(f.port), times=1)
             pool = Pool("127.0.0.1", f.port, connection_limit=1)
             data = request(b"GET", b"/nothing", b"e", [])
@@ -596,7 +596,7 @@
 async def test_a_pool_whose_connection_breaks_may_have_sent_and_keeps_no_slot(number: int, call: str) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with fleet() as f:
+        async with run_edge() as f:
             faults.add(call, number, to_port(f.port), times=1)
             pool = Pool("127.0.0.1", f.port, connection_limit=1)
             data = request(b"GET", b"/nothing", b"e", [])
@@ -612,13 +612,13 @@
     def dup(_number: int) -> int:
         raise OSError(errno.EMFILE, "Too many open files")
 
-    async with fleet() as f:
+    async with run_edge() as f:
         pool = Pool("127.0.0.1", f.port, connection_limit=1)
         data = request(b"GET", b"/nothing", b"e", [])
         assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED
-        for connection in f.door.server.connections:
+        for connection in f.event_listener.server.connections:
             connection.scope.cancel()
-        await until(lambda: not f.door.server.connections)
+        await until(lambda: not f.event_listener.server.connections)
         await anyio.sleep(0.02)
         monkeypatch.setattr(os, "dup", dup)
         assert (await pool.exchange(data)).end is ExchangeEnd.ANSWERED and has_no_busy_slot(pool)
@@ -628,7 +628,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a probe in the task group of the link whose error ended the program."""
-    async with fleet({"a": [satisfied]}) as f:
+    async with run_edge({"a": [respond_ok]}) as f:
         (worker,) = f.dispatcher.workers.values()
         has_failed = anyio.Event()
 
@@ -650,13 +650,13 @@
 ) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with fleet() as f:
-            faults.add(connect_call, number, to_port(f.roster_port), times=1)
+        async with run_edge() as f:
+            faults.add(connect_call, number, to_port(f.discovery_port), times=1)
             lost = f.dispatcher.counts["roster", "lost"]
-            await f.break_roster()
-            await until(lambda: faults.failed[connect_call] == 1, within=5)
+            await f.break_list_stream()
+            await until(lambda: faults.failure_counts[connect_call] == 1, within=5)
             assert (await f.call())[0] == 200
-            await until(lambda: f.listens(), within=5)
+            await until(lambda: f.has_list_stream(), within=5)
             assert f.dispatcher.counts["roster", "lost"] == lost + 2
 
 
@@ -673,12 +673,12 @@
 async def test_the_edge_retries_a_planner_until_it_can_connect(number: int, connect_call: str) -> None:
     faults = SocketFaults()
     with faults.installed():
-        async with planner() as (_, port):
+        async with run_planner() as (_, port):
             faults.add(connect_call, number, to_port(port), times=3)
-            async with planned([port]) as (f, side):
-                await answered(f)
+            async with run_planned_edge([port]) as (f, side):
+                await assert_prompt_responses(f)
                 await until(side.session.is_leased, within=5)
-                assert faults.failed[connect_call] == 3 and side.counts["links lost"] == 3
+                assert faults.failure_counts[connect_call] == 3 and side.counts["links lost"] == 3
 
 
 async def test_an_error_that_no_socket_raises_ends_a_link_to_a_planner_and_not_the_edge(
@@ -693,10 +693,10 @@
             raise RuntimeError("the handler is closed")
         return await original_connect(host, port)
 
-    async with planner() as (_, planner_port):
+    async with run_planner() as (_, planner_port):
         monkeypatch.setattr(anyio, "connect_tcp", connect)
-        async with planned([planner_port]) as (f, side):
-            await answered(f)
+        async with run_planned_edge([planner_port]) as (f, side):
+            await assert_prompt_responses(f)
             await until(side.session.is_leased, within=5)
             assert len(failed_ports) == 2
 
@@ -707,7 +707,10 @@
     With the lease of other tests, printing the traceback may block the event loop for longer than it lasts.
     """
     lease = {"lease_ms": 60_000}
-    async with planner() as (planner_server, port), planned([port], name="first", **lease) as (f, first):
+    async with (
+        run_planner() as (planner_server, port),
+        run_planned_edge([port], name="first", **lease) as (f, first),
+    ):
         await until(first.session.is_leased, within=5)
         with monkeypatch.context() as patch:
             patch.setattr(planner_server, "get_session", raise_fault)
@@ -719,7 +722,7 @@
             )
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                 await stream.receive()
-        await answered(f)
+        await assert_prompt_responses(f)
         assert first.session.is_leased() and first.counts["links lost"] == 0
 
 
@@ -806,6 +809,6 @@
                     for at in range(len(clients)):
                         group.start_soon(ask, at)
             assert len(words) == 200 and set(words) <= set(FINAL)
-            assert faults.failed[connect_call] + faults.failed["accept"]
-            faults.end()
+            assert faults.failure_counts[connect_call] + faults.failure_counts["accept"]
+            faults.clear()
             await until_served(clients[0])
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -36,7 +36,7 @@
 from martenlead.system import clocks
 from martenlead.system.durable_file import replace_file
 from martenlead.upstream import endpoints
-from support.fleet import fleet, satisfied, silent, until
+from support.fleet import respond_ok, run_edge, silent, until
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -115,13 +115,13 @@
 ) -> None:
     """A worker that started before the list was written is as old after a step as it is."""
     path = tmp_path / "kept"
-    async with fleet({"a": [satisfied]}) as f:
+    async with run_edge({"a": [respond_ok]}) as f:
         box = f.dispatcher.workers["a"]
         f.dispatcher.update_endpoints([replace(box.endpoint, incarnation="anew", age_ms=500.0)], False)
-        source = HttpMembership(f.edge)
+        source = HttpMembership(f.settings)
         source.endpoint_list = f.dispatcher.endpoint_list
         saver = source._make_saver(path, f.dispatcher)
-        f.group.start_soon(saver.run)
+        f.task_group.start_soon(saver.run)
         saver.changed()
         await until(path.exists)
         age_ms = (f.dispatcher.clock() - box.started_ns) / 1e6
@@ -135,7 +135,7 @@
 @pytest.mark.anyio
 async def test_an_age_below_zero_is_zero() -> None:
     """As told by a roster that made it with a clock that was stepped back."""
-    async with fleet() as f:
+    async with run_edge() as f:
         box = next(iter(f.dispatcher.workers.values()))
         line = replace(box.endpoint, incarnation="anew", age_ms=-3_600_000.0)
         f.dispatcher.update_endpoints([line], False)
@@ -244,7 +244,7 @@
 
     limits = {"soft_limit_ms": 100, "hard_limit_ms": 400}
     offerings = [{"name": "estimate", "effect": "idempotent", **limits}]
-    async with fleet({"a": [silent]}, offerings=offerings) as f:
+    async with run_edge({"a": [silent]}, offerings=offerings) as f:
         monkeypatch.setattr(clocks, "_read_wall", stepping)
         began = time.monotonic()
         status, _ = await f.call(left=None, expirytime=expiry(read() + 300 * MS))
@@ -280,11 +280,11 @@
 async def test_an_appointment_from_another_clock_asks_for_no_longer_wait_than_it_stated(
     machine: Machine, step: int, after: int
 ) -> None:
-    async with fleet(queues={"secret": SECRET}) as f:
+    async with run_edge(queues={"secret": SECRET}) as f:
         text = appointment(machine.true)
         machine.run(after)
         machine.step = step
-        found = f.door.queue_admission.verify_reservation(task(appointment=text))
+        found = f.event_listener.queue_admission.verify_reservation(task(appointment=text))
         now = f.dispatcher.clock()
         if found is None:
             why = "not ours" if step == -HOUR else "clocks differ"
@@ -299,7 +299,7 @@
 async def test_a_request_with_an_appointment_from_another_clock_is_answered(
     machine: Machine, step: int
 ) -> None:
-    async with fleet({"a": [satisfied]}, queues={"secret": SECRET}) as f:
+    async with run_edge({"a": [respond_ok]}, queues={"secret": SECRET}) as f:
         text = appointment(machine.true)
         machine.step = step
         assert (await f.call(ident="t", again=True, appointment=text))[0] == 200
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -23,7 +23,7 @@
 from martenlead.edge.knowledge_saver import KnowledgeSaver
 from martenlead.system import clocks
 from martenlead.upstream import endpoints
-from support.fleet import Fleet, fleet, satisfied, until
+from support.fleet import EdgeRig, respond_ok, run_edge, until
 from support.virtual_time import VIRTUAL_TIME, follow_loop_time
 from tests import nodes
 from tests.nodes import NodeRig, run_node, succeed
@@ -203,7 +203,7 @@
     return new_play
 
 
-async def run_edge_client(rig: Fleet, audit: Audit, number: int) -> None:
+async def run_edge_client(rig: EdgeRig, audit: Audit, number: int) -> None:
     """Sends requests to the edge, one after the other, until the audit is stopped."""
     random = Random(number)
     count = 0
@@ -246,28 +246,30 @@
     }
     audit = Audit()
     recorder: Any = CaptureRecorder(writer.put, "edge")
-    async with fleet({name: [satisfied] for name in "abcd"}, tape=recorder, **settings) as rig:
-        saver = KnowledgeSaver(rig.edge, DurableStateSettings(folder=str(tmp_path / "state"), every_ms=100))
-        rig.group.start_soon(saver.run, rig.dispatcher)
-        await rig.say("c", "gone")
+    async with run_edge({name: [respond_ok] for name in "abcd"}, recorder=recorder, **settings) as rig:
+        saver = KnowledgeSaver(
+            rig.settings, DurableStateSettings(folder=str(tmp_path / "state"), every_ms=100)
+        )
+        rig.task_group.start_soon(saver.run, rig.dispatcher)
+        await rig.publish_state("c", "gone")
         await until(lambda: "c" not in rig.dispatcher.endpoint_list.endpoints)
         async with anyio.create_task_group() as clients:
             for number in range(CLIENT_COUNT):
                 clients.start_soon(run_edge_client, rig, audit, number)
             await anyio.sleep(0.6)
-            endpoint_of = rig.line
+            endpoint_of = rig.worker_record
             restarted = {"start": "1", "age_ms": 1.0}
             monkeypatch.setattr(
-                rig, "line", lambda name: endpoint_of(name) | (restarted if name == "c" else {})
+                rig, "worker_record", lambda name: endpoint_of(name) | (restarted if name == "c" else {})
             )
             audit.cold["c"] = anyio.current_time()
-            await rig.say("c", "up")
+            await rig.publish_state("c", "up")
             await anyio.sleep(1.2)
-            audit.drained["a"] = await rig.say("a", "draining")
+            audit.drained["a"] = await rig.publish_state("a", "draining")
             await anyio.sleep(0.9)
             audit.stopped = True
         audit.attempts = [(at, name) for at, name, _ in rig.arrivals]
-        audit.loads = [at for at, _, _ in rig.orders]
+        audit.loads = [at for at, _, _ in rig.load_requests]
     writer.close()
     assert wall.reads > 10
     audit.check(workers=4)
