--- a/tests/test_capture_disk_faults.py
+++ b/tests/test_capture_disk_faults.py
@@ -20,7 +20,7 @@
 from martenlead.edge.status_report import report_status
 from martenlead.system.durable_file import Backoff
 from support.disk_faults import ERRNOS, DiskFaults
-from support.fleet import fleet, until
+from support.fleet import run_edge, until
 
 QUICK_BACKOFF = partial(Backoff, first_seconds=0.001, longest_seconds=0.004)
 each_errno = pytest.mark.parametrize("code", ERRNOS, ids=[errno.errorcode[e] for e in ERRNOS])
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -22,8 +22,8 @@
 from martenlead.planner.planner_session import PlannerSession
 from martenlead.planner.server import Planner
 from martenlead.planner.settings import PlannerSettings
-from support.fleet import fleet
-from support.planned import answered, planned, planner, until
+from support.fleet import run_edge
+from support.planned import assert_prompt_responses, run_planned_edge, run_planner, until
 
 pytestmark = pytest.mark.anyio
 
@@ -56,9 +56,9 @@
         session = await replicated(first, "edge", side)
         await until(lambda: not side.plans_locally)
         for _ in range(30):
-            await answered(f, 4)
+            await assert_prompt_responses(f, 4)
             await anyio.sleep(0.05)
-            if f.orders:
+            if f.load_requests:
                 break
         assert f.orders
         assert session.policy_replica is not None
@@ -69,9 +69,9 @@
         assert side.plans_locally  # no planner has connected yet
         async with planner(port):
             await until(lambda: side.session.is_leased() and not side.plans_locally)
-            await answered(f)
+            await assert_prompt_responses(f)
         await until(lambda: side.plans_locally)
-        await answered(f)
+        await assert_prompt_responses(f)
         assert (side.counts["handed over"], side.counts["took over"]) == (1, 1)
 
 
@@ -113,10 +113,10 @@
     ):
         with anyio.fail_after(15):
             while not (side.session.is_leased() and side.session.planner_name == "planner"):
-                await answered(f, 1)
+                await assert_prompt_responses(f, 1)
                 await anyio.sleep(0.01)
                 assert side.session.report_status().outbox_bytes <= 2000
-        await answered(f)
+        await assert_prompt_responses(f)
 
 
 async def test_each_of_ten_edges_that_start_at_once_has_a_policy_replica() -> None:
@@ -135,23 +135,23 @@
         for number in range(10):
             group.start_soon(edge, number)
         await until(lambda: done == 10)
-        async with planned([port], "one-too-many") as (f, side):
+        async with run_planned_edge([port], "one-too-many") as (f, side):
             await until(lambda: side.counts["links lost"] > 0)
-            await answered(f)
+            await assert_prompt_responses(f)
             assert not side.session.is_leased()
 
 
 async def test_after_a_restart_of_edge_and_planner_retained_replicas_are_confirmed(tmp_path: Path) -> None:
     kept = str(tmp_path / "kept")
-    async with planner(kept=kept) as (first, port), planned([port]) as (f, side):
+    async with run_planner(kept=kept) as (first, port), run_planned_edge([port]) as (f, side):
         await until(lambda: side.session.is_leased() and not side.plans_locally)
         while not side._retained:
-            await answered(f, 4)
+            await assert_prompt_responses(f, 4)
             await anyio.sleep(0.05)
         loaded = {f.dispatcher.workers[n].endpoint.id for n in f.dispatcher.workers}
         await until(lambda: Path(kept).exists() and '"m"' in Path(kept).read_text())
         assert first.store.saved.replicas_by_edge["edge"][0][:2][1] == "m"
-    async with planner(kept=kept) as (_, port), planned([port]) as (f, side):
+    async with run_planner(kept=kept) as (_, port), run_planned_edge([port]) as (f, side):
         await until(lambda: f.dispatcher.counts["ask", "satisfied"] > 0)
         assert {name for _, name, target in f.orders if target.endswith("/m/load")} <= loaded
         function = f.dispatcher.functions_by_name["m"].policy_function
@@ -163,13 +163,13 @@
 async def test_the_status_names_the_planner_and_the_state_of_the_link() -> None:
     async with planner() as (served, port), planned([port]) as (f, side):
         await until(lambda: side.session.is_leased() and not side.plans_locally)
-        await answered(f)
+        await assert_prompt_responses(f)
         (edge,) = format_status("7000", msgspec.to_builtins(report_status(f.dispatcher)))
         assert edge.startswith("7000 edge edge: 0 tasks held, 1 models; planned by planner; link up, epoch 1")
         (own, of_edge) = format_status("7001", msgspec.to_builtins(served.report_status()))
         assert own == "7001 planner planner: 1 edges"
         assert of_edge.startswith("  for edge: epoch 1, events ")
-    async with fleet() as f:
+    async with run_edge() as f:
         assert format_status("1", msgspec.to_builtins(report_status(f.dispatcher)))[0].endswith(
             "; plans itself, without a link"
         )
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -15,7 +15,7 @@
 from martenlead.planner.link import NS_PER_MS, LinkProtocolError
 from martenlead.planner.snapshot import encode_snapshot
 from martenlead.policy.types import WorkerState
-from support.pair import Pair
+from support.pair import EdgePlannerSimulation
 
 
 def send_requests(pair: Pair, duration_ms: int, interval_ms: int = 20, functions: int = 4) -> None:
@@ -70,11 +70,11 @@
     pair.connect()
     send_requests(pair, 6000)
     pair.run(100)
-    assert pair.settled() == []
-    assert (pair.side.plans_locally, pair.side.counts["handed over"]) == (False, 1)
-    assert pair.side.counts["orders"] > 3
-    assert pair.over_ration() == 0
-    assert (pair.end.epoch, pair.end.counts["snapshots"]) == (1, 1)
+    assert pair.differences_once_settled() == []
+    assert (pair.planner_client.plans_locally, pair.planner_client.counts["handed over"]) == (False, 1)
+    assert pair.planner_client.counts["orders"] > 3
+    assert pair.load_requests_over_budget() == 0
+    assert (pair.session.epoch, pair.session.counts["snapshots"]) == (1, 1)
 
 
 def test_a_lost_connection_is_resumed_and_a_new_planner_gets_a_snapshot() -> None:
@@ -86,15 +86,15 @@
     pair.connect()
     send_requests(pair, 500)
     pair.run(50)
-    assert (pair.end.counts["resumed"], pair.end.counts["snapshots"]) == (1, 1)
-    assert pair.settled() == []
+    assert (pair.session.counts["resumed"], pair.session.counts["snapshots"]) == (1, 1)
+    assert pair.differences_once_settled() == []
     pair.kill_planner()
     send_requests(pair, 300)
     pair.connect()
     send_requests(pair, 500)
     pair.run(50)
-    assert (pair.end.counts["resumed"], pair.end.counts["snapshots"]) == (1, 2)
-    assert pair.settled() == []
+    assert (pair.session.counts["resumed"], pair.session.counts["snapshots"]) == (1, 2)
+    assert pair.differences_once_settled() == []
     assert pair.epochs == [1, 2, 3]
 
 
@@ -113,8 +113,8 @@
     pair.cut()
     pair.connect()
     pair.run(100)
-    assert pair.end.counts["resumed"] == 1
-    assert pair.settled() == []
+    assert pair.session.counts["resumed"] == 1
+    assert pair.differences_once_settled() == []
 
 
 def test_decisions_of_a_planner_whose_lease_expired_are_dropped() -> None:
@@ -135,7 +135,7 @@
     assert (pair.end.counts["fenced"], len(pair.ordered) - requested) == (1, 0)
     send_requests(pair, 500)
     pair.run(50)
-    assert pair.settled() == []
+    assert pair.differences_once_settled() == []
 
 
 def test_load_requests_over_the_load_budget_are_refused_whoever_sends_them() -> None:
@@ -144,12 +144,12 @@
     pair.connect()
     pair.run(300)
     for number in range(50):
-        pair.end.receive_message(
-            fr.PlanUpdate(pair.end.epoch, pair.end.last_sequence, [(number, number % 4, 0)], [])
+        pair.session.receive_message(
+            fr.PlanUpdate(pair.session.epoch, pair.session.last_sequence, [(number, number % 4, 0)], [])
         )
-    pair.side.apply_decisions()
-    assert pair.side.counts["orders refused"] > 40
-    assert pair.over_ration() == 0
+    pair.planner_client.apply_decisions()
+    assert pair.planner_client.counts["orders refused"] > 40
+    assert pair.load_requests_over_budget() == 0
     pair.run(100)
     assert pair.planner.policy_replica is not None
     assert not pair.planner.policy_replica.load_requests
@@ -167,7 +167,7 @@
     assert (pair.end.counts["outdated"], pair.end.counts["snapshots"]) == (1, 2)
     send_requests(pair, 500)
     pair.run(50)
-    assert pair.settled() == []
+    assert pair.differences_once_settled() == []
 
 
 def test_the_outbox_stays_within_its_limit_while_the_planner_stalls() -> None:
@@ -179,10 +179,10 @@
         for function in range(10):
             pair.task(function)
         pair.run(20)
-        assert pair.end.report_status().outbox_bytes <= 4000
-    assert pair.end.counts["overflow"] >= 1
+        assert pair.session.report_status().outbox_bytes <= 4000
+    assert pair.session.counts["overflow"] >= 1
     pair.run(4000)
-    assert pair.settled() == []
+    assert pair.differences_once_settled() == []
 
 
 def test_no_load_is_requested_at_a_worker_that_only_the_edge_knows_to_drain() -> None:
@@ -196,9 +196,9 @@
     pair.end.receive_message(
         fr.PlanUpdate(pair.end.epoch, pair.end.last_sequence, [(1, 1, 0)], [(1, 0, True)])
     )
-    pair.side.apply_decisions()
-    assert (len(pair.ordered) - before, pair.side.counts["orders refused"]) == (0, 1)
-    assert pair.settled() == []
+    pair.planner_client.apply_decisions()
+    assert (len(pair.load_request_times) - before, pair.planner_client.counts["orders refused"]) == (0, 1)
+    assert pair.differences_once_settled() == []
 
 
 def test_a_link_that_stalls_for_ten_seconds_recovers_and_ignores_repeated_events() -> None:
@@ -281,7 +281,7 @@
     pair.planner.policy_replica = None  # simulates a lost snapshot
     pair.run(3000)
     assert pair.planner.counts["needed"] == 1
-    assert pair.settled() == []
+    assert pair.differences_once_settled() == []
 
 
 def test_the_outbox_stays_within_its_limit_without_a_planner() -> None:
@@ -293,11 +293,11 @@
         for function in range(10):
             pair.task(function)
         pair.run(20)
-        assert pair.end.report_status().outbox_bytes <= 20_000
-        assert len(pair.end._batch) < 512
-    assert pair.end.counts["overflow"] == 1
+        assert pair.session.report_status().outbox_bytes <= 20_000
+        assert len(pair.session._batch) < 512
+    assert pair.session.counts["overflow"] == 1
     pair.connect()
-    assert pair.settled() == []
+    assert pair.differences_once_settled() == []
 
 
 def test_a_replica_that_misses_events_is_found_to_differ() -> None:
@@ -328,21 +328,21 @@
     pair.connect()
     send_requests(pair, 5000)
     pair.run(50)
-    assert pair.settled() == []
-    assert pair.side.counts["orders"] > 3
+    assert pair.differences_once_settled() == []
+    assert pair.planner_client.counts["orders"] > 3
     assert pair.planner.policy_replica is not None
     assert abs(pair.planner.policy_replica.policy.state.now_ns - pair.now) < 20 * NS_PER_MS
 
 
 @pytest.mark.parametrize(("edge", "planner"), [(1, 2), (2, 1), (1, 1)])
 def test_versions_that_differ_by_one_work_together(edge: int, planner: int) -> None:
-    pair = Pair(speaks=edge)
+    pair = EdgePlannerSimulation(speaks=edge)
     pair.planner = pair.new_planner(speaks=planner)
     pair.planner.find_earlier_replicas = lambda _: [("r0", "m0", 2, 1000.0, 50.0)]
     pair.connect()
     send_requests(pair, 2000)
     pair.run(50)
-    assert (pair.end.version, pair.settled(), pair.recalled) == (1, [], [])
+    assert (pair.session.version, pair.differences_once_settled(), pair.confirmed_replicas) == (1, [], [])
 
 
 def test_a_link_without_a_common_version_is_refused_with_a_reason() -> None:
@@ -387,7 +387,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.pair = Pair(outbox_bytes=20_000, lease_ms=800)
+        self.pair = EdgePlannerSimulation(outbox_bytes=20_000, lease_ms=800)
 
     @rule(count=st.integers(1, 15), function=st.integers(0, 5))
     def send_a_burst_of_requests(self, count: int, function: int) -> None:
@@ -401,7 +401,7 @@
 
     @rule()
     def connect(self) -> None:
-        if self.pair.wire is None:
+        if self.pair.connection is None:
             self.pair.connect()
 
     @rule()
@@ -421,13 +421,13 @@
         """A planner of the previous epoch requests loads."""
         end = self.pair.end
         if end.state == "up":
-            before = len(self.pair.ordered)
+            before = len(self.pair.load_request_times)
             for number in range(5):
                 end.receive_message(
                     fr.PlanUpdate(end.epoch - 1, end.last_sequence, [(number, 0, 0)], [(0, 0, True)])
                 )
-            self.pair.side.apply_decisions()
-            assert len(self.pair.ordered) == before
+            self.pair.planner_client.apply_decisions()
+            assert len(self.pair.load_request_times) == before
 
     @rule()
     def lose_a_frame_to_the_planner(self) -> None:
@@ -451,14 +451,14 @@
     def teardown(self) -> None:
         """Checks that without faults the planner catches up and every request ends."""
         pair = self.pair
-        pair.stalled_until = 0
+        pair.stalled_until_ns = 0
         for _ in range(3):
-            if pair.wire is None:
+            if pair.connection is None:
                 pair.connect()
             pair.run(1500)
         pair.run(4000)
-        assert pair.settled() == []
-        assert pair.finals == len(pair.taken)
+        assert pair.differences_once_settled() == []
+        assert pair.closed_requests == len(pair.request_times)
 
 
 TestLinkFaults = LinkFaults.TestCase
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -15,7 +15,7 @@
 from martenlead.planner.settings import PlannerSettings
 from martenlead.system.listener import LEAST_CONNECTIONS, ClientDescriptors
 from support.fleet import until
-from support.planned import planned
+from support.planned import run_planned_edge
 
 pytestmark = pytest.mark.anyio
 SLOTS = LEAST_CONNECTIONS + 4
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,7 +22,7 @@
 from martenlead.planner.restored_policy import RestoredPolicy
 from martenlead.planner.snapshot import decode_snapshot, encode_snapshot
 from martenlead.policy.policy import Policy
-from support.pair import Pair
+from support.pair import EdgePlannerSimulation
 from tests.play import MS, SETTINGS, ScriptedDispatcher
 from tests.test_planner import send_requests
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -35,7 +35,7 @@
 from martenlead.system import clocks
 from martenlead.system.durable_file import replace_file
 from martenlead.upstream import endpoints
-from support.fleet import fleet, satisfied, silent, until
+from support.fleet import respond_ok, run_edge, silent, until
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -120,7 +120,7 @@
         source = HttpMembership(f.edge)
         source.endpoint_list = f.dispatcher.endpoint_list
         saver = source._make_saver(path, f.dispatcher)
-        f.group.start_soon(saver.run)
+        f.task_group.start_soon(saver.run)
         saver.changed()
         await until(path.exists)
         age_ms = (f.dispatcher.clock() - worker.started_ns) / 1e6
