--- a/tests/test_capture_disk_faults.py
+++ b/tests/test_capture_disk_faults.py
@@ -156,8 +156,8 @@
         write_events(writer, 3, 1)
         disk.heal()
         write_events(writer, 4, 1)
-        async with fleet() as f:
-            f.group.start_soon(writer.publish_counters, f.dispatcher)
+        async with run_edge() as f:
+            f.task_group.start_soon(writer.publish_counters, f.dispatcher)
             await until(lambda: f.dispatcher.counts["capture", "written"])
             counts = report_status(f.dispatcher).counts
         writer.close()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -242,20 +242,21 @@
 def start_loads(agent_count: int, **options: int) -> Swarm:
     """Returns a swarm in which every agent loads `CHUNKS`."""
     swarm = Swarm(agent_count, **options)  # type: ignore[arg-type]
-    for agent in swarm.boxes:
-        agent.load(CHUNKS)
+    for agent in swarm.agents:
+        agent.load_chunks(CHUNKS)
     return swarm
 
 
 def summarize(swarm: Swarm) -> str:
     """Returns the result of a run in one line, for messages and comparisons."""
-    finish_times = [agent.finished for agent in swarm.boxes]
-    live_agents = [agent for agent in swarm.boxes if not agent.dead]
-    complete = sum(agent.finished is not None and not agent.failures for agent in live_agents)
+    finish_times = [agent.finished_ns for agent in swarm.agents]
+    live_agents = [agent for agent in swarm.agents if not agent.is_down]
+    complete = sum(agent.finished_ns is not None and not agent.failures for agent in live_agents)
     last_ms = max((time for time in finish_times if time is not None), default=0) // 1_000_000
     return (
-        f"{complete} of {len(live_agents)} agents complete, {swarm.vault_chunks / len(CHUNKS):.2f} images "
-        f"from the store, {swarm.turned_away} rejected, {swarm.worst} at once, last after {last_ms} ms"
+        f"{complete} of {len(live_agents)} agents complete, {swarm.store_chunks / len(CHUNKS):.2f} images "
+        f"from the store, {swarm.store_rejections} rejected, {swarm.peak_requests} at once, "
+        f"last after {last_ms} ms"
     )
 
 
@@ -265,9 +266,9 @@
         swarm = start_loads(agent_count)
         swarm.run()
         summaries.append(summarize(swarm))
-        assert swarm.vault_chunks <= 1.2 * len(CHUNKS)
-        assert all(agent.has == set(CHUNKS) for agent in swarm.boxes)
-        largest_sent = max(agent.sent for agent in swarm.boxes)
+        assert swarm.store_chunks <= 1.2 * len(CHUNKS)
+        assert all(agent.chunks == set(CHUNKS) for agent in swarm.agents)
+        largest_sent = max(agent.sent_chunks for agent in swarm.agents)
         assert largest_sent <= 6 * len(CHUNKS) * max(1, agent_count - 1) / agent_count  # uploads are spread
     repeated = [start_loads(32), start_loads(32)]
     for swarm in repeated:
@@ -276,74 +277,74 @@
 
 
 def test_loads_complete_despite_dead_corrupting_and_stalling_agents() -> None:
-    for fault in ("dead", "lies", "stalls"):
+    for fault in ("is_down", "sends_wrong_chunks", "is_stalled"):
         swarm = Swarm(8)
-        setattr(swarm.boxes[3], fault, True)
-        for agent in swarm.boxes:
-            if agent.mark != 3:
-                agent.load(CHUNKS)
+        setattr(swarm.agents[3], fault, True)
+        for agent in swarm.agents:
+            if agent.worker_id != 3:
+                agent.load_chunks(CHUNKS)
         swarm.run()
-        healthy = [agent for agent in swarm.boxes if agent.mark != 3]
-        assert all(a.has == set(CHUNKS) and not a.failures for a in healthy), (fault, summarize(swarm))
-        assert swarm.vault_chunks <= 3 * len(CHUNKS)
-        if fault == "lies":
+        healthy = [agent for agent in swarm.agents if agent.worker_id != 3]
+        assert all(a.chunks == set(CHUNKS) and not a.failures for a in healthy), (fault, summarize(swarm))
+        assert swarm.store_chunks <= 3 * len(CHUNKS)
+        if fault == "sends_wrong_chunks":
             assert all(agent.chooser.peers[3].trust < 1 for agent in healthy)
-            assert swarm.boxes[3].wrong_served <= 8 * 7  # requests before the agents' first checks
+            assert swarm.agents[3].sent_wrong_chunks <= 8 * 7  # requests before the agents' first checks
 
 
 def test_loads_complete_after_a_store_outage() -> None:
     swarm = start_loads(16)
-    swarm.vault_down = (60_000_000, 1_500_000_000)
+    swarm.store_outage_ns = (60_000_000, 1_500_000_000)
     swarm.run()
-    assert all(agent.has == set(CHUNKS) for agent in swarm.boxes), summarize(swarm)
-    assert swarm.vault_chunks <= 1.5 * len(CHUNKS)
+    assert all(agent.chunks == set(CHUNKS) for agent in swarm.agents), summarize(swarm)
+    assert swarm.store_chunks <= 1.5 * len(CHUNKS)
 
 
 def test_an_unreachable_store_fails_all_loads_in_time() -> None:
     swarm = start_loads(4)
-    swarm.vault_down = (0, 1 << 62)
+    swarm.store_outage_ns = (0, 1 << 62)
     swarm.run(13_000)
-    failures = {failure for agent in swarm.boxes for failure in agent.failures}
+    failures = {failure for agent in swarm.agents for failure in agent.failures}
     assert failures == {Failure.STORE_AWAY}
-    assert all(agent.failures for agent in swarm.boxes)
+    assert all(agent.failures for agent in swarm.agents)
 
 
 def test_wrong_bytes_from_the_store_fail_loads_and_are_never_cached() -> None:
     swarm = start_loads(8)
-    swarm.vault_wrong = {CHUNKS[7]}
+    swarm.store_corrupt = {CHUNKS[7]}
     swarm.run()
-    for agent in swarm.boxes:
-        assert agent.has == set(CHUNKS) - {CHUNKS[7]}
+    for agent in swarm.agents:
+        assert agent.chunks == set(CHUNKS) - {CHUNKS[7]}
         assert agent.failures in ([Failure.CORRUPT], [Failure.MISSING])
-    assert any(agent.failures == [Failure.CORRUPT] for agent in swarm.boxes)
+    assert any(agent.failures == [Failure.CORRUPT] for agent in swarm.agents)
 
 
 def test_a_small_store_is_not_overloaded() -> None:
-    swarm = start_loads(32, pace=4, most=8)
+    swarm = start_loads(32, full_speed_requests=4, request_limit=8)
     swarm.run()
-    assert all(agent.has == set(CHUNKS) for agent in swarm.boxes), summarize(swarm)
-    assert swarm.worst <= 8
-    assert swarm.turned_away < 2 * len(CHUNKS)
+    assert all(agent.chunks == set(CHUNKS) for agent in swarm.agents), summarize(swarm)
+    assert swarm.peak_requests <= 8
+    assert swarm.store_rejections < 2 * len(CHUNKS)
 
 
 def test_downloads_without_waiters_end() -> None:
-    swarm = Swarm(1, pace=1, most=1)
-    agent = swarm.boxes[0]
-    downloads = [agent.get(digest, 10**12, lambda _: None) for digest in CHUNKS]
+    swarm = Swarm(1, full_speed_requests=1, request_limit=1)
+    agent = swarm.agents[0]
+    downloads = [agent.fetch_chunk(digest, 10**12, lambda _: None) for digest in CHUNKS]
     swarm.run(200)
     for download in downloads:
         agent.chooser.remove_waiter(download)
     swarm.run()
-    assert swarm.vault_chunks < 15
+    assert swarm.store_chunks < 15
     assert not agent.chooser.downloads
 
 
 def test_concurrent_loads_of_one_image_share_downloads() -> None:
     swarm = Swarm(1)
     for _ in range(3):
-        swarm.boxes[0].load(CHUNKS)
+        swarm.agents[0].load_chunks(CHUNKS)
     swarm.run()
-    assert swarm.vault_chunks == len(CHUNKS)
+    assert swarm.store_chunks == len(CHUNKS)
 
 
 @settings(max_examples=25, deadline=None)
@@ -354,13 +355,13 @@
     swarm = Swarm(count, seed=seed)
     for worker_id in failed_workers:
         if worker_id < count:
-            setattr(swarm.boxes[worker_id], ("dead", "lies", "stalls")[fault], True)
-    healthy = [agent for agent in swarm.boxes if agent.mark not in failed_workers]
+            setattr(swarm.agents[worker_id], ("is_down", "sends_wrong_chunks", "is_stalled")[fault], True)
+    healthy = [agent for agent in swarm.agents if agent.worker_id not in failed_workers]
     for agent in healthy:
-        agent.load(CHUNKS[:20])
+        agent.load_chunks(CHUNKS[:20])
     swarm.run()
     for agent in healthy:
-        assert agent.has == set(CHUNKS[:20])
+        assert agent.chunks == set(CHUNKS[:20])
         assert agent.chooser.sending == agent.chooser.store_in_flight == 0
         assert all(peer.in_flight == 0 for peer in agent.chooser.peers.values())
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -52,7 +52,7 @@
 
 
 async def test_requests_are_answered_while_a_planner_starts_stops_and_restarts() -> None:
-    async with planner() as (first, port), planned([port], alone_ms=600_000) as (f, side):
+    async with run_planner() as (first, port), run_planned_edge([port], alone_ms=600_000) as (f, side):
         session = await replicated(first, "edge", side)
         await until(lambda: not side.plans_locally)
         for _ in range(30):
@@ -60,14 +60,14 @@
             await anyio.sleep(0.05)
             if f.load_requests:
                 break
-        assert f.orders
+        assert f.load_requests
         assert session.policy_replica is not None
         assert session.policy_replica.request_count >= 4
-    async with planned([port], alone_ms=300) as (f, side):
+    async with run_planned_edge([port], alone_ms=300) as (f, side):
         await until(lambda: side.counts["links lost"] > 1)
-        await answered(f)
+        await assert_prompt_responses(f)
         assert side.plans_locally  # no planner has connected yet
-        async with planner(port):
+        async with run_planner(port):
             await until(lambda: side.session.is_leased() and not side.plans_locally)
             await assert_prompt_responses(f)
         await until(lambda: side.plans_locally)
@@ -108,8 +108,8 @@
 async def test_requests_are_answered_and_the_standby_plans_if_a_planner_misbehaves(handle: Any) -> None:
     async with (
         fake_planner(handle) as bad,
-        planner() as (_, good),
-        planned([bad, good], outbox_bytes=2000) as (f, side),
+        run_planner() as (_, good),
+        run_planned_edge([bad, good], outbox_bytes=2000) as (f, side),
     ):
         with anyio.fail_after(15):
             while not (side.session.is_leased() and side.session.planner_name == "planner"):
@@ -120,14 +120,14 @@
 
 
 async def test_each_of_ten_edges_that_start_at_once_has_a_policy_replica() -> None:
-    async with planner(edges=10) as (served, port), anyio.create_task_group() as group:
+    async with run_planner(edges=10) as (served, port), anyio.create_task_group() as group:
         done = 0
 
         async def edge(number: int) -> None:
             nonlocal done
-            async with planned([port], f"edge-{number}", flush_ms=20) as (f, side):
+            async with run_planned_edge([port], f"edge-{number}", flush_ms=20) as (f, side):
                 end = await replicated(served, f"edge-{number}", side)
-                await answered(f, 5)
+                await assert_prompt_responses(f, 5)
                 await until(lambda: end.policy_replica is not None and end.policy_replica.request_count == 5)
                 done += 1
                 await until(lambda: done == 10)
@@ -153,15 +153,15 @@
         assert first.store.saved.replicas_by_edge["edge"][0][:2][1] == "m"
     async with run_planner(kept=kept) as (_, port), run_planned_edge([port]) as (f, side):
         await until(lambda: f.dispatcher.counts["ask", "satisfied"] > 0)
-        assert {name for _, name, target in f.orders if target.endswith("/m/load")} <= loaded
+        assert {name for _, name, target in f.load_requests if target.endswith("/m/load")} <= loaded
         function = f.dispatcher.functions_by_name["m"].policy_function
         await until(lambda: any(one.is_retained and one.is_loaded for one in function.replicas.values()))
         assert (await f.call("estimate"))[0] == 200
-        assert f.arrivals[0][1] in {name for _, name, _ in f.orders}  # a worker with the replica
+        assert f.arrivals[0][1] in {name for _, name, _ in f.load_requests}  # a worker with the replica
 
 
 async def test_the_status_names_the_planner_and_the_state_of_the_link() -> None:
-    async with planner() as (served, port), planned([port]) as (f, side):
+    async with run_planner() as (served, port), run_planned_edge([port]) as (f, side):
         await until(lambda: side.session.is_leased() and not side.plans_locally)
         await assert_prompt_responses(f)
         (edge,) = format_status("7000", msgspec.to_builtins(report_status(f.dispatcher)))
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -18,10 +18,12 @@
 from support.pair import EdgePlannerSimulation
 
 
-def send_requests(pair: Pair, duration_ms: int, interval_ms: int = 20, functions: int = 4) -> None:
+def send_requests(
+    pair: EdgePlannerSimulation, duration_ms: int, interval_ms: int = 20, functions: int = 4
+) -> None:
     """Sends a request for a random function in each interval."""
     for number in range(duration_ms // interval_ms):
-        pair.task(pair.chance.randrange(functions), "notice" if number % 7 == 0 else "estimate")
+        pair.submit_request(pair.random.randrange(functions), "notice" if number % 7 == 0 else "estimate")
         pair.run(interval_ms)
 
 
@@ -65,7 +67,7 @@
 
 
 def test_the_planner_replicates_the_edges_policy_and_decides_on_loads() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     send_requests(pair, 500)
     pair.connect()
     send_requests(pair, 6000)
@@ -78,10 +80,10 @@
 
 
 def test_a_lost_connection_is_resumed_and_a_new_planner_gets_a_snapshot() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     pair.connect()
     send_requests(pair, 2000)
-    pair.cut()
+    pair.disconnect()
     send_requests(pair, 300)
     pair.connect()
     send_requests(pair, 500)
@@ -99,18 +101,20 @@
 
 
 def test_a_lost_decision_is_repeated_by_a_complete_update_after_a_reconnect() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     pair.connect()
     send_requests(pair, 3000)
     pair.run(100)
-    retained = len(pair.side._retained)
+    retained = len(pair.planner_client._retained)
     assert retained
-    worker, function = next(iter(pair.side._retained))
+    worker, function = next(iter(pair.planner_client._retained))
     pair.policy_boundary.set_retained(
-        pair.side.recorder.workers_by_number[worker], pair.side.recorder.functions_by_number[function], False
+        pair.planner_client.recorder.workers_by_number[worker],
+        pair.planner_client.recorder.functions_by_number[function],
+        False,
     )
-    pair.side._retained.discard((worker, function))  # simulates a lost update
-    pair.cut()
+    pair.planner_client._retained.discard((worker, function))  # simulates a lost update
+    pair.disconnect()
     pair.connect()
     pair.run(100)
     assert pair.session.counts["resumed"] == 1
@@ -118,29 +122,29 @@
 
 
 def test_decisions_of_a_planner_whose_lease_expired_are_dropped() -> None:
-    pair = Pair(lease_ms=1000)
+    pair = EdgePlannerSimulation(lease_ms=1000)
     pair.connect()
     send_requests(pair, 1000)
-    stale = fr.PlanUpdate(pair.end.epoch, pair.end.last_sequence, [(1, 0, 0)], [])
-    pair.stalled_until = pair.now + 5000 * NS_PER_MS
+    stale = fr.PlanUpdate(pair.session.epoch, pair.session.last_sequence, [(1, 0, 0)], [])
+    pair.stalled_until_ns = pair.now + 5000 * NS_PER_MS
     send_requests(pair, 1500)
-    assert (str(pair.fault), pair.end.state) == ("the planner has not answered in time", "down")
-    pair.stalled_until = 0
+    assert (str(pair.protocol_error), pair.session.state) == ("the planner has not answered in time", "down")
+    pair.stalled_until_ns = 0
     pair.planner.poll()  # resumes and sends decisions on the closed connection
     pair.connect()
     pair.run(50)
-    requested = len(pair.ordered)
-    pair.end.receive_message(stale)
-    pair.side.apply_decisions()
-    assert (pair.end.counts["fenced"], len(pair.ordered) - requested) == (1, 0)
+    requested = len(pair.load_request_times)
+    pair.session.receive_message(stale)
+    pair.planner_client.apply_decisions()
+    assert (pair.session.counts["fenced"], len(pair.load_request_times) - requested) == (1, 0)
     send_requests(pair, 500)
     pair.run(50)
     assert pair.differences_once_settled() == []
 
 
 def test_load_requests_over_the_load_budget_are_refused_whoever_sends_them() -> None:
-    pair = Pair()
-    pair.task(0)
+    pair = EdgePlannerSimulation()
+    pair.submit_request(0)
     pair.connect()
     pair.run(300)
     for number in range(50):
@@ -156,28 +160,30 @@
 
 
 def test_a_decision_from_before_a_new_snapshot_is_dropped() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     pair.connect()
     send_requests(pair, 1000)
     pair.run(50)
-    sequence = pair.end.last_sequence
-    pair.end.receive_message(fr.ResyncRequest("for a test"))
+    sequence = pair.session.last_sequence
+    pair.session.receive_message(fr.ResyncRequest("for a test"))
     pair.run(600)
-    pair.end.receive_message(fr.PlanUpdate(pair.end.epoch, sequence, [], [(0, 0, True), (1, 1, True)]))
-    assert (pair.end.counts["outdated"], pair.end.counts["snapshots"]) == (1, 2)
+    pair.session.receive_message(
+        fr.PlanUpdate(pair.session.epoch, sequence, [], [(0, 0, True), (1, 1, True)])
+    )
+    assert (pair.session.counts["outdated"], pair.session.counts["snapshots"]) == (1, 2)
     send_requests(pair, 500)
     pair.run(50)
     assert pair.differences_once_settled() == []
 
 
 def test_the_outbox_stays_within_its_limit_while_the_planner_stalls() -> None:
-    pair = Pair(outbox_bytes=4000, lease_ms=10_000)
+    pair = EdgePlannerSimulation(outbox_bytes=4000, lease_ms=10_000)
     pair.connect()
     send_requests(pair, 500)
-    pair.stalled_until = pair.now + 3000 * NS_PER_MS
+    pair.stalled_until_ns = pair.now + 3000 * NS_PER_MS
     for _ in range(40):
         for function in range(10):
-            pair.task(function)
+            pair.submit_request(function)
         pair.run(20)
         assert pair.session.report_status().outbox_bytes <= 4000
     assert pair.session.counts["overflow"] >= 1
@@ -186,15 +192,15 @@
 
 
 def test_no_load_is_requested_at_a_worker_that_only_the_edge_knows_to_drain() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     pair.connect()
     send_requests(pair, 1000)
-    worker = pair.runners[1]
+    worker = pair.workers[1]
     facts = dataclasses.replace(worker.facts, state=WorkerState.DRAINING)
     pair.policy_boundary.update_workers([(worker, facts)], False)
-    before = len(pair.ordered)
-    pair.end.receive_message(
-        fr.PlanUpdate(pair.end.epoch, pair.end.last_sequence, [(1, 1, 0)], [(1, 0, True)])
+    before = len(pair.load_request_times)
+    pair.session.receive_message(
+        fr.PlanUpdate(pair.session.epoch, pair.session.last_sequence, [(1, 1, 0)], [(1, 0, True)])
     )
     pair.planner_client.apply_decisions()
     assert (len(pair.load_request_times) - before, pair.planner_client.counts["orders refused"]) == (0, 1)
@@ -202,11 +208,11 @@
 
 
 def test_a_link_that_stalls_for_ten_seconds_recovers_and_ignores_repeated_events() -> None:
-    pair = Pair(lease_ms=20_000, outbox_bytes=1 << 20)
+    pair = EdgePlannerSimulation(lease_ms=20_000, outbox_bytes=1 << 20)
     pair.connect()
     send_requests(pair, 1000)
     sent: list[bytes] = []
-    next_frame = pair.end.next_frame
+    next_frame = pair.session.next_frame
 
     def record_frame() -> bytes | None:
         data = next_frame()
@@ -214,11 +220,11 @@
             sent.append(data)
         return data
 
-    pair.end.next_frame = record_frame  # type: ignore[method-assign]
-    pair.stalled_until = pair.now + 10_000 * NS_PER_MS
+    pair.session.next_frame = record_frame  # type: ignore[method-assign]
+    pair.stalled_until_ns = pair.now + 10_000 * NS_PER_MS
     send_requests(pair, 10_000)
-    assert pair.settled() == []
-    pair.cut()
+    assert pair.differences_once_settled() == []
+    pair.disconnect()
     pair.connect()
     pair.run(20)
     for data in sent:  # late frames of the closed connection
@@ -227,15 +233,15 @@
                 pair.planner.receive_message(message)
     assert pair.planner.counts["again"] >= len(sent) - 5 > 50
     send_requests(pair, 500)
-    assert pair.settled() == []
-    assert pair.end.counts["snapshots"] == 1
+    assert pair.differences_once_settled() == []
+    assert pair.session.counts["snapshots"] == 1
 
 
 def test_a_restarted_planner_counts_earlier_loads_and_repeats_none() -> None:
-    pair = Pair(runners=8)
+    pair = EdgePlannerSimulation(workers=8)
     pair.connect()
     send_requests(pair, 6000)
-    assert pair.settled() == []
+    assert pair.differences_once_settled() == []
     for _ in range(6):
         pair.kill_planner()
         pair.connect()
@@ -243,22 +249,24 @@
         policy_replica = pair.planner.policy_replica
         assert policy_replica is not None
         start = pair.now - 5000 * NS_PER_MS
-        before = [t for t in pair.ordered if t > start]
+        before = [t for t in pair.load_request_times if t > start]
         assert len([t for t in policy_replica.policy.load_budget.load_times_ns if t > start]) >= len(before)
-    requested = len(pair.ordered)
+    requested = len(pair.load_request_times)
     pair.run(300)
-    assert len(pair.ordered) - requested <= 4  # renewals that are due; retained replicas are not loaded again
-    assert pair.over_ration() == 0
+    assert (
+        len(pair.load_request_times) - requested <= 4
+    )  # renewals that are due; retained replicas are not loaded again
+    assert pair.load_requests_over_budget() == 0
 
 
 def test_a_snapshot_over_the_function_limit_prefers_retained_functions() -> None:
-    pair = Pair(snapshot_models=5, runners=8)
+    pair = EdgePlannerSimulation(snapshot_models=5, workers=8)
     pair.connect()
     send_requests(pair, 4000, functions=3)
     for function in range(3, 40):
-        pair.task(function)
+        pair.submit_request(function)
     pair.run(500)
-    retained = {number for _, number in pair.side._retained}
+    retained = {number for _, number in pair.planner_client._retained}
     assert retained
     pair.kill_planner()
     pair.connect()
@@ -274,7 +282,7 @@
 
 
 def test_a_snapshot_that_does_not_arrive_is_requested_again() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     pair.connect()
     pair.run(100)
     assert pair.planner.policy_replica is not None
@@ -285,13 +293,13 @@
 
 
 def test_the_outbox_stays_within_its_limit_without_a_planner() -> None:
-    pair = Pair(outbox_bytes=20_000)
+    pair = EdgePlannerSimulation(outbox_bytes=20_000)
     pair.connect()
     send_requests(pair, 500)
-    pair.cut()
+    pair.disconnect()
     for _ in range(100):
         for function in range(10):
-            pair.task(function)
+            pair.submit_request(function)
         pair.run(20)
         assert pair.session.report_status().outbox_bytes <= 20_000
         assert len(pair.session._batch) < 512
@@ -301,10 +309,10 @@
 
 
 def test_a_replica_that_misses_events_is_found_to_differ() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     pair.connect()
     send_requests(pair, 1000)
-    assert pair.settled() == []
+    assert pair.differences_once_settled() == []
     policy_replica = pair.planner.policy_replica
     assert policy_replica is not None
     apply, calls = policy_replica.apply_events, 0
@@ -318,13 +326,13 @@
 
     policy_replica.apply_events = drop_events_of_the_third_call  # type: ignore[method-assign]
     send_requests(pair, 200)
-    assert pair.settled() != []
+    assert pair.differences_once_settled() != []
 
 
 @pytest.mark.parametrize("ahead", [10**15, -(10**9)])
 @pytest.mark.parametrize("rate", [1.0, 1.00005, 0.99995])
 def test_a_planner_whose_clock_is_offset_or_drifts_follows_the_edges_clock(ahead: int, rate: float) -> None:
-    pair = Pair(planner_ahead=ahead, rate=rate)
+    pair = EdgePlannerSimulation(planner_ahead=ahead, rate=rate)
     pair.connect()
     send_requests(pair, 5000)
     pair.run(50)
@@ -346,28 +354,28 @@
 
 
 def test_a_link_without_a_common_version_is_refused_with_a_reason() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     pair.connect()
     with pytest.raises(LinkProtocolError, match="no common version: 3 to 4"):
         pair.planner.receive_message(fr.Hello(3, 4, "edge", "x", ""))
     with pytest.raises(LinkProtocolError, match="speaks unsupported version 9"):
-        pair.end.receive_message(fr.Welcome(9, "p", "x", -1))
+        pair.session.receive_message(fr.Welcome(9, "p", "x", -1))
 
 
 def test_a_restarted_edge_gets_the_replicas_that_its_predecessor_retained() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     pair.planner.find_earlier_replicas = lambda name: (
         [("r0", "m0", 2, 1000.0, 50.0)] if name == "edge" else []
     )
     pair.connect()
     pair.run(100)
-    assert [list(replica) for replica in pair.recalled] == [["r0", "m0", 2, 1000.0, 50.0]]
+    assert [list(replica) for replica in pair.confirmed_replicas] == [["r0", "m0", 2, 1000.0, 50.0]]
 
 
 def test_a_snapshot_of_another_policy_version_is_restored_where_fields_match() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     send_requests(pair, 1000)
-    state, _ = pair.side._take_snapshot()
+    state, _ = pair.planner_client._take_snapshot()
     packed = msgspec.msgpack.decode(encode_snapshot(state))
     packed["brain"]["a new field"] = 7
     del packed["brain"]["rate"]
@@ -392,7 +400,7 @@
     @rule(count=st.integers(1, 15), function=st.integers(0, 5))
     def send_a_burst_of_requests(self, count: int, function: int) -> None:
         for _ in range(count):
-            self.pair.task(function)
+            self.pair.submit_request(function)
         self.pair.run(10)
 
     @rule(duration_ms=st.sampled_from([20, 100, 400, 1500]))
@@ -406,7 +414,7 @@
 
     @rule()
     def lose_connection(self) -> None:
-        self.pair.cut()
+        self.pair.disconnect()
 
     @rule()
     def kill_planner(self) -> None:
@@ -414,12 +422,12 @@
 
     @rule(duration_ms=st.sampled_from([100, 700, 2000]))
     def stall_planner(self, duration_ms: int) -> None:
-        self.pair.stalled_until = self.pair.now + duration_ms * NS_PER_MS
+        self.pair.stalled_until_ns = self.pair.now + duration_ms * NS_PER_MS
 
     @rule()
     def send_update_of_an_earlier_epoch(self) -> None:
         """A planner of the previous epoch requests loads."""
-        end = self.pair.end
+        end = self.pair.session
         if end.state == "up":
             before = len(self.pair.load_request_times)
             for number in range(5):
@@ -431,22 +439,22 @@
 
     @rule()
     def lose_a_frame_to_the_planner(self) -> None:
-        wire = self.pair.wire
+        wire = self.pair.connection
         if wire is not None and len(wire.to_planner) > 2:
             wire.to_planner.pop(1)
 
     @invariant()
     def load_budget_holds(self) -> None:
-        assert self.pair.over_ration() == 0
+        assert self.pair.load_requests_over_budget() == 0
 
     @invariant()
     def only_the_latest_epoch_is_applied(self) -> None:
-        assert all(epoch == sender for epoch, sender in self.pair.applied)
+        assert all(epoch == sender for epoch, sender in self.pair.applied_epochs)
         assert self.pair.epochs == sorted(set(self.pair.epochs))
 
     @invariant()
     def outbox_is_within_its_limit(self) -> None:
-        assert self.pair.end.report_status().outbox_bytes <= 20_000
+        assert self.pair.session.report_status().outbox_bytes <= 20_000
 
     def teardown(self) -> None:
         """Checks that without faults the planner catches up and every request ends."""
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -34,7 +34,7 @@
             for _ in range(2 * SLOTS):
                 silent_connections.enter_context(socket.create_connection(("127.0.0.1", port)))
             await until(lambda: listener.open_connections >= SLOTS)
-            async with planned([port]) as (_, client):
+            async with run_planned_edge([port]) as (_, client):
                 await until(client.session.is_leased, within=5)
                 assert listener.open_connections <= SLOTS
             group.cancel_scope.cancel()
--- a/tests/test_state_save_crashes.py
+++ b/tests/test_state_save_crashes.py
@@ -205,7 +205,7 @@
             with disk():
                 component = USERS[user](disk.root)
                 disk.kill(k)
-                with pytest.raises(Killed):
+                with pytest.raises(ProcessKilled):
                     component.save(2)
                 disk.crash()
                 state = load(disk, user)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -81,9 +81,9 @@
 
 
 def test_a_snapshot_has_the_field_names_of_an_earlier_one() -> None:
-    pair = Pair()
+    pair = EdgePlannerSimulation()
     send_requests(pair, 1000)
-    state, _ = pair.side._take_snapshot()
+    state, _ = pair.planner_client._take_snapshot()
     now, then = msgspec.msgpack.decode(encode_snapshot(state)), stored_snapshot()
     assert now.keys() == then.keys()
     assert now["brain"].keys() == then["brain"].keys() | ADDED_TO_SNAPSHOT
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -106,7 +106,7 @@
             p.task_group.start_soon(type(p.node)(p.config_path).serve, started.set)
             with anyio.fail_after(5):
                 await started.wait()
-            assert faults.failed == {"bind": 2, "listen": 1}
+            assert faults.failure_counts == {"bind": 2, "listen": 1}
             assert await (await p.connect_client()).call() == "satisfied"
 
 
@@ -158,7 +158,7 @@
             faults.add("accept", number, from_port(p.port), times=3)
             client = await p.connect_client()
             assert await client.call(wait=LONG) == "satisfied"
-            assert faults.failed["accept"] == 3
+            assert faults.failure_counts["accept"] == 3
             assert await (await p.connect_client()).call(id="a" * 16) == "satisfied"
 
 
@@ -188,7 +188,7 @@
             reply = await send_load_request(p)
             assert reply.result is (Result.NOT_SENT if number in SHORTAGES else Result.UNREACHABLE)
             assert await client.call("unsafe", wait=LONG) in FINAL
-            assert not p.received() and faults.failed[connect_call]
+            assert not p.received() and faults.failure_counts[connect_call]
             assert sum(pool.open_connections for pool in p.node.worker_client.pools) == 0
             faults.clear()
             await until_served(client)
@@ -222,7 +222,7 @@
             faults.add("socket", number)
             assert (await send_load_request(p)).result is Result.NOT_SENT
             assert await client.call("unsafe", wait=LONG) in FINAL
-            assert not p.received() and faults.failed["socket"]
+            assert not p.received() and faults.failure_counts["socket"]
             assert sum(pool.open_connections for pool in p.node.worker_client.pools) == 0
             faults.clear()
             await until_served(client)
@@ -267,8 +267,8 @@
             for runner in p.workers.values():
                 faults.add("send", number, to_port(runner.port), times=1)
             assert await client.call("unsafe", wait=LONG) == "turned back"
-            assert faults.failed["send"] == 2 and not p.received()
-            faults.end()
+            assert faults.failure_counts["send"] == 2 and not p.received()
+            faults.clear()
             await until_served(client)
             assert all(conn.transport for pool in p.node.worker_client.pools for conn in pool.connections)
 
@@ -286,7 +286,7 @@
             faults.short_writes = bytes_leave
             faults.add("send", number, to_worker, times=20, share=0.2 if bytes_leave else 1.0)
             assert await client.call("unsafe", wait=LONG) == "satisfied"
-            assert faults.failed["send"] and len(p.received()) == 1
+            assert faults.failure_counts["send"] and len(p.received()) == 1
             assert [pool.connections_opened for pool in p.node.worker_client.pools] == [1]
 
 
@@ -301,7 +301,7 @@
             faults.add("send", number, to_port(p.workers["a"].port), times=3)
             assert outcome_of(await client.receive_response()) == "error -32000"
             await until(lambda: p.received("UNDO") and not p.workers["a"].open)
-            assert faults.failed["send"] == 3
+            assert faults.failure_counts["send"] == 3
 
 
 @temporary
@@ -315,7 +315,7 @@
             client = await p.connect_client()
             faults.add("send", number, to_port(p.workers["a"].port))
             assert await client.call("unsafe", wait=400) == "turned back"
-            assert faults.failed["send"] > 1 and not p.received()
+            assert faults.failure_counts["send"] > 1 and not p.received()
             ends = {how: n for (what, how), n in p.node.dispatcher.counts.items() if what == "hand-off"}
             assert ends == {"not sent": 1}
 
@@ -375,7 +375,7 @@
         async with run_node(tmp_path, {"a": [dribbled]}) as p:
             faults.short_reads = faults.short_writes = not is_uvloop(anyio_backend)
             client = await p.connect_client()
-            await dribble(client.send, client.encode_request(wait=LONG))
+            await send_bytewise(client.send, client.encode_request(wait=LONG))
             found = await client.receive_response()
             assert (
                 outcome_of(found) == "satisfied"
@@ -453,7 +453,7 @@
             for _ in range(3):
                 await client.send_request(wait=LONG)
             assert [outcome_of(await client.receive_response()) for _ in range(3)] == ["satisfied"] * 3
-            assert faults.failed["send"]
+            assert faults.failure_counts["send"]
             assert await client.call() == "satisfied"
             faults.add("send", number, from_port(p.port), times=2)
             await client.send(b"no head\r\n\r\n")
@@ -476,7 +476,7 @@
                 await client.send_request(wait=LONG)
             await until(lambda: any(own.write_blocked_since_ns for own in p.node.listener.clients))
             (own,) = p.node.listener.clients
-            faults.end()
+            faults.clear()
             assert [outcome_of(await client.receive_response()) for _ in range(2)] == ["satisfied"] * 2
             assert not own.write_blocked_since_ns
             faults.add("send", number, from_port(p.port))
@@ -540,7 +540,7 @@
             for stream in p.journal.streams:
                 await stream.aclose()
             p.journal.streams.clear()
-            await until(lambda: faults.failed[connect_call] == 3)
+            await until(lambda: faults.failure_counts[connect_call] == 3)
             client = await p.connect_client()
             assert await client.call() == "satisfied"
             await p.start_worker("b", succeed)
@@ -558,7 +558,7 @@
         async with run_node(tmp_path) as p:
             faults.add("recv", number, to_port(p.journal.port), times=1)
             await until(lambda: len(p.journal.resume_positions) == 2, within=5)
-            assert faults.failed["recv"] == 1
+            assert faults.failure_counts["recv"] == 1
             assert await (await p.connect_client()).call() == "satisfied"
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -114,10 +114,10 @@
 ) -> None:
     """The age of a worker in the cached list does not depend on a clock step after the list was written."""
     path = tmp_path / "kept"
-    async with fleet({"a": [satisfied]}) as f:
+    async with run_edge({"a": [respond_ok]}) as f:
         worker = f.dispatcher.workers["a"]
         f.dispatcher.update_endpoints([replace(worker.endpoint, incarnation="anew", age_ms=500.0)], False)
-        source = HttpMembership(f.edge)
+        source = HttpMembership(f.settings)
         source.endpoint_list = f.dispatcher.endpoint_list
         saver = source._make_saver(path, f.dispatcher)
         f.task_group.start_soon(saver.run)
@@ -134,7 +134,7 @@
 @pytest.mark.anyio
 async def test_a_negative_worker_age_counts_as_zero() -> None:
     """Discovery can report a negative age after its clock was stepped back."""
-    async with fleet() as f:
+    async with run_edge() as f:
         worker = next(iter(f.dispatcher.workers.values()))
         line = replace(worker.endpoint, incarnation="anew", age_ms=-3_600_000.0)
         f.dispatcher.update_endpoints([line], False)
@@ -241,7 +241,7 @@
 
     limits = {"soft_limit_ms": 100, "hard_limit_ms": 400}
     offerings = [{"name": "estimate", "effect": "idempotent", **limits}]
-    async with fleet({"a": [silent]}, offerings=offerings) as f:
+    async with run_edge({"a": [silent]}, offerings=offerings) as f:
         monkeypatch.setattr(clocks, "_read_wall", read_stepped_clock)
         started_seconds = time.monotonic()
         status, _ = await f.call(left=None, expirytime=expiry(read() + 300 * MS))
@@ -278,11 +278,11 @@
 async def test_a_reservation_from_another_clock_waits_no_longer_than_stated(
     machine: Machine, step: int, after: int
 ) -> None:
-    async with fleet(queues={"secret": SECRET}) as f:
+    async with run_edge(queues={"secret": SECRET}) as f:
         text = issue_reservation(machine.true_ns)
         machine.advance(after)
         machine.wall_step_ns = step
-        found = f.door.queue_admission.verify_reservation(make_event(appointment=text))
+        found = f.event_listener.queue_admission.verify_reservation(make_event(appointment=text))
         now = f.dispatcher.clock()
         if found is None:
             reason = "not ours" if step == -HOUR else "clocks differ"
@@ -297,7 +297,7 @@
 async def test_a_request_with_a_reservation_from_another_clock_is_answered(
     machine: Machine, step: int
 ) -> None:
-    async with fleet({"a": [satisfied]}, queues={"secret": SECRET}) as f:
+    async with run_edge({"a": [respond_ok]}, queues={"secret": SECRET}) as f:
         text = issue_reservation(machine.true_ns)
         machine.wall_step_ns = step
         assert (await f.call(ident="t", again=True, appointment=text))[0] == 200
