--- a/support/crowd.py
+++ b/support/crowd.py
@@ -73,7 +73,7 @@
         self.outcomes: Counter[str] = Counter()
         self.retries_promised = self.retries_sent = self.retries_on_time = 0
         self.queued: dict[int, tuple[QueuedRequest, Any]] = {}
-        self.longest_rejected_wait_ns = 0  # of requests that waited in a queue and were rejected then
+        self.longest_rejected_wait_ns = 0  # the longest wait of a queued request that was rejected
         self.on_time_per_second: Counter[int] = Counter()
         for tenant in tenants:
             self._schedule_next(tenant)
--- a/support/fleet.py
+++ b/support/fleet.py
@@ -43,7 +43,7 @@
 ]
 
 
-async def respond_ok(_runner: ScriptedWorker, stream: SocketStream, _message: Message) -> None:
+async def respond_ok(_worker: ScriptedWorker, stream: SocketStream, _message: Message) -> None:
     """The behaviour that answers 200 with an event, from a replica that was loaded."""
     event = Event({"specversion": "1.0", "id": "r", "source": "/r", "type": "t"}, b"{}", "application/json")
     headers, body = encode_event(event)
@@ -53,7 +53,7 @@
 def respond_with(status: int, *headers: tuple[bytes, bytes], body: bytes = b"") -> Behaviour:
     """Returns a behaviour that answers with this status."""
 
-    async def behaviour(_runner: ScriptedWorker, stream: SocketStream, _message: Message) -> None:
+    async def behaviour(_worker: ScriptedWorker, stream: SocketStream, _message: Message) -> None:
         await stream.send(http.response(status, headers, body))
 
     return behaviour
@@ -72,7 +72,7 @@
 def send_bytes(data: bytes, *, end: bool = False) -> Behaviour:
     """Returns a behaviour that writes `data`, and closes the connection if `end` is set."""
 
-    async def behaviour(_runner: ScriptedWorker, stream: SocketStream, _message: Message) -> None:
+    async def behaviour(_worker: ScriptedWorker, stream: SocketStream, _message: Message) -> None:
         if data:
             await stream.send(data)
         if end:
--- a/support/pair.py
+++ b/support/pair.py
@@ -92,7 +92,8 @@
         self.confirmed_replicas: list[Any] = []
         self.epochs: list[int] = []
         self.protocol_error: BaseException | None = None
-        self.applied_epochs: list[tuple[int, int]] = []  # of the edge, and of the message that it applied
+        # Epochs of the edge and of the decision that it applied, for each decision.
+        self.applied_epochs: list[tuple[int, int]] = []
         self.workers = []
         listed = []
         for n in range(workers):
--- a/support/soak/client.py
+++ b/support/soak/client.py
@@ -56,7 +56,7 @@
         self.prefix = f"{node:02x}{number:02x}"
         self.is_done = False
         self._requests = 0
-        self._open: dict[int, OpenRequest] = {}  # by JSON-RPC id
+        self._open: dict[int, OpenRequest] = {}  # keys are JSON-RPC ids
         self._number = 0
 
     async def run(self) -> None:
--- a/support/soak/journal.py
+++ b/support/soak/journal.py
@@ -17,7 +17,7 @@
 REPORTED_AFTER_SILENCE_SECONDS = 4.0
 REPORTED_AFTER_BREAK_SECONDS = 2.0
 REPORTED_AFTER_MOVE_SECONDS = 4.0
-CLOSE_AFTER_MOVE_SECONDS = 1.5  # until the old address closes its connections
+CLOSE_AFTER_MOVE_SECONDS = 1.5  # time until the old address closes its connections
 DELTA_EVENT_KIND = 2
 STATES = ("up", "draining", "gone")
 
@@ -28,7 +28,7 @@
     def __init__(self, edge: str, book: RecordBook) -> None:
         self.edge, self.book = edge, book
         self.events: list[bytes] = []
-        self.lines: list[tuple[str, str, str]] = []  # of each event: worker, state, incarnation
+        self.lines: list[tuple[str, str, str]] = []  # worker, state and incarnation in each event
         self.port = 0
         self.is_silent = False
         self._reported_events = 0  # number of events that the node must know of
--- a/support/soak/node_process.py
+++ b/support/soak/node_process.py
@@ -17,7 +17,7 @@
 from support.soak.records import ProcessSample, RecordBook
 from support.soak.worker import CONNECTION_ERRORS
 
-KILL_MARGIN_SECONDS, KILL_DEADLINE_LIMIT_SECONDS = 0.7, 3.0  # of the SIGKILL after SIGTERM
+KILL_MARGIN_SECONDS, KILL_DEADLINE_LIMIT_SECONDS = 0.7, 3.0  # when SIGKILL follows SIGTERM
 READY_LIMIT_SECONDS = 30.0
 POLL_SECONDS = 0.01
 SIGNAL_PAUSE_SECONDS = 0.003  # between two signals of a series
--- a/support/soak/records.py
+++ b/support/soak/records.py
@@ -26,8 +26,8 @@
     workers: list[Record] = field(default_factory=list)
     membership: list[Record] = field(default_factory=list)
     processes: list[Record] = field(default_factory=list)
-    ready_seconds: list[float] = field(default_factory=list)  # from start until up, for each process
-    exit_statuses: list[int] = field(default_factory=list)  # of processes that were not killed
+    ready_seconds: list[float] = field(default_factory=list)  # time that each process took to be up
+    exit_statuses: list[int] = field(default_factory=list)  # one for each process that was not killed
     samples: list[ProcessSample] = field(default_factory=list)
     own_lag_ns: int = 0  # largest delay of the peers' event loop within about the last second
     wrong_bodies: list[str] = field(default_factory=list)  # ids of requests served with another body
--- a/support/soak/run.py
+++ b/support/soak/run.py
@@ -34,8 +34,8 @@
 NS_PER_MS = 1_000_000
 SAMPLE_SECONDS = 0.2  # between two samples of a process
 LAG_SAMPLE_SECONDS, LAG_SAMPLES = 0.01, 100  # for the delay of the event loop that the peers share
-REPORT_GONE_AFTER_SECONDS = 0.3  # until discovery reports a worker that has vanished
-WORKER_AWAY_SECONDS = 0.8  # from a worker's end until a new one starts under its name
+REPORT_GONE_AFTER_SECONDS = 0.3  # delay after which a vanished worker is reported gone
+WORKER_AWAY_SECONDS = 0.8  # time for which a replaced worker is down
 CROWD_CONNECTIONS = 40  # for each node; with the clients' own at most a third of its descriptors
 
 
--- a/support/soak/verdict.py
+++ b/support/soak/verdict.py
@@ -15,7 +15,7 @@
 TRANSIT_MS = 100.0  # between two processes on one machine; includes the 0.1 s allowed for a cancel
 GRACE_MS = 250.0
 RULES = ("one_answer", "no_effect_twice", "drains")  # the soak does not force cold starts or load requests
-MAX_EXAMPLES = 5  # of each kind of failure in a report
+MAX_EXAMPLES = 5  # largest number of examples for each kind of failure
 
 
 @dataclass(frozen=True)
--- a/support/soak/worker.py
+++ b/support/soak/worker.py
@@ -151,7 +151,7 @@
     def _take_effect(self, line: dict[str, Any], attempt_key: str) -> None:
         key = line["props"].get("dedupe")
         if key is not None and key in self.effects.keys:
-            return  # it has had its effect already
+            return  # a repeated key has no second effect
         if key is not None:
             self.effects.keys.add(key)
         self.book.record_worker("ran", way=attempt_key)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -344,7 +344,7 @@
 @pytest.mark.parametrize(("edge", "planner"), [(1, 2), (2, 1), (1, 1)])
 def test_versions_that_differ_by_one_work_together(edge: int, planner: int) -> None:
     pair = EdgePlannerSimulation(speaks=edge)
-    pair.planner = pair.new_planner(speaks=planner)
+    pair.planner = pair.new_planner(highest_version=planner)
     pair.planner.find_earlier_replicas = lambda _: [("r0", "m0", 2, 1000.0, 50.0)]
     pair.connect()
     busy(pair, 2000)
