--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -345,7 +345,7 @@
 @pytest.mark.parametrize(("edge", "planner"), [(1, 2), (2, 1), (1, 1)])
 def test_versions_that_differ_by_one_work_together(edge: int, planner: int) -> None:
     pair = EdgePlannerSimulation(speaks=edge)
-    pair.planner = pair.new_planner(speaks=planner)
+    pair.planner = pair.new_planner(highest_version=planner)
     pair.planner.find_earlier_replicas = lambda _: [("r0", "m0", 2, 1000.0, 50.0)]
     pair.connect()
     send_requests(pair, 2000)
