--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -119,7 +119,7 @@
 faults.add("bind", errno.EACCES)
 with faults.installed():
     status = main()
-sys.exit(status if faults.failed["bind"] == 1 else 99)
+sys.exit(status if faults.failure_counts["bind"] == 1 else 99)
 """
 
 
@@ -300,7 +300,7 @@
             await until(p.received)
             faults.add("send", number, to_port(p.workers["a"].port), times=3)
             assert outcome_of(await client.receive_response()) == "error -32000"
-            await until(lambda: p.received("UNDO") and not p.workers["a"].open)
+            await until(lambda: p.received("UNDO") and not p.workers["a"].open_connections)
             assert faults.failure_counts["send"] == 3
 
 
