--- a/benchmarks/scale/assumptions.py
+++ b/benchmarks/scale/assumptions.py
@@ -1,4 +1,4 @@
-"""What the operators leave open: a value for each assumption, its range, and the rates that follow."""
+"""Assumptions where the operators state no figure: a value and a range for each, and the derived rates."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What control may cost, as the operators state it; the first four are of one dispatcher."""
+    """The operators' limits on the cost of the control plane; the first four apply to one dispatcher."""
 
     cpu_cores: float = 0.02
     memory_mb: float = 64
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assumed:
-    """A value that the operators leave open, the range that it may lie in, and what changes across it."""
+    """An assumed value, the range in which it may lie, and what changes across that range."""
 
     value: float
     low: float
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assumptions:
-    """What the stated size leaves open."""
+    """The values that the stated fleet size does not determine."""
 
     instances_per_worker: Assumed = Assumed(
         10, 5, 20, "instances", "15,400 to 3,850 workers: membership and rendezvous in proportion"
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """A size and a value for each open assumption."""
+    """A fleet size and a value for each assumption."""
 
     size: FleetSize
     failures_per_day: float
@@ -82,38 +82,44 @@
     values: Assumptions
 
     def value(self, name: str) -> float:
+        """Returns the value of an assumption."""
         found: Assumed = getattr(self.values, name)
         return found.value
 
     @property
     def workers(self) -> float:
+        """The number of workers of the full fleet."""
         return FULL_SIZE.instances / self.value("instances_per_worker")
 
     @property
     def snapshot_bytes(self) -> float:
-        """Of the membership list."""
+        """Bytes of a snapshot of the membership list."""
         return self.workers * self.value("record_bytes")
 
     @property
     def membership_records_per_day(self) -> float:
+        """Membership records sent per day for failed and replaced workers."""
         return (self.failures_per_day + self.replacements_per_day) * self.value("records_per_replacement")
 
     @property
     def popularity(self) -> Popularity:
+        """The distribution of calls over functions."""
         return Popularity(self.size.functions, self.value("zipf_exponent"), self.zipf_offset)
 
     @property
     def rates(self) -> Any:
-        """Calls a second of each function over the whole fleet."""
+        """Calls per second of each function in the whole fleet."""
         return self.popularity.rates(self.size.calls_per_second)
 
     def functions_met(self, seconds: float) -> float:
-        """Distinct functions that one dispatcher is expected to meet."""
+        """The expected number of distinct functions that one dispatcher is called for."""
         return self.popularity.expected_distinct(self.size.calls_per_dispatcher * seconds)
 
     def rare_cold_share(self, sharing: float) -> float:
-        """Share of rare functions' calls that come later than the keep-alive after the call before, where
-        `sharing` of all dispatchers use the same replica."""
+        """The share of rare functions' calls that arrive more than the keep-alive after the previous call.
+
+        `sharing` is the share of all dispatchers that use the same replica.
+        """
         rates = self.rates
         rates = rates[rates < 1 / MINUTE_S] * sharing
         if not len(rates):
@@ -121,12 +127,13 @@
         return float((rates * np.exp(-rates * self.value("keep_alive"))).sum() / rates.sum())
 
     def cold_starts_per_second(self, sharing: float) -> float:
-        """Of all functions and the whole fleet, where `sharing` of all dispatchers use the same replica."""
+        """Cold starts per second in the fleet; `sharing` is the share of dispatchers that use one replica."""
         rates = self.rates
         return float((rates * np.exp(-rates * sharing * self.value("keep_alive"))).sum())
 
     @property
     def rare_call_share(self) -> float:
+        """The share of all calls that go to functions called less than once a minute."""
         rates = self.rates
         return float(rates[rates < 1 / MINUTE_S].sum() / rates.sum())
 
@@ -136,7 +143,7 @@
 
 
 def varied(setting: Setting) -> Iterator[Setting]:
-    """The setting with one assumption at a time at either end of its range."""
+    """Yields the setting with one assumption at a time at either end of its range."""
     for each in fields(Assumptions):
         assumption: Assumed = getattr(setting.values, each.name)
         for end in (assumption.low, assumption.high):
--- a/benchmarks/scale/bounds.py
+++ b/benchmarks/scale/bounds.py
@@ -1,6 +1,6 @@
-"""What a dispatcher may need in a fleet of more and smaller workers, beside what it needs at the usual size.
+"""Bounds on a dispatcher's costs in a fleet of more and smaller workers, relative to the usual size.
 
-A bound is a part of the usual figure, an amount, and an amount for each thousand workers. No I/O.
+A bound is a multiple of the usual figure, plus a constant, plus an amount per thousand workers. No I/O.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
     times: float
     plus: float = 0.0
     per_thousand: float = 0.0
-    at_least: bool = False  # the figure may not be under the bound, instead of over it
+    at_least: bool = False  # Whether the bound is a lower limit instead of an upper one.
 
     def limit(self, usual: float, workers: int) -> float:
-        """The bound at so many workers, where the usual size needed `usual`."""
+        """Returns the limit for a number of workers, given the figure at the usual size."""
         return self.times * usual + self.plus + self.per_thousand * workers / 1_000
 
     def holds(self, usual: float, found: float, workers: int) -> bool:
-        """Whether `found` keeps the bound; equal to it does."""
+        """Whether `found` is within the bound; a figure equal to the limit is."""
         limit = self.limit(usual, workers)
         return found >= limit if self.at_least else found <= limit
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """One figure of one size beside its bound."""
+    """One figure of one size compared with its bound."""
 
     name: str
     workers: int
@@ -57,7 +57,7 @@
 
 
 def verdicts(usual: dict[str, float], found: dict[str, float], workers: int) -> list[Verdict]:
-    """Each bound at one size. Both sides have every figure that is bounded. Raises KeyError."""
+    """Checks each bound at one size. Raises KeyError where either side lacks a bounded figure."""
     return [
         Verdict(
             name,
--- a/benchmarks/scale/capacity.py
+++ b/benchmarks/scale/capacity.py
@@ -1,4 +1,4 @@
-"""What the fleet that is designed for asks of each role: the size, what it leaves open, and the arithmetic.
+"""Requirements on each role at the full fleet size: the size, the assumptions and what follows from them.
 
     .venv/bin/python -m benchmarks.scale.capacity [RECORDS.jsonl...]
 
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FromCost:
-    """Something of the planners that follows from a cost of the dispatcher: a mirror runs its policy."""
+    """A requirement of the planners that follows from a dispatcher's cost, as they run its policy."""
 
     name: str
     formula: str
@@ -99,7 +99,7 @@
 
 
 def planner_rows(found: Sequence[Estimate]) -> Iterator[str]:
-    """What planners need, from the dispatchers' costs."""
+    """Yields the table of the planners' requirements, derived from the dispatchers' costs."""
     yield "| planner | formula | value | across the ranges | budget | ratio |"
     yield "| --- | --- | --- | --- | --- | --- |"
     costs = {estimate.cost: estimate.best for estimate in found if estimate.role == DISPATCHER}
@@ -114,13 +114,14 @@
 
 
 def number(value: float) -> str:
-    """Three significant digits, with thousands set apart."""
+    """Formats a value with three significant digits, or as an integer with thousands separators."""
     if value == 0:
         return "0"
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
 def quantity_row(quantity: Quantity) -> str:
+    """Returns the Markdown row of a quantity with its span over the ranges and its budget."""
     value = quantity.compute(DEFAULT)
     values = [quantity.compute(setting) for setting in varied(DEFAULT)]
     low, high = min(values), max(values)
@@ -133,6 +134,7 @@
 
 
 def assumption_table() -> Iterator[str]:
+    """Yields the Markdown table of the assumptions and their ranges."""
     yield "| assumption | value | range | what changes across it |"
     yield "| --- | --- | --- | --- |"
     for each in fields(Assumptions):
@@ -143,6 +145,7 @@
 
 
 def quantity_tables() -> Iterator[str]:
+    """Yields a Markdown table for each group of quantities."""
     group = ""
     for quantity in QUANTITIES:
         if quantity.group != group:
@@ -156,7 +159,7 @@
 @click.command()
 @click.argument("paths", nargs=-1, type=click.Path(path_type=Path))
 def main(paths: tuple[Path, ...]) -> None:
-    """Prints the page's tables; with files of scale records also the costs of each role."""
+    """Print the tables of the page; with files of scale records also the costs of each role."""
     for row in (*assumption_table(), *quantity_tables()):
         click.echo(row)
     if not paths:
--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -1,4 +1,4 @@
-"""What discovery and configuration send to a dispatcher, encoded as on the wire.
+"""Encodes what discovery and configuration send to a dispatcher, as on the wire.
 
 The frames are those that `martenlead.node.journal` reads: a big-endian head (length, event number, kind) and
 records of 27 bytes. The service that sends them is not part of the project; only its bytes are counted here.
@@ -26,7 +26,7 @@
 
 
 class EventKind(IntEnum):
-    """The kind byte of an event."""
+    """Values of the kind byte of an event."""
 
     HEARTBEAT = 0
     SNAPSHOT = 1
@@ -34,7 +34,7 @@
 
 
 class WorkerState(IntEnum):
-    """The state byte of a record."""
+    """Values of the state byte of a record."""
 
     UP = 0
     DRAINING = 1
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A worker as discovery lists it. `started_ms` is a Unix time, 0 for long past."""
+    """A worker as discovery lists it. `started_ms` is a Unix time; 0 stands for a start long ago."""
 
     number: int
     zone: int
@@ -52,6 +52,7 @@
     weight_thousandths: int = WEIGHT_THOUSANDTHS
 
     def record(self) -> bytes:
+        """Encodes the worker as a record of 27 bytes."""
         address = FIRST_ADDRESS + self.number
         return _RECORD.pack(
             self.number,
@@ -67,22 +68,23 @@
 
 
 def members(size: FleetSize) -> list[Member]:
-    """All workers of a fleet, spread evenly over the zones."""
+    """Returns all workers of a fleet, spread evenly over the zones."""
     return [Member(number, number % size.zones) for number in range(size.workers)]
 
 
 def frame(number: int, kind: EventKind, listed: list[Member]) -> bytes:
-    """One event of the membership stream."""
+    """Encodes one event of the membership stream."""
     body = b"".join(member.record() for member in listed)
     return _HEAD.pack(_HEAD.size - 4 + len(body), number, kind) + body
 
 
 def zone_names(size: FleetSize) -> list[str]:
+    """Returns the names of all zones, which are spread over the regions."""
     return [f"region{number % size.regions}-zone{number}" for number in range(size.zones)]
 
 
 def settings(size: FleetSize, assumptions: Assumptions) -> dict[str, Any]:
-    """The settings part of a dispatcher's configuration file."""
+    """Returns the settings section of a dispatcher's configuration file."""
     return {
         "balancers": size.dispatchers,
         "granularity": 0.001,
@@ -117,7 +119,7 @@
 def configuration(
     size: FleetSize, assumptions: Assumptions, name: str, seed: int, listed: list[Member]
 ) -> bytes:
-    """A dispatcher's configuration file with the whole list of workers in it."""
+    """Returns a dispatcher's configuration file with the complete list of workers."""
     zones = zone_names(size)
     known = [
         {
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,10 +1,10 @@
-"""Fits how costs grow with a fleet's size, and judges the prediction for sizes that were left out.
+"""Fits how costs grow with a fleet's size, and checks the predictions for sizes held out of the fit.
 
     .venv/bin/python -m benchmarks.scale.fit RECORDS.jsonl... [--json]
 
 Reads one JSON record a line, as `python -m benchmarks.scale` prints them. For each role, axis and cost the
-shapes are fitted by least squares; the one with the least residual is taken, and a growing shape only where
-it explains much more than a constant does. Bad input ends with one line on stderr and status 1.
+shapes are fitted by least squares. The one with the least residual is chosen, but a growing shape only where
+it leaves a much smaller residual than a constant. Bad input ends with one line on stderr and status 1.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 from benchmarks.scale.records import Record
 
-AXES = {  # names of axes in records, and the size that varies along each
+AXES = {  # Names of axes in records, and the size that varies along each.
     "dispatchers": "dispatchers",
     "workers": "workers",
     "instances": "instances",
@@ -33,15 +33,15 @@
     "changes": "changes_per_day",
     "zones": "zones",
 }
-SINGLE_RUNS = ("one", "fleet")  # axes of records that belong to no series
-MINIMUM_SIZES = 4  # distinct sizes that a series needs to be fitted
-TOLERANCE = 0.20  # relative error up to which a prediction counts as met
-NEGLIGIBLE = 0.02  # residual of a constant up to which nothing else is looked for
-EVIDENCE = 0.5  # a growing shape must leave at most this part of the constant's residual
+SINGLE_RUNS = ("one", "fleet")  # Axes of records that belong to no series.
+MINIMUM_SIZES = 4  # Distinct sizes that a series needs to be fitted.
+TOLERANCE = 0.20  # Largest relative error of an accepted prediction.
+NEGLIGIBLE = 0.02  # Residual of a constant up to which no other shape is tried.
+EVIDENCE = 0.5  # A growing shape must leave less than this share of the constant's residual.
 
 
 class BadRecords(Exception):
-    """A file that holds no usable records; the message is one line that says where and why."""
+    """A file without usable records; the message is one line with the place and the reason."""
 
 
 class Shape(Enum):
@@ -51,7 +51,7 @@
     LOGARITHMIC = "logarithmic"
     LINEAR = "linear"
     N_LOG_N = "n log n"
-    INVERSE = "inverse"  # falls as a part of a fixed total does, or rises to a limit
+    INVERSE = "inverse"  # Falls like a share of a fixed total, or rises to a limit.
 
 
 GROWTH: dict[Shape, Callable[[float], float]] = {
@@ -86,7 +86,7 @@
         return f"{self.intercept:.3g} {sign} {abs(self.slope):.3g} {TERMS[self.shape]}"
 
     def at(self, size: float) -> float:
-        """The cost at a size of the axis; costs are never negative."""
+        """Returns the cost at a size of the axis, which is never negative."""
         if self.shape is Shape.CONSTANT:
             return self.intercept
         return max(0.0, self.intercept + self.slope * GROWTH[self.shape](size))
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeriesName:
-    """What a series of measurements is of."""
+    """The role, axis and cost of a series of measurements."""
 
     role: str
     axis: str
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """A held-out size, predicted by a fit that does not contain it, beside what was measured there."""
+    """The prediction for a held-out size, by a fit that does not contain it, and the measurement."""
 
     size: float
     predicted: float
@@ -111,13 +111,14 @@
 
     @property
     def error(self) -> float:
-        """Signed error, as a part of the measurement."""
+        """Signed error relative to the measurement."""
         if self.measured == 0:
             return 0.0 if self.predicted == 0 else math.inf
         return (self.predicted - self.measured) / self.measured
 
     @property
     def verdict(self) -> str:
+        """Whether the error is within the tolerance, as text."""
         return "within 20%" if abs(self.error) <= TOLERANCE else "missed"
 
 
@@ -134,7 +135,7 @@
 
 
 def read(paths: Iterable[Path]) -> list[Record]:
-    """All records of some files. Raises `BadRecords`."""
+    """Reads all records of some files. Raises `BadRecords`."""
     records: list[Record] = []
     for path in paths:
         records += _read_file(path)
@@ -179,10 +180,10 @@
 
 
 def fit_series(sizes: Sequence[float], costs: Sequence[float]) -> Fit:
-    """The shape that explains a series best; needs `MINIMUM_SIZES` distinct positive sizes.
+    """Fits the shape that explains a series best; needs `MINIMUM_SIZES` distinct positive sizes.
 
-    Costs are not negative at any size: what grows without limit has no falling line, and the limit of an
-    inverse is zero at least.
+    Costs are not negative at any size: shapes without a limit must not fall, and the limit of an inverse is
+    at least zero.
     """
     if len(set(sizes)) < MINIMUM_SIZES:
         raise ValueError(f"a fit needs {MINIMUM_SIZES} distinct sizes")
@@ -196,7 +197,7 @@
 
 
 def _fit_shape(shape: Shape, sizes: Sequence[float], costs: Sequence[float]) -> Fit | None:
-    """The best fit of one shape; None where it would be one that no cost can have."""
+    """Returns the best fit of one shape; None where it would make costs negative at some size."""
     if shape is Shape.CONSTANT:
         return _least_squares(shape, sizes, costs, [_intercept])
     fit = _least_squares(shape, sizes, costs, [_intercept, GROWTH[shape]])
@@ -227,7 +228,7 @@
 
 
 def judge(records: Iterable[Record]) -> list[Judgement]:
-    """Every series of the records, sorted by name; single runs belong to none."""
+    """Fits every series of the records, sorted by name; single runs belong to none."""
     fitted: dict[SeriesName, list[tuple[float, float]]] = defaultdict(list)
     held_out: dict[SeriesName, list[tuple[float, float]]] = defaultdict(list)
     for record in records:
@@ -257,7 +258,7 @@
 
 
 def as_text(judgement: Judgement) -> str:
-    """One line for a series, and one for each of its predictions."""
+    """Formats a series as one line, followed by one line for each prediction."""
     name, fit = judgement.name, judgement.fit
     title = f"{name.role} / {name.axis} / {name.cost}"
     if fit is None:
@@ -275,23 +276,23 @@
 
 
 def as_json(judgement: Judgement) -> str:
-    """The same as one JSON object."""
+    """Formats a series and its predictions as one JSON object."""
     fit = judgement.fit
-    told = {
+    content = {
         **asdict(judgement.name),
         "fit": {**asdict(fit), "shape": fit.shape.value} if fit else None,
         "predictions": [
             {**asdict(each), "error": each.error, "verdict": each.verdict} for each in judgement.predictions
         ],
     }
-    return json.dumps(told)
+    return json.dumps(content)
 
 
 @click.command()
 @click.argument("paths", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--json", "json_lines", is_flag=True, help="One JSON object a series.")
+@click.option("--json", "json_lines", is_flag=True, help="Print one JSON object per series.")
 def main(paths: tuple[Path, ...], json_lines: bool) -> None:
-    """Fits the costs in files of scale records."""
+    """Fit the costs in files of scale records."""
     try:
         judgements = judge(read(paths))
     except BadRecords as error:
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -1,8 +1,8 @@
 """Many dispatchers and all workers of a fleet in one process.
 
-Before the measured window every function that the fleet calls at least once a keep-alive, by chance as often
-as its rate says, is called once at a random dispatcher, so that the window begins with a warm fleet.
-Dispatchers share the decoded lines of the list; everything else is each one's own.
+Before the measured window each function is called once at a random dispatcher, with the probability that the
+fleet calls it within a keep-alive, so that the window begins with a warm fleet. Dispatchers share the decoded
+endpoints of the list and nothing else.
 """
 
 from __future__ import annotations
@@ -33,9 +33,10 @@
 from benchmarks.scale.simulation import Outcomes, Simulation
 from benchmarks.scale.sizes import check_memory, resident_bytes
 
-SAMPLED = 5  # dispatchers whose memory is sized object by object
-WARM_UP_BEFORE_SWEEP = 0.25  # of the warm-up, in which only the usual traffic comes
-COLLECT_AFTER = (200_000, 20, 100)  # as the whole fleet's heap is far larger than a dispatcher's
+SAMPLED = 5  # Dispatchers whose memory is measured object by object.
+WARM_UP_BEFORE_SWEEP = 0.25  # Share of the warm-up with the usual traffic only.
+# Garbage collection thresholds; the heap of a fleet is far larger than that of one dispatcher.
+COLLECT_AFTER = (200_000, 20, 100)
 
 
 class FleetRun:
@@ -53,10 +54,11 @@
 
     @property
     def dispatchers(self) -> list[HollowDispatcher]:
+        """The dispatchers of the simulation."""
         return self.simulation.dispatchers
 
     def measure(self) -> None:
-        """Raises BadSize."""
+        """Runs all steps and records the costs. Raises BadSize."""
         resident = resident_bytes()
         with self.meter.collections():
             self._measure(resident)
@@ -75,21 +77,22 @@
             self.resynchronise_all()
 
     def start(self) -> None:
+        """Starts all dispatchers and records the cost of it."""
         listed = discovery.members(self.size)
         first, _, _ = configured(self.run, 0, listed)
         began = thread_time_ns()
         for number in range(self.size.dispatchers):
             self.simulation.check_time("the dispatchers started")
-            told, _, _ = configured(self.run, number, [])
+            node_config, _, _ = configured(self.run, number, [])
             self.simulation.add(
-                HollowDispatcher(told, self.simulation.clock, self.meter, first.initial_updates)
+                HollowDispatcher(node_config, self.simulation.clock, self.meter, first.initial_updates)
             )
         spent = self.meter.spent[Activity.MEMBERSHIP] + self.meter.spent[Activity.TIMERS]
         self.costs["start_ms"] = spent / len(self.dispatchers) / 1e6
         self.costs["start_all_cpu_seconds"] = (thread_time_ns() - began) / 1e9
 
     def warm(self) -> None:
-        """Usual traffic, and one call of what a keep-alive's traffic would have called."""
+        """Runs the usual traffic, and one call of each function drawn as called within a keep-alive."""
         simulation = self.simulation
         simulation.measuring = False
         simulation.traffic(self.size.calls_per_second, self.warm_up)
@@ -102,7 +105,7 @@
         simulation.run(left)
 
     def window(self) -> None:
-        """The measured seconds."""
+        """Runs the measured seconds and records their costs."""
         simulation, meter, run = self.simulation, self.meter, self.run
         simulation.measuring = True
         simulation.outcomes = Outcomes()
@@ -158,64 +161,67 @@
         return totals
 
     def _replicas(self) -> dict[str, float | None]:
-        """Instances that stand, in all and of a function that has any, by how rare it is."""
-        standing = self.simulation.workers.replicas(self.simulation.now)
-        of: dict[Rarity, list[int]] = defaultdict(list)
-        for function, number in standing.items():
-            of[self.simulation.rarities[function]].append(number)
+        """Loaded instances in total, and by rarity the mean of a function that has any."""
+        loaded = self.simulation.workers.replicas(self.simulation.now)
+        counts_by_rarity: dict[Rarity, list[int]] = defaultdict(list)
+        for function, number in loaded.items():
+            counts_by_rarity[self.simulation.rarities[function]].append(number)
         costs: dict[str, float | None] = {
-            "replicas_all": sum(standing.values()),
-            "functions_with_replicas": len(standing),
+            "replicas_all": sum(loaded.values()),
+            "functions_with_replicas": len(loaded),
         }
         for rarity in Rarity:
-            costs[f"replicas_per_function_{rarity.value}"] = fmean(of[rarity]) if of[rarity] else None
+            costs[f"replicas_per_function_{rarity.value}"] = (
+                fmean(counts_by_rarity[rarity]) if counts_by_rarity[rarity] else None
+            )
         return costs
 
     def memory(self) -> None:
-        """The mean of some dispatchers, each with the lines that it shares."""
+        """Records the mean memory of some dispatchers, each including the endpoints that it shares."""
         found = [footprint(dispatcher) for dispatcher in self.dispatchers[:SAMPLED]]
         self.costs["memory_bytes"] = fmean(sum(parts.values()) for parts in found)
         for part in found[0]:
             self.costs[f"memory_{part.value}_bytes"] = fmean(parts[part] for parts in found)
 
     def one_change(self) -> None:
-        """A worker drains: every dispatcher is told."""
+        """Measures a delta to every dispatcher, in which one worker is draining."""
         version = self.dispatchers[0].source.endpoint_list.version + 1
         data = discovery.frame(version, EventKind.DELTA, [Member(0, 0, WorkerState.DRAINING)])
-        spent, total = self._tell_all(data)
+        spent, total = self._deliver_to_all(data)
         self.costs["membership_delta_ms"] = spent
         self.discovery_costs["delta_all_bytes"] = total
 
     def resynchronise_all(self) -> None:
+        """Measures a snapshot of the complete list to every dispatcher."""
         version = self.dispatchers[0].source.endpoint_list.version + 1
         data = discovery.frame(version, EventKind.SNAPSHOT, discovery.members(self.size))
-        spent, total = self._tell_all(data)
+        spent, total = self._deliver_to_all(data)
         self.costs["resync_ms"] = spent
         self.costs["resync_all_cpu_seconds"] = spent * len(self.dispatchers) / 1e3
         self.discovery_costs["snapshot_bytes"] = len(data)
         self.discovery_costs["snapshot_all_bytes"] = total
 
-    def _tell_all(self, data: bytes) -> tuple[float, int]:
-        """CPU ms of one dispatcher, and bytes of all."""
+    def _deliver_to_all(self, data: bytes) -> tuple[float, int]:
+        """Delivers a frame to all dispatchers; returns the mean CPU ms of one and the bytes of all."""
         began = thread_time_ns()
         for dispatcher in self.dispatchers:
-            self.simulation.check_time("all dispatchers were told of a change")
+            self.simulation.check_time("a change was delivered to all dispatchers")
             dispatcher.membership(data)
         spent = thread_time_ns() - began
         return spent / len(self.dispatchers) / 1e6, len(data) * len(self.dispatchers)
 
 
 def freeze_heap() -> None:
-    """Leaves what stands now out of later collections."""
+    """Excludes all present objects from later garbage collections."""
     gc.collect()
     gc.freeze()
 
 
 def measure_fleet(run: Run, warm_up: float) -> list[Record]:
-    """The records of a whole fleet. Raises BadSize."""
+    """Measures a complete fleet and returns its records. Raises BadSize."""
     with logs_discarded():
-        whole = replace(run, seconds=run.seconds + warm_up)
-        check_memory(estimate_memory_bytes(whole, run.size.dispatchers))
+        with_warm_up = replace(run, seconds=run.seconds + warm_up)
+        check_memory(estimate_memory_bytes(with_warm_up, run.size.dispatchers))
         measured = FleetRun(run, warm_up)
         measured.measure()
     about = about_run(run, measured.simulation, measured.passed)
--- a/benchmarks/scale/footprint.py
+++ b/benchmarks/scale/footprint.py
@@ -1,9 +1,9 @@
-"""How much memory a dispatcher's objects take, by the part they belong to, measured from outside.
+"""Measures the memory of a dispatcher's objects by the part they belong to, from outside it.
 
-Objects are walked from the dispatcher. Each is counted once, for the part that its type names, else for the
-part that the attribute holding it names, else for the part of its holder. Types and attributes that are not
-there are passed over, so that the policy may change inside. Strings, enums and classes shared by all
-dispatchers are counted where they are met first.
+Objects are walked from the dispatcher. Each is counted once, for the part that its type name indicates, else
+for the part that the referring attribute indicates, else for the part of the referring object. Names in the
+rules that do not exist are ignored, so that the policy may change internally. Strings, enums and classes
+shared by all dispatchers are counted where they are found first.
 """
 
 from __future__ import annotations
@@ -64,25 +64,26 @@
 
 
 class Footprint:
-    """Bytes by part, from one walk."""
+    """Counts bytes by part; each object is counted once over all walks."""
 
     def __init__(self) -> None:
         self.bytes: Counter[Part] = Counter()
-        self._seen: set[int] = set()
+        self._visited: set[int] = set()
         self._types: dict[type, Part | None] = {}
         self._names: dict[str, Part | None] = {}
         self._slots: dict[type, list[str]] = {}
 
     def walk(self, root: Any) -> None:
+        """Adds the memory of an object and of all that it refers to."""
         waiting: deque[tuple[Any, Part]] = deque([(root, Part.OTHER)])
         while waiting:
             found, part = waiting.popleft()
             kind = type(found)
-            if id(found) in self._seen or (found is not root and isinstance(found, SKIPPED[:-2])):
+            if id(found) in self._visited or (found is not root and isinstance(found, SKIPPED[:-2])):
                 continue
-            if kind.__module__.startswith(FOREIGN) and kind.__name__ != "MeteredBorder":
+            if kind.__module__.startswith(FOREIGN) and kind.__name__ != "MeteredBoundary":
                 continue
-            self._seen.add(id(found))
+            self._visited.add(id(found))
             part = self._of_type(kind) or part
             self.bytes[part] += sys.getsizeof(found)
             if not isinstance(found, (int, float, str, bytes, GeneratorType)):
@@ -120,13 +121,13 @@
             for base in kind.__mro__:
                 slots = base.__dict__.get("__slots__", ())
                 found += [slots] if isinstance(slots, str) else list(slots)
-            fields = getattr(kind, "__struct_fields__", ())  # of msgspec
+            fields = getattr(kind, "__struct_fields__", ())  # Fields of a msgspec struct.
             self._slots[kind] = [n for n in {*found, *fields} if not n.startswith("__")]
         return self._slots[kind]
 
 
 def footprint(root: Any) -> dict[Part, int]:
-    """Bytes by part of all that an object holds."""
+    """Returns the bytes by part of all objects reachable from an object."""
     walked = Footprint()
     walked.walk(root)
     return {part: walked.bytes[part] for part in Part}
--- a/benchmarks/scale/measure.py
+++ b/benchmarks/scale/measure.py
@@ -1,4 +1,4 @@
-"""What one dispatcher costs at one size, and what it asks of the other roles."""
+"""Measures the costs of one dispatcher at one size, and its load on the other roles."""
 
 from __future__ import annotations
 
@@ -37,18 +37,19 @@
 from martenlead.node.serve import freeze_heap
 from martenlead.system.log import configure_log
 
-DELTAS = 6  # membership changes that are measured one by one
+DELTAS = 6  # Membership changes that are measured one by one.
 AFTER_CHANGE_SECONDS = 1.0
 PROBED_FUNCTIONS = 20
 TIME_UNITS = ("_us", "_ms", "_percent_core")
-LAW_BYTES = 100  # of each function, for the law of calls, before anything of the program is there
-MEMORY_SPARE = 1.15  # what the interpreter takes beside the counted objects
-RUNTIME_SETTINGS = 1  # of a configuration file, what a running dispatcher takes over: the journal's address
+# Memory per function that the distribution of calls needs, before the program allocates anything.
+POPULARITY_BYTES = 100
+MEMORY_OVERHEAD = 1.15  # Factor for memory of the interpreter beyond the counted objects.
+RUNTIME_SETTINGS = 1  # Settings that a running dispatcher reloads: only the journal's address.
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """What is asked for."""
+    """The parameters of a run. `deadline` is a time of `time.monotonic`."""
 
     size: FleetSize
     assumptions: Assumptions
@@ -57,13 +58,13 @@
     deadline: float
     axis: str
     held_out: bool = False
-    all_functions: bool = False  # whether each function is called once in the end, for the memory it takes
-    repeats: int = 1  # of times the lowest counts: other work on the machine only adds to them
+    all_functions: bool = False  # Whether to call each function once at the end to measure its memory.
+    repeats: int = 1  # The lowest time counts, as other load on the machine only increases times.
 
 
 @contextmanager
 def logs_discarded() -> Iterator[None]:
-    """The program's log is written as in production, and thrown away."""
+    """Writes the program's log as in production, but discards it."""
     before = structlog.get_config()
     with open("/dev/null", "w") as nowhere:
         configure_log(stream=nowhere)
@@ -74,38 +75,38 @@
 
 
 def configured(run: Run, number: int, listed: list[Member]) -> tuple[config.NodeConfig, int, float]:
-    """A dispatcher's configuration, the size of its file in bytes, and the CPU ms of reading it."""
+    """Returns a dispatcher's configuration, the bytes of its file and the CPU ms to read it."""
     name = f"dispatcher-{number:03d}"
     data = discovery.configuration(run.size, run.assumptions, name, run.seed * 1_000 + number, listed)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "configuration.json"
         path.write_bytes(data)
         began = thread_time_ns()
-        told = config.read_config(path)
-        return told, len(data), (thread_time_ns() - began) / 1e6
+        node_config = config.read_config(path)
+        return node_config, len(data), (thread_time_ns() - began) / 1e6
 
 
 def estimate_memory_bytes(run: Run, dispatchers: int) -> float:
-    """What so many dispatchers will hold at the end of a run, from a probe in a process of its own."""
-    check_memory(run.size.functions * LAW_BYTES)  # the probe needs as much
+    """Estimates the memory of the dispatchers at the end of a run, by a probe in a separate process."""
+    check_memory(run.size.functions * POPULARITY_BYTES)  # The probe needs the same amount.
     with logs_discarded(), ProcessPoolExecutor(1, mp_context=get_context("fork")) as pool:
         probed = pool.submit(_probe_memory, run).result()
     functions = functions_met(run)
     one, another = (size + probed.function * functions for size in (probed.first, probed.second))
-    return (one + another * (dispatchers - 1)) * MEMORY_SPARE
+    return (one + another * (dispatchers - 1)) * MEMORY_OVERHEAD
 
 
 def functions_met(run: Run) -> float:
-    """How many functions one dispatcher meets in a run, on average."""
+    """Returns the expected number of functions that one dispatcher is called for in a run."""
     if run.all_functions:
         return run.size.functions
-    law = Popularity(run.size.functions, run.assumptions.zipf_exponent, run.assumptions.zipf_offset)
-    return law.expected_distinct(run.size.calls_per_dispatcher * run.seconds)
+    popularity = Popularity(run.size.functions, run.assumptions.zipf_exponent, run.assumptions.zipf_offset)
+    return popularity.expected_distinct(run.size.calls_per_dispatcher * run.seconds)
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """Bytes of a first dispatcher with the whole list, of a second that shares its lines, of a function."""
+    """Bytes of a first dispatcher, of a second that shares its endpoints, and of one function."""
 
     first: float
     second: float
@@ -113,11 +114,11 @@
 
 
 def _probe_memory(run: Run) -> Probed:
-    """Two dispatchers with the whole list, and what a few functions add to the second."""
+    """Measures two dispatchers with the complete list, and what a few functions add to the second."""
     simulation = Simulation(run.size, run.assumptions, run.seed, run.deadline, heartbeats=False)
     listed = discovery.members(run.size)
-    told, _, _ = configured(run, 0, listed)
-    first, second = (HollowDispatcher(told, simulation.clock, Meter()) for _ in range(2))
+    node_config, _, _ = configured(run, 0, listed)
+    first, second = (HollowDispatcher(node_config, simulation.clock, Meter()) for _ in range(2))
     simulation.add(first)
     simulation.add(second)
     both = Footprint()
@@ -128,7 +129,7 @@
     before = sum(footprint(second).values())
     probed = min(PROBED_FUNCTIONS, run.size.functions)
     for function in range(probed):
-        second.take(Call(f"probe{function}", function, simulation.now))
+        second.accept_call(Call(f"probe{function}", function, simulation.now))
     each = (sum(footprint(second).values()) - before) / probed
     return Probed(size, another, each)
 
@@ -148,7 +149,7 @@
         self.dispatcher: HollowDispatcher
 
     def measure(self) -> None:
-        """Raises BadSize."""
+        """Runs all steps and records the costs. Raises BadSize."""
         resident = resident_bytes()
         collect_as_the_program_does()
         with self.meter.collections():
@@ -164,16 +165,18 @@
             self.resynchronisation()
 
     def start(self) -> None:
-        told, self.file_bytes, read_ms = configured(self.run, 0, list(self.listed.values()))
+        """Starts the dispatcher from its configuration and records the costs."""
+        node_config, self.file_bytes, read_ms = configured(self.run, 0, list(self.listed.values()))
         began = thread_time_ns()
-        self.dispatcher = HollowDispatcher(told, self.simulation.clock, self.meter)
+        self.dispatcher = HollowDispatcher(node_config, self.simulation.clock, self.meter)
         self.simulation.add(self.dispatcher)
         self.costs["configuration_read_ms"] = read_ms
         self.costs["start_ms"] = read_ms + (thread_time_ns() - began) / 1e6
         self.costs["start_received_bytes"] = self.file_bytes
-        freeze_heap()  # as the program does once the list is known
+        freeze_heap()  # As the program does once the list is known.
 
     def traffic(self) -> None:
+        """Runs the traffic and records its costs."""
         meter, simulation = self.meter, self.simulation
         meter.spent.clear()
         meter.longest.clear()
@@ -218,12 +221,13 @@
         }
 
     def memory(self) -> None:
+        """Records the memory of the dispatcher by part."""
         found = footprint(self.dispatcher)
         self.costs["memory_bytes"] = sum(found.values())
         self.costs |= {f"memory_{part.value}_bytes": size for part, size in found.items()}
 
     def all_functions(self) -> None:
-        """Calls each function once, at the usual rate of calls, and sizes the dispatcher again."""
+        """Calls each function once at the usual rate, and measures the memory again."""
         self.simulation.measuring = False
         seconds = self.size.functions / self.size.calls_per_dispatcher
         self.simulation.sweep(list(range(self.size.functions)), seconds)
@@ -234,25 +238,28 @@
         self.costs |= {f"all_functions_memory_{part.value}_bytes": size for part, size in found.items()}
 
     def state(self) -> None:
-        """What would be kept on disk of this dispatcher's knowledge; None where it cannot be read."""
+        """Records the size of the dispatcher's durable state; None where it cannot be read."""
         self.costs["state_bytes"] = self.costs["state_gather_ms"] = None
         real = self.dispatcher.dispatcher
-        boxes = {
-            box.policy_worker: (name, box.endpoint.incarnation, False) for name, box in real.workers.items()
+        workers = {
+            worker.policy_worker: (name, worker.endpoint.incarnation, False)
+            for name, worker in real.workers.items()
         }
-        names = {model: known.name for model, known in real.by_policy_function.items()}
+        names = {model: entry.name for model, entry in real.by_policy_function.items()}
         began = thread_time_ns()
         try:
-            told = real.policy_boundary.inspect(
-                lambda policy, now: knowledge.gather_knowledge(policy, now, names, boxes)
+            saved_knowledge = real.policy_boundary.inspect(
+                lambda policy, now: knowledge.gather_knowledge(policy, now, names, workers)
             )
         except (AttributeError, TypeError, KeyError):
             return
         self.costs["state_gather_ms"] = (thread_time_ns() - began) / 1e6
-        self.costs["state_bytes"] = len(pack_state(StateKind("knowledge"), "scale", 1, EPOCH_NS, told))
+        self.costs["state_bytes"] = len(
+            pack_state(StateKind("knowledge"), "scale", 1, EPOCH_NS, saved_knowledge)
+        )
 
     def membership_changes(self) -> None:
-        """Workers are replaced one by one; then a second of traffic on the changed list."""
+        """Replaces workers one by one, then runs a second of traffic with the changed list."""
         self.simulation.measuring = False
         version = self.dispatcher.source.endpoint_list.version
         spent, sizes = [], []
@@ -264,7 +271,7 @@
                 version += 1
                 data = discovery.frame(version, EventKind.DELTA, [member])
                 sizes.append(len(data))
-                spent.append(self._heard(data))
+                spent.append(self._apply_frame(data))
             del self.listed[number]
             self.listed[new.number] = new
         self.costs["membership_delta_ms"] = fmean(spent) / 1e6
@@ -278,7 +285,7 @@
         self.costs["serving_cpu_per_call_after_change_us"] = serving / max(1, calls) / 1e3
 
     def zone_change(self) -> None:
-        """All workers of one zone are gone, then all are back as new processes, each in one event."""
+        """Removes all workers of a zone in one event, and returns them as new processes in another."""
         version = self.dispatcher.source.endpoint_list.version
         started = self.simulation.now // 1_000_000
         zone = [member for member in self.listed.values() if member.zone == 0]
@@ -286,28 +293,28 @@
         back = [replace(member, started_ms=started) for member in zone]
         data = discovery.frame(version + 1, EventKind.DELTA, lost)
         self.costs["zone_lost_bytes"] = len(data)
-        self.costs["zone_lost_ms"] = self._heard(data) / 1e6
+        self.costs["zone_lost_ms"] = self._apply_frame(data) / 1e6
         data = discovery.frame(version + 2, EventKind.DELTA, back)
         self.costs["zone_returned_bytes"] = len(data)
-        self.costs["zone_returned_ms"] = self._heard(data) / 1e6
+        self.costs["zone_returned_ms"] = self._apply_frame(data) / 1e6
         self.listed |= {member.number: member for member in back}
 
-    def _heard(self, data: bytes) -> int:
-        """CPU ns of one event."""
+    def _apply_frame(self, data: bytes) -> int:
+        """Delivers an event to the dispatcher and returns the CPU ns."""
         began = thread_time_ns()
         self.dispatcher.membership(data)
         return thread_time_ns() - began
 
     def resynchronisation(self) -> None:
-        """The whole list again, as it stands: nothing in it is new."""
+        """Measures a snapshot of the complete list that contains no change."""
         version = self.dispatcher.source.endpoint_list.version + 1
         data = discovery.frame(version, EventKind.SNAPSHOT, list(self.listed.values()))
-        self.costs["resync_ms"] = self._heard(data) / 1e6
+        self.costs["resync_ms"] = self._apply_frame(data) / 1e6
         self.costs["resync_bytes"] = len(data)
 
 
 def outcome_costs(outcomes: Outcomes) -> dict[str, float | None]:
-    """Shares of final responses, and cold starts by how rare a function is."""
+    """Returns the share of succeeded calls, and cold starts by the rarity of functions."""
     calls = max(1, sum(outcomes.finals.values()))
     succeeded = sum(outcomes.succeeded.values())
     cold = sorted(lag for lags in outcomes.cold.values() for lag in lags)
@@ -319,20 +326,20 @@
     }
     for rarity in Rarity:
         lags = sorted(outcomes.cold.get(rarity, []))
-        of = outcomes.succeeded[rarity]
-        costs[f"cold_start_share_{rarity.value}"] = len(lags) / of if of else None
+        rarity_succeeded = outcomes.succeeded[rarity]
+        costs[f"cold_start_share_{rarity.value}"] = len(lags) / rarity_succeeded if rarity_succeeded else None
         costs[f"cold_start_p50_{rarity.value}_ms"] = quantile_ms(lags, 0.5)
         costs[f"cold_start_p99_{rarity.value}_ms"] = quantile_ms(lags, 0.99)
     return costs
 
 
 def quantile_ms(lags: list[int], share: float) -> float | None:
-    """Of sorted ns; None where there are none."""
+    """Returns a quantile of sorted latencies in ns, as ms; None where there are none."""
     return lags[min(len(lags) - 1, int(share * len(lags)))] / 1e6 if lags else None
 
 
 def measure_one(run: Run, check: bool = True) -> list[Record]:
-    """The records of one dispatcher, and of the roles it is served by. Raises BadSize."""
+    """Measures one dispatcher; returns its records and those of the other roles. Raises BadSize."""
     with logs_discarded():
         if check:
             check_memory(estimate_memory_bytes(run, 1))
@@ -349,7 +356,7 @@
 
 
 def lowest_times(one: dict[str, float | None], other: dict[str, float | None]) -> dict[str, float | None]:
-    """The first's costs, but the lower of the two where they are times."""
+    """Returns the first costs, with the lower of both where a cost is a time."""
     return {name: _lower(name, cost, other[name]) for name, cost in one.items()}
 
 
@@ -359,7 +366,7 @@
 
 
 def about_run(run: Run, simulation: Simulation, passed: float) -> dict[str, Any]:
-    """What every record of a run says of it."""
+    """Returns the fields that all records of a run share."""
     return {
         "axis": run.axis,
         "assumptions": asdict(run.assumptions),
@@ -371,6 +378,7 @@
 
 
 def records_of(measured: DispatcherRun) -> list[Record]:
+    """Returns the records of all roles from the measured costs."""
     run, costs = measured.run, measured.costs
     about = about_run(run, measured.simulation, measured.passed)
     dispatchers, changes = run.size.dispatchers, run.size.changes_per_day
@@ -441,7 +449,7 @@
 
 
 def _cost(costs: dict[str, float | None], name: str) -> float:
-    """A cost that is always measured."""
+    """Returns a cost that is always measured."""
     value = costs[name]
     assert value is not None
     return value
--- a/benchmarks/scale/meter.py
+++ b/benchmarks/scale/meter.py
@@ -1,4 +1,4 @@
-"""CPU time by what it was spent on, of this thread, so that other work on the machine matters less."""
+"""Measures CPU time by activity, of this thread only, so that other load on the machine matters less."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
 
 
 class Meter:
-    """Totals of one or more dispatchers. Times are ns of CPU."""
+    """Totals of one or more dispatchers, in ns of CPU time."""
 
     def __init__(self, without_collections: bool = False) -> None:
-        """`without_collections` leaves garbage collection out of steps: a collection of many dispatchers in
-        one process takes far longer than one of theirs would."""
+        """`without_collections` subtracts garbage collection from steps: a collection over many dispatchers
+        in one process takes far longer than it would for a single dispatcher."""
         self.without_collections = without_collections
         self.spent: Counter[Activity] = Counter()
-        self.steps: Counter[str] = Counter()  # CPU time in the policy, by the border's method
+        self.steps: Counter[str] = Counter()  # CPU time in the policy, by method of the boundary.
         self.longest: Counter[str] = Counter()
         self.collecting = 0
         self._collection_began = 0
 
     @contextmanager
     def measure(self, activity: Activity) -> Iterator[None]:
+        """Adds the CPU time within the context to an activity."""
         collected, began = self.collecting, thread_time_ns()
         yield
         self.spent[activity] += thread_time_ns() - began
@@ -42,12 +43,13 @@
             self.spent[activity] -= self.collecting - collected
 
     def step(self, name: str, spent: int) -> None:
+        """Records the CPU time of one call into the policy."""
         self.steps[name] += spent
         if spent > self.longest[name]:
             self.longest[name] = spent
 
     def garbage(self, phase: str, _info: dict[str, int]) -> None:
-        """For `gc.callbacks`."""
+        """Measures a garbage collection; a callback for `gc.callbacks`."""
         if phase == "start":
             self._collection_began = thread_time_ns()
         else:
@@ -55,7 +57,7 @@
 
     @contextmanager
     def collections(self) -> Iterator[None]:
-        """Counts what garbage collection takes meanwhile."""
+        """Measures garbage collections within the context."""
         gc.callbacks.append(self.garbage)
         try:
             yield
@@ -63,17 +65,18 @@
             gc.callbacks.remove(self.garbage)
 
     def longest_step(self) -> int:
+        """Returns the longest call into the policy, in ns of CPU time."""
         return max(self.longest.values(), default=0)
 
 
-class MeteredBorder:
-    """Stands in front of a dispatcher's border and times each call into the policy."""
+class MeteredBoundary:
+    """Wraps a dispatcher's policy boundary and measures each call into the policy."""
 
-    def __init__(self, border: Any, meter: Meter) -> None:
-        self._border, self._meter = border, meter
+    def __init__(self, boundary: Any, meter: Meter) -> None:
+        self._boundary, self._meter = boundary, meter
 
     def __getattr__(self, name: str) -> Any:
-        method = getattr(self._border, name)
+        method = getattr(self._boundary, name)
         if name in ("next_due_ns", "inspect") or not callable(method):
             return method
         timed = self._timed(name, method)
@@ -84,6 +87,7 @@
         meter = self._meter
 
         def timed(*arguments: Any, **named: Any) -> Any:
+            """Calls the method and records its CPU time."""
             collected, began = meter.collecting, thread_time_ns()
             try:
                 return method(*arguments, **named)
--- a/benchmarks/scale/pooled.py
+++ b/benchmarks/scale/pooled.py
@@ -1,8 +1,9 @@
-"""A hollow dispatcher whose link is the node's own, with the node's rules on connections, in virtual time.
+"""A hollow dispatcher with the node's own link and its rules for connections, in virtual time.
 
-`RunnerLink` and `Conn` decide which connection a line leaves on, when a new one is made, and when one is
-closed. The event loop's part is replaced: connections come up after a round trip, what is written is kept for
-the simulation, and time-outs are run when the virtual clock comes to them. No socket is opened.
+`WorkerClient` and `UpstreamConnection` decide which connection a line is sent on, when a new one is opened,
+and when one is closed. The event loop is replaced: connections are established after a round trip, written
+lines are queued for the simulation, and time-outs run when the virtual clock reaches them. No socket is
+opened.
 """
 
 from __future__ import annotations
@@ -47,75 +48,86 @@
 
 
 class VirtualTransport:
-    """What a connection writes to, once it is up."""
+    """The transport of an established connection; it queues lines for the simulation."""
 
     def __init__(self, link: PooledLink, conn: UpstreamConnection) -> None:
         self.link, self.conn = link, conn
         self.closed = False
 
     def write(self, line: bytes) -> None:
+        """Queues a line, unless the connection is closed."""
         if not self.closed:
             self.link.written.append((self.conn, line))
 
     def is_closing(self) -> bool:
+        """Whether the connection is closed."""
         return self.closed
 
     def abort(self) -> None:
+        """Closes the connection."""
         self.close()
 
     def close(self) -> None:
+        """Closes the connection."""
         if not self.closed:
             self.closed = True
             self.link.open_connections -= 1
 
     def get_extra_info(self, _name: str) -> None:
-        """There is no socket: nothing can wait on it unread."""
+        """Returns None, as there is no socket with unread data."""
 
     def set_write_buffer_limits(self, _high: int) -> None:
-        """The machine takes each line at once."""
+        """Does nothing, as each line is accepted at once."""
 
 
-class ConnectionsWanted:
-    """In place of the link's task group: it is asked for nothing but to make connections."""
+class ConnectionOpener:
+    """Replaces the link's task group, which is only used to open connections."""
 
     def __init__(self, link: PooledLink) -> None:
         self.link = link
 
     def start_soon(self, _connect: Callable[..., Any], conn: UpstreamConnection) -> None:
+        """Queues a connection that the simulation establishes after a round trip."""
         conn.pool.connections_opened += 1
         self.link.count_connection()
         self.link.connecting.append(conn)
 
 
 class UnscheduledTimeouts(CallTimeouts):
-    """Time-outs without a timer: the simulation asks for the next one after each event."""
+    """Time-outs without a timer: the simulation checks the next one after each event."""
 
     def schedule(self) -> None:
         """Sets no timer."""
 
 
 class PooledLink(WorkerClient):
-    """The node's link; the simulation carries its lines and runs its time-outs."""
+    """The node's link; the simulation delivers its lines and runs its time-outs."""
 
-    def __init__(self, told: config.NodeConfig, sockets: int, clock: Callable[[], int]) -> None:
-        """`sockets` is the dispatcher's limit on descriptors, shared out as the node does."""
-        soft = {
-            name: offering.latency_objective_ns
-            for name, offering in told.dispatcher_settings.request_classes.items()
+    def __init__(self, node_config: config.NodeConfig, sockets: int, clock: Callable[[], int]) -> None:
+        """`sockets` is the dispatcher's limit on descriptors, allocated as the node does."""
+        latency_objectives_ns = {
+            name: request_class.latency_objective_ns
+            for name, request_class in node_config.dispatcher_settings.request_classes.items()
         }
-        super().__init__(told.connection_settings, max(16, sockets - RESERVED_DESCRIPTORS) // 2, soft, clock)
-        self._task_group: Any = ConnectionsWanted(self)
+        super().__init__(
+            node_config.connection_settings,
+            max(16, sockets - RESERVED_DESCRIPTORS) // 2,
+            latency_objectives_ns,
+            clock,
+        )
+        self._task_group: Any = ConnectionOpener(self)
         self._timeouts = UnscheduledTimeouts(clock, self._expire)
         self.counts = LinkCounts()
         self.connecting: list[UpstreamConnection] = []
         self.connections_made = 0
-        self.open_connections = self.most_connections = 0  # one that is given up as it comes up, until then
+        # A connection that is abandoned while it is being established counts as open until it is established.
+        self.open_connections = self.peak_connections = 0
         self.written: list[tuple[UpstreamConnection, bytes]] = []
         self.attempts: list[Written] = []
         self.loads: list[Written] = []
 
     def due(self) -> int | None:
-        """When the next time-out is."""
+        """Returns the time of the next time-out, None if there is none."""
         return self._timeouts.next_due_ns()
 
     def expire(self) -> None:
@@ -123,23 +135,23 @@
         self._timeouts.expire_due()
 
     def count_connection(self) -> None:
-        """One more is being made."""
+        """Counts a connection that is being established."""
         self.connections_made += 1
         self.open_connections += 1
-        self.most_connections = max(self.most_connections, self.open_connections)
+        self.peak_connections = max(self.peak_connections, self.open_connections)
 
     def sort_written(self) -> None:
-        """What was written since, by what it is."""
+        """Sorts the lines written since the last call into attempts, load requests and cancellations."""
         lines, self.written = self.written, []
         for conn, line in lines:
-            told = msgspec.json.decode(line)
+            message = msgspec.json.decode(line)
             worker = int(IPv4Address(conn.pool.host)) - discovery.FIRST_ADDRESS
-            if told["m"] == "UNDO":
+            if message["m"] == "UNDO":
                 self.counts.cancels += 1
                 continue
-            function = function_number(told["props"]["name"])
-            sent = Written(conn, told["txn"], worker, function)
-            if told["m"] == "DO":
+            function = function_number(message["props"]["name"])
+            sent = Written(conn, message["txn"], worker, function)
+            if message["m"] == "DO":
                 self.counts.attempts += 1
                 self.attempts.append(sent)
             else:
@@ -150,25 +162,30 @@
 class PooledDispatcher(HollowDispatcher):
     """A hollow dispatcher with the node's link."""
 
-    def __init__(self, told: config.NodeConfig, clock: Callable[[], int], meter: Meter, sockets: int) -> None:
-        """`sockets` is its limit on descriptors."""
+    def __init__(
+        self, node_config: config.NodeConfig, clock: Callable[[], int], meter: Meter, sockets: int
+    ) -> None:
+        """`sockets` is the limit on descriptors."""
         self.sockets = sockets
         self.open_calls: dict[str, Call] = {}
-        self.link_armed = NEVER  # when the simulation runs the link's time-outs next
-        super().__init__(told, clock, meter)
+        self.link_armed = NEVER  # When the simulation next runs the link's time-outs.
+        super().__init__(node_config, clock, meter)
 
-    def make_link(self, told: config.NodeConfig, clock: Callable[[], int]) -> Any:
-        return PooledLink(told, self.sockets, clock)
+    def make_link(self, node_config: config.NodeConfig, clock: Callable[[], int]) -> Any:
+        """Creates the node's link."""
+        return PooledLink(node_config, self.sockets, clock)
 
-    def take(self, call: Call) -> None:
+    def accept_call(self, call: Call) -> None:
+        """Accepts the call of a client."""
         name = function_name(call.function)
         self.open_calls[call.id] = call
         done = call.done
 
-        def over(held: PendingRequest) -> None:
+        def call_finished(request: PendingRequest) -> None:
+            """Removes the call and passes on its outcome."""
             self.open_calls.pop(call.id, None)
             if done is not None:
-                done(held)
+                done(request)
 
         with self.meter.measure(Activity.SERVING):
             message = rpc.Call(
@@ -185,7 +202,7 @@
                 discovery.FUNCTION_MEMORY_MB,
                 BODY_BASE64,
             )
-            wanted = IncomingRequest(
+            incoming = IncomingRequest(
                 discovery.REQUEST_CLASS,
                 name,
                 None,
@@ -197,36 +214,38 @@
                 call.id,
                 call.id,
             )
-            self.dispatcher.accept(wanted, call.arrived, message, len(BODY_BASE64), on_outcome=over)
+            self.dispatcher.accept(
+                incoming, call.arrived, message, len(BODY_BASE64), on_outcome=call_finished
+            )
             self.dispatcher.defer(_nothing)
 
     def connected(self, conn: UpstreamConnection) -> None:
-        """The connection is up."""
+        """Establishes a connection."""
         with self.meter.measure(Activity.SERVING):
             conn.connection_made(VirtualTransport(self.link, conn))
 
-    def heard(self, sent: Written, line: bytes, activity: Activity) -> None:
-        """A line of a worker arrives, unless its connection has ended."""
+    def receive_line(self, sent: Written, line: bytes, activity: Activity) -> None:
+        """Processes a line of a worker, unless its connection is closed."""
         if sent.conn.transport.is_closing():
             return
         with self.meter.measure(activity):
             sent.conn.data_received(line + b"\n")
 
     def maintain(self) -> None:
-        """The link's periodic look for idle connections."""
+        """Runs the link's periodic check for idle connections."""
         with self.meter.measure(Activity.TIMERS):
             self.link.close_idle_connections()
 
 
 class PooledSimulation(Simulation):
-    """Carries lines over the link's connections."""
+    """Delivers lines over the link's connections."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
         self._handlers[Event.CONNECTED] = self._connected
 
     def carry_from(self, number: int) -> None:
-        """Carries what a dispatcher has sent outside of an event."""
+        """Delivers what a dispatcher has sent outside of an event."""
         self._after(number)
 
     def _after(self, number: int) -> None:
@@ -265,20 +284,24 @@
         call = dispatcher.open_calls.get(sent.txn)
         if call is not None:
             call.cold = met in (Met.BEGAN_LOAD, Met.WAITED_FOR_LOAD)
-        word = b"WAIT" if met is Met.NO_ROOM else b"DONE"
+        response_word = b"WAIT" if met is Met.NO_ROOM else b"DONE"
         line = b'{"m":"%b","txn":"%b","props":{"why":"%b"},"raw":"eyJ5IjoxfQ=="}' % (
-            word,
+            response_word,
             sent.txn.encode(),
             met.value.encode(),
         )
-        dispatcher.heard(sent, line, Activity.SERVING)
+        dispatcher.receive_line(sent, line, Activity.SERVING)
 
     def _load_ends(self, number: int, about: tuple[Any, bool]) -> None:
-        sent, stands = about
-        word, instances = (b"DONE", 1) if stands else (b"WAIT", 0)
-        line = b'{"m":"%b","txn":"%b","props":{"instances":%d}}' % (word, sent.txn.encode(), instances)
+        sent, is_loaded = about
+        response_word, instances = (b"DONE", 1) if is_loaded else (b"WAIT", 0)
+        line = b'{"m":"%b","txn":"%b","props":{"instances":%d}}' % (
+            response_word,
+            sent.txn.encode(),
+            instances,
+        )
         dispatcher: Any = self.dispatchers[number]
-        dispatcher.heard(sent, line, Activity.LOAD_REQUESTS)
+        dispatcher.receive_line(sent, line, Activity.LOAD_REQUESTS)
 
     def _expires(self, number: int, due: Any) -> None:
         dispatcher: Any = self.dispatchers[number]
@@ -289,4 +312,4 @@
 
 
 def _nothing() -> None:
-    """The dispatcher runs what is due behind it."""
+    """Deferred so that the dispatcher runs its due work afterwards."""
--- a/benchmarks/scale/production.py
+++ b/benchmarks/scale/production.py
@@ -1,12 +1,13 @@
-"""The same minutes on more and smaller workers, beside what a dispatcher may need then.
+"""Plays the same traffic on more and smaller workers, and checks a dispatcher's costs against bounds.
 
     python -m benchmarks.scale.production
 
-Hollow dispatchers with the node's own link play a start, traffic, the replacement of half of the workers, a
-zone that is lost and returns cold, and a whole list that is sent again. Of the sizes the first is the usual
-one. Traffic of a dispatcher, its limits and the capacity of all workers together stay as they are; a worker
-of a fleet that is sixteen times as large is a sixteenth as large. Each size is played in a process of its
-own, one after the other. Exit status 1 where a bound does not hold, 2 where a size was not played to its end.
+Hollow dispatchers with the node's own link run through a start, traffic, the replacement of half of the
+workers, a zone that is lost and returns cold, and a snapshot of the complete list. The first size is the
+usual one. The traffic of a dispatcher, its limits and the total capacity of the workers stay the same: in a
+fleet with sixteen times as many workers, each has a sixteenth of the capacity. Sizes run one after the other,
+each in a separate process. Exits with status 1 where a bound does not hold, 2 where a size did not run to its
+end.
 """
 
 from __future__ import annotations
@@ -33,13 +34,11 @@
 from martenlead.edge.records import FinalOutcome
 from martenlead.node.worker_client import SWEEP_INTERVAL_NS
 
-INSTANCES = 3_200  # of all workers together, so that the largest fleet has one a worker
+INSTANCES = 3_200  # Of all workers together, so that each worker of the largest fleet has one.
 ZONES, REGIONS = 4, 1
-STEP_SECONDS = (
-    SWEEP_INTERVAL_NS / SECOND_NS
-)  # between two looks of the link for idle connections, as in the node
-REPLACED_FROM = 0.25  # of the time played
-REPLACED_SHARE = 0.5  # of the workers
+STEP_SECONDS = SWEEP_INTERVAL_NS / SECOND_NS  # Interval of checks for idle connections, as in the node.
+REPLACED_FROM = 0.25  # Start of the replacement, as a share of the played time.
+REPLACED_SHARE = 0.5  # Share of the workers that are replaced.
 REPLACING_SECONDS = 7.0
 ZONE_LOST_AT, ZONE_LOST_SECONDS = 0.6, 5.0
 RESYNC_AT = 0.85
@@ -48,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """What is played at one size."""
+    """The parameters of a run at one size."""
 
     workers: int
     dispatchers: int
-    calls: float  # a second, at one dispatcher
+    calls: float  # Calls per second at one dispatcher.
     functions: int
     seconds: float
     sockets: int
@@ -60,7 +59,7 @@
     limit_seconds: float
 
     def size(self) -> FleetSize:
-        """Raises BadSize where the instances do not divide among the workers."""
+        """Returns the fleet size. Raises BadSize where the workers do not divide the instances evenly."""
         if INSTANCES % self.workers:
             raise BadSize(f"workers: has to divide {INSTANCES}, not {self.workers}")
         return FleetSize(
@@ -75,15 +74,15 @@
 
 
 class ListScript:
-    """What discovery tells over the time played, the same share of the workers at each size."""
+    """The membership changes over the played time, of the same share of workers at each size."""
 
     def __init__(self, size: FleetSize, seconds: float) -> None:
         weight = size.instances_per_worker * discovery.WEIGHT_THOUSANDTHS
         self.size, self.seconds = size, seconds
         self.members = {m.number: replace(m, weight_thousandths=weight) for m in discovery.members(size)}
         self.version = 1
-        self.gone: list[int] = []  # whose processes have ended: what stood there stands no more
-        self._fresh = size.workers  # the next number of a new worker
+        self.gone: list[int] = []  # Workers whose processes, and so whose instances, have ended.
+        self._next_number = size.workers  # The number of the next new worker.
         self._events = sorted(self._schedule(), key=lambda event: event[0])
 
     def _schedule(self) -> Iterator[tuple[float, Any]]:
@@ -100,7 +99,7 @@
         yield self.seconds * RESYNC_AT, lambda now: (EventKind.SNAPSHOT, list(self.members.values()))
 
     def due(self, passed: float, now: int) -> Iterator[bytes]:
-        """The frames up to a second of the time played; `now` is a Unix time, ns."""
+        """Yields the frames due after `passed` played seconds; `now` is a Unix time in ns."""
         while self._events and self._events[0][0] <= passed:
             kind, listed = self._events.pop(0)[1](now)
             self.version += 1
@@ -112,15 +111,15 @@
         return EventKind.DELTA, drained
 
     def _replace(self, numbers: list[int], now: int) -> tuple[EventKind, list[Member]]:
-        """A new worker has the zone of the one that it replaces."""
+        """Replaces workers by new ones in the same zone."""
         changed = []
         for number in numbers:
             old = self.members.pop(number)
             self.gone.append(number)
-            while self._fresh % ZONES != old.zone:
-                self._fresh += 1
-            new = replace(old, number=self._fresh, state=WorkerState.UP, started_ms=now // 1_000_000)
-            self._fresh += 1
+            while self._next_number % ZONES != old.zone:
+                self._next_number += 1
+            new = replace(old, number=self._next_number, state=WorkerState.UP, started_ms=now // 1_000_000)
+            self._next_number += 1
             self.members[new.number] = new
             changed += [replace(old, state=WorkerState.GONE), new]
         return EventKind.DELTA, changed
@@ -140,7 +139,7 @@
 
 
 def play(about: Play) -> dict[str, float]:
-    """The figures of a mean dispatcher at one size. Raises BadSize."""
+    """Runs one size and returns the mean figures of a dispatcher. Raises BadSize."""
     size = about.size()
     deadline = monotonic() + about.limit_seconds
     run = Run(size, Assumptions(), about.seed, about.seconds, deadline, "production")
@@ -152,24 +151,24 @@
         reading = start(run, about, script, simulation, meter)
         carry(simulation, script, about)
     if simulation.stopped:
-        raise BadSize(f"{about.workers} workers: the time limit was over before the end")
+        raise BadSize(f"{about.workers} workers: the time limit was reached before the end")
     return figures(simulation, meter, reading, peak_bytes() - before)
 
 
 def start(run: Run, about: Play, script: ListScript, simulation: PooledSimulation, meter: Meter) -> float:
-    """Starts each dispatcher from its own configuration; the CPU seconds of reading them all."""
+    """Starts the dispatchers from their configurations; returns the CPU seconds to read them all."""
     listed = list(script.members.values())
     reading = 0.0
     for number in range(about.dispatchers):
         simulation.check_time("the dispatchers started")
-        told, _, read_ms = configured(run, number, listed)
+        node_config, _, read_ms = configured(run, number, listed)
         reading += read_ms / 1e3
-        simulation.add(PooledDispatcher(told, simulation.clock, meter, about.sockets))
+        simulation.add(PooledDispatcher(node_config, simulation.clock, meter, about.sockets))
     return reading
 
 
 def carry(simulation: PooledSimulation, script: ListScript, about: Play) -> None:
-    """Traffic and the list's changes, for the time played."""
+    """Runs the traffic and the membership changes for the played time."""
     simulation.traffic(about.calls * about.dispatchers, about.seconds)
     began = simulation.now
     while not simulation.stopped and simulation.now - began < about.seconds * SECOND_NS:
@@ -184,7 +183,7 @@
 
 
 def forget_workers(simulation: PooledSimulation, script: ListScript) -> None:
-    """The instances of workers that have gone. What runs there then still ends."""
+    """Removes the instances of workers that are gone. Their running calls still end."""
     for number in script.gone:
         simulation.workers.workers.pop(number, None)
     script.gone.clear()
@@ -193,14 +192,14 @@
 def figures(
     simulation: PooledSimulation, meter: Meter, reading: float, grown_bytes: float
 ) -> dict[str, float]:
-    """Of a mean dispatcher."""
+    """Returns the mean figures of a dispatcher."""
     dispatchers: list[Any] = simulation.dispatchers
     count = len(dispatchers)
     finals = simulation.outcomes.finals
     return {
         "cpu_seconds": (sum(meter.spent.values()) / 1e9 + reading) / count,
         "peak_memory_bytes": grown_bytes / count,
-        "descriptors": sum(d.link.most_connections for d in dispatchers) / count,
+        "descriptors": sum(d.link.peak_connections for d in dispatchers) / count,
         "connections_made": sum(d.link.connections_made for d in dispatchers) / count,
         "list_bytes": sum(d.control.received_bytes for d in dispatchers) / count,
         "share_served": finals[FinalOutcome.SUCCEEDED.value] / max(1, simulation.outcomes.calls),
@@ -208,7 +207,7 @@
 
 
 def peak_bytes() -> int:
-    """The largest resident set that this process has had."""
+    """Returns the peak resident set of this process."""
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmHWM"):
             return int(line.split()[1]) * 1024
@@ -216,13 +215,13 @@
 
 
 def play_apart(about: Play) -> dict[str, float]:
-    """In a process of its own, whose peak of memory is of this size alone. Raises BadSize."""
+    """Runs one size in a separate process, so that the peak memory is its own. Raises BadSize."""
     with ProcessPoolExecutor(1, mp_context=get_context("spawn")) as pool:
         return pool.submit(play, about).result()
 
 
 def table(found: list[Verdict]) -> str:
-    """One line a figure and size, as a page has it."""
+    """Formats the verdicts as a Markdown table, one row for each figure and size."""
     lines = [
         "| workers | of a mean dispatcher | usual size | found | bound | |",
         "| --- | --- | --- | --- | --- | --- |",
@@ -236,6 +235,7 @@
 
 
 def shown(amount: float, unit: str) -> str:
+    """Formats a figure with its unit; bytes are shown as MB."""
     if unit == "bytes":
         return f"{amount / 1e6:.3f} MB"
     return f"{amount:.4g}{' ' + unit if unit else ''}"
@@ -247,19 +247,31 @@
 )
 @click.option("--dispatchers", type=click.IntRange(1), default=40, show_default=True)
 @click.option(
-    "--calls", type=click.FloatRange(0.01), default=5.0, show_default=True, help="A second, at each."
+    "--calls",
+    type=click.FloatRange(0.01),
+    default=5.0,
+    show_default=True,
+    help="Calls per second at each dispatcher.",
 )
 @click.option("--functions", type=click.IntRange(1), default=400, show_default=True)
+@click.option("--seconds", type=click.FloatRange(20), default=60.0, show_default=True, help="Virtual time.")
 @click.option(
-    "--seconds", type=click.FloatRange(20), default=60.0, show_default=True, help="Of virtual time."
+    "--sockets",
+    type=click.IntRange(64),
+    default=256,
+    show_default=True,
+    help="Limit on descriptors of each dispatcher.",
 )
-@click.option("--sockets", type=click.IntRange(64), default=256, show_default=True, help="Limit of each.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option(
-    "--limit-seconds", type=click.FloatRange(1), default=100.0, show_default=True, help="Wall time, each."
+    "--limit-seconds",
+    type=click.FloatRange(1),
+    default=100.0,
+    show_default=True,
+    help="Limit of wall-clock time for each size.",
 )
 def main(workers: tuple[int, ...], **about: Any) -> None:
-    """Play the same minutes at several counts of workers and compare with the bounds."""
+    """Play the same traffic with several numbers of workers and check the bounds."""
     found: list[dict[str, float]] = []
     try:
         for count in workers:
--- a/benchmarks/scale/quantities.py
+++ b/benchmarks/scale/quantities.py
@@ -1,4 +1,4 @@
-"""What follows from the size and the assumptions by arithmetic alone, in all and on each kind of day."""
+"""Quantities computed from the size and the assumptions alone, in general and for each kind of day."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Quantity:
-    """Something worked out from the size and the assumptions alone."""
+    """A quantity computed from the size and the assumptions alone."""
 
     group: str
     name: str
@@ -26,7 +26,7 @@
 
 
 def json_line_bytes(_setting: Setting) -> float:
-    """A typical line of the membership stream, as the program encodes it."""
+    """Returns the bytes of a typical line of the membership stream, as the program encodes it."""
     line = endpoints.Endpoint(
         "s-0001e2f0",
         "10.120.41.17",
@@ -42,11 +42,11 @@
     return float(len(msgspec.json.encode(line)) + 1)
 
 
-POINTER_BYTES = 8  # of one worker in a function's order
+POINTER_BYTES = 8  # Size of one worker's entry in a function's ranking.
 
 
-def orders_mb(functions: float, setting: Setting) -> float:
-    """Memory of an order of all workers for each function."""
+def rankings_mb(functions: float, setting: Setting) -> float:
+    """Returns the memory in MB of a ranking of all workers for each function."""
     return functions * setting.workers * POINTER_BYTES / MB
 
 
@@ -170,7 +170,7 @@
         "orders of all workers, functions met in an hour",
         "functions met x workers x 8 bytes",
         "MB",
-        lambda s: orders_mb(s.functions_met(HOUR_S), s),
+        lambda s: rankings_mb(s.functions_met(HOUR_S), s),
         BUDGET.memory_mb,
     ),
     Quantity(
@@ -178,7 +178,7 @@
         "orders of all workers, functions met in a day",
         "the same",
         "MB",
-        lambda s: orders_mb(s.functions_met(SECONDS_PER_DAY), s),
+        lambda s: rankings_mb(s.functions_met(SECONDS_PER_DAY), s),
         BUDGET.memory_mb,
     ),
     Quantity(
@@ -186,7 +186,7 @@
         "orders of all workers, every function",
         "functions x workers x 8 bytes",
         "MB",
-        lambda s: orders_mb(s.size.functions, s),
+        lambda s: rankings_mb(s.size.functions, s),
         BUDGET.memory_mb,
     ),
     Quantity(
--- a/benchmarks/scale/records.py
+++ b/benchmarks/scale/records.py
@@ -1,4 +1,4 @@
-"""One JSON object a line for each measured size and role."""
+"""Records of measurements, one JSON object per line for each measured size and role."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Record(msgspec.Struct):
-    """One measurement. Units stand at the end of the names in `costs`; `note` says what a cost leaves out."""
+    """One measurement. Names in `costs` end with their unit; `note` says what a cost leaves out."""
 
     role: str
     axis: str
@@ -44,10 +44,11 @@
 
 @cache
 def commit() -> str:
-    """The commit that is measured, as it stood when first asked for, with a mark where files differ."""
+    """Returns the measured commit as of the first call, with `+changed` where files differ from it."""
     root = Path(__file__).parents[2]
 
     def git(*arguments: str) -> str:
+        """Returns the output of a git command."""
         ran = subprocess.run(["git", *arguments], cwd=root, capture_output=True, text=True, check=False)
         return ran.stdout.strip()
 
@@ -56,11 +57,12 @@
 
 
 def now() -> str:
+    """Returns the current time in UTC as ISO 8601."""
     return datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
 def rounded(costs: dict[str, float | None]) -> dict[str, float | None]:
-    """Four significant digits; None for what could not be measured."""
+    """Rounds to four significant digits; None for costs that could not be measured."""
     return {name: _significant(value) for name, value in costs.items()}
 
 
@@ -71,11 +73,12 @@
 
 
 def line(record: Record) -> str:
+    """Encodes a record as one line of JSON."""
     return msgspec.json.encode(record).decode()
 
 
 def record(role: Role, size: FleetSize, costs: dict[str, float | None], **about: Any) -> Record:
-    """A record of now."""
+    """Creates a record with the current time and commit."""
     return Record(
         role=role.value, size=size.record(), costs=rounded(costs), commit=commit(), date=now(), **about
     )
--- a/benchmarks/scale/simulation.py
+++ b/benchmarks/scale/simulation.py
@@ -1,4 +1,4 @@
-"""Virtual time: calls arrive at hollow dispatchers, attempts and load requests reach the shared workers."""
+"""Discrete-event simulation in virtual time of hollow dispatchers and the workers that they share."""
 
 from __future__ import annotations
 
@@ -22,12 +22,14 @@
 from martenlead.node.serve import freeze_heap
 
 EPOCH_NS = 1_700_000_000 * SECOND_NS
-CHUNK = 4_096  # arrivals drawn at a time
-CHECK_EVERY = 512  # events between two looks at the wall clock
+CHUNK = 4_096  # Arrivals drawn at a time.
+CHECK_EVERY = 512  # Events between two checks of memory and the wall clock.
 NEVER = 1 << 62
 
 
 class Event(Enum):
+    """The kinds of events, each of which has a handler."""
+
     CALL = auto()
     ATTEMPT_ARRIVES = auto()
     ANSWER_LEAVES = auto()
@@ -37,12 +39,12 @@
     EXPIRES = auto()
     TIMERS = auto()
     HEARTBEAT = auto()
-    CONNECTED = auto()  # of links with connections alone
+    CONNECTED = auto()  # Only of links with connections.
 
 
 @dataclass(slots=True)
 class Outcomes:
-    """What became of calls: final responses, and the latencies of cold starts by rarity, ns."""
+    """Outcomes of calls: final responses, and the latencies of cold starts by rarity, in ns."""
 
     calls: int = 0
     finals: Counter[str] = field(default_factory=Counter)
@@ -51,7 +53,7 @@
 
 
 class Simulation:
-    """Some dispatchers of a fleet and all of its workers."""
+    """Simulates some dispatchers of a fleet and all of its workers."""
 
     def __init__(
         self, size: FleetSize, assumptions: Assumptions, seed: int, deadline: float, heartbeats: bool = True
@@ -65,7 +67,7 @@
         self.popularity = Popularity(size.functions, assumptions.zipf_exponent, assumptions.zipf_offset)
         self.rarities = self.popularity.rarities(size.calls_per_second)
         self.dispatchers: list[HollowDispatcher] = []
-        self.contacted: list[bytearray] = []  # by dispatcher: the workers it has sent attempts to
+        self.contacted: list[bytearray] = []  # By dispatcher: the workers that it has sent attempts to.
         self.outcomes = Outcomes()
         self.measuring = True
         self._random = np.random.default_rng(seed)
@@ -85,10 +87,11 @@
         }
 
     def clock(self) -> int:
+        """Returns the virtual time in ns."""
         return self.now
 
     def add(self, dispatcher: HollowDispatcher) -> None:
-        """A dispatcher that has not begun; its first timers are due now."""
+        """Adds a dispatcher and starts it; its first timers are due now."""
         number = len(self.dispatchers)
         self.dispatchers.append(dispatcher)
         self.contacted.append(bytearray(MAX_WORKERS))
@@ -98,14 +101,14 @@
             self._push(self.now + SECOND_NS, Event.HEARTBEAT, number, None)
 
     def check_time(self, doing: str) -> None:
-        """Raises BadSize where the wall time is over."""
+        """Raises BadSize where the limit of wall-clock time is reached."""
         if monotonic() > self.deadline:
-            raise BadSize(f"the time limit was over while {doing}")
+            raise BadSize(f"the time limit was reached while {doing}")
 
     # -- traffic
 
     def traffic(self, calls_per_second: float, seconds: float) -> None:
-        """Poisson arrivals from now on, spread evenly over the dispatchers, for so long."""
+        """Schedules Poisson arrivals from now on, spread evenly over the dispatchers."""
         self._arrivals = self._poisson(calls_per_second, self.now + round(seconds * SECOND_NS))
         self._next_arrival()
 
@@ -125,11 +128,11 @@
             at = float(times[-1])
 
     def sweep(self, functions: list[int], seconds: float) -> None:
-        """Each of these functions is called once, at a random dispatcher, spread over so many seconds."""
+        """Schedules one call of each function at a random dispatcher, spread over a number of seconds."""
         targets = self._random.integers(0, len(self.dispatchers), len(functions)).tolist()
-        order = self._random.permutation(len(functions)).tolist()
-        for place, index in enumerate(order):
-            at = self.now + round(place * seconds * SECOND_NS / max(1, len(order)))
+        permutation = self._random.permutation(len(functions)).tolist()
+        for position, index in enumerate(permutation):
+            at = self.now + round(position * seconds * SECOND_NS / max(1, len(permutation)))
             self._push(at, Event.CALL, targets[index], (functions[index], False))
 
     def _next_arrival(self) -> None:
@@ -145,8 +148,10 @@
         heappush(self._events, (time, self._count, event, dispatcher, about))
 
     def run(self, seconds: float) -> float:
-        """Runs so many virtual seconds, or until the deadline; the virtual seconds that passed. Raises
-        BadSize where memory goes over its bound."""
+        """Runs a number of virtual seconds, or until the deadline; returns the virtual seconds passed.
+
+        Raises BadSize where memory exceeds its limit.
+        """
         began, until = self.now, self.now + round(seconds * SECOND_NS)
         handled = 0
         while self._events and self._events[0][0] <= until:
@@ -165,7 +170,7 @@
         return seconds
 
     def _after(self, number: int) -> None:
-        """Carries what a dispatcher has sent, and keeps its next timers."""
+        """Schedules the delivery of what a dispatcher has sent, and its next timers."""
         dispatcher = self.dispatchers[number]
         link = dispatcher.link
         if link.attempts:
@@ -191,19 +196,19 @@
         counted = self.measuring and drawn
         if counted:
             self.outcomes.calls += 1
-        call.done = lambda held: self._done(number, call, held, counted)
-        self.dispatchers[number].take(call)
+        call.done = lambda request: self._done(number, call, request, counted)
+        self.dispatchers[number].accept_call(call)
         if drawn:
             self._next_arrival()
 
-    def _done(self, number: int, call: Call, held: PendingRequest, counted: bool) -> None:
+    def _done(self, number: int, call: Call, request: PendingRequest, counted: bool) -> None:
         dispatcher = self.dispatchers[number].dispatcher
-        held.content = held.response = None
-        dispatcher.defer(dispatcher.close, held)
-        if not counted or held.outcome is None:
+        request.content = request.response = None
+        dispatcher.defer(dispatcher.close, request)
+        if not counted or request.outcome is None:
             return
-        self.outcomes.finals[held.outcome.value] += 1
-        if held.outcome is FinalOutcome.SUCCEEDED:
+        self.outcomes.finals[request.outcome.value] += 1
+        if request.outcome is FinalOutcome.SUCCEEDED:
             rarity = self.rarities[call.function]
             self.outcomes.succeeded[rarity] += 1
             if call.cold:
@@ -225,10 +230,10 @@
 
     def _answer_arrives(self, number: int, about: tuple[SentAttempt, Met]) -> None:
         sent, met = about
-        word = b"WAIT" if met is Met.NO_ROOM else b"DONE"
-        txn = sent.out.request.content.id if sent.open else "late"
+        response_word = b"WAIT" if met is Met.NO_ROOM else b"DONE"
+        txn = sent.attempt.request.content.id if sent.open else "late"
         line = b'{"m":"%b","txn":"%b","props":{"why":"%b"},"raw":"eyJ5IjoxfQ=="}' % (
-            word,
+            response_word,
             txn.encode(),
             met.value.encode(),
         )
@@ -238,14 +243,18 @@
         self.dispatchers[number].expired(sent)
 
     def _load_arrives(self, number: int, sent: SentLoad) -> None:
-        stands, delay = self.workers.load(sent.worker, sent.function, self.now)
+        is_loaded, delay = self.workers.load(sent.worker, sent.function, self.now)
         half = self.workers.round_trip(number, sent.worker) // 2
-        self._push(self.now + delay + half, Event.LOAD_ENDS, number, (sent, stands))
+        self._push(self.now + delay + half, Event.LOAD_ENDS, number, (sent, is_loaded))
 
     def _load_ends(self, number: int, about: tuple[SentLoad, bool]) -> None:
-        sent, stands = about
-        word, instances = (b"DONE", 1) if stands else (b"WAIT", 0)
-        line = b'{"m":"%b","txn":"%b","props":{"instances":%d}}' % (word, sent.txn.encode(), instances)
+        sent, is_loaded = about
+        response_word, instances = (b"DONE", 1) if is_loaded else (b"WAIT", 0)
+        line = b'{"m":"%b","txn":"%b","props":{"instances":%d}}' % (
+            response_word,
+            sent.txn.encode(),
+            instances,
+        )
         self.dispatchers[number].loaded(sent, line)
 
     def _timers(self, number: int, due: int) -> None:
@@ -261,8 +270,10 @@
 
 
 def collect_as_the_program_does() -> None:
-    """As `martenlead.node.serve` sets garbage collection at its start. What the list of workers adds is left
-    out of it once the list is known, which is for the caller to do."""
-    gc.unfreeze()  # of an earlier run in this process
+    """Configures garbage collection as `martenlead.node.serve` does at its start.
+
+    Once the list of workers is known, the caller freezes the heap again to exclude it.
+    """
+    gc.unfreeze()  # Undoes the freeze of an earlier run in this process.
     gc.set_threshold(2_000, 5, 5)
     freeze_heap()
--- a/benchmarks/scale/sizes.py
+++ b/benchmarks/scale/sizes.py
@@ -1,4 +1,4 @@
-"""The size of a fleet, the stated assumptions behind it, and the limits of the machine that measures it."""
+"""The size of a fleet, the assumptions about it, and the limits of the machine that measures it."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from typing import Any
 
 SECONDS_PER_DAY = 86_400
-MAX_WORKERS = 20_000  # what one membership frame may hold
-MAX_DISPATCHERS = 1_000_000  # what a configuration may say
-LEAST_FREE = 20  # a run stops where less than this part of the machine's memory is free
+MAX_WORKERS = 20_000  # Largest number of workers in one membership frame.
+MAX_DISPATCHERS = 1_000_000  # Largest number that a configuration accepts.
+MIN_FREE_DIVISOR = 20  # A run stops when less than 1/20 of the machine's memory is available.
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class BadSize(ValueError):
-    """A size that cannot be measured; the text is one line for the user."""
+    """A size that cannot be measured; the message is one line for the user."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """One point to measure. `calls_per_second` is the whole fleet's."""
+    """The size of a fleet. `calls_per_second` is the rate of the complete fleet."""
 
     dispatchers: int = 450
     workers: int = 7_700
@@ -43,18 +43,20 @@
 
     @property
     def instances(self) -> int:
+        """The number of instances of all workers."""
         return self.workers * self.instances_per_worker
 
     @property
     def calls_per_dispatcher(self) -> float:
+        """Calls per second at one dispatcher."""
         return self.calls_per_second / self.dispatchers
 
     def with_values(self, **changes: Any) -> FleetSize:
-        """The same size with some values replaced. Raises BadSize."""
+        """Returns the size with some values replaced. Raises BadSize."""
         return replace(self, **changes)
 
     def record(self) -> dict[str, float]:
-        """The size as it stands in a record."""
+        """Returns the size as written in a record."""
         return {
             "dispatchers": self.dispatchers,
             "workers": self.workers,
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assumptions:
-    """What the size leaves open. Times are seconds unless the name says otherwise."""
+    """Values that the size does not determine. Times are in seconds."""
 
     zipf_exponent: float = 2.5
     zipf_offset: float = 50.0
@@ -82,12 +84,12 @@
 
 
 def total_memory_bytes() -> int:
-    """The machine's memory."""
+    """Returns the total memory of the machine."""
     return os.sysconf("SC_PHYS_PAGES") * PAGE_BYTES
 
 
 def available_memory_bytes() -> int:
-    """What the machine could give to a new process now."""
+    """Returns the memory that is available to a new process."""
     for line in Path("/proc/meminfo").read_text().splitlines():
         name, value = line.split(":")
         if name == "MemAvailable":
@@ -96,12 +98,12 @@
 
 
 def resident_bytes() -> int:
-    """The resident set of this process."""
+    """Returns the resident set size of this process."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def check_memory(estimate_bytes: float) -> None:
-    """Raises BadSize where the estimate is over half of the machine's memory, or over what is free."""
+    """Raises BadSize where the estimate exceeds half of the total memory, or the available memory."""
     half, available = total_memory_bytes() // 2, available_memory_bytes()
     if estimate_bytes > half:
         raise BadSize(f"about {estimate_bytes / 1e9:.1f} GB, over half of the machine's memory")
@@ -110,8 +112,8 @@
 
 
 def check_memory_in_use() -> None:
-    """Raises BadSize where this process has come over its bound, or the machine is short of memory."""
+    """Raises BadSize where this process uses over half of the memory, or too little is available."""
     if resident_bytes() > total_memory_bytes() // 2:
         raise BadSize("stopped: over half of the machine's memory is in use")
-    if available_memory_bytes() < total_memory_bytes() // LEAST_FREE:
+    if available_memory_bytes() < total_memory_bytes() // MIN_FREE_DIVISOR:
         raise BadSize("stopped: the machine is short of memory")
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Each cost along one axis at a time. The last size of each axis is held out: a fit has to predict it."""
+"""Measures costs along one axis at a time. The last size of each is held out for a fit to predict."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Axis:
-    """One size that varies; `values` in growing order, `at` makes the size of a value."""
+    """A dimension that varies; `values` are ascending, `at` creates the fleet size for a value."""
 
     name: str
     values: tuple[float, ...]
@@ -36,6 +36,7 @@
 
 
 def with_calls_per_dispatcher(size: FleetSize, value: float) -> FleetSize:
+    """Returns the size with a rate of calls per dispatcher."""
     return replace(size, calls_per_second=value * size.dispatchers)
 
 
@@ -59,7 +60,7 @@
 
 
 def slopes(base: Run, names: list[str]) -> Iterator[Record]:
-    """Records of every size that the time allows, in order. Raises BadSize."""
+    """Yields records of the sizes in order, until the deadline. Raises BadSize."""
     check_memory(max(estimate_memory_bytes(largest(base, AXES[name]), 1) for name in names))
     for name in names:
         axis = AXES[name]
@@ -74,7 +75,7 @@
 
 
 def at_value(base: Run, axis: Axis, value: float) -> Run:
-    """The run at one point of an axis."""
+    """Returns the run at one point of an axis."""
     return replace(
         base,
         size=axis.at(base.size, value),
@@ -86,11 +87,12 @@
 
 
 def largest(base: Run, axis: Axis) -> Run:
+    """Returns the run at the largest value of an axis."""
     return at_value(base, axis, axis.values[-1])
 
 
 def configuration_changes(run: Run) -> Record:
-    """An hour's changes, each read as a whole file, as a dispatcher reads it on SIGHUP."""
+    """Measures an hour's configuration changes; each reads the complete file, as on SIGHUP."""
     changes = max(1, round(run.size.changes_per_day / HOURS_PER_DAY))
     listed = discovery.members(run.size)
     with logs_discarded():
--- a/benchmarks/scale/workers.py
+++ b/benchmarks/scale/workers.py
@@ -1,7 +1,7 @@
-"""The shared model of the workers: which instances stand where, what a call meets and how long it takes.
+"""The model of the workers: their instances, what a call encounters there and how long it takes.
 
-A worker holds a bounded number of instances and drops the idle one that was used longest ago when a new one
-needs its place; idle instances lapse after the keep-alive. Times are virtual nanoseconds.
+A worker has a bounded number of instances and evicts the least recently used idle one to make room for a new
+one; idle instances expire after the keep-alive. Times are virtual nanoseconds.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Met(Enum):
-    """What a call found at a worker; the values are the notes that workers write into answers."""
+    """What a call encountered at a worker; the values are the notes that workers write in responses."""
 
     WARM = "resident"
     BEGAN_LOAD = "booted"
@@ -30,6 +30,8 @@
 
 @dataclass(slots=True)
 class Instance:
+    """A loaded or loading instance of a function. Times are virtual ns."""
+
     ready: int
     last_used: int
     running: int = 0
@@ -45,7 +47,7 @@
 
 
 class WorkerFleet:
-    """All workers. A worker's object is made when it is first used."""
+    """All workers of a fleet. The state of a worker is created on its first use."""
 
     def __init__(self, size: FleetSize, assumptions: Assumptions, seed: int) -> None:
         self.size, self.assumptions = size, assumptions
@@ -56,7 +58,7 @@
         self.keep_alive = round(assumptions.keep_alive * SECOND_NS)
 
     def _load_time(self, function: int) -> int:
-        """A function's own load time, spread evenly between the shortest and the longest."""
+        """Returns a function's load time; functions are spread evenly from the shortest to the longest."""
         low, high = self.assumptions.load_shortest, self.assumptions.load_longest
         return round((low + (high - low) * (function * 7_919 % 1_000) / 1_000) * SECOND_NS)
 
@@ -66,7 +68,7 @@
         return round(usual * self.random.uniform(0.8, 1.2) * SECOND_NS)
 
     def round_trip(self, dispatcher: int, worker: int) -> int:
-        """Network time there and back, ns."""
+        """Returns the network round-trip time in ns."""
         zones, regions = self.size.zones, self.size.regions
         one, other = dispatcher % zones, worker % zones
         if one == other:
@@ -74,7 +76,7 @@
         return SAME_REGION_NS if one % regions == other % regions else OTHER_REGION_NS
 
     def _find(self, number: int, function: int, now: int) -> tuple[Instance | None, bool]:
-        """The instance, loaded if need be, and whether this began its load; None where there is no room."""
+        """Returns the instance, loading it if needed (None if there is no room), and whether a load began."""
         worker = self.workers.get(number)
         if worker is None:
             worker = self.workers[number] = Worker()
@@ -99,7 +101,7 @@
         return False
 
     def call(self, number: int, function: int, now: int) -> tuple[Met, int, Instance | None]:
-        """A call arrives; what it met, the ns until its answer leaves, and the instance it occupies."""
+        """Starts a call; returns what it encountered, the ns until its response, and its instance."""
         instance, began = self._find(number, function, now)
         if instance is None or instance.running >= self.assumptions.concurrency_per_instance:
             return Met.NO_ROOM, 0, None
@@ -109,12 +111,12 @@
         return met, waits + self._run_time(function), instance
 
     def release(self, instance: Instance, now: int) -> None:
-        """A call's answer has left."""
+        """Ends a call on an instance."""
         instance.running -= 1
         instance.last_used = now
 
     def load(self, number: int, function: int, now: int) -> tuple[bool, int]:
-        """A load request arrives; whether an instance will stand, and the ns until it does."""
+        """Processes a load request; returns whether there is room for the load, and the ns until it ends."""
         instance, _ = self._find(number, function, now)
         if instance is None:
             return False, 0
@@ -122,7 +124,7 @@
         return True, max(0, instance.ready - now)
 
     def replicas(self, now: int) -> Counter[int]:
-        """How many instances of each function stand."""
+        """Returns the number of loaded instances of each function."""
         return Counter(
             function
             for worker in self.workers.values()
--- a/tests/test_scale_capacity.py
+++ b/tests/test_scale_capacity.py
@@ -1,4 +1,4 @@
-"""Costs carried to another size: sums and products of axes, and the page's arithmetic."""
+"""Extrapolation of costs to another size: growth along several axes, and the page's arithmetic."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 from benchmarks.scale.records import Record
 
 WORKERS, FUNCTIONS = 1000.0, 500.0
-WANTED = {"workers": 7700.0, "functions": 11_000.0}
+TARGET = {"workers": 7700.0, "functions": 11_000.0}
 
 
 def record(axis: str, workers: float, functions: float, cost: float, held_out: bool = False) -> Record:
+    """Returns a record of one size with one cost."""
     size = {"workers": workers, "functions": functions}
     costs: dict[str, float | None] = {"memory_mb": cost}
     return Record("dispatcher", axis, size, costs, {}, 1, "0000000", "2026-12-02", held_out)
 
 
 def estimated(cost: Callable[[float, float], float], *more: Record) -> Estimate:
+    """Returns the estimate at the target size from series that follow a cost function."""
     records = [record("workers", n, FUNCTIONS, cost(n, FUNCTIONS)) for n in (250, 500, 1000, 2000)]
     records += [record("functions", WORKERS, n, cost(WORKERS, n)) for n in (125, 250, 500, 1000)]
-    (found,) = estimates([*records, *more], WANTED)
+    (found,) = estimates([*records, *more], TARGET)
     return found
 
 
@@ -50,7 +52,7 @@
         (record("fleet", 7700, 11_000, 5.0), None),
     ],
 )
-def test_what_was_held_out_at_the_wanted_size_stands_beside(other: Record, measured: float | None) -> None:
+def test_a_held_out_measurement_at_the_target_size_is_reported(other: Record, measured: float | None) -> None:
     assert estimated(lambda workers, functions: 1.0, other).measured == measured
 
 
--- a/tests/test_scale_fit.py
+++ b/tests/test_scale_fit.py
@@ -1,4 +1,4 @@
-"""Fits of scale records: shapes are told apart, held-out sizes are judged, bad input ends with one line."""
+"""Fits of scale records: shapes are distinguished, held-out sizes judged, bad input reported in one line."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 
 
 def record(workers: float, cost: float, **other: Any) -> dict[str, Any]:
-    told = {
+    """Returns a record of one size with one cost, as written to a file."""
+    fields = {
         "role": "dispatcher",
         "axis": "workers",
         "size": {"workers": workers, "functions": 11_000},
@@ -29,10 +30,11 @@
         "commit": "0000000",
         "date": "2026-12-02",
     }
-    return told | other
+    return fields | other
 
 
 def judged(folder: Path, records: list[dict[str, Any]]) -> list[Judgement]:
+    """Writes records to a file, reads it and fits the series."""
     path = folder / "records.jsonl"
     path.write_text("".join(json.dumps(each) + "\n" for each in records))
     return judge(read([path]))
@@ -51,7 +53,7 @@
         (lambda size: 900 / size, Shape.INVERSE),
     ],
 )
-def test_shapes_are_told_apart_under_one_percent_of_noise(
+def test_shapes_are_distinguished_under_one_percent_of_noise(
     tmp_path: Path, growth: Callable[[float], float], shape: Shape
 ) -> None:
     chance = Random(7)
@@ -98,13 +100,13 @@
     ]
 
 
-def test_too_few_sizes_are_said_and_not_fitted(tmp_path: Path) -> None:
+def test_a_series_with_too_few_sizes_is_not_fitted(tmp_path: Path) -> None:
     (found,) = judged(tmp_path, [record(size, 1.0) for size in (10, 10, 20, 30)])
     assert found.fit is None
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("", "holds no records"),
         ('{"role": "dispatcher", "axis"\n', "records.jsonl:1"),
@@ -117,14 +119,14 @@
         ('{"size": {"workers": NaN}}', "records.jsonl:1"),
     ],
 )
-def test_bad_input_gives_one_line_and_a_failure_status(tmp_path: Path, text: str, said: str) -> None:
+def test_bad_input_gives_one_line_and_a_failure_status(tmp_path: Path, text: str, message: str) -> None:
     path = tmp_path / "records.jsonl"
     path.write_text(text)
     result = CliRunner().invoke(main, [str(path)])
     assert result.exit_code == 1
     assert result.stdout == ""
     assert len(result.stderr.splitlines()) == 1
-    assert said in result.stderr
+    assert message in result.stderr
 
 
 def test_a_missing_file_gives_one_line_and_a_failure_status(tmp_path: Path) -> None:
@@ -140,5 +142,5 @@
     path = str(tmp_path / "records.jsonl")
     text = CliRunner().invoke(main, [path]).stdout
     assert "dispatcher / workers / memory_mb: linear" in text and "missed" in text
-    told = json.loads(CliRunner().invoke(main, [path, "--json"]).stdout)
-    assert told["fit"]["shape"] == "linear" and told["predictions"][0]["verdict"] == "missed"
+    printed = json.loads(CliRunner().invoke(main, [path, "--json"]).stdout)
+    assert printed["fit"]["shape"] == "linear" and printed["predictions"][0]["verdict"] == "missed"
--- a/tests/test_scale_production.py
+++ b/tests/test_scale_production.py
@@ -1,4 +1,4 @@
-"""The bounds on a dispatcher's needs in fleets of more workers: their arithmetic, and what is played."""
+"""The bounds on a dispatcher's costs in fleets of more workers: their arithmetic, and the simulated runs."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         ("share_served", 3_200, 0.765),
     ],
 )
-def test_a_bound_is_a_part_of_the_usual_figure_an_amount_and_one_for_each_thousand_workers(
+def test_a_bound_is_a_multiple_of_the_usual_figure_a_constant_and_an_amount_per_thousand_workers(
     name: str, workers: int, limit: float
 ) -> None:
     assert BOUNDS[name].limit(USUAL[name], workers) == pytest.approx(limit)
@@ -63,7 +63,7 @@
     assert [verdict.name for verdict in judged if not verdict.holds] == [name]
 
 
-def test_a_figure_that_was_not_measured_is_no_pass() -> None:
+def test_a_figure_that_was_not_measured_raises() -> None:
     found = {name: amount for name, amount in USUAL.items() if name != "descriptors"}
     with pytest.raises(KeyError):
         verdicts(USUAL, found, 800)
@@ -85,18 +85,18 @@
 
 
 @pytest.mark.parametrize("workers", [32, 128])
-def test_the_list_is_told_in_frames_that_the_program_reads_in_their_order(workers: int) -> None:
-    """Half of the workers are replaced in their zones, and a zone of the same size is lost and comes back."""
+def test_the_list_is_sent_in_frames_that_the_program_decodes_in_sequence(workers: int) -> None:
+    """Half of the workers are replaced in their zones, and a zone of the same size is lost and returns."""
     size = replace(SMALL, workers=workers).size()
     script = ListScript(size, SMALL.seconds)
     zones = discovery.zone_names(size)
     frames = FrameDecoder(JournalTables(zones, ["standard"], {"standard": 1.0}, False))
     before = {zone: sum(m.zone == zone for m in script.members.values()) for zone in range(size.zones)}
-    told = [news for data in script.due(SMALL.seconds, 10**18) for news in frames.feed(data)]
-    assert [news.version for news in told] == list(range(2, len(told) + 2))
-    last = told[-1]
+    updates = [update for data in script.due(SMALL.seconds, 10**18) for update in frames.feed(data)]
+    assert [update.version for update in updates] == list(range(2, len(updates) + 2))
+    last = updates[-1]
     assert last.is_snapshot and len(last.endpoints or []) == workers
-    assert {line.state for line in last.endpoints or []} == {"up"}
+    assert {endpoint.state for endpoint in last.endpoints or []} == {"up"}
     after = {zone: sum(m.zone == zone for m in script.members.values()) for zone in range(size.zones)}
     assert after == before
     assert sum(number >= workers for number in script.members) == workers // 2
@@ -116,6 +116,7 @@
     factor: float, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def played(about: Play) -> dict[str, float]:
+        """Returns the usual figures, with the CPU time of the largest size multiplied."""
         return USUAL | {"cpu_seconds": factor if about.workers == 3_200 else 1.0}
 
     monkeypatch.setattr(production, "play_apart", played)
@@ -124,8 +125,9 @@
     assert ("fails: CPU seconds at 3200 workers" in result.output) == bool(status)
 
 
-def test_a_size_that_was_not_played_to_its_end_is_no_pass(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_size_that_did_not_run_to_its_end_fails_the_command(monkeypatch: pytest.MonkeyPatch) -> None:
     def played(about: Play) -> dict[str, float]:
+        """Runs the size with a time limit that is too short."""
         return play(replace(about, limit_seconds=0.001))
 
     monkeypatch.setattr(production, "play_apart", played)
--- a/tests/test_scale_rig.py
+++ b/tests/test_scale_rig.py
@@ -1,4 +1,4 @@
-"""The scale measurements: bad sizes are refused, records are whole, and counted figures repeat."""
+"""The scale measurements: bad sizes are rejected, records are complete, counted figures are repeatable."""
 
 from __future__ import annotations
 
@@ -26,17 +26,19 @@
 TIMED = ("_us", "_ms", "_percent_core", "_seconds", "rss_growth_bytes")
 
 
-def rig(*arguments: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
+    """Runs the command line of the measurements in a process."""
     command = [sys.executable, "-m", "benchmarks.scale", *arguments, "--limit-seconds", "30"]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
 
 
 def small_run(seed: int = 7) -> list[Record]:
+    """Measures one dispatcher of a small fleet for two virtual seconds."""
     return measure_one(Run(SMALL, Assumptions(), seed, 2.0, monotonic() + 30, "one"), check=False)
 
 
 def counted(record: Record) -> dict[str, object]:
-    """What is counted; memory to a fiftieth, as the interpreter shares more once a class has been used."""
+    """Returns the counted costs, memory within 2%: the interpreter shares more once a class has been used."""
     costs = {name: cost for name, cost in record.costs.items() if not name.endswith(TIMED)}
     return {
         name: pytest.approx(cost, rel=0.02) if name.startswith("memory") else cost
@@ -60,8 +62,8 @@
         ("slopes", "--axis", "moon"),
     ],
 )
-def test_a_bad_size_is_one_line_and_a_failure_status(arguments: tuple[str, ...]) -> None:
-    ran = rig(*arguments)
+def test_a_bad_size_gives_one_line_and_a_failure_status(arguments: tuple[str, ...]) -> None:
+    ran = run_command(*arguments)
     assert ran.returncode not in (0, 1)
     assert ran.stdout == ""
     assert len(ran.stderr.strip().splitlines()) == 1
@@ -74,7 +76,7 @@
 
 
 def test_one_record_a_role_with_all_costs() -> None:
-    ran = rig(
+    ran = run_command(
         "one",
         "--dispatchers",
         "4",
@@ -107,12 +109,12 @@
         assert costs[name] > 0, name
     assert {"cold_start_share", "cold_start_p50_ms", "cold_start_p99_ms", "replicas"} <= set(costs)
     assert costs["membership_delta_bytes"] == 40
-    assert costs["zone_lost_bytes"] == 13 + 27 * 2  # every tenth of twelve
+    assert costs["zone_lost_bytes"] == 13 + 27 * 2  # Zone 0 of ten has two of the twelve workers.
     assert records["discovery"]["costs"]["snapshot_all_bytes"] == 4 * (13 + 27 * 12)
 
 
 def test_the_same_seed_gives_the_same_counted_figures() -> None:
-    small_run()  # the first of a process also counts what the interpreter allocates once
+    small_run()  # The first run of a process also counts what the interpreter allocates once.
     first, second = small_run(), small_run()
     for one, other in zip(first, second, strict=True):
         figures = {name: other.costs[name] for name in counted(other)}
@@ -120,27 +122,28 @@
     assert small_run(8)[0].costs["calls"] != first[0].costs["calls"]
 
 
-def test_of_repeats_the_lowest_times_count() -> None:
+def test_the_lowest_times_of_repeated_runs_count() -> None:
     one = {"a_ms": 2.0, "b_us": 1.0, "calls": 5.0, "cold_start_p50_ms": 3.0, "state_gather_ms": None}
     other = {"a_ms": 1.0, "b_us": 4.0, "calls": 4.0, "cold_start_p50_ms": 1.0, "state_gather_ms": None}
     assert lowest_times(one, other) == {**one, "a_ms": 1.0}
 
 
-def test_one_dispatcher_is_measured_as_often_as_asked(monkeypatch: pytest.MonkeyPatch) -> None:
-    asked: list[Run] = []
+def test_the_command_passes_its_options_to_the_measurement(monkeypatch: pytest.MonkeyPatch) -> None:
+    runs: list[Run] = []
 
     def no_records(run: Run) -> list[Record]:
-        asked.append(run)
+        """Notes the run and returns no records."""
+        runs.append(run)
         return []
 
     monkeypatch.setattr(command_line, "measure_one", no_records)
     ran = CliRunner().invoke(command_line.main, ["one", "--repeats", "2", "--all-functions"])
     assert ran.exit_code == 0
-    assert [(run.repeats, run.all_functions, run.held_out) for run in asked] == [(2, True, False)]
+    assert [(run.repeats, run.all_functions, run.held_out) for run in runs] == [(2, True, False)]
 
 
 def test_a_fleet_shares_warm_instances() -> None:
-    ran = rig("fleet", "--dispatchers", "3", "--workers", "6", "--functions", "10", "--calls", "60")
+    ran = run_command("fleet", "--dispatchers", "3", "--workers", "6", "--functions", "10", "--calls", "60")
     records = {record["role"]: record for record in map(json.loads, ran.stdout.splitlines())}
     costs = records["dispatcher"]["costs"]
     assert 400 < costs["calls"] < 800
@@ -156,23 +159,28 @@
     assert law.expected_distinct(1e15) == pytest.approx(11_000)
 
 
-def test_frames_are_what_the_program_reads() -> None:
-    places = JournalTables(["a", "b"], ["standard"], {"standard": 5.0}, False)
+def test_frames_are_decoded_by_the_program() -> None:
+    tables = JournalTables(["a", "b"], ["standard"], {"standard": 5.0}, False)
     data = frame(4, EventKind.DELTA, [Member(7, 1, WorkerState.DRAINING, 99)])
-    (news,) = FrameDecoder(places).feed(data)
-    (line,) = news.endpoints or []
-    assert (news.version, news.is_snapshot) == (4, False)
-    assert (line.id, line.zone, line.state, line.incarnation) == ("s-00000007", "b", "draining", "99")
+    (update,) = FrameDecoder(tables).feed(data)
+    (endpoint,) = update.endpoints or []
+    assert (update.version, update.is_snapshot) == (4, False)
+    assert (endpoint.id, endpoint.zone, endpoint.state, endpoint.incarnation) == (
+        "s-00000007",
+        "b",
+        "draining",
+        "99",
+    )
 
 
-def test_a_worker_drops_the_idle_instance_that_was_used_longest_ago() -> None:
+def test_a_worker_evicts_the_least_recently_used_idle_instance() -> None:
     size = FleetSize(workers=1, instances_per_worker=2, functions=4)
     fleet = WorkerFleet(size, Assumptions(), 1)
     busy = fleet.call(0, 0, 0)[2]
     assert busy is not None
     assert fleet.load(0, 1, 0)[0]
     later = 2 * SECOND_NS
-    assert fleet.call(0, 2, later)[0] is Met.BEGAN_LOAD  # in the place of 1: 0 still runs
+    assert fleet.call(0, 2, later)[0] is Met.BEGAN_LOAD  # Evicts 1, as 0 is still running.
     assert set(fleet.replicas(later)) == {0, 2}
     assert fleet.call(0, 3, later)[0] is Met.NO_ROOM
 
@@ -194,6 +202,6 @@
     assert found[Part.MEMBERSHIP] == 0
 
 
-def test_memory_over_half_of_the_machine_is_refused() -> None:
+def test_memory_over_half_of_the_machine_is_rejected() -> None:
     with pytest.raises(BadSize, match="half"):
         check_memory(total_memory_bytes() / 2 + 1)
