--- a/benchmarks/codecs.py
+++ b/benchmarks/codecs.py
@@ -1,6 +1,6 @@
-"""Parsers and codecs that were weighed, microseconds a message in one run.
+"""Compares parsers and codecs, in microseconds per message within one run.
 
-.venv/bin/pip install h11 cloudevents   # neither is needed by the program
+.venv/bin/pip install h11 cloudevents   # The program needs neither.
 .venv/bin/python benchmarks/codecs.py
 """
 
@@ -35,7 +35,8 @@
 DATA = http.request(b"POST", b"/", b"edge", HEADERS, BODY)
 
 
-def ours() -> None:
+def parse_request() -> None:
+    """Parses a request with the program's reader."""
     reader.feed(DATA)
 
 
@@ -43,8 +44,9 @@
 
 
 def main() -> None:
+    """Prints the time of each case; cases of packages that are not installed are left out."""
     cases: dict[str, Callable[[], Any]] = {
-        "request, httptools with our checks": ours,
+        "request, httptools with our checks": parse_request,
         "event in binary mode, ours": lambda: cloudevent.decode_event(HEADERS, BODY),
         "event in structured mode, ours": lambda: cloudevent.decode_event(STRUCTURED, JSON),
         "event written in binary mode, ours": lambda: cloudevent.encode_event(EVENT),
@@ -53,6 +55,7 @@
         import h11
 
         def with_h11() -> None:
+            """Parses a request with h11."""
             connection = h11.Connection(h11.SERVER)
             connection.receive_data(DATA)
             while connection.next_event() not in (h11.NEED_DATA, h11.PAUSED):
@@ -72,10 +75,10 @@
     except ImportError:
         pass
     rounds = 5000
-    told = {}
+    results = {}
     for name, case in cases.items():
-        told[name] = round(min(timeit.repeat(case, number=rounds, repeat=3)) / rounds * 1e6, 1)
-    print(json.dumps(told, indent=1))
+        results[name] = round(min(timeit.repeat(case, number=rounds, repeat=3)) / rounds * 1e6, 1)
+    print(json.dumps(results, indent=1))
 
 
 if __name__ == "__main__":
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -1,10 +1,10 @@
-# ruff: noqa: B023 - what the functions read is meant to be what it is when they are called
-"""The door's queues on and off, in virtual time: clients, a module with ten places, and floods.
+# ruff: noqa: B023 - the functions are meant to read the current values of loop variables
+"""Compares admission with and without queues in virtual time, for a capacity of ten and under floods.
 
     .venv/bin/python benchmarks/door.py [--plot door.svg]
 
-Off is what was: who finds no place is turned back at once and told to come in 500 ms. Clients heed what
-they are told and try four times.
+Without queues a request beyond capacity is rejected at once with a Retry-After of 500 ms. Clients honour
+Retry-After and try four times.
 """
 
 from __future__ import annotations
@@ -24,28 +24,32 @@
 from martenlead.admission.units import NS_PER_MS
 from support.crowd import Crowd, Customer
 
-TWO = {"portal": 1.0, "desk": 1.0}
+EQUAL_WEIGHTS = {"portal": 1.0, "desk": 1.0}
 
 
 def jain(values: list[float]) -> float:
+    """Returns Jain's fairness index of the values, 0 where all are zero."""
     total = sum(values)
     return total * total / (len(values) * sum(v * v for v in values)) if total else 0.0
 
 
-def one(load: float, queues: bool, doors: int = 1, seconds: int = 60) -> dict[str, Any]:
-    customers = [Customer("portal", load * 70), Customer("desk", load * 30)]
-    crowd = Crowd(10, customers, queues=queues, doors=doors, weights=TWO)
+def simulate(load: float, queues: bool, dispatchers: int = 1, seconds: int = 60) -> dict[str, Any]:
+    """Simulates two tenants at a load relative to capacity."""
+    tenants = [Customer("portal", load * 70), Customer("desk", load * 30)]
+    crowd = Crowd(10, tenants, queues=queues, doors=dispatchers, weights=EQUAL_WEIGHTS)
     crowd.run(seconds)
-    tens = [sum(crowd.series[s] for s in range(at, at + 10)) / 10 for at in range(0, seconds - 10)]
-    parts = {c.name: crowd.part(c.name) for c in customers}
+    rates_over_ten_seconds = [
+        sum(crowd.series[s] for s in range(at, at + 10)) / 10 for at in range(0, seconds - 10)
+    ]
+    shares = {c.name: crowd.part(c.name) for c in tenants}
     return {
         "load": load,
         "queues": queues,
-        "doors": doors,
+        "doors": dispatchers,
         "in time a second": round(sum(crowd.in_time.values()) / seconds, 1),
-        "worst ten seconds": round(min(tens), 1),
-        **{f"part of {name}'s in time": round(part, 3) for name, part in parts.items()},
-        "Jain's index of work": round(jain([crowd.work_in_time[c.name] for c in customers]), 3),
+        "worst ten seconds": round(min(rates_over_ten_seconds), 1),
+        **{f"part of {name}'s in time": round(part, 3) for name, part in shares.items()},
+        "Jain's index of work": round(jain([crowd.work_in_time[c.name] for c in tenants]), 3),
         "came when told": crowd.came,
         "of them served in time": round(crowd.met / crowd.came, 3) if crowd.came else None,
         "longest wait of one turned back, ms": crowd.sat_on // NS_PER_MS,
@@ -53,83 +57,88 @@
 
 
 def cost(count: int = 100_000) -> dict[str, Any]:
-    """CPU a task: with room, and while 1000 wait."""
-    told = {}
-    for name, places in (("with room", 1 << 30), ("while 1000 wait", 10)):
+    """Measures the CPU time per request, with free capacity and while 1000 requests wait."""
+    results = {}
+    for name, capacity in (("with room", 1 << 30), ("while 1000 wait", 10)):
         now = 0
         inside: list[Any] = []
-        gate = AdmissionController(
-            AdmissionLimits(waiting=1000, weights=TWO), lambda: now, Random(1), lambda _: len(inside) < places
+        admission = AdmissionController(
+            AdmissionLimits(waiting=1000, weights=EQUAL_WEIGHTS),
+            lambda: now,
+            Random(1),
+            lambda _: len(inside) < capacity,
         )
         chance = Random(2)
-        begun = perf_counter()
+        began = perf_counter()
         for n in range(count):
             now += 1 * NS_PER_MS
             soft = now + 5000 * NS_PER_MS
-            who = "desk" if n % 3 else "portal"
+            tenant = "desk" if n % 3 else "portal"
             arriving = AdmissionRequest(
-                f"m{n % 50}", "o", who, f"c{chance.randrange(1000)}", n, 0.05, 100, soft, soft, False
+                f"m{n % 50}", "o", tenant, f"c{chance.randrange(1000)}", n, 0.05, 100, soft, soft, False
             )
-            ticket = gate.submit(arriving)
+            ticket = admission.submit(arriving)
             if ticket.state is QueueState.ADMITTED:
                 inside.append(ticket)
             if len(inside) >= 10:
-                changed = gate.complete(inside.pop(0), ServiceResult.SUCCEEDED)
+                changed = admission.complete(inside.pop(0), ServiceResult.SUCCEEDED)
                 while changed:
                     more = []
                     for each in changed:
                         if each.state is QueueState.ADMITTED:
                             inside.append(each)
-                            more += gate.confirm_admission(each)
+                            more += admission.confirm_admission(each)
                     changed = more
-        told[f"us a task, {name}"] = round((perf_counter() - begun) / count * 1e6, 1)
-    return told
+        results[f"us a task, {name}"] = round((perf_counter() - began) / count * 1e6, 1)
+    return results
 
 
 def floods() -> list[dict[str, Any]]:
-    """Memory at its highest, of this process, under floods of names; nothing ends, so all that may wait
-    does."""
+    """Measures the peak memory of this process under floods of distinct names.
+
+    No request ends, so that as many wait as the limits allow.
+    """
     found = []
     for name in ("names", "models", "marks"):
         now = 0
         limits = AdmissionLimits(waiting=2000, bytes=64 * 1024 * 1024, weights={})
-        gate = AdmissionController(limits, lambda: now, Random(1), lambda _: False)
+        admission = AdmissionController(limits, lambda: now, Random(1), lambda _: False)
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         for n in range(300_000):
             now += 200_000
-            customer = f"customer {n}" if name == "names" else "one"
+            tenant = f"customer {n}" if name == "names" else "one"
             client = f"client {n}" if name == "names" else "one"
             model = f"model {n}" if name == "models" else "m"
             soft = now + 400 * NS_PER_MS
-            gate.submit(AdmissionRequest(model, "o", customer, client, n, 0.1, 1000, soft, soft, False))
+            admission.submit(AdmissionRequest(model, "o", tenant, client, n, 0.1, 1000, soft, soft, False))
             if n % 500 == 0:
                 for ticket in [
                     t
-                    for q in gate.queues.values()
+                    for q in admission.queues.values()
                     for line in q.tenant_queues.values()
                     for t in line.requests()
                 ]:
                     if ticket.start_by_ns <= now:
-                        gate.expire(ticket)
+                        admission.expire(ticket)
         after = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         found.append(
             {
                 "flood of 300,000": name,
                 "MB more at the highest": round((after - before) / 1024, 1),
-                "accounts": len(gate.accounts),
-                "queues": len(gate.queues),
-                "appointments": len(gate.reservations),
+                "accounts": len(admission.accounts),
+                "queues": len(admission.queues),
+                "appointments": len(admission.reservations),
             }
         )
     return found
 
 
-def plot(path: Path, told: list[dict[str, Any]]) -> None:
-    """Goodput over load, as SVG."""
+def plot(path: Path, results: list[dict[str, Any]]) -> None:
+    """Writes goodput over load as an SVG file."""
     lines = []
     for queues, colour in ((True, "#146"), (False, "#b40")):
         points = [
-            (t["load"], t["in time a second"]) for t in told if t["queues"] is queues and t["doors"] == 1
+            (t["load"], t["in time a second"]) for t in results if t["queues"] is queues and t["doors"] == 1
         ]
         at = " ".join(f"{60 + load * 150:.0f},{260 - good * 2:.0f}" for load, good in points)
         lines.append(f'<polyline fill="none" stroke="{colour}" stroke-width="2" points="{at}"/>')
@@ -147,20 +156,21 @@
 @click.command()
 @click.option("--plot", "plot_file", type=click.Path(path_type=Path))
 def main(plot_file: Path | None) -> None:
-    told = []
+    """Print goodput over load, the cost of admission, and memory under floods."""
+    results = []
     for load in (0.5, 0.8, 1.0, 1.5, 2.0, 2.5, 3.0):
         for queues in (False, True):
-            told.append(one(load, queues))
-            print(json.dumps(told[-1]), flush=True)
-    for doors in (10, 100):
+            results.append(simulate(load, queues))
+            print(json.dumps(results[-1]), flush=True)
+    for dispatchers in (10, 100):
         for load in (1.0, 1.5, 3.0):
-            told.append(one(load, True, doors))
-            print(json.dumps(told[-1]), flush=True)
+            results.append(simulate(load, True, dispatchers))
+            print(json.dumps(results[-1]), flush=True)
     print(json.dumps(cost()))
     for flood in floods():
         print(json.dumps(flood))
     if plot_file:
-        plot(plot_file, told)
+        plot(plot_file, results)
 
 
 if __name__ == "__main__":
--- a/benchmarks/doors.py
+++ b/benchmarks/doors.py
@@ -1,10 +1,10 @@
-"""One, ten and a hundred doors before the same runners, in virtual time with the module itself.
+"""Simulates 1, 10 and 100 dispatchers in front of the same workers, in virtual time.
 
     PYTHONPATH=. .venv/bin/python benchmarks/doors.py [--processes 6]
 
-Eight runners of the plain day with models that last; a third of the load for eight seconds, then the load
-for twenty. Each client comes back to any door. `told`: of those that came when they were told, how many
-were answered in time, and at all.
+Eight workers of the plain day run functions with a keep-alive of 30 s, at a third of the load for eight
+seconds and then at the load for twenty. Each client retries at any dispatcher. `in time` and `at all` are the
+shares of the retries made when Retry-After said that were answered in time, and at all.
 """
 
 from __future__ import annotations
@@ -22,27 +22,28 @@
 from martenlead.days.script import Day, plan
 from martenlead.emulator.fleet import Fleet
 
-CAPACITY = 350.0  # tasks a second: 25.6 cores at 73 ms
+CAPACITY = 350.0  # Requests per second: 25.6 cores at 73 ms each.
 
 
-def one(job: tuple[int, float, bool, int]) -> dict[str, Any]:
-    doors, load, queues, seed = job
+def simulate(job: tuple[int, float, bool, int]) -> dict[str, Any]:
+    """Simulates one number of dispatchers at one load, with or without queues."""
+    dispatchers, load, queues, seed = job
     path = Path(__file__).parent.parent / "days" / "plain.jsonnet"
-    told: dict[str, Any] = json.loads(msgspec.json.encode(decode(evaluate(path), Day, "plain")))
+    day_fields: dict[str, Any] = json.loads(msgspec.json.encode(decode(evaluate(path), Day, "plain")))
     rate = CAPACITY * load
-    told |= {"edges": doors, "seconds": 28, "quota_per_s": CAPACITY * 1.3}
-    told["troubles"] = [{"at_s": 8, "kind": "burst", "size": 3, "for_s": 20}]
-    told["edge"]["queues"] = {"secret": "the same at all doors"} if queues else None
-    told["edge"]["models"]["keep_ms"] = 30_000
-    for offering in told["offerings"]:
-        offering |= {"models": 8, "zipf": 0.5, "load_ms": 300}
-    told["clients"] |= {"rate_per_s": rate / 3, "honours": 0.9, "retries": 3}
-    fleet = Fleet(plan(msgspec.convert(told, Day), seed), records=False)
+    day_fields |= {"edges": dispatchers, "seconds": 28, "quota_per_s": CAPACITY * 1.3}
+    day_fields["troubles"] = [{"at_s": 8, "kind": "burst", "size": 3, "for_s": 20}]
+    day_fields["edge"]["queues"] = {"secret": "the same at all doors"} if queues else None
+    day_fields["edge"]["models"]["keep_ms"] = 30_000
+    for request_class in day_fields["offerings"]:
+        request_class |= {"models": 8, "zipf": 0.5, "load_ms": 300}
+    day_fields["clients"] |= {"rate_per_s": rate / 3, "honours": 0.9, "retries": 3}
+    fleet = Fleet(plan(msgspec.convert(day_fields, Day), seed), records=False)
     fleet.run()
     tally = fleet.tally
     about = tally.told()
     return {
-        "doors": doors,
+        "doors": dispatchers,
         "load": load,
         "queues": queues,
         "seed": seed,
@@ -62,16 +63,17 @@
 @click.option("--processes", default=6)
 @click.option("--seeds", default=2)
 def main(processes: int, seeds: int) -> None:
+    """Print one JSON object per number of dispatchers, load, queueing and seed."""
     jobs = [
-        (doors, load, queues, seed)
-        for doors in (1, 10, 100)
+        (dispatchers, load, queues, seed)
+        for dispatchers in (1, 10, 100)
         for load in (0.9, 1.5, 3.0)
         for queues in (False, True)
         for seed in range(1, seeds + 1)
     ]
     with Pool(processes) as pool:
-        for told in pool.imap(one, jobs):
-            print(json.dumps(told), flush=True)
+        for result in pool.imap(simulate, jobs):
+            print(json.dumps(result), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -1,4 +1,4 @@
-"""How fast virtual time is, and what it holds, by size: one day on one core, and one day a core at once.
+"""Measures the speed and memory of the simulator by fleet size, for one day and for parallel days.
 
 PYTHONPATH=. .venv/bin/python benchmarks/emulator.py [--largest]
 """
@@ -23,23 +23,24 @@
 LARGEST = (1000, 200, 20)
 
 
-def one(job: tuple[int, int, int, int]) -> dict[str, Any]:
-    runners, edges, seconds, seed = job
+def simulate(job: tuple[int, int, int, int]) -> dict[str, Any]:
+    """Simulates one day of a fleet and returns its speed and memory."""
+    workers, edges, seconds, seed = job
     path = Path(__file__).parent.parent / "days" / "lasting.jsonnet"
     day = decode(evaluate(path), Day, "lasting")
     replace = msgspec.structs.replace
-    rate = 10 * runners
+    rate = 10 * workers
     day = replace(
         day,
         seconds=seconds,
         edges=edges,
-        runners=replace(day.runners, count=runners),
+        runners=replace(day.runners, count=workers),
         clients=replace(day.clients, rate_per_s=rate),
         quota_per_s=1.4 * rate,
     )
     outcome, fleet = run(Job(script="lasting", day=day, seed=seed))
     return {
-        "runners": runners,
+        "runners": workers,
         "dispatchers": edges,
         "tasks a second": rate,
         "virtual s": seconds,
@@ -54,23 +55,24 @@
 
 
 @click.command()
-@click.option("--largest", is_flag=True, help="1000 runners and 200 dispatchers too")
+@click.option("--largest", is_flag=True, help="Also simulate 1000 workers and 200 dispatchers.")
 @click.option("--processes", default=8)
 def main(largest: bool, processes: int) -> None:
-    for runners, edges, seconds in [*SIZES, *([LARGEST] if largest else [])]:
-        with ProcessPoolExecutor(1) as pool:  # memory is the process's own
-            print(json.dumps(pool.submit(one, (runners, edges, seconds, 1)).result()), flush=True)
-    begun = perf_counter()
+    """Print one JSON object per size, then one for several days in parallel."""
+    for workers, edges, seconds in [*SIZES, *([LARGEST] if largest else [])]:
+        with ProcessPoolExecutor(1) as pool:  # A separate process, so that its peak memory is its own.
+            print(json.dumps(pool.submit(simulate, (workers, edges, seconds, 1)).result()), flush=True)
+    began = perf_counter()
     with ProcessPoolExecutor(processes) as pool:
-        told = list(pool.map(one, [(100, 20, 20, seed) for seed in range(processes)]))
-    wall = perf_counter() - begun
+        results = list(pool.map(simulate, [(100, 20, 20, seed) for seed in range(processes)]))
+    wall = perf_counter() - began
     print(
         json.dumps(
             {
                 "days at once": processes,
                 "wall s": round(wall, 1),
-                "virtual s a wall s, all together": round(sum(t["virtual s"] for t in told) / wall, 2),
-                "tasks a wall s": round(sum(t["tasks a second"] * t["virtual s"] for t in told) / wall),
+                "virtual s a wall s, all together": round(sum(t["virtual s"] for t in results) / wall, 2),
+                "tasks a wall s": round(sum(t["tasks a second"] * t["virtual s"] for t in results) / wall),
             }
         )
     )
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -1,8 +1,8 @@
-"""How a task's cost at an edge grows with the edges and the runners, at a steady 280 tasks a second in all.
+"""Measures how the cost per request grows with edges and workers, at a total of 280 requests per second.
 
     .venv/bin/python benchmarks/growth.py [--seconds 5]
 
-Runners answer after 20 ms. Prints JSON: CPU of all edges a task, latency, connections to runners.
+Workers answer after 20 ms. Prints JSON: CPU time of all edges per request, latency, connections to workers.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 import speed
 
 
-def one(edges: int, runners: int, seconds: float) -> dict[str, Any]:
-    processes = [speed.start("runner", max(1, runners // 2), 20) for _ in range(2)]
+def measure_size(edges: int, workers: int, seconds: float) -> dict[str, Any]:
+    """Measures a number of edges and workers under the steady load."""
+    processes = [speed.start("runner", max(1, workers // 2), 20) for _ in range(2)]
     with tempfile.TemporaryDirectory() as name:
         try:
             ports = [port for process in processes for port in speed.first_line(process)]
@@ -36,17 +37,17 @@
                 speed.first_line(load)
             before = sum(speed.cpu(pid) for pid in pids)
             loads = [speed.start("load", port, seconds, 0, rate, 0) for port in started]
-            found = [speed.first_line(load) for load in loads]
+            results = [speed.first_line(load) for load in loads]
             cpu = sum(speed.cpu(pid) for pid in pids) - before
-            lags = sorted(lag for told in found for lag in told["lags"])
+            lags = sorted(lag for result in results for lag in result["lags"])
             states = [speed.ask({"port": 18_440 + n}, "/state") for n in range(edges)]
-            good = sum(told["statuses"].get("200", 0) for told in found)
+            succeeded = sum(result["statuses"].get("200", 0) for result in results)
             return {
                 "edges": edges,
-                "runners": runners,
-                "satisfied": good,
-                "of": sum(sum(told["statuses"].values()) for told in found),
-                "cpu_us_per_task": round(1e6 * cpu / max(1, good)),
+                "runners": workers,
+                "satisfied": succeeded,
+                "of": sum(sum(result["statuses"].values()) for result in results),
+                "cpu_us_per_task": round(1e6 * cpu / max(1, succeeded)),
                 "p50_ms": lags[len(lags) // 2],
                 "p99_ms": lags[int(0.99 * len(lags))],
                 "connections": sum(r["connections"] for state in states for r in state["runners"]),
@@ -60,9 +61,10 @@
 @click.command()
 @click.option("--seconds", default=5.0)
 def main(seconds: float) -> None:
-    told = [one(edges, 10, seconds) for edges in (1, 2, 4, 8)]
-    told += [one(1, runners, seconds) for runners in (20, 40, 80)]
-    print(json.dumps(told, indent=1))
+    """Measure several numbers of edges, then of workers."""
+    results = [measure_size(edges, 10, seconds) for edges in (1, 2, 4, 8)]
+    results += [measure_size(1, workers, seconds) for workers in (20, 40, 80)]
+    print(json.dumps(results, indent=1))
 
 
 if __name__ == "__main__":
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -1,4 +1,4 @@
-"""What keeping a dispatcher's knowledge costs, and a start with it, for 100 to 10,000 models.
+"""Measures the cost of saving a dispatcher's knowledge and of a start with it, for 100 to 10,000 models.
 
 PYTHONPATH=. .venv/bin/python benchmarks/lasting.py
 """
@@ -31,17 +31,18 @@
 from support.fleet import OFFERINGS
 
 
-def module(models: int) -> tuple[Policy, dict[Any, str], dict[Any, tuple[str, str, bool]]]:
+def make_policy(models: int) -> tuple[Policy, dict[Any, str], dict[Any, tuple[str, str, bool]]]:
+    """Creates a policy that knows a number of functions and 100 workers."""
     from martenlead.config.edge import EdgeSettings
 
-    told, _, _ = build_policy_settings(
+    settings, _, _ = build_policy_settings(
         decode({"roster": {"port": 1}, "offerings": OFFERINGS}, EdgeSettings, "bench")
     )
-    policy = Policy(told, 1)
+    policy = Policy(settings, 1)
     policy.state.now_ns = 1000 * SECOND
     chance = Random(1)
-    runners = [policy.new_worker(WorkerFacts(n + 1, "z", 0, 4e4, 4.0, WorkerState.UP, 0)) for n in range(100)]
-    policy.update_workers([(r, r.facts) for r in runners], True)
+    workers = [policy.new_worker(WorkerFacts(n + 1, "z", 0, 4e4, 4.0, WorkerState.UP, 0)) for n in range(100)]
+    policy.update_workers([(r, r.facts) for r in workers], True)
     names = {}
     for n in range(models):
         model = policy.new_function(FunctionFacts(n + 1, 4, 3000.0))
@@ -51,18 +52,19 @@
         model.rated_requests, model.rated_span_ns = 20.0, 10 * SECOND
         for _ in range(30):
             model.latency.add(chance.randrange(10_000_000, 900_000_000))
-        for runner in chance.sample(runners, 3):
-            copy = policy.state.replica(model, runner)
-            copy.is_retained = copy.is_loaded = True
-            copy.last_used_ns = model.last_request_ns
-    return policy, names, {r: (f"runner-{n}", "1", False) for n, r in enumerate(runners)}
+        for worker in chance.sample(workers, 3):
+            replica = policy.state.replica(model, worker)
+            replica.is_retained = replica.is_loaded = True
+            replica.last_used_ns = model.last_request_ns
+    return policy, names, {r: (f"runner-{n}", "1", False) for n, r in enumerate(workers)}
 
 
 def main() -> None:
+    """Print the cost of saving and of a start for each number of functions."""
     for count in (100, 1000, 10_000):
-        policy, names, boxes = module(count)
+        policy, names, workers = make_policy(count)
         gc.collect()
-        gc.freeze()  # as the edge program does
+        gc.freeze()  # As the edge program does.
         gc.set_threshold(20_000, 20, 50)
         with tempfile.TemporaryDirectory() as folder:
             store = StateStore(StateFolder(Path(folder)), "bench", time.time_ns)
@@ -70,25 +72,25 @@
             last: tuple[int, SavedKnowledge] | None = None
             gathered = written = longest = 0.0
             for n in range(5):
-                begun = time.perf_counter()
-                steps = gather_in_steps(policy, policy.state.now_ns + n * SECOND, names, boxes, last)
+                began = time.perf_counter()
+                steps = gather_in_steps(policy, policy.state.now_ns + n * SECOND, names, workers, last)
                 while True:
-                    slice_begun = time.perf_counter()
+                    slice_began = time.perf_counter()
                     try:
                         next(steps)
                     except StopIteration as stop:
-                        told = stop.value
+                        knowledge = stop.value
                         break
                     finally:
-                        longest = max(longest, time.perf_counter() - slice_begun)
-                last = policy.state.now_ns + n * SECOND, told
+                        longest = max(longest, time.perf_counter() - slice_began)
+                last = policy.state.now_ns + n * SECOND, knowledge
                 middle = time.perf_counter()
-                store.write(kind, told)
-                gathered += middle - begun
+                store.write(kind, knowledge)
+                gathered += middle - began
                 written += time.perf_counter() - middle
             size = max(p.stat().st_size for p in Path(folder).glob("knowledge.*"))
             store.close()
-            begun = time.perf_counter()
+            began = time.perf_counter()
             again = StateStore(StateFolder(Path(folder)), "bench", time.time_ns)
             state = again.read(kind)
             assert state is not None
@@ -98,10 +100,13 @@
             models = {
                 m.name: fresh.new_function(FunctionFacts(1, m.lanes, m.memory_mb)) for m in known.functions
             }
-            runners = {name: (fresh.new_worker(r.facts), life) for r, (name, life, _) in boxes.items()}
-            fresh.restore(build_earlier_run(known, 5 * SECOND, models, runners, 0))
-            asked = len(list_reloads(known, SECOND, 10 * SECOND, runners))
-            started = time.perf_counter() - begun
+            restored_workers = {
+                name: (fresh.new_worker(r.facts), incarnation)
+                for r, (name, incarnation, _) in workers.items()
+            }
+            fresh.restore(build_earlier_run(known, 5 * SECOND, models, restored_workers, 0))
+            reload_count = len(list_reloads(known, SECOND, 10 * SECOND, restored_workers))
+            started = time.perf_counter() - began
         print(
             json.dumps(
                 {
@@ -111,7 +116,7 @@
                     "ms in a thread": round(written / 5 * 1000, 1),
                     "KB on disk": round(size / 1000),
                     "ms to start with it": round(started * 1000, 1),
-                    "copies asked for": asked,
+                    "copies asked for": reload_count,
                 }
             ),
             flush=True,
--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -1,10 +1,11 @@
-"""Loads by agents on sockets, each a process, against whole models fetched by the same agents in the same
+"""Measures loads by agents, each a process, over sockets, compared with loads of complete models in the same
 run.
 
     .venv/bin/python benchmarks/layers.py [--mb 32] [--boxes 1,4,16,32]
 
-Bytes, refusals and stops are the vault's own records. `whole`: one piece a model, boxes that do not know of
-each other. `chunks`: chunks, and the same. `shared`: chunks, and boxes that know of each other.
+Bytes, rejections and stops are taken from the record of the artifact store. `whole`: one chunk per model, and
+workers that do not know of each other. `chunks`: several chunks, and likewise. `shared`: several chunks, and
+workers that know of each other.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 from martenlead.standins.record import read
 
 UVLOOP = {"use_uvloop": True}
-VAULT = {
+STORE_SETTINGS = {
     "mb_s": 12.5,
     "pace": 8,
     "most": 24,
@@ -46,6 +47,7 @@
 
 
 async def start(group: anyio.abc.TaskGroup, command: list[str], config: dict[str, Any], path: Path) -> Any:
+    """Starts a program with a configuration; returns its process and port."""
     path.write_bytes(msgspec.json.encode(config))
     with open(path.with_suffix(".log"), "wb") as log:
         process = await anyio.open_process(
@@ -57,30 +59,31 @@
 
 
 async def load(port: int, ref: str) -> dict[str, Any]:
+    """Loads a model on an agent and returns the outcome with its duration."""
     body = msgspec.json.encode({"ref": ref, "within_ms": 120_000})
-    begun = perf_counter()
+    began = perf_counter()
     exchange = await Pool("127.0.0.1", port).exchange(http.request(b"POST", b"/load", b"x", [], body))
-    told = json.loads(exchange.message.body) if exchange.message else {}
-    return {"ok": "digest" in told, "why": told.get("failure", ""), "s": perf_counter() - begun}
+    result = json.loads(exchange.message.body) if exchange.message else {}
+    return {"ok": "digest" in result, "why": result.get("failure", ""), "s": perf_counter() - began}
 
 
-async def one(
-    folder: Path, layout: Path, way: str, count: int, mb: float, states: bool
+async def measure_loads(
+    folder: Path, layout: Path, mode: str, count: int, mb: float, states: bool
 ) -> list[dict[str, Any]]:
-    """A cold start and then a release, at so many boxes."""
+    """Loads a model cold, then a release and the release again, on a number of workers."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir()
     processes = []
-    told = []
+    results = []
     async with anyio.create_task_group() as group:
         record = folder / "vault.jsonl"
-        vault, port = await start(
+        store, port = await start(
             group,
             ["standin", "depot"],
-            {**VAULT, "layout": str(layout), "record": str(record)},
+            {**STORE_SETTINGS, "layout": str(layout), "record": str(record)},
             folder / "vault.json",
         )
-        processes.append(vault)
+        processes.append(store)
         sockets = []
         ports: list[int] = []
         for _ in range(count):
@@ -92,104 +95,110 @@
         members = [{"mark": hash_worker_name(f"box-{n}"), "port": p} for n, p in enumerate(ports)]
         agents: list[Any] = [None] * count
 
-        async def begin(n: int) -> None:
+        async def start_agent(n: int) -> None:
+            """Starts the agent of one worker."""
             config = {
                 "name": f"box-{n}",
                 "port": ports[n],
                 "cache": str(folder / f"cache-{n}"),
                 "vault": {"port": port},
-                "members": members if way == "shared" else [],
+                "members": members if mode == "shared" else [],
             }
             agents[n], _ = await start(group, ["layers", "agent"], config, folder / f"agent-{n}.json")
 
         async with anyio.create_task_group() as starting:
             for n in range(count):
-                starting.start_soon(begin, n)
+                starting.start_soon(start_agent, n)
         processes += agents
         for what, ref in (("cold", "m.0"), ("release", "m.0.r1"), ("again", "m.0.r1")):
-            ref = ref + ".whole" if way == "whole" else ref
+            ref = ref + ".whole" if mode == "whole" else ref
             before = list(read(record))
-            ends: list[dict[str, Any]] = []
+            outcomes: list[dict[str, Any]] = []
 
-            async def ask(p: int, ref: str = ref, ends: list[dict[str, Any]] = ends) -> None:
-                ends.append(await load(p, ref))
+            async def load_on(p: int, ref: str = ref, outcomes: list[dict[str, Any]] = outcomes) -> None:
+                """Loads the model on one agent and keeps the outcome."""
+                outcomes.append(await load(p, ref))
 
-            async with anyio.create_task_group() as asking:
+            async with anyio.create_task_group() as loading:
                 for p in ports:
-                    asking.start_soon(ask, p)
+                    loading.start_soon(load_on, p)
             new = list(read(record))[len(before) :]
             size = sum(r["size"] for r in new if r["what"] in ("blob", "manifest"))
-            told.append(
+            results.append(
                 {
                     "what": what,
-                    "way": way,
+                    "way": mode,
                     "boxes": count,
-                    "loaded": sum(e["ok"] for e in ends),
+                    "loaded": sum(e["ok"] for e in outcomes),
                     "models from the vault": round(size / (mb * 1e6), 3),
                     "turned away": sum(r["what"] == "turned away" for r in new),
                     "stops": sum(r["what"] == "down" for r in new),
                     "most at once": max((r.get("out", 0) for r in new), default=0),
-                    "first s": round(min(e["s"] for e in ends), 3),
-                    "last s": round(max(e["s"] for e in ends), 3),
+                    "first s": round(min(e["s"] for e in outcomes), 3),
+                    "last s": round(max(e["s"] for e in outcomes), 3),
                 }
             )
-            print(json.dumps(told[-1]), flush=True)
+            print(json.dumps(results[-1]), flush=True)
             if states:
-                print(json.dumps(await ends_of(ports)), flush=True)
+                print(json.dumps(await sum_agent_counts(ports)), flush=True)
         for process in processes:
             process.send_signal(signal.SIGKILL)
             await process.wait()
         group.cancel_scope.cancel()
-    return told
+    return results
 
 
-async def ends_of(ports: list[int]) -> dict[str, int]:
+async def sum_agent_counts(ports: list[int]) -> dict[str, int]:
+    """Returns the summed counts of the agents' loads and requests."""
     total: Counter[str] = Counter()
     for port in ports:
         exchange = await Pool("127.0.0.1", port).exchange(http.request(b"GET", b"/state", b"x", []))
         if exchange.message:
-            told = json.loads(exchange.message.body)
-            total.update(told["ends"])
-            total.update({k: told[k] for k in ("passed_over", "vault_asks", "peer_asks", "uploads_refused")})
+            state = json.loads(exchange.message.body)
+            total.update(state["ends"])
+            total.update({k: state[k] for k in ("passed_over", "vault_asks", "peer_asks", "uploads_refused")})
     return dict(total)
 
 
 def startup(folder: Path, count: int) -> dict[str, Any]:
-    """A cache of so many chunks: how long until it knows them, against reading them all."""
+    """Measures the start of a cache with a number of chunks, compared with reading them all."""
     cache = Cache(folder, 1 << 40)
     for n in range(count):
         data = b"%d" % n * 100
         cache.put(digest_of(data), data)
     cache.close()
-    begun = perf_counter()
+    began = perf_counter()
     cache = Cache(folder, 1 << 40)
-    knows = perf_counter() - begun
-    begun = perf_counter()
+    knows = perf_counter() - began
+    began = perf_counter()
     good = sum(cache.get(name) is not None for name in list(cache))
-    reads = perf_counter() - begun
+    reads = perf_counter() - began
     cache.close()
     return {"chunks": good, "start s": round(knows, 3), "reading all s": round(reads, 3)}
 
 
 @click.command()
 @click.option("--mb", default=32.0)
-@click.option("--boxes", default="1,4,16,32")
-@click.option("--ways", default="whole,chunks,shared")
+@click.option("--boxes", "worker_counts", default="1,4,16,32")
+@click.option("--ways", "modes", default="whole,chunks,shared")
 @click.option("--chunks", default=100_000)
-@click.option("--states", is_flag=True, help="what the agents say of their asks, summed")
-def main(mb: float, boxes: str, ways: str, chunks: int, states: bool) -> None:
+@click.option("--states", is_flag=True, help="Print the summed request counts of the agents.")
+def main(mb: float, worker_counts: str, modes: str, chunks: int, states: bool) -> None:
+    """Measure loads for each number of workers and each mode, then the start of a cache."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         layout = folder / "layout"
-        begun = perf_counter()
+        began = perf_counter()
         make(
             Layout(layout),
             Samples(functions=["m.0"], mb=mb, releases=2, with_single_chunk=True, average_kb=256, tuned=0),
         )
-        print(f"cores {os.cpu_count()}, model {mb} MB, made in {perf_counter() - begun:.1f} s", flush=True)
-        for count in map(int, boxes.split(",")):
-            for way in ways.split(","):
-                anyio.run(one, folder / "run", layout, way, count, mb, states, backend_options=UVLOOP)
+        print(f"cores {os.cpu_count()}, model {mb} MB, made in {perf_counter() - began:.1f} s", flush=True)
+        for count in map(int, worker_counts.split(",")):
+            for mode in modes.split(","):
+                anyio.run(
+                    measure_loads, folder / "run", layout, mode, count, mb, states, backend_options=UVLOOP
+                )
         if chunks:
             print(json.dumps(startup(folder / "many", chunks)))
 
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -1,10 +1,10 @@
-"""What the link costs a task, how soon a planner knows and decides, and how many edges one planner bears.
+"""Measures the cost of the planner link, the delays of a planner, and how many edges one planner supports.
 
     .venv/bin/python benchmarks/planner.py [--seconds 10]
 
-First in virtual time, with this process's CPU: an edge's module alone, and with a link and its planner.
-Then on sockets: a planner as a process of its own, and edges whose frames were recorded and are played in
-real time.
+First it measures the CPU time of this process in virtual time, for an edge alone and for one with a link and
+its planner. Then it runs a planner as a separate process, and replays recorded frames of edges over sockets
+in real time.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def drive(pair: Pair, rate: float, seconds: float, models: int, tick: Any = None) -> int:
-    """Tasks evenly at a rate, models by chance; how many."""
+    """Sends requests evenly at a rate, for random models; returns their number."""
     count, due = 0, float(pair.now)
     end = pair.now + int(seconds * 1e9)
     while pair.now < end:
@@ -47,12 +47,15 @@
 
 
 def cost(rate: float, seconds: float) -> dict[str, Any]:
-    """Bytes and CPU a task. The planner's is the time in its half; the edge's is what it takes more with a
-    link than without, the planner's half aside."""
+    """Measures bytes and CPU time per request.
+
+    The planner's is the time in its session. The edge's is the additional time with a link, without that of
+    the planner.
+    """
     alone = Pair(runners=20)
-    begun = process_time()
-    tasks = drive(alone, rate, seconds, 60)
-    without = process_time() - begun
+    began = process_time()
+    request_count = drive(alone, rate, seconds, 60)
+    without = process_time() - began
     pair = Pair(runners=20)
     spent = 0.0
     planner = pair.planner
@@ -60,31 +63,32 @@
         inner = getattr(planner, name)
 
         def timed(*args: Any, inner: Any = inner) -> Any:
+            """Calls the planner and adds the time spent."""
             nonlocal spent
-            at = perf_counter()
+            began = perf_counter()
             try:
                 return inner(*args)
             finally:
-                spent += perf_counter() - at
+                spent += perf_counter() - began
 
         setattr(planner, name, timed)
     pair.connect()
-    begun = process_time()
+    began = process_time()
     drive(pair, rate, seconds, 60)
-    both = process_time() - begun
+    both = process_time() - began
     return {
         "tasks a second": rate,
-        "bytes a task": round(pair.end.counts["bytes"] / tasks, 1),
-        "module alone, us a task": round(without / tasks * 1e6, 1),
-        "edge's link, us a task": round((both - spent - without) / tasks * 1e6, 1),
-        "planner, us a task": round(spent / tasks * 1e6, 1),
+        "bytes a task": round(pair.end.counts["bytes"] / request_count, 1),
+        "module alone, us a task": round(without / request_count * 1e6, 1),
+        "edge's link, us a task": round((both - spent - without) / request_count * 1e6, 1),
+        "planner, us a task": round(spent / request_count * 1e6, 1),
         "orders": pair.side.counts["orders"],
         "refused": pair.side.counts["orders refused"],
     }
 
 
 def recovery(kind: str) -> dict[str, Any]:
-    """Virtual ms from a new connection until the planner knows all that the edge knows."""
+    """Measures the virtual ms from a new connection until the planner knows all that the edge knows."""
     took = []
     for seed in range(10):
         pair = Pair(seed=seed, runners=20)
@@ -96,25 +100,25 @@
             pair.kill_planner()
         drive(pair, 280, 0.5, 60)
         pair.connect()
-        begun = pair.now
+        began = pair.now
         while pair.planner.policy_replica is None or pair.planner.last_sequence < pair.end.last_sequence - 1:
             drive(pair, 280, 0.005, 60)
-        took.append((pair.now - begun) // NS_PER_MS)
+        took.append((pair.now - began) // NS_PER_MS)
     return {"kind": kind, "virtual ms until it knows all": [min(took), max(took)]}
 
 
 def state(models: int) -> dict[str, Any]:
-    """How long the edge's event loop stands still while all that is known is written, and how much it is."""
+    """Measures how long a snapshot blocks the event loop of the edge, and its size."""
     pair = Pair(runners=20, snapshot_models=100_000)
     for n in range(models):
         pair.task(n)
         if n % 20 == 0:
             pair.run(5)
-    begun = perf_counter()
-    told, lively = pair.side._take_snapshot()
-    took = perf_counter() - begun
-    data = fr.encode_frame(fr.Snapshot(1, pair.now, msgspec.Raw(encode_snapshot(told))))
-    framed = perf_counter() - begun
+    began = perf_counter()
+    snapshot, lively = pair.side._take_snapshot()
+    took = perf_counter() - began
+    data = fr.encode_frame(fr.Snapshot(1, pair.now, msgspec.Raw(encode_snapshot(snapshot))))
+    framed = perf_counter() - began
     return {
         "lively models": len(lively),
         "read ms": round(took * 1000, 1),
@@ -123,8 +127,8 @@
     }
 
 
-async def lives(kind: str) -> dict[str, Any]:
-    """On sockets: ms from the start of an edge's new life until copies that were held before are held."""
+async def measure_restart(kind: str) -> dict[str, Any]:
+    """Measures over sockets the ms from a restart of an edge until its replicas are retained again."""
     with tempfile.TemporaryDirectory() as folder:
         kept = str(Path(folder) / "kept")
         async with planner(kept=kept) as (_, port):
@@ -142,64 +146,68 @@
 
 async def _again(port: int, planned: Any, until: Any) -> int:
     async with planned([port]) as (_f, side):
-        begun = perf_counter()
+        began = perf_counter()
         await until(lambda: any(c.is_retained for m in side.tape.models for c in m.replicas.values()))
-        return int((perf_counter() - begun) * 1000)
+        return int((perf_counter() - began) * 1000)
 
 
 def recorded(rate: float, seconds: float, models: int) -> list[tuple[int, bytes]]:
-    """Frames of one edge with their times (ns from the begin), the first being its snapshot."""
+    """Returns the frames of one edge with their times (ns from the start), the snapshot first."""
     pair = Pair(runners=20)
     drive(pair, rate, 1, models)
     pair.connect()
-    begun = pair.now
+    began = pair.now
     found: list[tuple[int, bytes]] = []
     inner = pair.end.next_frame
 
-    def keep() -> bytes | None:
+    def record_frame() -> bytes | None:
+        """Returns the next frame of the edge and records it."""
         data = inner()
         if data is not None and len(found) < 1_000_000:
-            found.append((pair.now - begun, data))
+            found.append((pair.now - began, data))
         return data
 
-    pair.end.next_frame = keep  # type: ignore[method-assign]
+    pair.end.next_frame = record_frame  # type: ignore[method-assign]
     drive(pair, rate, seconds, models)
     return [f for f in found if not isinstance(fr.FrameReader().feed(f[1])[0], fr.Hello | fr.Lease)]
 
 
-async def one(n: int, port: int, frames: list[tuple[int, bytes]], begin: int, told: dict[str, Any]) -> None:
-    """Plays an edge to a planner; when it decides, how long after the events that it has seen were sent."""
+async def replay_edge(
+    n: int, port: int, frames: list[tuple[int, bytes]], begin: int, results: dict[str, Any]
+) -> None:
+    """Replays an edge to a planner, and notes the delay of load requests after the events they follow."""
     stream = await anyio.connect_tcp("127.0.0.1", port)
     sent: dict[int, int] = {}
     async with stream, anyio.create_task_group() as group:
 
-        async def hear() -> None:
+        async def read_messages() -> None:
+            """Notes how far the planner is behind, and the delays of its load requests."""
             reader = fr.FrameReader()
             while True:
                 for message in reader.feed(await stream.receive()):
                     if isinstance(message, fr.Heartbeat) and message.sequence:
-                        told["behind"] = max(told["behind"], max(sent, default=0) - message.sequence)
+                        results["behind"] = max(results["behind"], max(sent, default=0) - message.sequence)
                     if (
                         isinstance(message, fr.PlanUpdate)
                         and message.load_requests
                         and message.sequence in sent
                     ):
-                        told["delays"].append((monotonic_ns() - sent[message.sequence]) / 1e6)
+                        results["delays"].append((monotonic_ns() - sent[message.sequence]) / 1e6)
 
         await stream.send(fr.encode_frame(fr.Hello(1, 2, f"edge-{n}", f"life-{n}", "")))
-        group.start_soon(hear)
+        group.start_soon(read_messages)
         await stream.send(fr.encode_frame(fr.Lease(1, 1500)))
         for at, data in frames:
             await anyio.sleep(max(0, begin + at - monotonic_ns()) / 1e9)
             message = msgspec.msgpack.decode(data[8:])
             sent[message[1]] = monotonic_ns()
             await stream.send(data)
-        told["last"] = max(told["last"], (monotonic_ns() - begin) / 1e9)
+        results["last"] = max(results["last"], (monotonic_ns() - begin) / 1e9)
         group.cancel_scope.cancel()
 
 
 async def sockets(edges: int, total: float, seconds: float) -> dict[str, Any]:
-    """One planner with so many edges, `total` tasks a second in all."""
+    """Measures one planner with a number of edges and `total` requests per second of all together."""
     frames = recorded(total / edges, seconds, max(6, 120 // edges))
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "planner.json"
@@ -211,19 +219,20 @@
         port = json.loads(await process.stdout.receive())["ready"]["port"]
 
         def cpu() -> float:
+            """Returns the CPU seconds of the planner."""
             parts = Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()
             return (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
 
-        told: dict[str, Any] = {"delays": [], "behind": 0, "last": 0.0}
+        results: dict[str, Any] = {"delays": [], "behind": 0, "last": 0.0}
         begin, before = monotonic_ns() + 200_000_000, cpu()
         async with anyio.create_task_group() as group:
             for n in range(edges):
-                group.start_soon(one, n, port, frames, begin, told)
+                group.start_soon(replay_edge, n, port, frames, begin, results)
         spent = cpu() - before
         memory = Path(f"/proc/{process.pid}/status").read_text().split("VmRSS:")[1].split()[0]
         process.kill()
         await process.wait()
-    delays = sorted(told["delays"])
+    delays = sorted(results["delays"])
     return {
         "edges": edges,
         "tasks a second": total,
@@ -232,21 +241,22 @@
         "order after its events ms p50": round(delays[len(delays) // 2], 1) if delays else None,
         "p99": round(delays[int(len(delays) * 0.99)], 1) if delays else None,
         "orders": len(delays),
-        "frames behind, at most": told["behind"],
-        "played in s": round(told["last"], 1),
+        "frames behind, at most": results["behind"],
+        "played in s": round(results["last"], 1),
     }
 
 
 @click.command()
 @click.option("--seconds", default=8.0)
 def main(seconds: float) -> None:
+    """Print one JSON object per case."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(40))
     for rate in (280.0, 890.0):
         print(json.dumps(cost(rate, seconds)), flush=True)
     for kind in ("cut", "planner killed"):
         print(json.dumps(recovery(kind)), flush=True)
     for kind in ("edge killed", "both killed"):
-        print(json.dumps(anyio.run(lives, kind, backend_options=UVLOOP)), flush=True)
+        print(json.dumps(anyio.run(measure_restart, kind, backend_options=UVLOOP)), flush=True)
     for models in (1000, 10_000):
         print(json.dumps(state(models)), flush=True)
     cases = [(1, 890.0), (10, 890.0), (30, 890.0), (100, 890.0), (10, 2000.0), (10, 4000.0), (10, 6000.0)]
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -1,10 +1,11 @@
-"""How boxes might learn who has what, in virtual time: owners (ours), asking on demand, summaries, and
-none.
+"""Compares ways in which workers can find chunks at each other, in virtual time: owners (the program's way),
+requests on demand, summaries, and none.
 
     .venv/bin/python benchmarks/sharing.py
 
-Boxes and vault are those of support/swarm.py; only the choice of whom to ask differs. Words are asks between
-boxes and, for summaries, what all tell all twice a second, at ten bits a chunk and 40 bytes a message.
+Workers and artifact store are those of support/swarm.py; only the choice of the peer differs. Messages are
+the requests between workers and, for summaries, what each sends to all others twice a second, at ten bits per
+chunk and 40 bytes per message.
 """
 
 from __future__ import annotations
@@ -22,14 +23,18 @@
 
 
 class Alone(Chooser):
+    """Requests no chunk from a peer."""
+
     def next_owner(self, want: ChunkDownload, passed: set[Peer]) -> Peer | None:
+        """Returns no peer."""
         return None
 
 
 class OnDemand(Chooser):
-    """Asks some boxes by chance whether they have it."""
+    """Requests a chunk from randomly chosen peers."""
 
     def next_owner(self, want: ChunkDownload, passed: set[Peer]) -> Peer | None:
+        """Returns a random peer that was not tried yet, up to `OWNERS` of them."""
         others = [peer for peer in self.peers.values() if peer not in passed]
         if len(passed) >= OWNERS or not others:
             return None
@@ -37,19 +42,20 @@
 
 
 class Summaries(Chooser):
-    """Asks one of those that said that they have it."""
+    """Requests a chunk from a random peer whose summary contains it."""
 
-    told: dict[int, set[str]]
+    announced: dict[int, set[str]]
 
     def next_owner(self, want: ChunkDownload, passed: set[Peer]) -> Peer | None:
-        told = getattr(self, "told", {})
-        having = [p for m, p in self.peers.items() if p not in passed and want.digest in told.get(m, ())]
+        """Returns a random peer that announced the chunk and was not tried yet."""
+        announced = getattr(self, "announced", {})
+        having = [p for m, p in self.peers.items() if p not in passed and want.digest in announced.get(m, ())]
         if len(passed) >= OWNERS or not having:
             return None
         return having[int(self.draw_random() * len(having))]
 
 
-WAYS: dict[str, tuple[type[Chooser], bool]] = {
+METHODS: dict[str, tuple[type[Chooser], bool]] = {
     "none": (Alone, False),
     "on demand": (OnDemand, False),
     "summaries": (Summaries, False),
@@ -57,51 +63,53 @@
 }
 
 
-def one(way: str, boxes: int, chunks: int, apart_ms: int) -> dict[str, Any]:
-    """All boxes want all chunks, each `apart_ms` behind the one before."""
-    kind, fetches = WAYS[way]
-    swarm = Swarm(boxes, chooser=kind, fetches_for_others=fetches)
+def simulate(method: str, worker_count: int, chunks: int, apart_ms: int) -> dict[str, Any]:
+    """All workers load all chunks; each starts `apart_ms` after the one before."""
+    chooser, fetches = METHODS[method]
+    swarm = Swarm(worker_count, chooser=chooser, fetches_for_others=fetches)
     model = [digest_of(b"%d" % n) for n in range(chunks)]
-    for n, box in enumerate(swarm.boxes):
-        swarm.at(n * apart_ms * MS, lambda box=box: box.load(model, 120_000))  # type: ignore[misc]
-    said = 0
-
-    def tell() -> None:
-        nonlocal said
-        for box in swarm.boxes:
+    for n, worker in enumerate(swarm.boxes):
+        swarm.at(n * apart_ms * MS, lambda worker=worker: worker.load(model, 120_000))  # type: ignore[misc]
+    summary_bytes = 0
+
+    def send_summaries() -> None:
+        """Sends the summary of each worker to all others, until all have finished."""
+        nonlocal summary_bytes
+        for worker in swarm.boxes:
             for other in swarm.boxes:
-                if other is not box:
-                    told = other.chooser.__dict__.setdefault("told", {})
-                    told[box.mark] = set(box.has)
-                    said += 40 + len(box.has) * 10 // 8
-        if not all(box.finished for box in swarm.boxes):
-            swarm.at(swarm.now + EVERY, tell)
-
-    if way == "summaries":
-        swarm.at(EVERY, tell)
+                if other is not worker:
+                    announced = other.chooser.__dict__.setdefault("announced", {})
+                    announced[worker.mark] = set(worker.has)
+                    summary_bytes += 40 + len(worker.has) * 10 // 8
+        if not all(worker.finished for worker in swarm.boxes):
+            swarm.at(swarm.now + EVERY, send_summaries)
+
+    if method == "summaries":
+        swarm.at(EVERY, send_summaries)
     swarm.run(600_000)
-    ends = [box.finished for box in swarm.boxes if box.finished]
+    finished_times = [worker.finished for worker in swarm.boxes if worker.finished]
     return {
-        "way": way,
-        "boxes": boxes,
+        "way": method,
+        "boxes": worker_count,
         "apart ms": apart_ms,
-        "whole": len(ends),
+        "whole": len(finished_times),
         "models from the vault": round(swarm.vault_chunks / chunks, 2),
         "turned away": swarm.turned_away,
-        "last ms": max(ends, default=0) // MS,
-        "asks between boxes": sum(box.chooser.counts.peer_requests for box in swarm.boxes),
-        "KB told": said // 1000,
-        "most sent by one, models": round(max(box.sent for box in swarm.boxes) / chunks, 2),
+        "last ms": max(finished_times, default=0) // MS,
+        "asks between boxes": sum(worker.chooser.counts.peer_requests for worker in swarm.boxes),
+        "KB told": summary_bytes // 1000,
+        "most sent by one, models": round(max(worker.sent for worker in swarm.boxes) / chunks, 2),
     }
 
 
 @click.command()
 @click.option("--chunks", default=120)
 def main(chunks: int) -> None:
-    for boxes in (8, 32):
+    """Print one JSON object per number of workers, interval of starts and method."""
+    for worker_count in (8, 32):
         for apart in (0, 100):
-            for way in WAYS:
-                print(json.dumps(one(way, boxes, chunks, apart)), flush=True)
+            for method in METHODS:
+                print(json.dumps(simulate(method, worker_count, chunks, apart)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -1,8 +1,8 @@
-"""One edge process against a plain relay of ours on the same libraries that decides nothing, in one run.
+"""Compares one edge process with a plain relay on the same libraries that decides nothing, in one run.
 
     .venv/bin/python benchmarks/speed.py [--seconds 4] [--rounds 3]
 
-Runners here answer at once, in processes of their own; load comes from processes of its own. Prints JSON.
+Workers answer at once; workers and load generators run in separate processes. Prints JSON.
 """
 
 from __future__ import annotations
@@ -39,34 +39,37 @@
 ]
 
 
-def bad(status: int, _detail: str) -> Reply:
+def make_error_reply(status: int, _detail: str) -> Reply:
+    """Returns an empty reply with a status."""
     return Reply(status, [])
 
 
 @click.group(invoke_without_command=True)
 @click.option("--seconds", default=4.0)
 @click.option("--rounds", default=3)
-@click.option("--runners", default=12)
+@click.option("--runners", "worker_count", default=12)
 @click.pass_context
-def main(context: click.Context, seconds: float, rounds: int, runners: int) -> None:
+def main(context: click.Context, seconds: float, rounds: int, worker_count: int) -> None:
+    """Measure edge and relay, unless a subcommand is given."""
     if context.invoked_subcommand is None:
-        measure(seconds, rounds, runners)
+        measure(seconds, rounds, worker_count)
 
 
 @main.command()
 def memory() -> None:
-    """Only the memory of tasks that are held."""
+    """Measure only the memory of open requests."""
     with tempfile.TemporaryDirectory() as name:
-        print(json.dumps(held(Path(name), 10_000)))
+        print(json.dumps(measure_open_requests(Path(name), 10_000)))
 
 
-@main.command()
+@main.command(name="runner")
 @click.argument("count", type=int)
 @click.argument("wait_ms", type=float)
-def runner(count: int, wait_ms: float) -> None:
-    """Some runners that answer after a while."""
+def run_workers(count: int, wait_ms: float) -> None:
+    """Run workers that answer after a delay."""
 
     async def handle(message: Message, _now: int) -> Reply:
+        """Answers a request after the delay."""
         if wait_ms:
             await anyio.sleep(wait_ms / 1000)
         if message.target != b"/":
@@ -74,14 +77,20 @@
         return Reply(200, list(ANSWER), b"{}")
 
     async def serve() -> None:
+        """Starts the servers and prints their ports."""
         async with anyio.create_task_group() as group:
             ports = []
             for _ in range(count):
                 listener, port = await listen("127.0.0.1", 0)
                 ports.append(port)
                 limits = ServerLimits(max_connections=30_000)
-                one = Server(handle, limits, make_error_reply=bad, make_fault_reply=lambda e: Reply(500, []))
-                group.start_soon(one.serve, listener)
+                server = Server(
+                    handle,
+                    limits,
+                    make_error_reply=make_error_reply,
+                    make_fault_reply=lambda e: Reply(500, []),
+                )
+                group.start_soon(server.serve, listener)
             print(json.dumps(ports), flush=True)
 
     anyio.run(serve, backend_options=UVLOOP)
@@ -89,13 +98,14 @@
 
 @main.command()
 @click.argument("ports", type=int, nargs=-1)
-@click.option("--reads", is_flag=True, help="reads each event, checks it and writes it anew")
+@click.option("--reads", is_flag=True, help="Decode, check and re-encode each event.")
 def relay(ports: tuple[int, ...], reads: bool) -> None:
-    """Passes each task to the next runner, and its answer back."""
+    """Relay each request to the next worker, and its response back."""
     pools = [Pool("127.0.0.1", port, connection_limit=10_000) for port in ports]
     turn = 0
 
     async def handle(message: Message, _now: int) -> Reply:
+        """Relays one request."""
         nonlocal turn
         turn += 1
         if reads:
@@ -111,10 +121,14 @@
         return Reply(exchange.message.status, kept, exchange.message.body)
 
     async def serve() -> None:
+        """Starts the server and prints its port."""
         listener, port = await listen("127.0.0.1", 0)
         print(json.dumps([port]), flush=True)
         await Server(
-            handle, ServerLimits(), make_error_reply=bad, make_fault_reply=lambda e: Reply(500, [])
+            handle,
+            ServerLimits(),
+            make_error_reply=make_error_reply,
+            make_fault_reply=lambda e: Reply(500, []),
         ).serve(listener)
 
     anyio.run(serve, backend_options=UVLOOP)
@@ -127,13 +141,14 @@
 @click.argument("rate", type=float)
 @click.argument("first", type=int)
 def load(port: int, seconds: float, loops: int, rate: float, first: int) -> None:
-    """Closed loops, or with a rate an open one. Prints what came of it and the latencies, ms."""
+    """Send closed loops of requests, or at a rate an open one. Prints statuses and latencies in ms."""
     pool = Pool("127.0.0.1", port, connection_limit=20_000, connect_timeout_ns=20_000_000_000)
     statuses: dict[int, int] = {}
     lags: list[float] = []
     count = first
 
-    def task() -> bytes:
+    def make_request() -> bytes:
+        """Encodes the next request."""
         nonlocal count
         count += 1
         attributes: dict[str, str | int | bool] = {
@@ -150,18 +165,21 @@
         headers, body = encode_event(Event(attributes, b'{"borrower": 1}', "application/json"))
         return http.request(b"POST", b"/", b"edge", headers, body)
 
-    async def one() -> None:
-        begun = monotonic_ns()
-        exchange = await pool.exchange(task())
-        lags.append((monotonic_ns() - begun) / 1e6)
+    async def send_request() -> None:
+        """Sends one request and counts its status and latency."""
+        began = monotonic_ns()
+        exchange = await pool.exchange(make_request())
+        lags.append((monotonic_ns() - began) / 1e6)
         status = exchange.message.status if exchange.message else 0
         statuses[status] = statuses.get(status, 0) + 1
 
     async def loop() -> None:
+        """Sends requests one after the other."""
         while True:
-            await one()
+            await send_request()
 
-    async def all_of_it() -> None:
+    async def run_load() -> None:
+        """Sends requests for the given time."""
         with anyio.move_on_after(seconds):
             async with anyio.create_task_group() as group:
                 if not rate:
@@ -171,32 +189,35 @@
                 begin = monotonic_ns()
                 for n in range(int(rate * seconds)):
                     await anyio.sleep(max(0.0, n / rate - (monotonic_ns() - begin) / 1e9))
-                    group.start_soon(one)
+                    group.start_soon(send_request)
 
-    anyio.run(all_of_it, backend_options=UVLOOP)
-    lags.sort()  # evenly spaced ones of many: the quantiles stay, and the line fits a pipe
+    anyio.run(run_load, backend_options=UVLOOP)
+    lags.sort()  # Evenly spaced samples preserve the quantiles and keep the line small enough for a pipe.
     kept = [round(lag, 3) for lag in lags[:: max(1, len(lags) // 4000)]]
     print(json.dumps({"statuses": statuses, "lags": kept}))
 
 
 def start(*args: Any) -> subprocess.Popen[str]:
+    """Starts a subcommand of this file in a process."""
     return subprocess.Popen([sys.executable, __file__, *map(str, args)], stdout=subprocess.PIPE, text=True)
 
 
 def first_line(process: subprocess.Popen[str]) -> Any:
+    """Reads the first line of a process's output as JSON."""
     assert process.stdout is not None
     return json.loads(process.stdout.readline())
 
 
 def start_edge(folder: Path, ports: list[int], **more: Any) -> tuple[list[subprocess.Popen[str]], int]:
+    """Starts an edge with discovery of these workers; returns both processes and the edge's port."""
     lines = [{"id": f"r{p}", "port": p, "memory_mb": 40_000, "weight": 1, "start": "0"} for p in ports]
     (folder / "roster.json").write_text(json.dumps({"lines": lines}))
     command = [sys.executable, "-m", "martenlead"]
-    roster = subprocess.Popen(
+    discovery = subprocess.Popen(
         [*command, "standin", "roster", str(folder / "roster.json")], stdout=subprocess.PIPE, text=True
     )
     config = {
-        "roster": {"port": first_line(roster)["ready"]["port"]},
+        "roster": {"port": first_line(discovery)["ready"]["port"]},
         "offerings": [
             {"name": "estimate", "soft_limit_ms": 800, "hard_limit_ms": 60_000, "effect": "idempotent"}
         ],
@@ -207,31 +228,33 @@
     edge = subprocess.Popen([*command, "edge", str(folder / "edge.json")], stdout=subprocess.PIPE, text=True)
     port = first_line(edge)["ready"]["port"]
     sleep(0.3)
-    return [roster, edge], port
+    return [discovery, edge], port
 
 
 def cpu(pid: int) -> float:
+    """Returns the CPU seconds of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def resident(pid: int) -> float:
-    """MB."""
+    """Returns the resident memory of a process, in MB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
 def saturate(port: int, pid: int, seconds: float) -> dict[str, Any]:
+    """Runs closed loops and returns the throughput, CPU time and latencies."""
     before = cpu(pid)
     loads = [start("load", port, seconds, 24, 0, n * 1_000_000) for n in range(3)]
-    found = [first_line(one) for one in loads]
+    results = [first_line(process) for process in loads]
     statuses: dict[str, int] = {}
-    for one in found:
-        for status, n in one["statuses"].items():
+    for result in results:
+        for status, n in result["statuses"].items():
             statuses[status] = statuses.get(status, 0) + n
-    lags = sorted(lag for one in found for lag in one["lags"])
-    good = statuses.get("200", 0)
+    lags = sorted(lag for result in results for lag in result["lags"])
+    succeeded = statuses.get("200", 0)
     return {
-        "tasks_per_s": round(good / seconds),
+        "tasks_per_s": round(succeeded / seconds),
         "cpu_us_per_task": round(1e6 * (cpu(pid) - before) / max(1, sum(statuses.values()))),
         "statuses": statuses,
         "p50_ms": round(lags[len(lags) // 2], 2),
@@ -240,40 +263,48 @@
 
 
 def steady(port: int, seconds: float, rate: float) -> dict[str, float]:
+    """Runs an open loop at a rate and returns quantiles of the latency, in ms."""
     lags = sorted(first_line(start("load", port, seconds, 0, rate, 0))["lags"])
     return {"p50": round(lags[len(lags) // 2], 3), "p99": round(lags[int(0.99 * len(lags))], 3)}
 
 
 def ask(admin: dict[str, int], path: str) -> Any:
+    """Returns the JSON answer of an admin endpoint."""
     with urllib.request.urlopen(f"http://127.0.0.1:{admin['port']}{path}", timeout=10) as answer:
         return json.load(answer)
 
 
-def held(folder: Path, count: int) -> dict[str, float]:
-    """Memory of tasks that are held, each with its client's connection and one to a runner."""
+def measure_open_requests(folder: Path, count: int) -> dict[str, float]:
+    """Measures the memory per open request, each with a connection of its client and one to a worker."""
     slow = start("runner", 1, 60_000)
-    most_of_all = {"open_tasks": 20_000, "connections": 20_000, "runner_connections": 20_000}
-    # nobody is to be found quiet while all of them are taken in
-    patient = {"name": "estimate", "soft_limit_ms": 60_000, "hard_limit_ms": 60_000, "effect": "idempotent"}
-    more = {"admin": {"port": 18_431}, "limits": most_of_all, "offerings": [patient]}
+    limits = {"open_tasks": 20_000, "connections": 20_000, "runner_connections": 20_000}
+    # Long objectives, so that no worker is found silent while all requests are accepted.
+    request_class = {
+        "name": "estimate",
+        "soft_limit_ms": 60_000,
+        "hard_limit_ms": 60_000,
+        "effect": "idempotent",
+    }
+    more = {"admin": {"port": 18_431}, "limits": limits, "offerings": [request_class]}
     processes, port = start_edge(folder, first_line(slow), **more)
     pid = processes[1].pid
     before = resident(pid)
     loads = [start("load", port, 19, count // 4, 0, n * 1_000_000) for n in range(4)]
-    most, at = 0.0, monotonic_ns()
-    while monotonic_ns() - at < 17e9:
+    peak_mb, began = 0.0, monotonic_ns()
+    while monotonic_ns() - began < 17e9:
         sleep(0.5)
-        most = max(most, resident(pid))
+        peak_mb = max(peak_mb, resident(pid))
     sockets = len(os.listdir(f"/proc/{pid}/fd"))
     state = ask(more["admin"], "/state")
     for process in (*loads, slow, *processes):
         process.kill()
     count = state["held"]
-    return {"held": count, "sockets": sockets, "kb_a_task": round((most - before) * 1024 / count, 1)}
+    return {"held": count, "sockets": sockets, "kb_a_task": round((peak_mb - before) * 1024 / count, 1)}
 
 
-def measure(seconds: float, rounds: int, runners: int) -> None:
-    processes = [start("runner", runners // 3, 0) for _ in range(3)]
+def measure(seconds: float, rounds: int, worker_count: int) -> None:
+    """Prints the comparison of edge and relays, and the memory of open requests."""
+    processes = [start("runner", worker_count // 3, 0) for _ in range(3)]
     with tempfile.TemporaryDirectory() as name:
         try:
             ports = [port for process in processes for port in first_line(process)]
@@ -285,22 +316,22 @@
             processes += [relaying, reading, *edge]
             steady(edge_port, 2, 200)
             names = ("relay", "relay_that_reads", "edge", "direct_280", "relay_280", "edge_280")
-            told: dict[str, Any] = {name: [] for name in names}
+            results: dict[str, Any] = {name: [] for name in names}
             for _ in range(rounds):
-                told["relay"].append(saturate(relay_port, relaying.pid, seconds))
-                told["relay_that_reads"].append(saturate(reading_port, reading.pid, seconds))
-                told["edge"].append(saturate(edge_port, edge[1].pid, seconds))
-                told["direct_280"].append(steady(ports[0], seconds, 280))
-                told["relay_280"].append(steady(relay_port, seconds, 280))
-                told["edge_280"].append(steady(edge_port, seconds, 280))
-            rate = {n: median(one["tasks_per_s"] for one in told[n]) for n in names[:3]}
-            told["edge_over_relay"] = round(rate["edge"] / rate["relay"], 3)
-            told["edge_over_relay_that_reads"] = round(rate["edge"] / rate["relay_that_reads"], 3)
+                results["relay"].append(saturate(relay_port, relaying.pid, seconds))
+                results["relay_that_reads"].append(saturate(reading_port, reading.pid, seconds))
+                results["edge"].append(saturate(edge_port, edge[1].pid, seconds))
+                results["direct_280"].append(steady(ports[0], seconds, 280))
+                results["relay_280"].append(steady(relay_port, seconds, 280))
+                results["edge_280"].append(steady(edge_port, seconds, 280))
+            rate = {n: median(one["tasks_per_s"] for one in results[n]) for n in names[:3]}
+            results["edge_over_relay"] = round(rate["edge"] / rate["relay"], 3)
+            results["edge_over_relay_that_reads"] = round(rate["edge"] / rate["relay_that_reads"], 3)
             for quantile in ("p50", "p99"):
-                one, other = (median(r[quantile] for r in told[n]) for n in ("edge_280", "direct_280"))
-                told[f"edge_adds_{quantile}_ms"] = round(one - other, 3)
-            told["memory"] = held(Path(name), 10_000)
-            print(json.dumps(told, indent=1))
+                one, other = (median(r[quantile] for r in results[n]) for n in ("edge_280", "direct_280"))
+                results[f"edge_adds_{quantile}_ms"] = round(one - other, 3)
+            results["memory"] = measure_open_requests(Path(name), 10_000)
+            print(json.dumps(results, indent=1))
         finally:
             for process in processes:
                 process.send_signal(signal.SIGKILL)
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -1,8 +1,9 @@
-"""Known ways to queue at a door against the one in it, in virtual time: who is next, and how long one waits.
+"""Compares known queueing disciplines with the program's, in virtual time: the next request, and the waits.
 
     PYTHONPATH=. .venv/bin/python benchmarks/ways.py
 
-Each is the door's gate with one decision exchanged; all else, appointments included, is the same.
+Each is the admission controller with one decision replaced; everything else, including reservations, is the
+same.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class Fifo(AdmissionController):
-    """Who came first."""
+    """First come, first served."""
 
     def _firsts(self, full: set[str]) -> list[QueuedRequest]:
         found = []
@@ -38,7 +39,7 @@
 
 
 class Stochastic(Fifo):
-    """Stochastic fair queueing: 64 queues by a hash of customer and client, in turn, no weights."""
+    """Stochastic fair queueing: 64 queues by a hash of tenant and client, in turn, without weights."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -61,7 +62,7 @@
 
 
 class Deficit(Fifo):
-    """Deficit round robin over customers, a quantum of 0.1 s of work by weight."""
+    """Deficit round robin over tenants, with a quantum of 0.1 s of work times the weight."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -98,8 +99,8 @@
 
 
 class CoDel(Fifo):
-    """First come first, all may wait; who has waited 100 ms when its turn comes is dropped, once the wait has
-    been above that for 500 ms."""
+    """First come, first served without a limit; drops a request that has waited 100 ms when its turn comes,
+    once waits have been longer than that for 500 ms."""
 
     above = 0
 
@@ -117,13 +118,13 @@
             self.above = self.above or now
             if now - self.above < 500 * NS_PER_MS:
                 return first
-            first.start_by_ns = now - 1  # the sweep turns it back
+            first.start_by_ns = now - 1  # The sweep rejects it.
             return first
         return None
 
 
 class Length(Fifo):
-    """First come first, and a bound of 50 tasks alone."""
+    """First come, first served, limited only to 50 waiting requests."""
 
     def _estimate_wait_ns(
         self, ticket: QueuedRequest, queue: FunctionQueue, account: TenantAccount, now: int
@@ -145,21 +146,22 @@
 
 
 def main() -> None:
-    for scene, (customers, weights) in SCENES.items():
+    """Print one JSON object per scene and discipline."""
+    for scene, (tenants, weights) in SCENES.items():
         for kind in (AdmissionController, Deficit, Stochastic, Fifo, CoDel, Length):
             crowd.AdmissionController = kind  # type: ignore[misc]
-            played = Crowd(10, customers, weights=weights)
-            played.run(40)
-            work = [played.work_in_time[c.name] / weights[c.name] for c in customers]
-            told = {
+            crowd_run = Crowd(10, tenants, weights=weights)
+            crowd_run.run(40)
+            work = [crowd_run.work_in_time[c.name] / weights[c.name] for c in tenants]
+            result = {
                 "scene": scene,
                 "way": "as it is" if kind is module.AdmissionController else kind.__name__,
-                "work in time, of 10 a second": round(sum(played.work_in_time.values()) / 40, 2),
-                **{f"part of {c.name}'s in time": round(played.part(c.name), 3) for c in customers},
+                "work in time, of 10 a second": round(sum(crowd_run.work_in_time.values()) / 40, 2),
+                **{f"part of {c.name}'s in time": round(crowd_run.part(c.name), 3) for c in tenants},
                 "Jain's index of work by weight": round(jain(work), 3),
-                "served when told": round(played.met / played.came, 3) if played.came else None,
+                "served when told": round(crowd_run.met / crowd_run.came, 3) if crowd_run.came else None,
             }
-            print(json.dumps(told), flush=True)
+            print(json.dumps(result), flush=True)
 
 
 if __name__ == "__main__":
