--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -96,13 +96,13 @@
     all_functions: bool,
     seed: int,
     limit_seconds: float,
-    **about: float,
+    **assumption_options: float,
 ) -> None:
     """Measure one dispatcher of a fleet of this size."""
     size = FleetSize(dispatchers, workers, instances_per_worker, functions, calls * dispatchers, zones=zones)
     run = Run(
         size,
-        assumptions(**about),
+        assumptions(**assumption_options),
         seed,
         seconds,
         monotonic() + limit_seconds,
@@ -139,12 +139,18 @@
     repeats: int,
     seed: int,
     limit_seconds: float,
-    **about: float,
+    **assumption_options: float,
 ) -> None:
     """Measure one dispatcher at five sizes along each axis; the largest is held out of the fit."""
     size = FleetSize(workers=workers, functions=functions, calls_per_second=calls * DEFAULT.dispatchers)
     base = Run(
-        size, assumptions(**about), seed, seconds, monotonic() + limit_seconds, "base", repeats=repeats
+        size,
+        assumptions(**assumption_options),
+        seed,
+        seconds,
+        monotonic() + limit_seconds,
+        "base",
+        repeats=repeats,
     )
     axis_names = list(names or AXES)
     last: Record | None = None
@@ -179,11 +185,13 @@
     warm_up_seconds: float,
     seed: int,
     limit_seconds: float,
-    **about: float,
+    **assumption_options: float,
 ) -> None:
     """Measure many dispatchers and all workers of a fleet in one process."""
     size = FleetSize(dispatchers, workers, instances_per_worker, functions, calls, zones=zones)
-    fleet_run = Run(size, assumptions(**about), seed, seconds, monotonic() + limit_seconds, "fleet")
+    fleet_run = Run(
+        size, assumptions(**assumption_options), seed, seconds, monotonic() + limit_seconds, "fleet"
+    )
     for found in measure_fleet(fleet_run, warm_up_seconds):
         click.echo(line(found))
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -21,7 +21,7 @@
 from benchmarks.scale.hollow import HollowDispatcher
 from benchmarks.scale.measure import (
     Run,
-    about_run,
+    common_fields,
     configured,
     estimate_memory_bytes,
     logs_discarded,
@@ -224,10 +224,10 @@
         check_memory(estimate_memory_bytes(with_warm_up, run.size.dispatchers))
         measured = FleetRun(run, warm_up)
         measured.measure()
-    about = about_run(run, measured.simulation, measured.passed)
+    common = common_fields(run, measured.simulation, measured.passed)
     note = "means of all dispatchers; garbage collection left out; many in one process miss the caches more"
     return [
-        record(Role.DISPATCHER, run.size, measured.costs, note=note, **about),
-        record(Role.WORKER_AGENT, run.size, measured.worker_costs, **about),
-        record(Role.DISCOVERY, run.size, measured.discovery_costs, **about),
+        record(Role.DISPATCHER, run.size, measured.costs, note=note, **common),
+        record(Role.WORKER_AGENT, run.size, measured.worker_costs, **common),
+        record(Role.DISCOVERY, run.size, measured.discovery_costs, **common),
     ]
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -192,9 +192,9 @@
         node_config: config.NodeConfig,
         clock: Callable[[], int],
         meter: Meter,
-        known: list[EndpointUpdate] | None = None,
+        initial_updates: list[EndpointUpdate] | None = None,
     ) -> None:
-        """`known` replaces the list of the configuration; dispatchers may share its endpoints."""
+        """`initial_updates` replaces the list of the configuration; dispatchers may share its endpoints."""
         self.meter, self.clock = meter, clock
         self.link: Any = self.make_link(node_config, clock)
         self.source = ListSource()
@@ -205,7 +205,7 @@
         self.ages = WorkerAges()
         self.control = ControlCounts()
         self.armed = 1 << 62  # When the simulation next runs the timers.
-        self._initial_updates = node_config.initial_updates if known is None else known
+        self._initial_updates = node_config.initial_updates if initial_updates is None else initial_updates
 
     def make_link(self, _node_config: config.NodeConfig, clock: Callable[[], int]) -> Any:
         """Creates the link to workers; subclasses create another kind of link."""
@@ -262,7 +262,7 @@
             self.dispatcher.accept(request, call.arrived, call, len(BODY_BASE64), on_outcome=call.done)
             self.dispatcher.defer(_nothing)
 
-    def answered(self, sent: SentAttempt, line: bytes, encountered: Met) -> None:
+    def answered(self, sent: SentAttempt, line: bytes, met: Met) -> None:
         """Processes the response line of an attempt."""
         if not sent.open:
             return
@@ -276,7 +276,7 @@
                 reason=response.word,
                 replicas=response.replicas,
             )
-            sent.attempt.request.content.cold = encountered in (Met.BEGAN_LOAD, Met.WAITED_FOR_LOAD)
+            sent.attempt.request.content.cold = met in (Met.BEGAN_LOAD, Met.WAITED_FOR_LOAD)
             self.dispatcher.attempt_ended(sent.attempt, outcome)
 
     def expired(self, sent: SentAttempt) -> None:
--- a/benchmarks/scale/measure.py
+++ b/benchmarks/scale/measure.py
@@ -365,7 +365,7 @@
     return min(one, other) if is_time and one is not None and other is not None else one
 
 
-def about_run(run: Run, simulation: Simulation, passed: float) -> dict[str, Any]:
+def common_fields(run: Run, simulation: Simulation, passed: float) -> dict[str, Any]:
     """Returns the fields that all records of a run share."""
     return {
         "axis": run.axis,
@@ -380,7 +380,7 @@
 def records_of(measured: DispatcherRun) -> list[Record]:
     """Returns the records of all roles from the measured costs."""
     run, costs = measured.run, measured.costs
-    about = about_run(run, measured.simulation, measured.passed)
+    common = common_fields(run, measured.simulation, measured.passed)
     dispatchers, changes = run.size.dispatchers, run.size.changes_per_day
     return [
         record(
@@ -388,7 +388,7 @@
             run.size,
             costs,
             note="cold starts and replicas are those that this dispatcher alone causes",
-            **about,
+            **common,
         ),
         record(
             Role.DISCOVERY,
@@ -401,7 +401,7 @@
                 "connections": dispatchers,
             },
             note="bytes of real frames; the service is not part of the project, so its CPU is not measured",
-            **about,
+            **common,
         ),
         record(
             Role.CONFIGURATION,
@@ -417,7 +417,7 @@
                 "read_percent_core": _cost(costs, "configuration_read_ms") * changes / SECONDS_PER_DAY / 10,
             },
             note="a changed file is read on SIGHUP, where only the journal's address comes into force",
-            **about,
+            **common,
         ),
         record(
             Role.STATE,
@@ -427,7 +427,7 @@
                 "gather_ms": costs["state_gather_ms"],
                 "functions": costs["functions_known"],
             },
-            **about,
+            **common,
         ),
         record(
             Role.WORKER_AGENT,
@@ -443,7 +443,7 @@
                 "dispatchers_that_may_connect": dispatchers,
             },
             note="one dispatcher's load requests times the dispatchers; connections are not measured",
-            **about,
+            **common,
         ),
     ]
 
--- a/benchmarks/scale/pooled.py
+++ b/benchmarks/scale/pooled.py
@@ -271,15 +271,15 @@
         met, delay, instance = self.workers.call(sent.worker, sent.function, self.now)
         self._push(self.now + delay, Event.ANSWER_LEAVES, -1, (number, sent, met, instance))
 
-    def _answer_leaves(self, _none: int, about: tuple[int, Any, Met, Instance | None]) -> None:
-        number, sent, met, instance = about
+    def _answer_leaves(self, _none: int, payload: tuple[int, Any, Met, Instance | None]) -> None:
+        number, sent, met, instance = payload
         if instance is not None:
             self.workers.release(instance, self.now)
         half = self.workers.round_trip(number, sent.worker) // 2
         self._push(self.now + half, Event.ANSWER_ARRIVES, number, (sent, met))
 
-    def _answer_arrives(self, number: int, about: tuple[Any, Met]) -> None:
-        sent, met = about
+    def _answer_arrives(self, number: int, payload: tuple[Any, Met]) -> None:
+        sent, met = payload
         dispatcher: Any = self.dispatchers[number]
         call = dispatcher.open_calls.get(sent.txn)
         if call is not None:
@@ -292,8 +292,8 @@
         )
         dispatcher.receive_line(sent, line, Activity.SERVING)
 
-    def _load_ends(self, number: int, about: tuple[Any, bool]) -> None:
-        sent, is_loaded = about
+    def _load_ends(self, number: int, payload: tuple[Any, bool]) -> None:
+        sent, is_loaded = payload
         response_word, instances = (b"DONE", 1) if is_loaded else (b"WAIT", 0)
         line = b'{"m":"%b","txn":"%b","props":{"instances":%d}}' % (
             response_word,
--- a/benchmarks/scale/production.py
+++ b/benchmarks/scale/production.py
@@ -138,40 +138,40 @@
         return EventKind.DELTA, back
 
 
-def play(about: Play) -> dict[str, float]:
+def play(scenario: Play) -> dict[str, float]:
     """Runs one size and returns the mean figures of a dispatcher. Raises BadSize."""
-    size = about.size()
-    deadline = monotonic() + about.limit_seconds
-    run = Run(size, Assumptions(), about.seed, about.seconds, deadline, "production")
-    script = ListScript(size, about.seconds)
+    size = scenario.size()
+    deadline = monotonic() + scenario.limit_seconds
+    run = Run(size, Assumptions(), scenario.seed, scenario.seconds, deadline, "production")
+    script = ListScript(size, scenario.seconds)
     meter = Meter(without_collections=True)
-    simulation = PooledSimulation(size, run.assumptions, about.seed, deadline)
+    simulation = PooledSimulation(size, run.assumptions, scenario.seed, deadline)
     before = resident_bytes()
     with logs_discarded(), meter.collections():
-        reading = start(run, about, script, simulation, meter)
-        carry(simulation, script, about)
+        reading = start(run, scenario, script, simulation, meter)
+        carry(simulation, script, scenario)
     if simulation.stopped:
-        raise BadSize(f"{about.workers} workers: the time limit was reached before the end")
+        raise BadSize(f"{scenario.workers} workers: the time limit was reached before the end")
     return figures(simulation, meter, reading, peak_bytes() - before)
 
 
-def start(run: Run, about: Play, script: ListScript, simulation: PooledSimulation, meter: Meter) -> float:
+def start(run: Run, scenario: Play, script: ListScript, simulation: PooledSimulation, meter: Meter) -> float:
     """Starts the dispatchers from their configurations; returns the CPU seconds to read them all."""
     listed = list(script.members.values())
     reading = 0.0
-    for number in range(about.dispatchers):
+    for number in range(scenario.dispatchers):
         simulation.check_time("the dispatchers started")
         node_config, _, read_ms = configured(run, number, listed)
         reading += read_ms / 1e3
-        simulation.add(PooledDispatcher(node_config, simulation.clock, meter, about.sockets))
+        simulation.add(PooledDispatcher(node_config, simulation.clock, meter, scenario.sockets))
     return reading
 
 
-def carry(simulation: PooledSimulation, script: ListScript, about: Play) -> None:
+def carry(simulation: PooledSimulation, script: ListScript, scenario: Play) -> None:
     """Runs the traffic and the membership changes for the played time."""
-    simulation.traffic(about.calls * about.dispatchers, about.seconds)
+    simulation.traffic(scenario.calls * scenario.dispatchers, scenario.seconds)
     began = simulation.now
-    while not simulation.stopped and simulation.now - began < about.seconds * SECOND_NS:
+    while not simulation.stopped and simulation.now - began < scenario.seconds * SECOND_NS:
         for data in script.due((simulation.now - began) / SECOND_NS, simulation.now):
             for number, dispatcher in enumerate(simulation.dispatchers):
                 dispatcher.membership(data)
@@ -214,10 +214,10 @@
     return resident_bytes()
 
 
-def play_apart(about: Play) -> dict[str, float]:
+def play_apart(scenario: Play) -> dict[str, float]:
     """Runs one size in a separate process, so that the peak memory is its own. Raises BadSize."""
     with ProcessPoolExecutor(1, mp_context=get_context("spawn")) as pool:
-        return pool.submit(play, about).result()
+        return pool.submit(play, scenario).result()
 
 
 def table(found: list[Verdict]) -> str:
@@ -270,12 +270,12 @@
     show_default=True,
     help="Limit of wall-clock time for each size.",
 )
-def main(workers: tuple[int, ...], **about: Any) -> None:
+def main(workers: tuple[int, ...], **options: Any) -> None:
     """Play the same traffic with several numbers of workers and check the bounds."""
     found: list[dict[str, float]] = []
     try:
         for count in workers:
-            found.append(play_apart(Play(workers=count, **about)))
+            found.append(play_apart(Play(workers=count, **options)))
     except BadSize as error:
         click.echo(f"not played: {error}", err=True)
         sys.exit(EXIT_NOT_PLAYED)
--- a/benchmarks/scale/records.py
+++ b/benchmarks/scale/records.py
@@ -77,8 +77,8 @@
     return msgspec.json.encode(record).decode()
 
 
-def record(role: Role, size: FleetSize, costs: dict[str, float | None], **about: Any) -> Record:
+def record(role: Role, size: FleetSize, costs: dict[str, float | None], **fields: Any) -> Record:
     """Creates a record with the current time and commit."""
     return Record(
-        role=role.value, size=size.record(), costs=rounded(costs), commit=commit(), date=now(), **about
+        role=role.value, size=size.record(), costs=rounded(costs), commit=commit(), date=now(), **fields
     )
--- a/benchmarks/scale/simulation.py
+++ b/benchmarks/scale/simulation.py
@@ -143,9 +143,9 @@
 
     # -- the loop
 
-    def _push(self, time: int, event: Event, dispatcher: int, about: Any) -> None:
+    def _push(self, time: int, event: Event, dispatcher: int, payload: Any) -> None:
         self._count += 1
-        heappush(self._events, (time, self._count, event, dispatcher, about))
+        heappush(self._events, (time, self._count, event, dispatcher, payload))
 
     def run(self, seconds: float) -> float:
         """Runs a number of virtual seconds, or until the deadline; returns the virtual seconds passed.
@@ -161,9 +161,9 @@
                 if monotonic() > self.deadline:
                     self.stopped = True
                     return (self.now - began) / SECOND_NS
-            time, _, event, number, about = heappop(self._events)
+            time, _, event, number, payload = heappop(self._events)
             self.now = max(self.now, time)
-            self._handlers[event](number, about)
+            self._handlers[event](number, payload)
             if number >= 0:
                 self._after(number)
         self.now = until
@@ -190,8 +190,8 @@
 
     # -- events
 
-    def _call(self, number: int, about: tuple[int, bool]) -> None:
-        function, drawn = about
+    def _call(self, number: int, payload: tuple[int, bool]) -> None:
+        function, drawn = payload
         call = Call(f"c{self._count:x}", function, self.now)
         counted = self.measuring and drawn
         if counted:
@@ -221,15 +221,15 @@
         if sent.due < self.now + delay + self.workers.round_trip(number, sent.worker):
             self._push(max(sent.due, self.now), Event.EXPIRES, number, sent)
 
-    def _answer_leaves(self, _none: int, about: tuple[int, SentAttempt, Met, Instance | None]) -> None:
-        number, sent, met, instance = about
+    def _answer_leaves(self, _none: int, payload: tuple[int, SentAttempt, Met, Instance | None]) -> None:
+        number, sent, met, instance = payload
         if instance is not None:
             self.workers.release(instance, self.now)
         half = self.workers.round_trip(number, sent.worker) // 2
         self._push(self.now + half, Event.ANSWER_ARRIVES, number, (sent, met))
 
-    def _answer_arrives(self, number: int, about: tuple[SentAttempt, Met]) -> None:
-        sent, met = about
+    def _answer_arrives(self, number: int, payload: tuple[SentAttempt, Met]) -> None:
+        sent, met = payload
         response_word = b"WAIT" if met is Met.NO_ROOM else b"DONE"
         txn = sent.attempt.request.content.id if sent.open else "late"
         line = b'{"m":"%b","txn":"%b","props":{"why":"%b"},"raw":"eyJ5IjoxfQ=="}' % (
@@ -247,8 +247,8 @@
         half = self.workers.round_trip(number, sent.worker) // 2
         self._push(self.now + delay + half, Event.LOAD_ENDS, number, (sent, is_loaded))
 
-    def _load_ends(self, number: int, about: tuple[SentLoad, bool]) -> None:
-        sent, is_loaded = about
+    def _load_ends(self, number: int, payload: tuple[SentLoad, bool]) -> None:
+        sent, is_loaded = payload
         response_word, instances = (b"DONE", 1) if is_loaded else (b"WAIT", 0)
         line = b'{"m":"%b","txn":"%b","props":{"instances":%d}}' % (
             response_word,
@@ -263,7 +263,7 @@
             dispatcher.armed = NEVER
             dispatcher.timers()
 
-    def _heartbeat(self, number: int, _about: None) -> None:
+    def _heartbeat(self, number: int, _payload: None) -> None:
         dispatcher = self.dispatchers[number]
         dispatcher.membership(frame(dispatcher.source.endpoint_list.version, EventKind.HEARTBEAT, []))
         self._push(self.now + SECOND_NS, Event.HEARTBEAT, number, None)
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -11,7 +11,7 @@
 from benchmarks.scale.measure import (
     RUNTIME_SETTINGS,
     Run,
-    about_run,
+    common_fields,
     configured,
     estimate_memory_bytes,
     logs_discarded,
@@ -114,5 +114,5 @@
             "settings_in_force_at_reload": RUNTIME_SETTINGS,
         },
         note="a changed file is read on SIGHUP, where only the journal's address comes into force",
-        **about_run(run, simulation, 0.0),
+        **common_fields(run, simulation, 0.0),
     )
--- a/tests/test_scale_production.py
+++ b/tests/test_scale_production.py
@@ -115,9 +115,9 @@
 def test_the_command_says_which_bound_fails_and_ends_with_status_1(
     factor: float, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def played(about: Play) -> dict[str, float]:
+    def played(scenario: Play) -> dict[str, float]:
         """Returns the usual figures, with the CPU time of the largest size multiplied."""
-        return USUAL | {"cpu_seconds": factor if about.workers == 3_200 else 1.0}
+        return USUAL | {"cpu_seconds": factor if scenario.workers == 3_200 else 1.0}
 
     monkeypatch.setattr(production, "play_apart", played)
     result = CliRunner().invoke(production.main, [])
@@ -126,9 +126,9 @@
 
 
 def test_a_size_that_did_not_run_to_its_end_fails_the_command(monkeypatch: pytest.MonkeyPatch) -> None:
-    def played(about: Play) -> dict[str, float]:
+    def played(scenario: Play) -> dict[str, float]:
         """Runs the size with a time limit that is too short."""
-        return play(replace(about, limit_seconds=0.001))
+        return play(replace(scenario, limit_seconds=0.001))
 
     monkeypatch.setattr(production, "play_apart", played)
     result = CliRunner().invoke(production.main, ["--workers", "32", "--dispatchers", "2"])
