--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -1,10 +1,10 @@
-"""What the link costs a task, how soon a planner knows and decides, and how many edges one planner bears.
+"""Measures the cost of the planner link, the delays of a planner, and how many edges one planner supports.
 
     .venv/bin/python benchmarks/planner.py [--seconds 10]
 
-First in virtual time, with this process's CPU: an edge's module alone, and with a link and its planner.
-Then on sockets: a planner as a process of its own, and edges whose frames were recorded and are played in
-real time.
+First it measures the CPU time of this process in virtual time, for an edge alone and for one with a link and
+its planner. Then it runs a planner as a separate process, and replays recorded frames of edges over sockets
+in real time.
 """
 
 from __future__ import annotations
@@ -60,18 +60,19 @@
         inner = getattr(planner, name)
 
         def timed(*args: Any, inner: Any = inner) -> Any:
+            """Calls the planner and adds the time spent."""
             nonlocal spent
-            at = perf_counter()
+            began = perf_counter()
             try:
                 return inner(*args)
             finally:
-                spent += perf_counter() - at
+                spent += perf_counter() - began
 
         setattr(planner, name, timed)
     pair.connect()
-    begun = process_time()
+    began = process_time()
     drive(pair, rate, seconds, 60)
-    both = process_time() - begun
+    both = process_time() - began
     return {
         "tasks a second": rate,
         "bytes a task": round(pair.session.counts["bytes"] / tasks, 1),
@@ -84,7 +85,7 @@
 
 
 def recovery(kind: str) -> dict[str, Any]:
-    """Virtual ms from a new connection until the planner knows all that the edge knows."""
+    """Measures the virtual ms from a new connection until the planner knows all that the edge knows."""
     took = []
     for seed in range(10):
         pair = EdgePlannerSimulation(seed=seed, workers=20)
@@ -101,7 +102,7 @@
             pair.planner.policy_replica is None or pair.planner.last_sequence < pair.session.last_sequence - 1
         ):
             drive(pair, 280, 0.005, 60)
-        took.append((pair.now - begun) // NS_PER_MS)
+        took.append((pair.now - began) // NS_PER_MS)
     return {"kind": kind, "virtual ms until it knows all": [min(took), max(took)]}
 
 
@@ -125,8 +126,8 @@
     }
 
 
-async def lives(kind: str) -> dict[str, Any]:
-    """On sockets: ms from the start of an edge's new life until copies that were held before are held."""
+async def measure_restart(kind: str) -> dict[str, Any]:
+    """Measures over sockets the ms from a restart of an edge until its replicas are retained again."""
     with tempfile.TemporaryDirectory() as folder:
         kept = str(Path(folder) / "kept")
         async with run_planner(kept=kept) as (_, port):
@@ -146,7 +147,7 @@
     async with run_planned_edge([port]) as (_f, side):
         begun = perf_counter()
         await until(lambda: any(c.is_retained for m in side.tape.models for c in m.replicas.values()))
-        return int((perf_counter() - begun) * 1000)
+        return int((perf_counter() - began) * 1000)
 
 
 def recorded(rate: float, seconds: float, models: int) -> list[tuple[int, bytes]]:
@@ -154,14 +155,15 @@
     pair = EdgePlannerSimulation(workers=20)
     drive(pair, rate, 1, models)
     pair.connect()
-    begun = pair.now
+    began = pair.now
     found: list[tuple[int, bytes]] = []
     inner = pair.session.next_frame
 
-    def keep() -> bytes | None:
+    def record_frame() -> bytes | None:
+        """Returns the next frame of the edge and records it."""
         data = inner()
         if data is not None and len(found) < 1_000_000:
-            found.append((pair.now - begun, data))
+            found.append((pair.now - began, data))
         return data
 
     pair.session.next_frame = keep  # type: ignore[method-assign]
@@ -169,39 +171,42 @@
     return [f for f in found if not isinstance(fr.FrameReader().feed(f[1])[0], fr.Hello | fr.Lease)]
 
 
-async def one(n: int, port: int, frames: list[tuple[int, bytes]], begin: int, told: dict[str, Any]) -> None:
-    """Plays an edge to a planner; when it decides, how long after the events that it has seen were sent."""
+async def replay_edge(
+    n: int, port: int, frames: list[tuple[int, bytes]], begin: int, results: dict[str, Any]
+) -> None:
+    """Replays an edge to a planner, and notes the delay of load requests after the events they follow."""
     stream = await anyio.connect_tcp("127.0.0.1", port)
     sent: dict[int, int] = {}
     async with stream, anyio.create_task_group() as group:
 
-        async def hear() -> None:
+        async def read_messages() -> None:
+            """Notes how far the planner is behind, and the delays of its load requests."""
             reader = fr.FrameReader()
             while True:
                 for message in reader.feed(await stream.receive()):
                     if isinstance(message, fr.Heartbeat) and message.sequence:
-                        told["behind"] = max(told["behind"], max(sent, default=0) - message.sequence)
+                        results["behind"] = max(results["behind"], max(sent, default=0) - message.sequence)
                     if (
                         isinstance(message, fr.PlanUpdate)
                         and message.load_requests
                         and message.sequence in sent
                     ):
-                        told["delays"].append((monotonic_ns() - sent[message.sequence]) / 1e6)
+                        results["delays"].append((monotonic_ns() - sent[message.sequence]) / 1e6)
 
         await stream.send(fr.encode_frame(fr.Hello(1, 2, f"edge-{n}", f"life-{n}", "")))
-        group.start_soon(hear)
+        group.start_soon(read_messages)
         await stream.send(fr.encode_frame(fr.Lease(1, 1500)))
         for at, data in frames:
             await anyio.sleep(max(0, begin + at - monotonic_ns()) / 1e9)
             message = msgspec.msgpack.decode(data[8:])
             sent[message[1]] = monotonic_ns()
             await stream.send(data)
-        told["last"] = max(told["last"], (monotonic_ns() - begin) / 1e9)
+        results["last"] = max(results["last"], (monotonic_ns() - begin) / 1e9)
         group.cancel_scope.cancel()
 
 
 async def sockets(edges: int, total: float, seconds: float) -> dict[str, Any]:
-    """One planner with so many edges, `total` tasks a second in all."""
+    """Measures one planner with a number of edges and `total` requests per second of all together."""
     frames = recorded(total / edges, seconds, max(6, 120 // edges))
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "planner.json"
@@ -213,19 +218,20 @@
         port = json.loads(await process.stdout.receive())["ready"]["port"]
 
         def cpu() -> float:
+            """Returns the CPU seconds of the planner."""
             parts = Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()
             return (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
 
-        told: dict[str, Any] = {"delays": [], "behind": 0, "last": 0.0}
+        results: dict[str, Any] = {"delays": [], "behind": 0, "last": 0.0}
         begin, before = monotonic_ns() + 200_000_000, cpu()
         async with anyio.create_task_group() as group:
             for n in range(edges):
-                group.start_soon(one, n, port, frames, begin, told)
+                group.start_soon(replay_edge, n, port, frames, begin, results)
         spent = cpu() - before
         memory = Path(f"/proc/{process.pid}/status").read_text().split("VmRSS:")[1].split()[0]
         process.kill()
         await process.wait()
-    delays = sorted(told["delays"])
+    delays = sorted(results["delays"])
     return {
         "edges": edges,
         "tasks a second": total,
@@ -234,21 +240,22 @@
         "order after its events ms p50": round(delays[len(delays) // 2], 1) if delays else None,
         "p99": round(delays[int(len(delays) * 0.99)], 1) if delays else None,
         "orders": len(delays),
-        "frames behind, at most": told["behind"],
-        "played in s": round(told["last"], 1),
+        "frames behind, at most": results["behind"],
+        "played in s": round(results["last"], 1),
     }
 
 
 @click.command()
 @click.option("--seconds", default=8.0)
 def main(seconds: float) -> None:
+    """Print one JSON object per case."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(40))
     for rate in (280.0, 890.0):
         print(json.dumps(cost(rate, seconds)), flush=True)
     for kind in ("cut", "planner killed"):
         print(json.dumps(recovery(kind)), flush=True)
     for kind in ("edge killed", "both killed"):
-        print(json.dumps(anyio.run(lives, kind, backend_options=UVLOOP)), flush=True)
+        print(json.dumps(anyio.run(measure_restart, kind, backend_options=UVLOOP)), flush=True)
     for models in (1000, 10_000):
         print(json.dumps(state(models)), flush=True)
     cases = [(1, 890.0), (10, 890.0), (30, 890.0), (100, 890.0), (10, 2000.0), (10, 4000.0), (10, 6000.0)]
