--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -22,7 +22,7 @@
 from martenlead.admission.limits import AdmissionLimits
 from martenlead.admission.queues import AdmissionRequest, QueueState, ServiceResult
 from martenlead.admission.units import NS_PER_MS
-from support.crowd import AdmissionSimulation, TenantLoad
+from support.crowd import Crowd, Customer
 
 EQUAL_WEIGHTS = {"portal": 1.0, "desk": 1.0}
 
@@ -33,27 +33,26 @@
     return total * total / (len(values) * sum(v * v for v in values)) if total else 0.0
 
 
-def one(load: float, queues: bool, doors: int = 1, seconds: int = 60) -> dict[str, Any]:
-    customers = [TenantLoad("portal", load * 70), TenantLoad("desk", load * 30)]
-    crowd = AdmissionSimulation(10, customers, queues=queues, controllers=doors, weights=TWO)
+def simulate(load: float, queues: bool, dispatchers: int = 1, seconds: int = 60) -> dict[str, Any]:
+    """Simulates two tenants at a load relative to capacity."""
+    tenants = [Customer("portal", load * 70), Customer("desk", load * 30)]
+    crowd = Crowd(10, tenants, queues=queues, doors=dispatchers, weights=EQUAL_WEIGHTS)
     crowd.run(seconds)
-    tens = [
-        sum(crowd.on_time_per_second[s] for s in range(at, at + 10)) / 10 for at in range(0, seconds - 10)
+    rates_over_ten_seconds = [
+        sum(crowd.series[s] for s in range(at, at + 10)) / 10 for at in range(0, seconds - 10)
     ]
-    parts = {c.name: crowd.on_time_share(c.name) for c in customers}
+    shares = {c.name: crowd.part(c.name) for c in tenants}
     return {
         "load": load,
         "queues": queues,
-        "doors": doors,
-        "in time a second": round(sum(crowd.on_time.values()) / seconds, 1),
-        "worst ten seconds": round(min(tens), 1),
-        **{f"part of {name}'s in time": round(part, 3) for name, part in parts.items()},
-        "Jain's index of work": round(jain([crowd.on_time_work_s[c.name] for c in customers]), 3),
-        "came when told": crowd.retries_sent,
-        "of them served in time": round(crowd.retries_on_time / crowd.retries_sent, 3)
-        if crowd.retries_sent
-        else None,
-        "longest wait of one turned back, ms": crowd.longest_rejected_wait_ns // NS_PER_MS,
+        "doors": dispatchers,
+        "in time a second": round(sum(crowd.in_time.values()) / seconds, 1),
+        "worst ten seconds": round(min(rates_over_ten_seconds), 1),
+        **{f"part of {name}'s in time": round(part, 3) for name, part in shares.items()},
+        "Jain's index of work": round(jain([crowd.work_in_time[c.name] for c in tenants]), 3),
+        "came when told": crowd.came,
+        "of them served in time": round(crowd.met / crowd.came, 3) if crowd.came else None,
+        "longest wait of one turned back, ms": crowd.sat_on // NS_PER_MS,
     }
 
 
--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -25,7 +25,7 @@
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.events.cloudevent import Event, encode_event
-from support.fleet import REQUEST_CLASSES, EdgeRig, after_delay, respond_ok, run_edge
+from support.fleet import OFFERINGS, Fleet, after, fleet, satisfied
 
 LIMITS = {
     "connections": 1000,
@@ -171,10 +171,13 @@
     return 0.0
 
 
-async def one(flood: Callable[[int, float], Awaitable[int]], seconds: float, f: EdgeRig) -> dict[str, Any]:
+async def measure_flood(
+    flood: Callable[[int, float], Awaitable[int]], seconds: float, f: Fleet
+) -> dict[str, Any]:
+    """Runs one flood against a new edge process and returns its memory and the usual requests."""
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "edge.json"
-        settings = {"roster": {"port": f.discovery_port}, "offerings": REQUEST_CLASSES, "queues": QUEUES}
+        settings = {"roster": {"port": f.roster_port}, "offerings": OFFERINGS, "queues": QUEUES}
         config.write_text(
             json.dumps({**settings, "limits": {**LIMITS, "slow_ms": 2000}, "log": {"level": "error"}})
         )
@@ -211,7 +214,8 @@
 
 
 async def run(seconds: float, which: str | None) -> None:
-    async with run_edge({"a": [after_delay(20, respond_ok)], "b": [after_delay(20, respond_ok)]}) as f:
+    """Runs the floods, or one of them, in turn."""
+    async with fleet({"a": [after(20, satisfied)], "b": [after(20, satisfied)]}) as f:
         for flood in (idle, slow_senders, endless_heads, slow_readers, names):
             if which not in (None, flood.__name__):
                 continue
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -28,15 +28,15 @@
 from martenlead.durable_state.store import StateKind, StateStore
 from martenlead.policy.policy import Policy
 from martenlead.policy.types import FunctionFacts, WorkerFacts, WorkerState
-from support.fleet import REQUEST_CLASSES
+from support.fleet import OFFERINGS
 
 
 def make_policy(models: int) -> tuple[Policy, dict[Any, str], dict[Any, tuple[str, str, bool]]]:
     """Creates a policy that knows a number of functions and 100 workers."""
     from martenlead.config.edge import EdgeSettings
 
-    told, _, _ = build_policy_settings(
-        decode({"roster": {"port": 1}, "offerings": REQUEST_CLASSES}, EdgeSettings, "bench")
+    settings, _, _ = build_policy_settings(
+        decode({"roster": {"port": 1}, "offerings": OFFERINGS}, EdgeSettings, "bench")
     )
     policy = Policy(settings, 1)
     policy.state.now_ns = 1000 * SECOND
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -25,20 +25,20 @@
 from martenlead.planner import frames as fr
 from martenlead.planner.link import NS_PER_MS
 from martenlead.planner.snapshot import encode_snapshot
-from support.pair import EdgePlannerSimulation
-from support.planned import assert_prompt_responses, run_planned_edge, run_planner, until
+from support.pair import Pair
+from support.planned import answered, planned, planner, until
 
 UVLOOP = {"use_uvloop": True}
 
 
-def drive(pair: EdgePlannerSimulation, rate: float, seconds: float, models: int, tick: Any = None) -> int:
-    """Tasks evenly at a rate, models by chance; how many."""
+def drive(pair: Pair, rate: float, seconds: float, models: int, tick: Any = None) -> int:
+    """Sends requests evenly at a rate, for random models; returns their number."""
     count, due = 0, float(pair.now)
     end = pair.now + int(seconds * 1e9)
     while pair.now < end:
         pair.run(5)
         while due <= pair.now:
-            pair.submit_request(int(models * pair.random.random() ** 2))
+            pair.task(int(models * pair.chance.random() ** 2))
             due += 1e9 / rate
             count += 1
         if tick:
@@ -47,13 +47,16 @@
 
 
 def cost(rate: float, seconds: float) -> dict[str, Any]:
-    """Bytes and CPU a task. The planner's is the time in its half; the edge's is what it takes more with a
-    link than without, the planner's half aside."""
-    alone = EdgePlannerSimulation(workers=20)
-    begun = process_time()
-    tasks = drive(alone, rate, seconds, 60)
-    without = process_time() - begun
-    pair = EdgePlannerSimulation(workers=20)
+    """Measures bytes and CPU time per request.
+
+    The planner's is the time in its session. The edge's is the additional time with a link, without that of
+    the planner.
+    """
+    alone = Pair(runners=20)
+    began = process_time()
+    request_count = drive(alone, rate, seconds, 60)
+    without = process_time() - began
+    pair = Pair(runners=20)
     spent = 0.0
     planner = pair.planner
     for name in ("receive_message", "poll"):
@@ -75,12 +78,12 @@
     both = process_time() - began
     return {
         "tasks a second": rate,
-        "bytes a task": round(pair.session.counts["bytes"] / tasks, 1),
-        "module alone, us a task": round(without / tasks * 1e6, 1),
-        "edge's link, us a task": round((both - spent - without) / tasks * 1e6, 1),
-        "planner, us a task": round(spent / tasks * 1e6, 1),
-        "orders": pair.planner_client.counts["orders"],
-        "refused": pair.planner_client.counts["orders refused"],
+        "bytes a task": round(pair.end.counts["bytes"] / request_count, 1),
+        "module alone, us a task": round(without / request_count * 1e6, 1),
+        "edge's link, us a task": round((both - spent - without) / request_count * 1e6, 1),
+        "planner, us a task": round(spent / request_count * 1e6, 1),
+        "orders": pair.side.counts["orders"],
+        "refused": pair.side.counts["orders refused"],
     }
 
 
@@ -88,36 +91,34 @@
     """Measures the virtual ms from a new connection until the planner knows all that the edge knows."""
     took = []
     for seed in range(10):
-        pair = EdgePlannerSimulation(seed=seed, workers=20)
+        pair = Pair(seed=seed, runners=20)
         pair.connect()
         drive(pair, 280, 5, 60)
         if kind == "cut":
-            pair.disconnect()
+            pair.cut()
         else:
             pair.kill_planner()
         drive(pair, 280, 0.5, 60)
         pair.connect()
-        begun = pair.now
-        while (
-            pair.planner.policy_replica is None or pair.planner.last_sequence < pair.session.last_sequence - 1
-        ):
+        began = pair.now
+        while pair.planner.policy_replica is None or pair.planner.last_sequence < pair.end.last_sequence - 1:
             drive(pair, 280, 0.005, 60)
         took.append((pair.now - began) // NS_PER_MS)
     return {"kind": kind, "virtual ms until it knows all": [min(took), max(took)]}
 
 
 def state(models: int) -> dict[str, Any]:
-    """How long the edge's event loop stands still while all that is known is written, and how much it is."""
-    pair = EdgePlannerSimulation(workers=20, snapshot_models=100_000)
+    """Measures how long a snapshot blocks the event loop of the edge, and its size."""
+    pair = Pair(runners=20, snapshot_models=100_000)
     for n in range(models):
-        pair.submit_request(n)
+        pair.task(n)
         if n % 20 == 0:
             pair.run(5)
-    begun = perf_counter()
-    told, lively = pair.planner_client._take_snapshot()
-    took = perf_counter() - begun
-    data = fr.encode_frame(fr.Snapshot(1, pair.now, msgspec.Raw(encode_snapshot(told))))
-    framed = perf_counter() - begun
+    began = perf_counter()
+    snapshot, lively = pair.side._take_snapshot()
+    took = perf_counter() - began
+    data = fr.encode_frame(fr.Snapshot(1, pair.now, msgspec.Raw(encode_snapshot(snapshot))))
+    framed = perf_counter() - began
     return {
         "lively models": len(lively),
         "read ms": round(took * 1000, 1),
@@ -130,34 +131,34 @@
     """Measures over sockets the ms from a restart of an edge until its replicas are retained again."""
     with tempfile.TemporaryDirectory() as folder:
         kept = str(Path(folder) / "kept")
-        async with run_planner(kept=kept) as (_, port):
-            async with run_planned_edge([port]) as (f, side):
+        async with planner(kept=kept) as (_, port):
+            async with planned([port]) as (f, side):
                 await until(lambda: side.session.is_leased() and not side.plans_locally)
                 while not side._retained:
-                    await assert_prompt_responses(f, 4)
+                    await answered(f, 4)
                     await anyio.sleep(0.05)
                 await until(lambda: Path(kept).exists() and '"m"' in Path(kept).read_text())
             if kind == "edge killed":
-                return {"kind": kind, "ms until copies are held": await _again(port, run_planned_edge, until)}
-        async with run_planner(kept=kept) as (_one, port):
-            return {"kind": kind, "ms until copies are held": await _again(port, run_planned_edge, until)}
+                return {"kind": kind, "ms until copies are held": await _again(port, planned, until)}
+        async with planner(kept=kept) as (_one, port):
+            return {"kind": kind, "ms until copies are held": await _again(port, planned, until)}
 
 
-async def _again(port: int, run_planned_edge: Any, until: Any) -> int:
-    async with run_planned_edge([port]) as (_f, side):
-        begun = perf_counter()
+async def _again(port: int, planned: Any, until: Any) -> int:
+    async with planned([port]) as (_f, side):
+        began = perf_counter()
         await until(lambda: any(c.is_retained for m in side.tape.models for c in m.replicas.values()))
         return int((perf_counter() - began) * 1000)
 
 
 def recorded(rate: float, seconds: float, models: int) -> list[tuple[int, bytes]]:
-    """Frames of one edge with their times (ns from the begin), the first being its snapshot."""
-    pair = EdgePlannerSimulation(workers=20)
+    """Returns the frames of one edge with their times (ns from the start), the snapshot first."""
+    pair = Pair(runners=20)
     drive(pair, rate, 1, models)
     pair.connect()
     began = pair.now
     found: list[tuple[int, bytes]] = []
-    inner = pair.session.next_frame
+    inner = pair.end.next_frame
 
     def record_frame() -> bytes | None:
         """Returns the next frame of the edge and records it."""
@@ -166,7 +167,7 @@
             found.append((pair.now - began, data))
         return data
 
-    pair.session.next_frame = keep  # type: ignore[method-assign]
+    pair.end.next_frame = record_frame  # type: ignore[method-assign]
     drive(pair, rate, seconds, models)
     return [f for f in found if not isinstance(fr.FrameReader().feed(f[1])[0], fr.Hello | fr.Lease)]
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -68,36 +68,37 @@
     chooser, fetches = METHODS[method]
     swarm = Swarm(worker_count, chooser=chooser, fetches_for_others=fetches)
     model = [digest_of(b"%d" % n) for n in range(chunks)]
-    for n, box in enumerate(swarm.agents):
-        swarm.call_at(n * apart_ms * MS, lambda box=box: box.load(model, 120_000))  # type: ignore[misc]
-    said = 0
-
-    def tell() -> None:
-        nonlocal said
-        for box in swarm.agents:
-            for other in swarm.agents:
-                if other is not box:
-                    told = other.chooser.__dict__.setdefault("told", {})
-                    told[box.worker_id] = set(box.chunks)
-                    said += 40 + len(box.chunks) * 10 // 8
-        if not all(box.finished_ns for box in swarm.agents):
-            swarm.call_at(swarm.now + EVERY, tell)
-
-    if way == "summaries":
-        swarm.call_at(EVERY, tell)
+    for n, worker in enumerate(swarm.boxes):
+        swarm.at(n * apart_ms * MS, lambda worker=worker: worker.load(model, 120_000))  # type: ignore[misc]
+    summary_bytes = 0
+
+    def send_summaries() -> None:
+        """Sends the summary of each worker to all others, until all have finished."""
+        nonlocal summary_bytes
+        for worker in swarm.boxes:
+            for other in swarm.boxes:
+                if other is not worker:
+                    announced = other.chooser.__dict__.setdefault("announced", {})
+                    announced[worker.mark] = set(worker.has)
+                    summary_bytes += 40 + len(worker.has) * 10 // 8
+        if not all(worker.finished for worker in swarm.boxes):
+            swarm.at(swarm.now + EVERY, send_summaries)
+
+    if method == "summaries":
+        swarm.at(EVERY, send_summaries)
     swarm.run(600_000)
-    ends = [box.finished_ns for box in swarm.agents if box.finished_ns]
+    finished_times = [worker.finished for worker in swarm.boxes if worker.finished]
     return {
         "way": method,
         "boxes": worker_count,
         "apart ms": apart_ms,
-        "whole": len(ends),
-        "models from the vault": round(swarm.store_chunks / chunks, 2),
-        "turned away": swarm.store_rejections,
-        "last ms": max(ends, default=0) // MS,
-        "asks between boxes": sum(box.chooser.counts.peer_requests for box in swarm.agents),
-        "KB told": said // 1000,
-        "most sent by one, models": round(max(box.sent_chunks for box in swarm.agents) / chunks, 2),
+        "whole": len(finished_times),
+        "models from the vault": round(swarm.vault_chunks / chunks, 2),
+        "turned away": swarm.turned_away,
+        "last ms": max(finished_times, default=0) // MS,
+        "asks between boxes": sum(worker.chooser.counts.peer_requests for worker in swarm.boxes),
+        "KB told": summary_bytes // 1000,
+        "most sent by one, models": round(max(worker.sent for worker in swarm.boxes) / chunks, 2),
     }
 
 
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -20,7 +20,7 @@
 from martenlead.admission.queues import FunctionQueue, QueuedRequest
 from martenlead.admission.units import NS_PER_MS, NS_PER_SECOND
 from support import crowd
-from support.crowd import AdmissionSimulation, TenantLoad
+from support.crowd import Crowd, Customer
 
 
 class Fifo(AdmissionController):
@@ -132,17 +132,14 @@
         return 0 if self.waiting_requests < 50 else 100 * NS_PER_SECOND
 
 
-SCENES: dict[str, tuple[list[TenantLoad], dict[str, float]]] = {
-    "1.5 times capacity, 70 and 30": ([TenantLoad("a", 105), TenantLoad("b", 45)], {"a": 1.0, "b": 1.0}),
+SCENES: dict[str, tuple[list[Customer], dict[str, float]]] = {
+    "1.5 times capacity, 70 and 30": ([Customer("a", 105), Customer("b", 45)], {"a": 1.0, "b": 1.0}),
     "shares 3 to 1, b's tasks ten times as heavy": (
-        [
-            TenantLoad("a", 300, 0.05, clients=50),
-            TenantLoad("b", 30, 0.5, latency_objective_s=2.0, clients=50),
-        ],
+        [Customer("a", 300, 0.05, clients=50), Customer("b", 30, 0.5, soft=2.0, clients=50)],
         {"a": 3.0, "b": 1.0},
     ),
     "one client of a sends 85% of 300": (
-        [TenantLoad("a", 300, clients=20, flood_share=0.85), TenantLoad("b", 30)],
+        [Customer("a", 300, clients=20, flood=0.85), Customer("b", 30)],
         {"a": 1.0, "b": 1.0},
     ),
 }
@@ -153,18 +150,16 @@
     for scene, (tenants, weights) in SCENES.items():
         for kind in (AdmissionController, Deficit, Stochastic, Fifo, CoDel, Length):
             crowd.AdmissionController = kind  # type: ignore[misc]
-            played = AdmissionSimulation(10, customers, weights=weights)
-            played.run(40)
-            work = [played.on_time_work_s[c.name] / weights[c.name] for c in customers]
-            told = {
+            crowd_run = Crowd(10, tenants, weights=weights)
+            crowd_run.run(40)
+            work = [crowd_run.work_in_time[c.name] / weights[c.name] for c in tenants]
+            result = {
                 "scene": scene,
                 "way": "as it is" if kind is module.AdmissionController else kind.__name__,
-                "work in time, of 10 a second": round(sum(played.on_time_work_s.values()) / 40, 2),
-                **{f"part of {c.name}'s in time": round(played.on_time_share(c.name), 3) for c in customers},
+                "work in time, of 10 a second": round(sum(crowd_run.work_in_time.values()) / 40, 2),
+                **{f"part of {c.name}'s in time": round(crowd_run.part(c.name), 3) for c in tenants},
                 "Jain's index of work by weight": round(jain(work), 3),
-                "served when told": round(played.retries_on_time / played.retries_sent, 3)
-                if played.retries_sent
-                else None,
+                "served when told": round(crowd_run.met / crowd_run.came, 3) if crowd_run.came else None,
             }
             print(json.dumps(result), flush=True)
 
