--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: the same whatever processes do it and wherever they were stopped; intervals; the page."""
+"""Tests of experiments: outcomes do not depend on processes or interruptions; comparisons; the page."""
 
 from __future__ import annotations
 
@@ -10,9 +10,17 @@
 import pytest
 
 from martenlead.config.load import ConfigError
-from martenlead.emulator.experiment import compare, do, jobs, keep, kept, read, together
-from martenlead.emulator.job import Outcome, run
-from martenlead.emulator.page import page
+from martenlead.emulator.experiment import (
+    compare,
+    make_jobs,
+    read_outcome,
+    read_plan,
+    run_jobs,
+    write_outcome,
+    write_table,
+)
+from martenlead.emulator.job import Outcome, run_job
+from martenlead.emulator.page import render_page
 
 SCRIPT = """
 local day = import 'day.libsonnet';
@@ -29,14 +37,16 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
+    """Returns a folder with a script and a plan."""
     (tmp_path / "short.jsonnet").write_text(SCRIPT)
     (tmp_path / "plan.json").write_text(json.dumps(PLAN))
     return tmp_path
 
 
-def done(folder: Path, out: str, processes: int, stop_after: int | None = None) -> list[Outcome]:
-    made = read(folder / "plan.json")
-    todo = jobs(made, folder)
+def run_plan(folder: Path, out: str, processes: int, stop_after: int | None = None) -> list[Outcome]:
+    """Runs the plan, up to `stop_after` jobs, and returns the outcomes in its order."""
+    plan = read_plan(folder / "plan.json")
+    jobs = make_jobs(plan, folder)
     so_far = 0
 
     def progress(count: int, _all: int) -> None:
@@ -45,30 +55,31 @@
         if stop_after is not None and count >= stop_after:
             raise KeyboardInterrupt
 
-    assert list(do(todo, folder / out, processes, progress)) == []
-    return [o for job in todo if (o := kept(folder / out, job)) is not None]
+    assert list(run_jobs(jobs, folder / out, processes, progress)) == []
+    return [o for job in jobs if (o := read_outcome(folder / out, job)) is not None]
 
 
-def same(outcomes: list[Outcome]) -> list[Outcome]:
+def without_duration(outcomes: list[Outcome]) -> list[Outcome]:
+    """Returns the outcomes with a run time of 0, which differs between runs."""
     return [msgspec.structs.replace(o, took_s=0.0) for o in outcomes]
 
 
-def test_one_process_or_four_stopped_or_not_the_results_are_the_same(folder: Path) -> None:
-    alone = done(folder, "alone", 1)
+def test_outcomes_do_not_depend_on_processes_or_interruptions(folder: Path) -> None:
+    alone = run_plan(folder, "alone", 1)
     assert len(alone) == 8
-    assert same(done(folder, "four", 4)) == same(alone)
+    assert without_duration(run_plan(folder, "four", 4)) == without_duration(alone)
     with pytest.raises(KeyboardInterrupt):
-        done(folder, "stopped", 1, stop_after=3)
+        run_plan(folder, "stopped", 1, stop_after=3)
     left = sorted((folder / "stopped").glob("*.parquet"))
     assert 2 <= len(left) < 8
     before = {path: path.read_bytes() for path in left}
     torn = left[0]
-    torn.write_bytes(torn.read_bytes()[:500])  # as a full disk might leave it
-    assert same(done(folder, "stopped", 2)) == same(alone)
+    torn.write_bytes(torn.read_bytes()[:500])  # As a full disk might leave it
+    assert without_duration(run_plan(folder, "stopped", 2)) == without_duration(alone)
     assert all(path.read_bytes() == data for path, data in before.items() if path != torn)
 
 
-def test_a_bundled_trace_in_one_process_or_eight(folder: Path) -> None:
+def test_a_bundled_trace_gives_the_same_outcomes_in_one_process_or_eight(folder: Path) -> None:
     from martenlead.traces.problems import TraceProblems
     from martenlead.traces.schemas import SCHEMAS, ReaderOptions
     from martenlead.traces.store import write_trace
@@ -80,43 +91,44 @@
     (folder / "plan.json").write_text(json.dumps(plan))
     mapping = "clients+: { mapping: { speed: 100, models: 9, durations: 0.05 } }"
     (folder / "short.jsonnet").write_text(SCRIPT.replace("clients+: { rate_per_s: 40 }", mapping))
-    alone, eight = done(folder, "alone", 1), done(folder, "eight", 8)
-    assert same(alone) == same(eight)
-    assert {o.tasks for o in alone} == {alone[0].tasks}  # the trace's, whatever the seed
+    alone, eight = run_plan(folder, "alone", 1), run_plan(folder, "eight", 8)
+    assert without_duration(alone) == without_duration(eight)
+    assert {o.tasks for o in alone} == {alone[0].tasks}  # Requests come from the trace, whatever the seed
     assert alone[0].tasks > 500
 
 
-def test_the_page_holds_all_and_asks_nobody(folder: Path) -> None:
-    made = read(folder / "plan.json")
-    outcomes = done(folder, "out", 4)
-    told = page(made, outcomes)
-    assert told == page(made, outcomes)  # the same bytes each time
-    assert told.count("<svg") >= 5
-    outside = [part.split('"')[0] for part in told.split('href="')[1:] + told.split('src="')[1:]]
+def test_the_page_is_complete_and_self_contained(folder: Path) -> None:
+    plan = read_plan(folder / "plan.json")
+    outcomes = run_plan(folder, "out", 4)
+    html = render_page(plan, outcomes)
+    assert html == render_page(plan, outcomes)  # The same bytes each time
+    assert html.count("<svg") >= 5
+    outside = [part.split('"')[0] for part in html.split('href="')[1:] + html.split('src="')[1:]]
     assert all(link.startswith("#") for link in outside)
-    assert "random" in told and "against the baseline" in told
-    table = together(folder, outcomes, "results")
+    assert "random" in html and "against the baseline" in html
+    table = write_table(folder, outcomes, "results")
     import pyarrow.parquet as pq
 
     assert pq.read_table(table).num_rows == 8
 
 
 def outcome(policy: str, seed: int, service: float, template: Outcome) -> Outcome:
+    """Returns the template with another policy, seed and service."""
     return msgspec.structs.replace(template, policy=policy, seed=seed, service=service)
 
 
-def test_differences_are_of_pairs(folder: Path) -> None:
-    """The seeds differ by far more than the policies do, and pairing shows the difference all the same."""
-    made = read(folder / "plan.json")
-    first, _ = run(jobs(made, folder)[0])
+def test_comparisons_pair_outcomes_by_seed(folder: Path) -> None:
+    """The seeds differ far more than the policies; pairing by seed shows the difference all the same."""
+    plan = read_plan(folder / "plan.json")
+    first, _ = run_job(make_jobs(plan, folder)[0])
     bases = [0.2, 0.5, 0.9, 0.7]
-    told = [outcome("module", n, base, first) for n, base in enumerate(bases)]
-    told += [outcome("random", n, base - 0.02, first) for n, base in enumerate(bases)]
-    told += [
+    outcomes = [outcome("module", n, base, first) for n, base in enumerate(bases)]
+    outcomes += [outcome("random", n, base - 0.02, first) for n, base in enumerate(bases)]
+    outcomes += [
         outcome("least", n, base + d, first)
         for n, (base, d) in enumerate(zip(bases, (0.1, -0.1, 0.2, -0.2), strict=True))
     ]
-    found = {c.policy: c for c in compare(told, "module")}
+    found = {c.policy: c for c in compare(outcomes, "module")}
     assert found["random"].difference == pytest.approx(-0.02)
     assert found["random"].high < 0
     assert found["least"].low < 0 < found["least"].high
@@ -124,7 +136,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"policies": ["best"]}, "policies"),
         ({"baseline": "hash"}, "baseline"),
@@ -134,20 +146,22 @@
         ({"speed": 3}, "speed"),
     ],
 )
-def test_what_is_wrong_with_a_plan_is_said(folder: Path, change: dict[str, Any], said: str) -> None:
+def test_an_invalid_plan_is_rejected_with_the_field(
+    folder: Path, change: dict[str, Any], message: str
+) -> None:
     (folder / "plan.json").write_text(json.dumps({**PLAN, **change}))
-    with pytest.raises(ConfigError, match=said):
-        jobs(read(folder / "plan.json"), folder)
+    with pytest.raises(ConfigError, match=message):
+        make_jobs(read_plan(folder / "plan.json"), folder)
 
 
-def test_a_job_that_fails_is_told_and_the_others_are_done(folder: Path) -> None:
+def test_a_failed_job_is_reported_and_the_others_run(folder: Path) -> None:
     (folder / "plan.json").write_text(json.dumps({**PLAN, "axes": {"planners.kind": ["none"]}}))
-    made = read(folder / "plan.json")
-    todo = jobs(made, folder)
-    bad = msgspec.structs.replace(todo[0], policy="module@no-such-commit")
-    failed = list(do([bad, *todo[1:]], folder / "out", 2, lambda *_: None))
+    plan = read_plan(folder / "plan.json")
+    jobs = make_jobs(plan, folder)
+    bad = msgspec.structs.replace(jobs[0], policy="module@no-such-commit")
+    failed = list(run_jobs([bad, *jobs[1:]], folder / "out", 2, lambda *_: None))
     assert [job for job, _ in failed] == [bad]
-    assert "no module at" in failed[0][1]
-    assert sum(kept(folder / "out", job) is not None for job in todo[1:]) == 3
-    keep(folder / "out", run(todo[0])[0])
-    assert kept(folder / "out", todo[0]) is not None
+    assert "no policy package at commit" in failed[0][1]
+    assert sum(read_outcome(folder / "out", job) is not None for job in jobs[1:]) == 3
+    write_outcome(folder / "out", run_job(jobs[0])[0])
+    assert read_outcome(folder / "out", jobs[0]) is not None
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -133,9 +133,9 @@
         clients=replace(base.clients, rate_per_s=150),
         troubles=[Trouble(at_s=8, kind="dispatcher_crash", for_s=0.2, part=share_of_edges)],
     )
-    fleet = Fleet(plan(day, seed), lasting=is_durable)
+    fleet = Fleet(plan(day, seed), has_durable_state=is_durable)
     fleet.run()
-    tally = fleet.tally
+    tally = fleet.statistics
     seconds_after = range(9, 19)
     sent = sum(tally.by_second[second][0] for second in seconds_after)
     service = sum(tally.by_second[second][1] for second in seconds_after) / sent
@@ -199,7 +199,8 @@
     base = decode(evaluate(DAYS / "restart-lasting.jsonnet"), Day, "restart-lasting")
     crash = [Trouble(at_s=5, kind="dispatcher_crash", for_s=0.2, part=1.0)]
     fleet = Fleet(
-        plan(msgspec.structs.replace(base, seconds=9, edges=2, troubles=crash), 1), tape=make_recorder
+        plan(msgspec.structs.replace(base, seconds=9, edges=2, troubles=crash), 1),
+        make_recorder=make_recorder,
     )
     fleet.run()
     assert len(runs_by_edge) == 2
