--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -31,7 +31,7 @@
 from martenlead.layers.image import Layout, digest_of
 from martenlead.layers.samples import Samples, make
 from martenlead.layers.settings import hash_worker_name
-from martenlead.standins.record import read
+from martenlead.standins.record import read_records
 
 UVLOOP = {"use_uvloop": True}
 VAULT = {
@@ -108,7 +108,7 @@
         processes += agents
         for what, ref in (("cold", "m.0"), ("release", "m.0.r1"), ("again", "m.0.r1")):
             ref = ref + ".whole" if way == "whole" else ref
-            before = list(read(record))
+            before = list(read_records(record))
             ends: list[dict[str, Any]] = []
 
             async def ask(p: int, ref: str = ref, ends: list[dict[str, Any]] = ends) -> None:
@@ -117,7 +117,7 @@
             async with anyio.create_task_group() as asking:
                 for p in ports:
                     asking.start_soon(ask, p)
-            new = list(read(record))[len(before) :]
+            new = list(read_records(record))[len(before) :]
             size = sum(r["size"] for r in new if r["what"] in ("blob", "manifest"))
             told.append(
                 {
--- a/martenlead/cli/day.py
+++ b/martenlead/cli/day.py
@@ -18,11 +18,11 @@
 from martenlead.capture.reader import find_runs
 from martenlead.cli.output import format_json
 from martenlead.config.load import ConfigError, decode, evaluate
-from martenlead.days.books import balance
-from martenlead.days.report import kept, table
+from martenlead.days.books import reconcile
+from martenlead.days.report import format_report, has_passed
 from martenlead.days.run import DayFailed, run
-from martenlead.days.script import ON_SOCKETS, Day, plan
-from martenlead.standins.record import read
+from martenlead.days.script import MAX_ON_SOCKETS, Day, plan
+from martenlead.standins.record import read_records
 
 TERMINATED_EXIT_CODE = 128 + signal.SIGTERM
 STEPS_PER_SECOND = 10  # progress bar steps per second of the day
@@ -105,17 +105,17 @@
         _clear(folder)
         report = _play(day, seed, folder)
         report["books"] = _compare_records(day, seed, folder) if day.capture else None
-    click.echo(table(report))
+    click.echo(format_report(report))
     if report_file:
         report_file.write_bytes(format_json(report))
-    sys.exit(0 if kept(report) else 1)
+    sys.exit(0 if has_passed(report) else 1)
 
 
 def _check(day: Day, script: str, seed: int) -> None:
     """Raises `ConfigError` for a day that cannot be played on sockets."""
     for name, count in (("runners.count", day.runners.count), ("edges", day.edges)):
-        if count > ON_SOCKETS:
-            limit = f"at most {ON_SOCKETS} on sockets; `martenlead emulate` plays more"
+        if count > MAX_ON_SOCKETS:
+            limit = f"at most {MAX_ON_SOCKETS} on sockets; `martenlead emulate` plays more"
             error = f"{script}: $.{name}: {limit}"
             raise ConfigError(error)
     try:
@@ -158,7 +158,7 @@
         edge = captured.name.replace("_", "-")
         for request, found in list_outcomes(captured.events()).items():
             outcomes[edge, request] += found
-    processes = read(folder / "processes.jsonl")
+    processes = read_records(folder / "processes.jsonl")
     killed = {edges[record["edge"]] for record in processes if record["what"] == "killed"}
-    compared = balance(list(read(folder / "clients.jsonl")), edges, outcomes, killed)
-    return {"entries": dict(compared.entries), "odd": compared.odd}
+    compared = reconcile(list(read_records(folder / "clients.jsonl")), edges, outcomes, killed)
+    return {"entries": dict(compared.entries), "odd": compared.mismatches}
--- a/martenlead/cli/emulate.py
+++ b/martenlead/cli/emulate.py
@@ -12,7 +12,7 @@
 
 from martenlead.cli.output import format_json, print_json
 from martenlead.config.load import ConfigError, decode, evaluate
-from martenlead.days.report import kept, table
+from martenlead.days.report import format_report, has_passed
 from martenlead.days.script import Day
 
 if TYPE_CHECKING:
@@ -91,12 +91,12 @@
     if report_file is not None:
         report_file.write_bytes(format_json(report) + b"\n")
     if audit:
-        click.echo(table(report))
+        click.echo(format_report(report))
     else:
         print_json(fleet.tally.told())
     speed = f"{day.seconds:g} s of the day in {outcome.took_s:.1f} s"
     click.echo(f"{outcome.events} events; {speed}")
-    if audit and not kept(report):
+    if audit and not has_passed(report):
         raise SystemExit(1)
 
 
--- a/martenlead/cli/standin.py
+++ b/martenlead/cli/standin.py
@@ -14,11 +14,11 @@
 
 # kind -> type of its settings and the function that runs it; `Any`, as each takes only its own type
 KINDS: dict[str, tuple[type[Any], Callable[[Any], Awaitable[None]]]] = {
-    "runner": (settings.Host, runner.run),
-    "roster": (settings.RosterPart, roster.run),
-    "vault": (settings.VaultPart, vault.run),
-    "depot": (settings.DepotPart, depot.run),
-    "client": (settings.Clients, client.run),
+    "runner": (settings.WorkerHostSettings, runner.run),
+    "roster": (settings.EndpointServerSettings, roster.run),
+    "vault": (settings.TimedStoreSettings, vault.run),
+    "depot": (settings.ArtifactStoreSettings, depot.run),
+    "client": (settings.ClientsSettings, client.run),
 }
 
 
--- a/martenlead/cli/trace.py
+++ b/martenlead/cli/trace.py
@@ -266,13 +266,13 @@
 def _make_day(file: Path, script: Path, mapping_file: Path | None, changes: MappingOptions) -> Day:
     """The script's day, with its clients' requests replaced by the trace."""
     from martenlead.days.script import Day
-    from martenlead.standins.settings import Mapping
+    from martenlead.standins.settings import TraceMapping
 
     replace = msgspec.structs.replace
     day = decode(evaluate(script), Day, str(script))
     mapping = day.clients.mapping
     if mapping_file is not None:
-        mapping = decode(evaluate(mapping_file), Mapping, str(mapping_file))
+        mapping = decode(evaluate(mapping_file), TraceMapping, str(mapping_file))
     given = {name: value for name, value in changes.items() if value is not None}
     mapping = replace(mapping, **given)
     clients = replace(day.clients, trace=str(file.resolve()), mapping=mapping)
--- a/martenlead/days/__init__.py
+++ b/martenlead/days/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted days on loopback: a whole fleet of stand-ins around real edges, faults on cue, and the audit."""
+"""Scripted days on loopback: a fleet of stand-ins around real edges, faults at their times, and the audit."""
--- a/martenlead/days/audit.py
+++ b/martenlead/days/audit.py
@@ -1,8 +1,9 @@
-"""The five rules, read anew from what passed on the sockets: clients', runners' and the roster's records.
+"""Checks the five rules against what passed on the sockets: the records of clients, workers and endpoint
+list.
 
-Imports no decision and asks no program what it meant. `processes` are the facts of the day itself: when an
-edge was killed and started. Times are ns. Where two processes' records are compared, `transit` covers the way
-between.
+The audit imports no decision code and asks no program about its intent. `processes` are the facts of the
+day itself: when an edge was killed and started. Times are ns. Where records of two processes are compared,
+`transit` covers the way between them.
 """
 
 from __future__ import annotations
@@ -13,75 +14,86 @@
 from typing import Any
 
 Record = dict[str, Any]
-MS = 1_000_000
-NAMES = ("one_answer", "no_effect_twice", "drains", "cold_runners", "load_ration")
+NS_PER_MS = 1_000_000
+RULE_NAMES = ("one_answer", "no_effect_twice", "drains", "cold_runners", "load_ration")
 
 
 @dataclass
 class Rules:
-    """The figures that the rules name, and each offering's kind."""
+    """The parameters of the rules, and each request class and worker."""
 
-    offerings: dict[str, dict[str, Any]]  # effect, group, window_ms, work_ms
-    runners: dict[str, dict[str, Any]]  # zone, cell, cores, speed
+    request_classes: dict[str, dict[str, Any]]  # effect, group, window_ms, work_ms
+    workers: dict[str, dict[str, Any]]  # zone, cell, cores, speed
     edges: list[str]
-    twice_out: bool = False
+    allows_two_attempts: bool = False
     grace_ms: float = 250
     cold_from: float = 0.2
     cold_ms: float = 8000
     fall_multiple: float = 2.5
     fall_ms: float = 2000
-    ration: dict[str, float] | None = None  # window_ms, free, share
+    load_budget: dict[str, float] | None = None  # window_ms, free, share
     slack_ms: float = 20
     transit_ms: float = 30
 
 
 @dataclass
 class Verdict:
+    """The result of one rule: how many cases were checked, and its breaches."""
+
     checked: int = 0
     breaches: list[dict[str, Any]] = field(default_factory=list)
 
-    def breach(self, why: str, *records: Record | None) -> None:
+    def add_breach(self, why: str, *records: Record | None) -> None:
+        """Adds a breach with the records that prove it."""
         self.breaches.append({"why": why, "records": [r for r in records if r]})
 
 
 @dataclass
 class Arrival:
-    """A hand-off as its runner saw it."""
+    """An attempt as its worker recorded it."""
 
-    came: Record
+    arrived: Record
     ran: Record | None = None
     refused: Record | None = None
-    ended: int | None = None  # answered, or the edge closed its connection
+    ended: int | None = None  # when it was answered, or the edge closed its connection
 
 
 class Audit:
+    """The audit of one day's records."""
+
     def __init__(
         self,
         rules: Rules,
         clients: list[Record],
-        runners: list[Record],
-        roster: list[Record],
+        workers: list[Record],
+        endpoints: list[Record],
         processes: list[Record],
     ) -> None:
         self.rules = rules
-        self.transit = int(rules.transit_ms * MS)
-        self.clients, self.runners = sorted(clients, key=_t), sorted(runners, key=_t)
-        self.roster, self.processes = sorted(roster, key=_t), sorted(processes, key=_t)
-        self.sent = {r["try"]: r for r in self.clients if r["what"] == "sent"}
+        self.transit = int(rules.transit_ms * NS_PER_MS)
+        self.client_records, self.worker_records = (
+            sorted(clients, key=_time_of),
+            sorted(workers, key=_time_of),
+        )
+        self.endpoint_records, self.process_records = (
+            sorted(endpoints, key=_time_of),
+            sorted(processes, key=_time_of),
+        )
+        self.sent = {r["try"]: r for r in self.client_records if r["what"] == "sent"}
         ends = ("answer", "left", "no answer", "unreached", "broken")
-        self.ends = {r["try"]: r for r in self.clients if r["what"] in ends}
-        self.arrivals: dict[str, list[Arrival]] = defaultdict(list)  # by task
+        self.ends = {r["try"]: r for r in self.client_records if r["what"] in ends}
+        self.arrivals_by_request: dict[str, list[Arrival]] = defaultdict(list)
         self._read_arrivals()
 
     def _read_arrivals(self) -> None:
-        by_way: dict[str, Arrival] = {}
-        for record in self.runners:
-            way = record.get("way", "")
+        by_id: dict[str, Arrival] = {}
+        for record in self.worker_records:
+            attempt_id = record.get("way", "")
             if record["what"] == "came":
-                arrival = by_way[way] = Arrival(record)
-                self.arrivals[record["id"]].append(arrival)
-            elif way in by_way:
-                arrival = by_way[way]
+                arrival = by_id[attempt_id] = Arrival(record)
+                self.arrivals_by_request[record["id"]].append(arrival)
+            elif attempt_id in by_id:
+                arrival = by_id[attempt_id]
                 if record["what"] == "ran":
                     arrival.ran = record
                 elif record["what"] == "refused":
@@ -90,6 +102,7 @@
                     arrival.ended = min(arrival.ended or record["t"], record["t"])
 
     def verdicts(self) -> dict[str, Verdict]:
+        """The verdict on each rule."""
         return {
             "one_answer": self.one_answer(),
             "no_effect_twice": self.no_effect_twice(),
@@ -101,181 +114,203 @@
     # -- 1
 
     def one_answer(self) -> Verdict:
+        """Rule 1: every try gets one final response in time, and no attempt comes after it."""
         verdict = Verdict()
-        slack = int(self.rules.slack_ms * MS)
+        slack_ns = int(self.rules.slack_ms * NS_PER_MS)
         killed = defaultdict(list)
-        for record in self.processes:
+        for record in self.process_records:
             if record["what"] == "killed":
                 killed[record["edge"]].append(record["t"])
-        for name, sent in self.sent.items():
+        for try_name, sent in self.sent.items():
             verdict.checked += 1
-            end = self.ends.get(name)
+            end = self.ends.get(try_name)
             if end is None:
-                verdict.breach("the client's records have no end of it", sent)
+                verdict.add_breach("the client's records have no end of it", sent)
                 continue
-            deaths = killed[sent["edge"]]
+            kills = killed[sent["edge"]]
             if end["what"] == "answer":
                 if end["final"] not in ("satisfied", "turned back", "scrapped"):
-                    verdict.breach(f"no final answer but status {end['status']}", sent, end)
-                # a client that was itself held up may send when its time is over: then at once
-                if end["t"] > max(sent["give_up"], sent["t"]) + slack:
-                    verdict.breach("the answer came after the client had given up", sent, end)
+                    verdict.add_breach(f"no final answer but status {end['status']}", sent, end)
+                # a delayed client may send after its time is over; the response is due at once then
+                if end["t"] > max(sent["give_up"], sent["t"]) + slack_ns:
+                    verdict.add_breach("the answer came after the client had given up", sent, end)
             elif end["what"] == "no answer":
-                verdict.breach("no answer before the client gave up", sent, end)
+                verdict.add_breach("no answer before the client gave up", sent, end)
             elif end["what"] == "broken" and not any(
-                sent["t"] - self.transit <= t <= end["t"] + self.transit for t in deaths
+                sent["t"] - self.transit <= t <= end["t"] + self.transit for t in kills
             ):
-                verdict.breach("the connection broke though the edge lived", sent, end)
-        for record in self.clients:
+                verdict.add_breach("the connection broke though the edge lived", sent, end)
+        for record in self.client_records:
             if record["what"] == "stray":
-                verdict.breach("an answer that no request had asked for", record)
-        for arrivals in self.arrivals.values():
+                verdict.add_breach("an answer that no request had asked for", record)
+        for arrivals in self.arrivals_by_request.values():
             for arrival in arrivals:
-                end = self.ends.get(arrival.came["try"])
-                over = end is not None and end["what"] in ("answer", "left")
-                if end and over and arrival.came["t"] > end["t"] + self.transit:
-                    verdict.breach("a hand-off for a task that was over", arrival.came, end)
+                end = self.ends.get(arrival.arrived["try"])
+                is_over = end is not None and end["what"] in ("answer", "left")
+                if end and is_over and arrival.arrived["t"] > end["t"] + self.transit:
+                    verdict.add_breach("a hand-off for a task that was over", arrival.arrived, end)
         return verdict
 
     # -- 2
 
     def no_effect_twice(self) -> Verdict:
+        """Rule 2: no request that may have run is repeated unless its class allows that."""
         verdict = Verdict()
-        for arrivals in self.arrivals.values():
-            offering = self.rules.offerings.get(arrivals[0].came["offering"])
-            if offering is None:
+        for arrivals in self.arrivals_by_request.values():
+            request_class = self.rules.request_classes.get(arrivals[0].arrived["offering"])
+            if request_class is None:
                 continue
             verdict.checked += 1
             tries: dict[str, list[Arrival]] = defaultdict(list)
             for arrival in arrivals:
-                tries[arrival.came["try"]].append(arrival)
-            for name, own in tries.items():
-                for at, arrival in enumerate(own):
-                    self._further(verdict, offering, own[:at], arrival)
-                self._turned_back(verdict, offering, own, self.ends.get(name))
+                tries[arrival.arrived["try"]].append(arrival)
+            for try_name, attempts in tries.items():
+                for index, arrival in enumerate(attempts):
+                    self._check_repeat(verdict, request_class, attempts[:index], arrival)
+                self._check_rejection(verdict, request_class, attempts, self.ends.get(try_name))
             ran = [a.ran for a in arrivals if a.ran]
-            if offering["effect"] != "idempotent" and len(ran) > 1:
-                verdict.breach(f"it ran {len(ran)} times", *ran)
+            if request_class["effect"] != "idempotent" and len(ran) > 1:
+                verdict.add_breach(f"it ran {len(ran)} times", *ran)
         return verdict
 
-    def _further(
-        self, verdict: Verdict, offering: dict[str, Any], earlier: list[Arrival], arrival: Arrival
+    def _check_repeat(
+        self, verdict: Verdict, request_class: dict[str, Any], earlier: list[Arrival], arrival: Arrival
     ) -> None:
-        came = arrival.came
-        if not self.rules.twice_out:
+        arrived = arrival.arrived
+        if not self.rules.allows_two_attempts:
             for other in earlier:
-                if other.ended is None or other.ended > came["t"] + self.transit:
-                    verdict.breach("two hand-offs out at once", other.came, came)
-        maybe = [other for other in earlier if not other.refused]
-        if not maybe or offering["effect"] == "idempotent":
+                if other.ended is None or other.ended > arrived["t"] + self.transit:
+                    verdict.add_breach("two hand-offs out at once", other.arrived, arrived)
+        possibly_run = [other for other in earlier if not other.refused]
+        if not possibly_run or request_class["effect"] == "idempotent":
             return
-        if offering["effect"] == "unrepeatable":
-            verdict.breach("a further hand-off of what may have run", maybe[0].came, came)
+        if request_class["effect"] == "unrepeatable":
+            verdict.add_breach("a further hand-off of what may have run", possibly_run[0].arrived, arrived)
             return
-        first = maybe[0].came
-        if not self._same_group(offering["group"], first, came):
-            verdict.breach("sent again outside its group", first, came)
-        if came["t"] > first["t"] + offering["window_ms"] * MS:
-            verdict.breach("sent again after its window", first, came)
+        first = possibly_run[0].arrived
+        if not self._same_group(request_class["group"], first, arrived):
+            verdict.add_breach("sent again outside its group", first, arrived)
+        if arrived["t"] > first["t"] + request_class["window_ms"] * NS_PER_MS:
+            verdict.add_breach("sent again after its window", first, arrived)
 
     @staticmethod
-    def _same_group(group: str, a: Record, b: Record) -> bool:
+    def _same_group(group: str, first: Record, second: Record) -> bool:
         if group == "all":
             return True
-        return bool(a["zone"] == b["zone"] and (group == "zone" or a["cell"] == b["cell"]))
+        return bool(first["zone"] == second["zone"] and (group == "zone" or first["cell"] == second["cell"]))
 
-    def _turned_back(
-        self, verdict: Verdict, offering: dict[str, Any], own: list[Arrival], end: Record | None
+    def _check_rejection(
+        self, verdict: Verdict, request_class: dict[str, Any], attempts: list[Arrival], end: Record | None
     ) -> None:
         if end is None or end["what"] != "answer" or end["final"] != "turned back":
             return
-        if offering["effect"] == "idempotent":
+        if request_class["effect"] == "idempotent":
             return
-        if offering["effect"] == "deduplicated" and offering["group"] == "all":
+        if request_class["effect"] == "deduplicated" and request_class["group"] == "all":
             return
-        for arrival in own:
+        for arrival in attempts:
             if not arrival.refused:
-                verdict.breach("turned back though it may have run", arrival.came, end)
+                verdict.add_breach("turned back though it may have run", arrival.arrived, end)
 
     # -- 3
 
     def drains(self) -> Verdict:
-        """Word reaches an edge by the roster, or by a runner's refusal that says so."""
+        """Rule 3: nothing is sent to a worker that the edge knows to drain or to be gone.
+
+        An edge knows it from the endpoint list, or from a worker's refusal that says so.
+        """
         verdict = Verdict()
         edges = {name: n for n, name in enumerate(self.rules.edges)}
-        killed = [(r["t"], self.rules.edges[r["edge"]]) for r in self.processes if r["what"] == "killed"]
-        events: list[tuple[int, int, Record]] = [(r["t"], 0, r) for r in self.roster if r["what"] == "told"]
-        events += [(t, 0, {"what": "killed", "edge": edge}) for t, edge in killed]
-        events += [(r["t"], 1, r) for r in self.runners]
-        way: dict[str, Record] = {}
-        word: dict[tuple[str, str], tuple[int, Record]] = {}  # who was told that it is not up, and when
-        lives: dict[tuple[str, str], str] = {}
-        own: set[tuple[str, str, str]] = set()
-        limit = int(self.rules.grace_ms * MS) + self.transit
-        for t, _, record in sorted(events, key=lambda e: e[:2]):
+        killed = [
+            (r["t"], self.rules.edges[r["edge"]]) for r in self.process_records if r["what"] == "killed"
+        ]
+        events: list[tuple[int, int, Record]] = [
+            (r["t"], 0, r) for r in self.endpoint_records if r["what"] == "told"
+        ]
+        events += [(at_ns, 0, {"what": "killed", "edge": edge}) for at_ns, edge in killed]
+        events += [(r["t"], 1, r) for r in self.worker_records]
+        arrived_by_id: dict[str, Record] = {}
+        # edge, worker -> first notice that the worker is not up
+        notices: dict[tuple[str, str], tuple[int, Record]] = {}
+        incarnations: dict[tuple[str, str], str] = {}
+        own_refusals: set[tuple[str, str, str]] = set()
+        limit_ns = int(self.rules.grace_ms * NS_PER_MS) + self.transit
+        for at_ns, _, record in sorted(events, key=lambda e: e[:2]):
             what, edge = record["what"], record.get("edge", "")
             if what == "told":
-                named = {line[0] for line in record["lines"]}
+                listed = {line[0] for line in record["lines"]}
                 if record["whole"]:
-                    for runner in self.rules.runners:
-                        if runner not in named:
-                            word.setdefault((edge, runner), (t, record))
-                for runner, state, life in record["lines"]:
-                    lives[edge, runner] = life
+                    for worker in self.rules.workers:
+                        if worker not in listed:
+                            notices.setdefault((edge, worker), (at_ns, record))
+                for worker, state, incarnation in record["lines"]:
+                    incarnations[edge, worker] = incarnation
                     if state != "up":
-                        word.setdefault((edge, runner), (t, record))
-                    elif (edge, runner, life) not in own:
-                        word.pop((edge, runner), None)
+                        notices.setdefault((edge, worker), (at_ns, record))
+                    elif (edge, worker, incarnation) not in own_refusals:
+                        notices.pop((edge, worker), None)
             elif what == "killed":
-                word = {key: value for key, value in word.items() if key[0] != edge}
-                own = {key for key in own if key[0] != edge}
+                notices = {key: value for key, value in notices.items() if key[0] != edge}
+                own_refusals = {key for key in own_refusals if key[0] != edge}
             elif what == "came":
-                way[record["way"]] = record
-            elif what == "refused" and record["why"] == "draining" and record["way"] in way:
-                came = way[record["way"]]
-                key = came["edge"], came["runner"]
-                word.setdefault(key, (t, record))
-                own.add((*key, lives.get(key, "")))
+                arrived_by_id[record["way"]] = record
+            elif what == "refused" and record["why"] == "draining" and record["way"] in arrived_by_id:
+                arrived = arrived_by_id[record["way"]]
+                key = arrived["edge"], arrived["runner"]
+                notices.setdefault(key, (at_ns, record))
+                own_refusals.add((*key, incarnations.get(key, "")))
             if (what == "came" or (what == "order" and record["copies"])) and edge in edges:
                 verdict.checked += 1
-                told = word.get((edge, record["runner"]))
-                if told and t > told[0] + limit:
-                    verdict.breach("sent to a runner that drains or is gone", told[1], record)
+                notice = notices.get((edge, record["runner"]))
+                if notice and at_ns > notice[0] + limit_ns:
+                    verdict.add_breach("sent to a runner that drains or is gone", notice[1], record)
         return verdict
 
     # -- 4
 
     def cold_runners(self) -> Verdict:
-        """Work that reaches a runner in any span of `fall_ms` of its cold time, against what it can do
-        then."""
+        """Rule 4: the work that reaches a cold worker in any span of `fall_ms` stays within a multiple of its
+        capacity.
+        """
         verdict, rules = Verdict(), self.rules
-        came: dict[str, list[tuple[int, float]]] = defaultdict(list)
-        for record in self.runners:
+        work_by_worker: dict[str, list[tuple[int, float]]] = defaultdict(list)
+        for record in self.worker_records:
             if record["what"] == "came":
-                offering = rules.offerings.get(record["offering"])
-                if offering:
-                    came[record["runner"]].append((record["t"], offering["work_ms"] / 1000))
-        span = int(rules.fall_ms * MS)
-        for record in self.runners:
+                request_class = rules.request_classes.get(record["offering"])
+                if request_class:
+                    work_by_worker[record["runner"]].append((record["t"], request_class["work_ms"] / 1000))
+        span_ns = int(rules.fall_ms * NS_PER_MS)
+        for record in self.worker_records:
             if record["what"] != "up":
                 continue
-            runner, born = record["runner"], record["t"]
-            facts = rules.runners[runner]
+            worker, started_at = record["runner"], record["t"]
+            worker_settings = rules.workers[worker]
             verdict.checked += 1
-            arrivals = [a for a in came[runner] if born <= a[0] <= born + rules.cold_ms * MS]
-            total, begin = 0.0, 0
-            for t, work in arrivals:
+            arrivals = [
+                a
+                for a in work_by_worker[worker]
+                if started_at <= a[0] <= started_at + rules.cold_ms * NS_PER_MS
+            ]
+            total, first = 0.0, 0
+            for at_ns, work in arrivals:
                 total += work
-                while arrivals[begin][0] < t - span:
-                    total -= arrivals[begin][1]
-                    begin += 1
-                share = rules.cold_from + (1 - rules.cold_from) * (arrivals[begin][0] - born) / (
-                    rules.cold_ms * MS
+                while arrivals[first][0] < at_ns - span_ns:
+                    total -= arrivals[first][1]
+                    first += 1
+                share = rules.cold_from + (1 - rules.cold_from) * (arrivals[first][0] - started_at) / (
+                    rules.cold_ms * NS_PER_MS
+                )
+                capacity_s = (
+                    worker_settings["cores"]
+                    * worker_settings["speed"]
+                    * min(1.0, share)
+                    * rules.fall_ms
+                    / 1000
                 )
-                able = facts["cores"] * facts["speed"] * min(1.0, share) * rules.fall_ms / 1000
-                if total > rules.fall_multiple * able * 1.1:
-                    verdict.breach(
-                        f"{total:.1f} s of work within {rules.fall_ms:g} ms, {able:.1f} s can be done", record
+                if total > rules.fall_multiple * capacity_s * 1.1:
+                    verdict.add_breach(
+                        f"{total:.1f} s of work within {rules.fall_ms:g} ms, {capacity_s:.1f} s can be done",
+                        record,
                     )
                     break
         return verdict
@@ -283,52 +318,54 @@
     # -- 5
 
     def load_ration(self) -> Verdict:
-        verdict, ration = Verdict(), self.rules.ration
-        if not ration:
+        """Rule 5: each edge's load requests stay within the load budget."""
+        verdict, budget = Verdict(), self.rules.load_budget
+        if not budget:
             return verdict
-        window = int(ration["window_ms"] * MS)
-        taken: dict[str, list[int]] = defaultdict(list)
+        window_ns = int(budget["window_ms"] * NS_PER_MS)
+        sent_by_edge: dict[str, list[int]] = defaultdict(list)
         for name, sent in self.sent.items():
             end = self.ends.get(name)
             if end is None or end["what"] != "unreached":
-                taken[self.rules.edges[sent["edge"]]].append(sent["t"])
-        lives: dict[str, list[int]] = defaultdict(list)
-        for record in self.processes:
+                sent_by_edge[self.rules.edges[sent["edge"]]].append(sent["t"])
+        kills_by_edge: dict[str, list[int]] = defaultdict(list)
+        for record in self.process_records:
             if record["what"] == "killed":
-                lives[self.rules.edges[record["edge"]]].append(record["t"])
-        orders: dict[str, list[Record]] = defaultdict(list)
-        for record in self.runners:
+                kills_by_edge[self.rules.edges[record["edge"]]].append(record["t"])
+        load_requests_by_edge: dict[str, list[Record]] = defaultdict(list)
+        for record in self.worker_records:
             if record["what"] == "order" and record["copies"]:
-                orders[record["edge"]].append(record)
-        for edge, own in orders.items():
-            times = [r["t"] for r in own]
-            for at, record in enumerate(own):
+                load_requests_by_edge[record["edge"]].append(record)
+        for edge, load_requests in load_requests_by_edge.items():
+            times = [r["t"] for r in load_requests]
+            for index, record in enumerate(load_requests):
                 verdict.checked += 1
-                t = record["t"]
-                born = max((k for k in lives[edge] if k < t), default=0)
-                since = max(t - window, born)
-                count = at + 1 - bisect_left(times, max(since + self.transit, born))
-                tasks = bisect_right(taken[edge], t + self.transit)
-                tasks -= bisect_left(taken[edge], max(since - self.transit, born))
-                if count > ration["free"] + ration["share"] * tasks + 1e-9:
-                    verdict.breach(f"{count} orders against {tasks} tasks", record)
+                at_ns = record["t"]
+                killed_at = max((k for k in kills_by_edge[edge] if k < at_ns), default=0)
+                since = max(at_ns - window_ns, killed_at)
+                count = index + 1 - bisect_left(times, max(since + self.transit, killed_at))
+                request_count = bisect_right(sent_by_edge[edge], at_ns + self.transit)
+                request_count -= bisect_left(sent_by_edge[edge], max(since - self.transit, killed_at))
+                if count > budget["free"] + budget["share"] * request_count + 1e-9:
+                    verdict.add_breach(f"{count} orders against {request_count} tasks", record)
         return verdict
 
 
-def _t(record: Record) -> int:
+def _time_of(record: Record) -> int:
     return int(record["t"])
 
 
-def closest(clients: list[Record], least_ms: float = 50) -> float | None:
-    """Least time (ms) between an answer and the client's giving up, among tries with `least_ms` or more
-    left."""
+def min_time_left_ms(clients: list[Record], least_ms: float = 50) -> float | None:
+    """Least time between a response and the time its client gives up, among tries with `least_ms` or more
+    left.
+    """
     sent = {r["try"]: r for r in clients if r["what"] == "sent"}
     left = [
-        (sent[r["try"]]["give_up"] - r["t"]) / MS
+        (sent[r["try"]]["give_up"] - r["t"]) / NS_PER_MS
         for r in clients
-        if r["what"] == "answer" and sent[r["try"]]["give_up"] - sent[r["try"]]["t"] >= least_ms * MS
+        if r["what"] == "answer" and sent[r["try"]]["give_up"] - sent[r["try"]]["t"] >= least_ms * NS_PER_MS
     ]
     return min(left, default=None)
 
 
-__all__ = ["NAMES", "Audit", "Rules", "Verdict", "closest"]
+__all__ = ["RULE_NAMES", "Audit", "Rules", "Verdict", "min_time_left_ms"]
--- a/martenlead/days/run.py
+++ b/martenlead/days/run.py
@@ -1,4 +1,6 @@
-"""Runs a day: every process of it, faults on cue, and at the end the audit. All traffic stays on loopback."""
+"""Runs a day: starts every process, applies faults at their times, and audits at the end. All traffic stays
+on loopback.
+"""
 
 from __future__ import annotations
 
@@ -18,22 +20,22 @@
 from anyio.streams.buffered import BufferedByteReceiveStream
 
 from martenlead.days.audit import Audit, Rules
-from martenlead.days.report import of_vault, report
+from martenlead.days.report import report, summarize_store
 from martenlead.days.script import Day, Plan, count_planners, plan
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.events.server import listen
-from martenlead.standins.record import Recorder, read
+from martenlead.standins.record import RecordWriter, read_records
 
 READY_S, END_S = 30.0, 15.0
 
 
 class DayFailed(Exception):
-    """The day could not be played: says which process, and where its log is."""
+    """The day could not be run; says which process failed, and where its log is."""
 
 
-class Child:
-    """One process of the day, its log beside the records."""
+class ChildProcess:
+    """One process of the day; its log is beside the records."""
 
     def __init__(self, name: str, command: list[str], config: dict[str, Any], folder: Path) -> None:
         self.name, self.command, self.folder = name, command, folder
@@ -42,7 +44,7 @@
         self.process: Process | None = None
 
     async def start(self) -> dict[str, Any]:
-        """Starts it and waits until it is ready; what it then said. Raises `DayFailed`."""
+        """Starts the process and returns what it reports when it is ready. Raises `DayFailed`."""
         with open(self.folder / f"{self.name}.log", "ab") as log:
             self.process = await anyio.open_process(
                 [sys.executable, "-m", "martenlead", *self.command, str(self.config)],
@@ -60,12 +62,13 @@
         ready: dict[str, Any] = msgspec.json.decode(line)["ready"]
         return ready
 
-    async def cue(self, epoch: int) -> None:
+    async def send_epoch(self, epoch: int) -> None:
+        """Sends the start of the day."""
         assert self.process is not None and self.process.stdin is not None
         await self.process.stdin.send(b"%d\n" % epoch)
 
-    async def end(self) -> int:
-        """SIGTERM, and SIGKILL for one that does not heed it. Its exit status."""
+    async def terminate(self) -> int:
+        """Ends the process by SIGTERM, or SIGKILL if it doesn't react; returns its exit status."""
         process = self.process
         if process is None:
             return 0
@@ -78,6 +81,7 @@
         return -9
 
     async def kill(self) -> None:
+        """Ends the process by SIGKILL."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
@@ -86,113 +90,138 @@
 async def run(
     day: Day, seed: int, folder: Path, progress: Callable[[float], None] | None = None
 ) -> dict[str, Any]:
-    """Plays the day in a folder that takes its records and logs; the report. Raises `DayFailed`."""
-    made = plan(day, seed)
-    children: list[Child] = []
+    """Runs the day in a folder that receives its records and logs; returns the report. Raises `DayFailed`."""
+    plan_of_day = plan(day, seed)
+    children: list[ChildProcess] = []
     async with AsyncExitStack() as stack:
 
         async def kill_all() -> None:
+            """Kills all processes that still run."""
             with anyio.CancelScope(shield=True):
                 for child in children:
                     await child.kill()
 
         stack.push_async_callback(kill_all)
-        return await _play(made, folder, children, progress)
+        return await _play(plan_of_day, folder, children, progress)
 
 
 async def _play(
-    made: Plan, folder: Path, children: list[Child], progress: Callable[[float], None] | None
+    plan_of_day: Plan, folder: Path, children: list[ChildProcess], progress: Callable[[float], None] | None
 ) -> dict[str, Any]:
-    day = made.day
-    lasts = day.seconds + 120
-    record = Recorder(str(folder / "processes.jsonl"))
+    day = plan_of_day.day
+    lifetime_s = day.seconds + 120
+    record = RecordWriter(str(folder / "processes.jsonl"))
 
-    def child(name: str, command: list[str], config: dict[str, Any]) -> Child:
-        children.append(Child(name, command, config, folder))
+    def child(name: str, command: list[str], config: dict[str, Any]) -> ChildProcess:
+        """Prepares a process of the day."""
+        children.append(ChildProcess(name, command, config, folder))
         return children[-1]
 
-    def standin(kind: str, name: str, config: dict[str, Any]) -> Child:
-        about = {"record": str(folder / f"{name}.jsonl"), "epoch_ns": 0}
-        lasting = {} if kind == "client" else {"seconds": lasts}
-        return child(name, ["standin", kind], {**config, **about, **lasting})
+    def standin(kind: str, name: str, config: dict[str, Any]) -> ChildProcess:
+        """Prepares a stand-in's process."""
+        record_settings = {"record": str(folder / f"{name}.jsonl"), "epoch_ns": 0}
+        lifetime = {} if kind == "client" else {"seconds": lifetime_s}
+        return child(name, ["standin", kind], {**config, **record_settings, **lifetime})
 
     roster_port = await free_port()
-    agents: dict[str, Child] = {}
+    agents: dict[str, ChildProcess] = {}
     agent_ports: dict[str, int] = {}
-    if made.samples is not None:
+    if plan_of_day.samples is not None:
         layout = folder / "vault"
-        await _make(layout, made.samples, folder)
-        vault = standin("depot", "vault", {**(made.depot or {}), "layout": str(layout)})
+        await _make(layout, plan_of_day.samples, folder)
+        vault = standin("depot", "vault", {**(plan_of_day.depot or {}), "layout": str(layout)})
         port = (await vault.start())["port"]
-        link: dict[str, Any] = {"roster": {"port": roster_port}} if day.layers and day.layers.share else {}
-        for name, config in made.agents.items():
-            box = {"cache": str(folder / f"box-{name}"), "vault": {"port": port}}
-            agents[name] = child(f"agent-{name}", ["layers", "agent"], {**box, **link, **config})
+        link_settings: dict[str, Any] = (
+            {"roster": {"port": roster_port}} if day.layers and day.layers.share else {}
+        )
+        for name, config in plan_of_day.agents.items():
+            cache_settings = {"cache": str(folder / f"box-{name}"), "vault": {"port": port}}
+            agents[name] = child(
+                f"agent-{name}", ["layers", "agent"], {**cache_settings, **link_settings, **config}
+            )
         agent_ports = await _start_agents(agents)
         storage: dict[str, Any] = {"depot": {"port": port}}
     else:
-        vault = standin("vault", "vault", made.vault)
+        vault = standin("vault", "vault", plan_of_day.vault)
         storage = {"vault": {"port": (await vault.start())["port"]}}
     hosts = []
-    for n, config in enumerate(made.hosts):
-        for part in config["runners"]:
-            if part["name"] in agent_ports:
-                part["agent"] = {"port": agent_ports[part["name"]]}
+    for n, config in enumerate(plan_of_day.hosts):
+        for worker in config["runners"]:
+            if worker["name"] in agent_ports:
+                worker["agent"] = {"port": agent_ports[worker["name"]]}
         hosts.append(standin("runner", f"runners-{n}", {**config, **storage}))
     ports: dict[str, int] = {}
 
-    async def start_host(host: Child) -> None:
+    async def start_host(host: ChildProcess) -> None:
+        """Starts a process of workers and keeps their ports."""
         ports.update((await host.start())["ports"])
 
     async with anyio.create_task_group() as group:
         for host in hosts:
             group.start_soon(start_host, host)
-    for line in [*made.roster["lines"], *(said["line"] for said in made.roster["says"])]:
+    for line in [*plan_of_day.roster["lines"], *(said["line"] for said in plan_of_day.roster["says"])]:
         line["port"] = ports[line["id"]]
         line["layers"] = agent_ports.get(line["id"], 0)
-    roster = standin("roster", "roster", {**made.roster, "port": roster_port})
+    roster = standin("roster", "roster", {**plan_of_day.roster, "port": roster_port})
     await roster.start()
-    planners: list[Child] = []
+    planners: list[ChildProcess] = []
     planner_ports: list[int] = []
     for n in range(count_planners(day)):
-        told = {"name": f"planner-{n}", "kept": str(folder / f"planner-{n}.kept")}
-        planners.append(child(f"planner-{n}", ["plan"], told))
+        planner_settings = {"name": f"planner-{n}", "kept": str(folder / f"planner-{n}.kept")}
+        planners.append(child(f"planner-{n}", ["plan"], planner_settings))
         planner_ports.append((await planners[n].start())["port"])
-        planners[n].config.write_bytes(msgspec.json.encode({**told, "listen": {"port": planner_ports[n]}}))
-    edges: list[Child] = []
-    for n, config in enumerate(made.edges):
-        link = {"port": roster_port, "kept": str(folder / f"edge-{n}.kept"), **config.get("roster", {})}
-        captured: dict[str, Any] = {"capture": {"folder": str(folder / "captures")}} if day.capture else {}
+        planners[n].config.write_bytes(
+            msgspec.json.encode({**planner_settings, "listen": {"port": planner_ports[n]}})
+        )
+    edges: list[ChildProcess] = []
+    for n, config in enumerate(plan_of_day.edges):
+        link_settings = {
+            "port": roster_port,
+            "kept": str(folder / f"edge-{n}.kept"),
+            **config.get("roster", {}),
+        }
+        recording_settings: dict[str, Any] = (
+            {"capture": {"folder": str(folder / "captures")}} if day.capture else {}
+        )
         if day.lasting:
-            captured["lasting"] = {"folder": str(folder / "lasting")}
-        planned = {}
-        if made.planners:
-            at = [{"port": planner_ports[p]} for p in made.planners[n]]
-            planned = {"planner": {"at": at, **day.planners.link}}
-        edges.append(child(f"edge-{n}", ["edge"], {**captured, **planned, **config, "roster": link}))
+            recording_settings["lasting"] = {"folder": str(folder / "lasting")}
+        planner_link = {}
+        if plan_of_day.planners:
+            planner_addresses = [{"port": planner_ports[p]} for p in plan_of_day.planners[n]]
+            planner_link = {"planner": {"at": planner_addresses, **day.planners.link}}
+        edges.append(
+            child(
+                f"edge-{n}",
+                ["edge"],
+                {**recording_settings, **planner_link, **config, "roster": link_settings},
+            )
+        )
     edge_ports = [0] * len(edges)
 
-    async def start_edge(n: int) -> None:
-        edge_ports[n] = (await edges[n].start())["port"]
-        record("started", edge=n)
+    async def start_edge(number: int) -> None:
+        """Starts an edge and keeps its port."""
+        edge_ports[number] = (await edges[number].start())["port"]
+        record("started", edge=number)
 
     async with anyio.create_task_group() as group:
         for n in range(len(edges)):
             group.start_soon(start_edge, n)
-    for n, edge in enumerate(edges):  # a restarted edge comes back where its clients know it
+    for n, edge in enumerate(edges):  # a restarted edge keeps the port that its clients use
         config = msgspec.json.decode(edge.config.read_bytes())
         config["listen"] = {"port": edge_ports[n]}
         edge.config.write_bytes(msgspec.json.encode(config))
-    clients = standin("client", "clients", {**made.clients, "edges": [{"port": p} for p in edge_ports]})
+    clients = standin(
+        "client", "clients", {**plan_of_day.clients, "edges": [{"port": p} for p in edge_ports]}
+    )
     await clients.start()
-    await anyio.sleep(0.3)  # the edges' first whole list
+    await anyio.sleep(0.3)  # time for the edges' first snapshot
     epoch = monotonic_ns() + 100_000_000
-    for one in (vault, roster, *hosts, clients):
-        await one.cue(epoch)
+    for process in (vault, roster, *hosts, clients):
+        await process.send_epoch(epoch)
     async with anyio.create_task_group() as group:
-        group.start_soon(_edge_events, made, edges, epoch, start_edge, record)
-        group.start_soon(_planner_events, made, planners, epoch, record)
-        group.start_soon(_agent_events, made, agents, epoch, folder, record)
+        group.start_soon(_edge_events, plan_of_day, edges, epoch, start_edge, record)
+        group.start_soon(_planner_events, plan_of_day, planners, epoch, record)
+        group.start_soon(_agent_events, plan_of_day, agents, epoch, folder, record)
         if progress:
             group.start_soon(_progress, epoch, day.seconds, progress)
         with anyio.move_on_after(day.seconds + 60) as scope:
@@ -204,37 +233,38 @@
     states = [await _state(port) for port in agent_ports.values()]
     for planner in planners:
         if planner.process is not None and planner.process.returncode is None:
-            planner.process.send_signal(signal.SIGCONT)  # else it could not end
-    exits = [await one.end() for one in [*edges, *agents.values()]]
+            planner.process.send_signal(signal.SIGCONT)  # a stopped process would not end
+    exits = [await process.terminate() for process in [*edges, *agents.values()]]
     for planner in planners:
-        await planner.end()
-    for one in (roster, vault, *hosts):
-        await one.kill()
-    return {**judge(made, folder, exits), "agents": states}
+        await planner.terminate()
+    for process in (roster, vault, *hosts):
+        await process.kill()
+    return {**judge(plan_of_day, folder, exits), "agents": states}
 
 
 async def free_port() -> int:
-    """A port that nobody has: who needs it is told before who listens there has started."""
+    """A port that is free now, for a server whose clients are configured before it starts."""
     listener, port = await listen("127.0.0.1", 0)
     await listener.aclose()
     return port
 
 
 async def _make(layout: Path, samples: dict[str, Any], folder: Path) -> None:
-    """Fills the vault. Raises `DayFailed`."""
+    """Creates the images of the artifact store. Raises `DayFailed`."""
     config = folder / "samples.json"
     config.write_bytes(msgspec.json.encode(samples))
     command = [sys.executable, "-m", "martenlead", "layers", "make", str(layout), str(config)]
-    done = await anyio.run_process(command, check=False)
-    if done.returncode:
-        raise DayFailed(f"the vault's images could not be made: {done.stderr.decode(errors='replace')}")
+    finished = await anyio.run_process(command, check=False)
+    if finished.returncode:
+        raise DayFailed(f"the vault's images could not be made: {finished.stderr.decode(errors='replace')}")
 
 
-async def _start_agents(agents: dict[str, Child]) -> dict[str, int]:
-    """Their ports; one that comes back comes back there."""
+async def _start_agents(agents: dict[str, ChildProcess]) -> dict[str, int]:
+    """Starts the agents and returns their ports; a restarted agent keeps its port."""
     ports: dict[str, int] = {}
 
-    async def start(name: str, agent: Child) -> None:
+    async def start(name: str, agent: ChildProcess) -> None:
+        """Starts an agent and fixes its port."""
         ports[name] = (await agent.start())["port"]
         config = msgspec.json.decode(agent.config.read_bytes())
         agent.config.write_bytes(msgspec.json.encode({**config, "port": ports[name]}))
@@ -245,60 +275,63 @@
     return ports
 
 
-async def _planner_events(made: Plan, planners: list[Child], epoch: int, record: Recorder) -> None:
-    async def of_planner(n: int) -> None:
-        one = planners[n]
-        for event in made.planner_events:
-            if event.planner != n:
+async def _planner_events(
+    plan_of_day: Plan, planners: list[ChildProcess], epoch: int, record: RecordWriter
+) -> None:
+    async def run_events(number: int) -> None:
+        """The events of one planner, in order."""
+        planner = planners[number]
+        for event in plan_of_day.planner_events:
+            if event.planner != number:
                 continue
             await anyio.sleep(max(0, epoch + event.at_ms * 1e6 - monotonic_ns()) / 1e9)
-            record(f"planner {event.what}", planner=n)
-            alive = one.process is not None and one.process.returncode is None
+            record(f"planner {event.what}", planner=number)
+            alive = planner.process is not None and planner.process.returncode is None
             match event.what:
                 case "kill":
-                    await one.kill()
+                    await planner.kill()
                 case "start" if not alive:
-                    await one.start()
-                case "stop" if alive and one.process:
-                    one.process.send_signal(signal.SIGSTOP)
-                case "go" if alive and one.process:
-                    one.process.send_signal(signal.SIGCONT)
+                    await planner.start()
+                case "stop" if alive and planner.process:
+                    planner.process.send_signal(signal.SIGSTOP)
+                case "go" if alive and planner.process:
+                    planner.process.send_signal(signal.SIGCONT)
 
     async with anyio.create_task_group() as group:
         for n in range(len(planners)):
-            group.start_soon(of_planner, n)
+            group.start_soon(run_events, n)
 
 
 async def _agent_events(
-    made: Plan, agents: dict[str, Child], epoch: int, folder: Path, record: Recorder
+    plan_of_day: Plan, agents: dict[str, ChildProcess], epoch: int, folder: Path, record: RecordWriter
 ) -> None:
-    async def of_box(box: str) -> None:
-        """One after the other, so that troubles that overlap on a box do not meet its agent half started."""
-        agent = agents[box]
-        for event in made.agent_events:
-            if event.box != box:
+    async def run_events(machine: str) -> None:
+        """The events of one machine, in order, so that overlapping faults don't meet a half-started agent."""
+        agent = agents[machine]
+        for event in plan_of_day.agent_events:
+            if event.box != machine:
                 continue
             await anyio.sleep(max(0, epoch + event.at_ms * 1e6 - monotonic_ns()) / 1e9)
-            record(f"agent {event.what}", box=box, wipe=event.wipe)
+            record(f"agent {event.what}", box=machine, wipe=event.wipe)
             if event.what == "kill":
                 await agent.kill()
                 if event.wipe:
-                    shutil.rmtree(folder / f"box-{box}", ignore_errors=True)
+                    shutil.rmtree(folder / f"box-{machine}", ignore_errors=True)
             elif agent.process is None or agent.process.returncode is not None:
                 await agent.start()
 
     async with anyio.create_task_group() as group:
-        for box in agents:
-            group.start_soon(of_box, box)
+        for machine in agents:
+            group.start_soon(run_events, machine)
 
 
 async def _state(port: int) -> dict[str, Any]:
-    """What an agent says of itself at the end; nothing of what is audited is taken from it."""
+    """An agent's state at the end of the day; the audit doesn't use it."""
     with anyio.move_on_after(2):
         exchange = await Pool("127.0.0.1", port).exchange(http.request(b"GET", b"/state", b"agent", []))
         if exchange.message is not None:
-            told: dict[str, Any] = msgspec.json.decode(exchange.message.body)
-            return told
+            state: dict[str, Any] = msgspec.json.decode(exchange.message.body)
+            return state
     return {}
 
 
@@ -309,10 +342,14 @@
 
 
 async def _edge_events(
-    made: Plan, edges: list[Child], epoch: int, start_edge: Callable[[int], Any], record: Recorder
+    plan_of_day: Plan,
+    edges: list[ChildProcess],
+    epoch: int,
+    start_edge: Callable[[int], Any],
+    record: RecordWriter,
 ) -> None:
     async with anyio.create_task_group() as group:
-        for event in made.edge_events:
+        for event in plan_of_day.edge_events:
             await anyio.sleep(max(0, epoch + event.at_ms * 1e6 - monotonic_ns()) / 1e9)
             if event.what == "kill":
                 record("killed", edge=event.edge)
@@ -321,35 +358,36 @@
                 group.start_soon(start_edge, event.edge)
 
 
-def rules(made: Plan) -> Rules:
-    day = made.day
-    offerings = {o.name: msgspec.to_builtins(o) for o in day.offerings}
-    runners = {r["name"]: r for host in made.hosts for r in host["runners"]}
+def make_rules(plan_of_day: Plan) -> Rules:
+    """The audit's parameters for a day."""
+    day = plan_of_day.day
+    request_classes = {o.name: msgspec.to_builtins(o) for o in day.offerings}
+    workers = {r["name"]: r for host in plan_of_day.hosts for r in host["runners"]}
     return Rules(
-        offerings=offerings,
-        runners=runners,
-        edges=[edge["name"] for edge in made.edges],
-        twice_out=day.edge.get("allowed", {}).get("twice_out", False),
+        request_classes=request_classes,
+        workers=workers,
+        edges=[edge["name"] for edge in plan_of_day.edges],
+        allows_two_attempts=day.edge.get("allowed", {}).get("twice_out", False),
         grace_ms=day.grace_ms,
         cold_from=day.cold_from,
         cold_ms=day.cold_ms,
         fall_multiple=day.fall_multiple,
         fall_ms=day.fall_ms,
-        ration=day.edge.get("models", {}).get("ration"),
+        load_budget=day.edge.get("models", {}).get("ration"),
         slack_ms=day.slack_ms,
     )
 
 
-def judge(made: Plan, folder: Path, exits: list[int]) -> dict[str, Any]:
-    """The report from a folder's records alone."""
-    runners = [r for path in sorted(folder.glob("runners-*.jsonl")) for r in read(path)]
+def judge(plan_of_day: Plan, folder: Path, exits: list[int]) -> dict[str, Any]:
+    """The report, from a folder's records alone."""
+    worker_records = [r for path in sorted(folder.glob("runners-*.jsonl")) for r in read_records(path)]
     audit = Audit(
-        rules(made),
-        list(read(folder / "clients.jsonl")),
-        runners,
-        list(read(folder / "roster.jsonl")),
-        list(read(folder / "processes.jsonl")),
+        make_rules(plan_of_day),
+        list(read_records(folder / "clients.jsonl")),
+        worker_records,
+        list(read_records(folder / "roster.jsonl")),
+        list(read_records(folder / "processes.jsonl")),
     )
-    told = report(audit, {o.name: msgspec.to_builtins(o) for o in made.day.offerings}, exits)
-    told["vault"] = of_vault(list(read(folder / "vault.jsonl")), runners)
-    return {"day": made.day.name, "seed": made.seed, **told}
+    result = report(audit, {o.name: msgspec.to_builtins(o) for o in plan_of_day.day.offerings}, exits)
+    result["vault"] = summarize_store(list(read_records(folder / "vault.jsonl")), worker_records)
+    return {"day": plan_of_day.day.name, "seed": plan_of_day.seed, **result}
--- a/martenlead/emulator/box.py
+++ b/martenlead/emulator/box.py
@@ -11,9 +11,9 @@
 from martenlead.emulator.records import Records
 from martenlead.emulator.tally import Tally
 from martenlead.policy.types import Result, Warmth
-from martenlead.standins.crowding import Fall
-from martenlead.standins.settings import Fault, OfferingPart, RunnerPart, VaultPart
-from martenlead.standins.shelf import Copies, Place, Shelf
+from martenlead.standins.crowding import OverloadDetector
+from martenlead.standins.settings import Fault, RequestClassSettings, TimedStoreSettings, WorkerSettings
+from martenlead.standins.shelf import FunctionReplicas, ReplicaCache, WaitingRequest
 
 LOAD_NS = 30_000_000_000
 WARMTH = {b"warm": Warmth.WARM, b"began": Warmth.STARTED_LOAD, b"waited": Warmth.AWAITED_LOAD}
@@ -29,17 +29,17 @@
 class Vault:
     """Slows when crowded, turns away at `most`, stops for a while when pushed too far."""
 
-    def __init__(self, fleet: VaultFleet, part: VaultPart) -> None:
+    def __init__(self, fleet: VaultFleet, part: TimedStoreSettings) -> None:
         self.fleet, self.part = fleet, part
         self.active = 0
         self.down_until = 0
-        self.fall = Fall(part.fall_multiple, part.fall_ms)
+        self.fall = OverloadDetector(part.fall_multiple, part.fall_ms)
 
     def fetch(self, model: str, ms: float) -> Steps:
         """Returns "" or why there is none."""
         part, kernel = self.part, self.fleet.kernel
         crowd = self.active / part.pace
-        if self.fall.pushed_over(kernel.now, crowd):
+        if self.fall.is_overloaded(kernel.now, crowd):
             self.down_until = kernel.now + int(part.down_ms * 1e6)
         if kernel.now < self.down_until or self.active >= part.most:
             self.fleet.vault_records("turned away", model=model, active=self.active)
@@ -92,18 +92,18 @@
     def way(self) -> int:
         """A name for one arrival of one attempt."""
 
-    def marks(self, part: RunnerPart, offering: OfferingPart) -> Marks | None:
+    def marks(self, part: WorkerSettings, offering: RequestClassSettings) -> Marks | None:
         """What the worker's group has run of a deduplicated request class."""
 
-    def offering_of(self, model: str) -> OfferingPart:
+    def offering_of(self, model: str) -> RequestClassSettings:
         """The request class of a function."""
 
     def back(self, sent: Sent, told: Told) -> None:
         """Carries an answer to the dispatcher that sent the attempt."""
 
 
-class Runner(Shelf):
-    def __init__(self, fleet: WorkerFleet, part: RunnerPart, seed: int) -> None:
+class Runner(ReplicaCache):
+    def __init__(self, fleet: WorkerFleet, part: WorkerSettings, seed: int) -> None:
         super().__init__(part, fleet.kernel.clock, Random(f"{seed}:{part.name}"), self._wake, self._fetch)
         self.fleet, self.kernel, self.record = fleet, fleet.kernel, fleet.runner_records
         self.name = part.name
@@ -111,13 +111,13 @@
         self.lost = self.garbage = 0.0
         self.deaf_until = self.paused_until = 0
         self.open: dict[Sent, None] = {}
-        self.changed: dict[Copies, Signal] = {}
+        self.changed: dict[FunctionReplicas, Signal] = {}
         self.reports: deque[tuple[int, dict[str, float]]] = deque(maxlen=10_000)
         self.report_delay = 0
         self.kernel.spawn(self._sweeps(self.life))
 
-    def _wake(self, place: Place) -> None:
-        self.kernel.come(place.go)
+    def _wake(self, place: WaitingRequest) -> None:
+        self.kernel.come(place.wakeup)
 
     # -- hand-offs
 
@@ -140,19 +140,19 @@
             self.fleet.back(sent, told)
 
     def _told(self, result: Result, copy: bytes = b"", why: str = "") -> Told:
-        report = {"busy": min(1.0, self.running / self.part.cores)}
+        report = {"busy": min(1.0, self.running_count / self.settings.cores)}
         now = self.kernel.now
         self.reports.append((now, report))
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.report_delay:
             self.reports.popleft()
-        warmth = WARMTH.get(copy, Warmth.UNKNOWN) if self.part.tells_warm else Warmth.UNKNOWN
-        return Told(result, warmth, self.draining, why, self.reports[0][1])
+        warmth = WARMTH.get(copy, Warmth.UNKNOWN) if self.settings.tells_warm else Warmth.UNKNOWN
+        return Told(result, warmth, self.is_draining, why, self.reports[0][1])
 
     def _refuse(self, sent: Sent, status: int, why: str, way: int, copy: bytes = b"") -> None:
         self.record("refused", why=why, way=way)
         told = self._told(Result.AT_CAPACITY if status == 503 else Result.FUNCTION_MISSING, why=why)
         if copy:
-            told.warmth = Warmth.LOAD_FAILED if self.part.tells_warm else Warmth.UNKNOWN
+            told.warmth = Warmth.LOAD_FAILED if self.settings.tells_warm else Warmth.UNKNOWN
         self._answer(sent, told)
 
     def _task(self, sent: Sent, life: int) -> Steps:
@@ -161,13 +161,13 @@
             yield LOAD_NS * 100
         while kernel.now < self.paused_until:
             yield self.paused_until - kernel.now
-        held, offering = sent.held, sent.held.call.offering
+        held, offering = sent.held, sent.held.call.request_class
         way = self.fleet.way()
         record(
             "came",
-            model=held.call.model,
-            zone=self.part.zone,
-            cell=self.part.cell,
+            model=held.call.function,
+            zone=self.settings.zone,
+            cell=self.settings.cell,
             runner=self.name,
             edge=sent.edge.name,
             id=held.id,
@@ -177,15 +177,15 @@
             way=way,
         )
         over = False
-        copies: Copies | None = None
-        place: Place | None = None
+        copies: FunctionReplicas | None = None
+        place: WaitingRequest | None = None
         begun = False
         try:
-            if self.draining:
+            if self.is_draining:
                 self._refuse(sent, 503, "draining", way)
                 over = True
                 return
-            marks = self.fleet.marks(self.part, offering)
+            marks = self.fleet.marks(self.settings, offering)
             if marks is not None:
                 known = marks.seen.get(held.id)
                 if known is not None and kernel.now - known[0] < offering.window_ms * 1e6:
@@ -195,26 +195,26 @@
                     over = True
                     self._answer(sent, self._told(Result.SUCCEEDED, b"warm"))
                     return
-            copies, copy, refused = self.enter(
-                held.call.model, offering, float(int(offering.memory_mb)), offering.lanes
+            copies, copy, refused = self.admit(
+                held.call.function, offering, float(int(offering.memory_mb)), offering.lanes
             )
             if copies is None:
                 assert refused is not None
                 self._refuse(sent, *refused, way)
                 over = True
                 return
-            place = Place(Signal())
-            self.wait(copies, place)
-            if not place.taken:
-                yield place.go, sent.left
-            if not place.taken:
-                self.leave(copies, place)
+            place = WaitingRequest(Signal())
+            self.enqueue(copies, place)
+            if not place.is_settled:
+                yield place.wakeup, sent.left
+            if not place.is_settled:
+                self.dequeue(copies, place)
                 place = None
                 self._refuse(sent, 503, "its time was over before it could begin", way)
                 over = True
                 return
-            if place.never:
-                status = 503 if place.never == "no-room" else 404
+            if place.load_failure:
+                status = 503 if place.load_failure == "no-room" else 404
                 self._refuse(sent, status, "the load failed", way, b"load-failed")
                 over = True
                 return
@@ -224,12 +224,12 @@
             yield done
             while kernel.now < self.paused_until:
                 yield self.paused_until - kernel.now
-            if self.chance.random() < self.lost:
+            if self.random.random() < self.lost:
                 record("lost", way=way)
                 yield LOAD_NS * 100
             record("answered", way=way)
             over = True
-            garbage = self.garbage and self.chance.random() < self.garbage
+            garbage = self.garbage and self.random.random() < self.garbage
             told = self._told(Result.CONNECTION_LOST if garbage else Result.SUCCEEDED, copy)
             self._answer(sent, told)
         finally:
@@ -238,65 +238,79 @@
                 if place is not None and copies is not None and not begun and life == self.life:
                     self._left(sent, copies, place, offering, way)
 
-    def _left(self, sent: Sent, copies: Copies, place: Place, offering: OfferingPart, way: int) -> None:
-        if place.taken:
-            if not place.never:
-                self.end(copies)
-        elif self.part.drops_waiting:
-            self.leave(copies, place)
+    def _left(
+        self,
+        sent: Sent,
+        copies: FunctionReplicas,
+        place: WaitingRequest,
+        offering: RequestClassSettings,
+        way: int,
+    ) -> None:
+        if place.is_settled:
+            if not place.load_failure:
+                self.finish(copies)
+        elif self.settings.drops_waiting:
+            self.dequeue(copies, place)
         else:
             self.kernel.spawn(self._alone(sent, copies, place, offering, way))
 
-    def _alone(self, sent: Sent, copies: Copies, place: Place, offering: OfferingPart, way: int) -> Steps:
+    def _alone(
+        self,
+        sent: Sent,
+        copies: FunctionReplicas,
+        place: WaitingRequest,
+        offering: RequestClassSettings,
+        way: int,
+    ) -> Steps:
         """It does not notice that the edge has left."""
-        if not (yield place.go, 2 * LOAD_NS):
-            self.leave(copies, place)
-        elif not place.never:
+        if not (yield place.wakeup, 2 * LOAD_NS):
+            self.dequeue(copies, place)
+        elif not place.load_failure:
             cost, name = sent.held.call.cost_ms, sent.held.id
             yield from self._work(copies, cost, offering, name, way, Signal(), self.life)
 
     def _work(
         self,
-        copies: Copies,
+        copies: FunctionReplicas,
         cost: float,
-        offering: OfferingPart,
+        offering: RequestClassSettings,
         name: str,
         way: int,
         done: Signal,
         life: int,
     ) -> Steps:
-        marks = self.fleet.marks(self.part, offering)
+        marks = self.fleet.marks(self.settings, offering)
         if marks is not None:
             marks.seen[name] = self.kernel.now, done
         self.record("ran", id=name, way=way)
-        yield int(self.lasts_ms(float(int(cost))) * 1e6)
+        yield int(self.work_duration_ms(float(int(cost))) * 1e6)
         self.record("done", way=way)
         if life == self.life:
-            self.end(copies)
+            self.finish(copies)
         self.kernel.come(done)
 
     # -- loads and orders
 
-    def _fetch(self, copies: Copies, ahead: int) -> None:
+    def _fetch(self, copies: FunctionReplicas, ahead: int) -> None:
         self.kernel.spawn(self._loads(copies, ahead, self.life))
 
-    def _loads(self, copies: Copies, ahead: int, life: int) -> Steps:
-        self.record("load", runner=self.name, model=copies.model)
+    def _loads(self, copies: FunctionReplicas, ahead: int, life: int) -> Steps:
+        self.record("load", runner=self.name, model=copies.function)
         self.fleet.tally.loaded()
         fetching, starting = self.load_ms(copies, ahead)
         begun = self.kernel.now
         store = self.fleet.store
         if store is not None:
-            failure = yield from store.fetch(self.name, copies.model)
+            failure = yield from store.fetch(self.name, copies.function)
         else:
-            failure = yield from self.fleet.vault.fetch(copies.model, fetching)
+            failure = yield from self.fleet.vault.fetch(copies.function, fetching)
         took = (self.kernel.now - begun) / 1e6
-        self.record("fetched", runner=self.name, model=copies.model, failure=failure, took_ms=took)
+        self.record("fetched", runner=self.name, model=copies.function, failure=failure, took_ms=took)
         if not failure:
             yield int(starting * 1e6)
         if life != self.life:
             return
-        self.fetched(copies, failure)
+        self.finish_load(copies, failure)
         changed = self.changed.pop(copies, None)
         if changed is not None:
             self.kernel.come(changed)
@@ -312,29 +326,32 @@
         while kernel.now < self.paused_until:
             yield self.paused_until - kernel.now
         self.record("order", runner=self.name, edge=edge.name, model=model, copies=count)
-        copies = self.copies.get(model)
+        copies = self.replicas.get(model)
         if not count:
-            return Result.SUCCEEDED, copies.standing if copies else 0, self.draining
-        if self.draining:
-            return Result.AT_CAPACITY, copies.standing if copies else 0, True
+            return Result.SUCCEEDED, copies.ready if copies else 0, self.is_draining
+        if self.is_draining:
+            return Result.AT_CAPACITY, copies.ready if copies else 0, True
         if copies is None:
-            copies = self.known(model, self.fleet.offering_of(model), memory, lanes)
-        copies.touched = kernel.now
-        failed, life = copies.failed, self.life
-        while copies.standing + copies.loading < count:
-            if not self.load(copies):
-                return Result.AT_CAPACITY, copies.standing, self.draining
+            copies = self.replicas_of(model, self.fleet.offering_of(model), memory, lanes)
+        copies.last_used_ns = kernel.now
+        failed, life = copies.failed_loads, self.life
+        while copies.ready + copies.loading < count:
+            if not self.start_load(copies):
+                return Result.AT_CAPACITY, copies.ready, self.is_draining
         until = kernel.now + LOAD_NS
         while (
-            copies.standing < count and copies.failed == failed and life == self.life and kernel.now < until
+            copies.ready < count
+            and copies.failed_loads == failed
+            and life == self.life
+            and kernel.now < until
         ):
             yield self.changed.setdefault(copies, Signal()), until - kernel.now
         if life != self.life:
             return Result.CONNECTION_LOST, 0, False
-        if copies.standing >= count:
-            return Result.SUCCEEDED, copies.standing, self.draining
-        no_room = copies.failed != failed and copies.why == "no-room"
-        return Result.AT_CAPACITY if no_room else Result.ERROR, copies.standing, self.draining
+        if copies.ready >= count:
+            return Result.SUCCEEDED, copies.ready, self.is_draining
+        no_room = copies.failed_loads != failed and copies.last_failure == "no-room"
+        return Result.AT_CAPACITY if no_room else Result.ERROR, copies.ready, self.is_draining
 
     # -- life and faults
 
@@ -342,14 +359,14 @@
         while life == self.life:
             yield 250_000_000
             if life == self.life:
-                self.sweep()
+                self.unload_idle()
 
     def start(self) -> None:
         self.life += 1
         self.up = True
         self.lost = self.garbage = 0.0
         self.record("up", runner=self.name, life=self.life)
-        self.empty(self.kernel.now)
+        self.reset(self.kernel.now)
         self.kernel.spawn(self._sweeps(self.life))
 
     def vanish(self) -> None:
@@ -372,18 +389,18 @@
         span = int(fault.for_ms * 1e6)
         match fault.kind:
             case "slow":
-                self.slow = fault.size
+                self.slow_factor = fault.size
                 yield span
-                self.slow = 1.0
+                self.slow_factor = 1.0
             case "ageing":
                 for step in range(20):
-                    self.slow = 1 + (fault.size - 1) * step / 20
+                    self.slow_factor = 1 + (fault.size - 1) * step / 20
                     yield span // 20
                 self.vanish()
             case "pause":
                 self.paused_until = max(self.paused_until, self.kernel.now + span)
             case "drain":
-                self.draining = True
+                self.is_draining = True
             case "report_late":
                 self.report_delay = int(fault.size * 1e9)
                 yield span
@@ -393,7 +410,7 @@
             case "start":
                 self.start()
             case "release":
-                self.release(fault.models)
+                self.invalidate(fault.models)
             case "answer_lost" | "garbage":
                 name = "lost" if fault.kind == "answer_lost" else "garbage"
                 setattr(self, name, fault.size)
--- a/martenlead/emulator/edge.py
+++ b/martenlead/emulator/edge.py
@@ -53,7 +53,7 @@
     WorkerFacts,
     WorkerState,
 )
-from martenlead.standins.demand import Call
+from martenlead.standins.demand import ClientRequest
 from martenlead.upstream.endpoints import Endpoint
 
 STATES = {"up": WorkerState.UP, "draining": WorkerState.DRAINING, "gone": WorkerState.GONE}
@@ -290,7 +290,7 @@
             return
         self.exchanges[x] = None
         limits = self.about.limits
-        model = x.call.model
+        model = x.call.function
         if len(self.held) >= limits.open_requests or (
             model not in self.models and len(self.models) >= limits.known_functions
         ):
@@ -312,28 +312,28 @@
 
     def _left(self, x: Exchange) -> int:
         """Of the time that it has, ns: as the event's attributes tell it."""
-        left = max(0, (x.told.give_up - x.told.begun) // 1_000_000 * 1_000_000)
+        left = max(0, (x.told.gives_up_at - x.told.started_at) // 1_000_000 * 1_000_000)
         if self.fleet.expiry:
-            left = min(left, x.told.give_up - self.kernel.now)
+            left = min(left, x.told.gives_up_at - self.kernel.now)
         return left
 
     def _give_up(self, x: Exchange) -> int:
-        return self.kernel.now + min(self._left(x), self.hard[x.call.offering.name]) - self.margin
+        return self.kernel.now + min(self._left(x), self.hard[x.call.request_class.name]) - self.margin
 
     def _through(self, gate: AdmissionController, x: Exchange) -> None:
-        call, offering = x.call, x.call.offering.name
+        call, offering = x.call, x.call.request_class.name
         arriving = AdmissionRequest(
-            function=call.model,
+            function=call.function,
             request_class=offering,
-            tenant=call.customer or "",
+            tenant=call.tenant or "",
             client="/portal",
             trace_id=call.number,
             work_seconds=int(call.cost_ms) / 1000,
             size_bytes=14,
             respond_by_ns=self.kernel.now + self.offerings[offering].latency_objective_ns,
             deadline_ns=self._give_up(x),
-            is_retry=call.again,
-            resources=FunctionResources(call.offering.lanes, float(int(call.offering.memory_mb))),
+            is_retry=call.is_retry,
+            resources=FunctionResources(call.request_class.lanes, float(int(call.request_class.memory_mb))),
             reservation=self._brought(call),
         )
         x.ticket = ticket = gate.submit(arriving)
@@ -343,12 +343,12 @@
         else:
             self._on(x, ticket)
 
-    def _brought(self, call: Call) -> tuple[int, int] | None:
+    def _brought(self, call: ClientRequest) -> tuple[int, int] | None:
         """All clocks are one here, and what a MAC proves needs no proof."""
         queues = self.about.queues
-        if not call.appointment or queues is None or queues.secret is None:
+        if not call.reservation or queues is None or queues.secret is None:
             return None
-        since, _, until = call.appointment.partition(" ")
+        since, _, until = call.reservation.partition(" ")
         return int(since), int(until)
 
     def _on(self, x: Exchange, ticket: QueuedRequest) -> None:
@@ -406,21 +406,21 @@
         return model
 
     def _take(self, x: Exchange, ticket: QueuedRequest | None) -> None:
-        call, offering = x.call, x.call.offering
+        call, offering = x.call, x.call.request_class
         held = x.held = Held(x, ticket)
-        model = self._model(call.model, offering.lanes, float(int(offering.memory_mb)))
+        model = self._model(call.function, offering.lanes, float(int(offering.memory_mb)))
 
         def note(task: Request) -> None:
             held.task = task
             self.held[task] = held
 
-        customer = self.customers.get(call.customer or "")
+        customer = self.customers.get(call.tenant or "")
         self.policy_boundary.accept_request(
             model,
             self.offerings[offering.name],
             customer,
             self._give_up(x),
-            call.again if ticket is None else ticket.counts_as_retry,
+            call.is_retry if ticket is None else ticket.counts_as_retry,
             int(call.cost_ms) / 1000,
             note,
             held.name,
--- a/martenlead/emulator/experiment.py
+++ b/martenlead/emulator/experiment.py
@@ -27,13 +27,13 @@
 from martenlead.days.script import Day
 from martenlead.emulator.job import Job, Outcome, run
 from martenlead.emulator.policies import find
-from martenlead.standins.settings import Part
+from martenlead.standins.settings import Settings
 
 RESAMPLES = 2000
 BOTH = 0.95  # of the interval
 
 
-class Plan(Part, frozen=True, kw_only=True):
+class Plan(Settings, frozen=True, kw_only=True):
     """`axes` name fields of the script by their path (`runners.count`), or several at once as objects by
     path; each of their values is crossed with all others, `policies` and `seeds`. Figures of every
     policy are compared with those of the `baseline`, seed by seed."""
--- a/martenlead/emulator/fleet.py
+++ b/martenlead/emulator/fleet.py
@@ -16,8 +16,8 @@
 from martenlead.config.edge import EdgeSettings as EdgeSettings
 from martenlead.config.edge import check_edge_settings, ms_to_ns
 from martenlead.days.audit import Audit
-from martenlead.days.report import of_vault, report
-from martenlead.days.run import rules
+from martenlead.days.report import report, summarize_store
+from martenlead.days.run import make_rules
 from martenlead.days.script import EdgeEvent, Plan, count_planners
 from martenlead.edge.policy_boundary import Recorder
 from martenlead.emulator.box import Marks, Runner, Vault
@@ -30,17 +30,17 @@
 from martenlead.emulator.records import Records
 from martenlead.emulator.tally import Tally
 from martenlead.policy.policy import Policy
-from martenlead.standins.crowding import Lines
-from martenlead.standins.demand import Call, Demand
+from martenlead.standins.crowding import EndpointTable
+from martenlead.standins.demand import ClientRequest, RequestGenerator
 from martenlead.standins.settings import (
-    Clients,
+    ClientsSettings,
+    EndpointServerSettings,
     Fault,
-    OfferingPart,
-    RosterPart,
-    RunnerPart,
-    VaultPart,
+    RequestClassSettings,
+    TimedStoreSettings,
+    WorkerSettings,
 )
-from martenlead.standins.traced import Traced
+from martenlead.standins.traced import TraceRequests
 from martenlead.upstream.endpoints import Endpoint
 
 BEGIN = 1_000_000_000_000  # ns: the module must not take the day's begin for long past
@@ -52,9 +52,9 @@
 class Roster:
     """The list of runners, as late as the script says, to dispatchers that follow its stream."""
 
-    def __init__(self, fleet: Fleet, part: RosterPart) -> None:
+    def __init__(self, fleet: Fleet, part: EndpointServerSettings) -> None:
         self.fleet, self.kernel, self.part = fleet, fleet.kernel, part
-        self.list = Lines(part.lines)
+        self.list = EndpointTable(part.lines)
         self.changed = Signal()
         self.away_until = 0
 
@@ -62,7 +62,7 @@
         return (self.kernel.now - BEGIN) / 1e6
 
     def says(self, line: dict[str, Any], born_ms: float | None) -> None:
-        self.list.say(line, born_ms)
+        self.list.apply(line, born_ms)
         changed, self.changed = self.changed, Signal()
         self.kernel.come(changed)
 
@@ -73,7 +73,7 @@
     def _told(self, edge: Edge, life: int, lines: list[dict[str, Any]], whole: bool, version: int) -> None:
         said = [[line["id"], line.get("state", "up"), line.get("start", "")] for line in lines]
         self.fleet.roster_records("told", edge=edge.name, whole=whole, version=version, lines=said)
-        told = [msgspec.convert(self.list.aged(line, self.day_ms()), Endpoint) for line in lines]
+        told = [msgspec.convert(self.list.with_age(line, self.day_ms()), Endpoint) for line in lines]
         self.kernel.after(self.fleet.client_way, edge.news, life, told, whole)
 
     def follow(self, edge: Edge, life: int) -> Steps:
@@ -91,7 +91,7 @@
             if at == self.list.version:
                 yield self.changed, ms_to_ns(self.part.keep_alive_ms)
                 continue
-            at, lines, whole = self.list.after(at)
+            at, lines, whole = self.list.updates_after(at)
             self._told(edge, life, lines, whole, at)
 
 
@@ -122,21 +122,21 @@
         self._ways = 0
         self._marks: dict[Any, Marks] = {}
         self.names: dict[Any, str] = {}  # of the dispatchers' models, for one that sees everything
-        self.vault = Vault(self, msgspec.convert(made.vault, VaultPart))
+        self.vault = Vault(self, msgspec.convert(made.vault, TimedStoreSettings))
         self.offerings = {o.name: o for o in made.day.offerings}
         self.runners: dict[str, Runner] = {}
         faults: list[Fault] = []
         for host in made.hosts:
             for part in host["runners"]:
-                runner = Runner(self, msgspec.convert(part, RunnerPart), made.seed)
+                runner = Runner(self, msgspec.convert(part, WorkerSettings), made.seed)
                 self.runners[runner.name] = runner
             faults += msgspec.convert(host["faults"], list[Fault])
         self.store = Store(self, made.day.layers) if made.day.layers is not None else None
-        roster = RosterPart(lines=made.roster["lines"])
+        roster = EndpointServerSettings(lines=made.roster["lines"])
         self.roster = Roster(self, roster)
-        clients = msgspec.convert({**made.clients, "edges": []}, Clients)
+        clients = msgspec.convert({**made.clients, "edges": []}, ClientsSettings)
         self.clients, self.expiry = clients, clients.expiry
-        self.demand = Demand(clients, len(made.edges), self.kernel.clock)
+        self.demand = RequestGenerator(clients, len(made.edges), self.kernel.clock)
         self.tally = Tally(made.day, self.kernel)
         self.planners = [PlannerProcess(self, n) for n in range(count_planners(made.day))]
         self.edges = []
@@ -156,7 +156,7 @@
         self._ways += 1
         return self._ways
 
-    def marks(self, part: RunnerPart, offering: OfferingPart) -> Marks | None:
+    def marks(self, part: WorkerSettings, offering: RequestClassSettings) -> Marks | None:
         if offering.effect != "deduplicated":
             return None
         where = {"all": (), "zone": (part.zone,), "cell": (part.zone, part.cell)}[offering.group]
@@ -165,7 +165,7 @@
             self._marks[key] = Marks()
         return self._marks[key]
 
-    def offering_of(self, model: str) -> OfferingPart:
+    def offering_of(self, model: str) -> RequestClassSettings:
         return self.offerings.get(model.rpartition(".")[0]) or self.made.day.offerings[0]
 
     def back(self, sent: Sent, told: Told) -> None:
@@ -202,9 +202,9 @@
 
     def _plays(self, fault: Fault) -> Steps:
         self.client_records("fault", kind=fault.kind, for_ms=fault.for_ms)
-        self.demand.begins(fault)
+        self.demand.start_fault(fault)
         yield ms_to_ns(fault.for_ms)
-        self.demand.ends(fault)
+        self.demand.end_fault(fault)
 
     def _edge_event(self, event: EdgeEvent) -> None:
         edge = self.edges[event.edge]
@@ -224,26 +224,26 @@
 
     def _arrivals(self) -> Steps:
         if self.clients.trace is not None:
-            traced = Traced(self.clients, self.clients.mapping, self.kernel.clock)
-            for when, call in traced.calls():
+            traced = TraceRequests(self.clients, self.clients.mapping, self.kernel.clock)
+            for when, call in traced.requests():
                 yield max(0, BEGIN + ms_to_ns(when) - self.kernel.now)
                 self.comes(call())
             return
         at = 0.0
         while True:
-            at += self.demand.gap_ms()
+            at += self.demand.next_interval_ms()
             if at > self.clients.seconds * 1000:
                 return
             yield max(0, BEGIN + ms_to_ns(at) - self.kernel.now)
-            self.comes(self.demand.call())
+            self.comes(self.demand.next_request())
 
-    def comes(self, call: Call) -> None:
+    def comes(self, call: ClientRequest) -> None:
         """One task, whoever thought of it."""
         self.tally.asked(call)
         self.kernel.spawn(self._follow(call))
 
-    def _follow(self, call: Call) -> Steps:
-        chance = self.demand.chance_of(call)
+    def _follow(self, call: ClientRequest) -> Steps:
+        chance = self.demand.random_for(call)
         begun = self.kernel.now
         as_told = False
         while True:
@@ -253,26 +253,26 @@
                 self.tally.satisfied(call, self.kernel.now - begun)
             if as_told:
                 self.tally.came_as_told(call, final, self.kernel.now - came)
-            pause = self.demand.pause_ms(call, chance, final, wait_ms)
+            pause = self.demand.retry_delay_ms(call, chance, final, wait_ms)
             if pause is None:
                 self.tally.ended(call, final)
                 return
             as_told = pause == wait_ms
             yield ms_to_ns(pause)
 
-    def _try(self, call: Call, chance: Random) -> Steps:
+    def _try(self, call: ClientRequest, chance: Random) -> Steps:
         kernel, record = self.kernel, self.client_records
-        told = self.demand.attempt(call, chance)
-        leaves = told.leaves if told.leaves < told.give_up else None
+        told = self.demand.next_try(call, chance)
+        leaves = told.leaves_at if told.leaves_at < told.gives_up_at else None
         about = {"try": told.name, "id": str(call.number), "edge": told.edge}
         record(
             "sent",
-            give_up=told.give_up,
-            offering=call.offering.name,
-            model=call.model,
-            customer=call.customer,
-            first=not call.tries,
-            until=call.until,
+            give_up=told.gives_up_at,
+            offering=call.request_class.name,
+            model=call.function,
+            customer=call.tenant,
+            first=not call.try_count,
+            until=call.deadline,
             leaves=leaves,
             **about,
         )
@@ -280,18 +280,18 @@
         edge = self.edges[told.edge]
         kernel.after(self.client_way, edge.arrives, x)
         slack = 0 if leaves is not None else ms_to_ns(self.clients.slack_ms)
-        if not (yield x.done, max(0, told.leaves - kernel.now) + slack):
+        if not (yield x.done, max(0, told.leaves_at - kernel.now) + slack):
             x.open = False
             kernel.after(self.client_way, edge.leaves, x)
             what = "left" if leaves is not None else "no answer"
             record(what, **about)
             return what, 0.0
         if x.final == "unreached":
-            self.demand.refused(told.edge)
+            self.demand.mark_unreachable(told.edge)
         if x.final in ("unreached", "broken"):
             record(x.final, **about)
             return x.final, 0.0
-        call.appointment = x.appointment
+        call.reservation = x.appointment
         status = {"satisfied": 200, "turned back": 503, "scrapped": 502}[x.final]
         if x.door:
             about["door"] = True
@@ -326,7 +326,7 @@
         """As `martenlead day` reports; needs the records."""
         made = self.made
         audit = Audit(
-            rules(made),
+            make_rules(made),
             self.client_records.all,
             self.runner_records.all,
             self.roster_records.all,
@@ -334,5 +334,5 @@
         )
         offerings = {o.name: msgspec.to_builtins(o) for o in made.day.offerings}
         told = report(audit, offerings, [0] * len(self.edges))
-        told["vault"] = of_vault(self.vault_records.all, self.runner_records.all)
+        told["vault"] = summarize_store(self.vault_records.all, self.runner_records.all)
         return {"day": made.day.name, "seed": made.seed, **told}
--- a/martenlead/emulator/job.py
+++ b/martenlead/emulator/job.py
@@ -13,10 +13,10 @@
 from martenlead.days.script import Day, plan
 from martenlead.emulator.fleet import Fleet
 from martenlead.emulator.tally import WIDTH
-from martenlead.standins.settings import Part
+from martenlead.standins.settings import Settings
 
 
-class Job(Part, frozen=True, kw_only=True):
+class Job(Settings, frozen=True, kw_only=True):
     """`at` says where on the axes of its experiment it stands. With `audit` the rules are checked, which
     keeps every record in memory."""
 
--- a/martenlead/emulator/layered.py
+++ b/martenlead/emulator/layered.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from martenlead.days.script import AgentEvent, Layers, Plan
+from martenlead.days.script import AgentEvent, LayersScript, Plan
 from martenlead.emulator.kernel import Kernel, Process, Signal, Steps
 from martenlead.emulator.records import Records
 from martenlead.layers.choice import (
@@ -25,8 +25,8 @@
     Failure,
     Pause,
 )
-from martenlead.standins.crowding import Fall
-from martenlead.standins.settings import DepotPart, Fault
+from martenlead.standins.crowding import OverloadDetector
+from martenlead.standins.settings import ArtifactStoreSettings, Fault
 
 STEP = 20 * MS
 ANSWER = 2 * MS  # of a peer or the vault that has nothing to send
@@ -49,7 +49,7 @@
 class Images:
     """Which chunks a model is, in each of its releases."""
 
-    def __init__(self, layers: Layers, models: list[str], seed: int) -> None:
+    def __init__(self, layers: LayersScript, models: list[str], seed: int) -> None:
         self.layers, self.seed = layers, seed
         self.chunk_bytes = layers.average_kb * 1024
         self.count = max(1, round(layers.model_mb * 1e6 / self.chunk_bytes))
@@ -79,12 +79,12 @@
 class Depot:
     """The vault: chunks and whole models at a pace, a delay, turns away, stops when pushed too far."""
 
-    def __init__(self, fleet: StoreFleet, part: DepotPart) -> None:
+    def __init__(self, fleet: StoreFleet, part: ArtifactStoreSettings) -> None:
         self.fleet, self.kernel, self.part = fleet, fleet.kernel, part
         self.record = fleet.vault_records
         self.out = 0
         self.down_until = 0
-        self.fall = Fall(part.fall_multiple, part.fall_ms)
+        self.fall = OverloadDetector(part.fall_multiple, part.fall_ms)
         self.slow = 1.0
         self.releases: dict[str, int] = {}
         self.old = False
@@ -129,7 +129,7 @@
         )
 
     def _pushed_over(self, now: int) -> bool:
-        if not self.fall.pushed_over(now, (self.out + 1) / self.part.pace):
+        if not self.fall.is_overloaded(now, (self.out + 1) / self.part.pace):
             return False
         self._stop(self.part.down_ms)
         return True
@@ -320,13 +320,13 @@
 
     uplink = 100e6  # bytes a second
 
-    def __init__(self, fleet: StoreFleet, layers: Layers) -> None:
+    def __init__(self, fleet: StoreFleet, layers: LayersScript) -> None:
         made = fleet.made
         assert made.samples is not None and made.depot is not None
         self.fleet, self.layers = fleet, layers
         self.images = Images(layers, made.samples["models"], made.seed)
         told = {name: value for name, value in made.depot.items() if name != "faults"}
-        self.depot = Depot(fleet, DepotPart(layout="", **told))
+        self.depot = Depot(fleet, ArtifactStoreSettings(layout="", **told))
         self.agents: dict[str, Agent] = {}
         if layers.on:
             self.agents = {name: Agent(self, name, n) for n, name in enumerate(fleet.runners)}
--- a/martenlead/emulator/messages.py
+++ b/martenlead/emulator/messages.py
@@ -11,15 +11,15 @@
 from martenlead.admission.controller import QueuedRequest
 from martenlead.emulator.kernel import Process, Signal
 from martenlead.policy.types import Attempt, Request, Result, Warmth
-from martenlead.standins.demand import Call, Try
+from martenlead.standins.demand import ClientRequest, ClientTry
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
     """One try of a client at a dispatcher."""
 
-    call: Call
-    told: Try
+    call: ClientRequest
+    told: ClientTry
     done: Signal
     final: str = ""  # or `unreached`, `broken`
     wait_ms: float = 0.0
--- a/martenlead/emulator/policies.py
+++ b/martenlead/emulator/policies.py
@@ -24,7 +24,7 @@
 from martenlead.policy.placement import Placement
 from martenlead.policy.policy import Policy
 from martenlead.policy.state import Worker
-from martenlead.standins.settings import OfferingPart
+from martenlead.standins.settings import RequestClassSettings
 
 PACKAGE = "martenlead/policy"
 TRIES = 8  # random picks before all runners are looked at
@@ -40,7 +40,7 @@
     def names(self) -> Mapping[Any, str]:
         """Of the dispatchers' functions."""
 
-    def offering_of(self, model: str) -> OfferingPart:
+    def offering_of(self, model: str) -> RequestClassSettings:
         """The request class of a function."""
 
 
@@ -165,20 +165,20 @@
             """s from now."""
             name = worker.facts.mark.to_bytes(200, "big").lstrip(b"\0").decode()
             there = fleet.runners[name]
-            if not there.up or there.draining:
+            if not there.up or there.is_draining:
                 return 1e9
-            part = there.part
-            copies = there.copies.get(fleet.names[request.function])
+            part = there.settings
+            copies = there.replicas.get(fleet.names[request.function])
             work = request.cost or 0.1
-            speed = part.speed * there.capacity() / there.slow
-            beside = there.running + there.waiting + 1
+            speed = part.speed * there.speed_share() / there.slow_factor
+            beside = there.running_count + there.waiting_count + 1
             takes = work * max(1.0, beside / part.cores) / speed
-            if copies is None or not (copies.standing or copies.loading):
+            if copies is None or not (copies.ready or copies.loading):
                 load_ms = fleet.offering_of(fleet.names[request.function]).load_ms
-                return takes + load_ms / 1000 * (1 + there.loads)
-            if not copies.standing:
-                takes += fleet.offering_of(copies.model).load_ms / 2000
-            behind = len(copies.waiting) + max(0, copies.running + 1 - copies.lanes * max(1, copies.standing))
+                return takes + load_ms / 1000 * (1 + there.active_loads)
+            if not copies.ready:
+                takes += fleet.offering_of(copies.function).load_ms / 2000
+            behind = len(copies.queue) + max(0, copies.running + 1 - copies.lanes * max(1, copies.ready))
             return takes + behind * takes / max(1, copies.lanes)
 
     return baseline(OraclePlacement)
--- a/martenlead/emulator/tally.py
+++ b/martenlead/emulator/tally.py
@@ -8,7 +8,7 @@
 
 from martenlead.days.script import Day
 from martenlead.emulator.kernel import Kernel
-from martenlead.standins.demand import Call
+from martenlead.standins.demand import ClientRequest
 
 SECOND = 1_000_000_000
 WIDTH = math.log(1.05)  # of a latency's bin, each a twentieth wider than the last
@@ -56,34 +56,34 @@
     def loaded(self) -> None:
         self.loads[self.second()] += 1
 
-    def asked(self, call: Call) -> None:
+    def asked(self, call: ClientRequest) -> None:
         self.open += 1
         self.tasks += 1
-        worth = self.revenue[call.offering.name]
+        worth = self.revenue[call.request_class.name]
         self.wanted += worth
-        self.by_customer[call.customer or ""][0] += worth
+        self.by_customer[call.tenant or ""][0] += worth
         self.by_second[self.second()][0] += worth
 
-    def tried(self, call: Call, final: str) -> None:
+    def tried(self, call: ClientRequest, final: str) -> None:
         self.tries += 1
 
-    def came_as_told(self, call: Call, final: str, took: int) -> None:
+    def came_as_told(self, call: ClientRequest, final: str, took: int) -> None:
         self.came += 1
         self.served += final == "satisfied"
-        self.met += final == "satisfied" and took <= self.soft[call.offering.name]
+        self.met += final == "satisfied" and took <= self.soft[call.request_class.name]
 
-    def satisfied(self, call: Call, took: int) -> None:
-        name = call.offering.name
+    def satisfied(self, call: ClientRequest, took: int) -> None:
+        name = call.request_class.name
         worth = self.revenue[name]
         self.latency.add(took)
         inside = took <= self.soft[name]
         self.with_late += worth * (1 if inside else self.late[name])
         if inside:
             self.earned += worth
-            self.by_customer[call.customer or ""][1] += worth
+            self.by_customer[call.tenant or ""][1] += worth
             self.by_second[(self.kernel.now - took - self.begin) // SECOND][1] += worth
 
-    def ended(self, call: Call, final: str) -> None:
+    def ended(self, call: ClientRequest, final: str) -> None:
         self.open -= 1
         self.finals[final] += 1
 
--- a/martenlead/standins/__init__.py
+++ b/martenlead/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Runners, roster, vault and clients for tests and days, written from the protocol alone.
+"""Stand-ins for workers, endpoint list, artifact store and clients, for tests and scripted days.
 
-They know the protocol's bytes and nothing of the dispatcher: no module, no edge. What passes their sockets
-they write down (`record`); the audit reads that and nothing else. Work takes time on the clock and no core,
-so that a whole fleet fits one machine.
+They are written from the protocol alone and import no dispatcher code. They record what passes their
+sockets, and the audit reads nothing but these records. Work takes time on the clock without using a core,
+so that a whole fleet fits on one machine.
 """
--- a/martenlead/standins/client.py
+++ b/martenlead/standins/client.py
@@ -1,5 +1,6 @@
-"""Clients with patience, repeats and customers. Tasks come at their own times, whatever becomes of those
-before."""
+"""Open-loop clients that retry, give up and leave early: requests are sent at their own times, independent of
+earlier ones.
+"""
 
 from __future__ import annotations
 
@@ -13,148 +14,162 @@
 from martenlead.events import http
 from martenlead.events.client import Pool
 from martenlead.events.cloudevent import Event, encode_event, encode_json_event
-from martenlead.standins.demand import Call, Demand
-from martenlead.standins.life import epoch, for_seconds, on_cue, ready, until
-from martenlead.standins.record import Recorder
-from martenlead.standins.settings import Clients, Fault
-from martenlead.standins.traced import Traced
+from martenlead.standins.demand import ClientRequest, RequestGenerator
+from martenlead.standins.life import announce_ready, run_faults, run_for, sleep_until, wait_for_epoch
+from martenlead.standins.record import RecordWriter
+from martenlead.standins.settings import ClientsSettings, Fault
+from martenlead.standins.traced import TraceRequests
 from martenlead.system.clocks import wall_ns
 
-FINALS = {200: "satisfied", 429: "turned back", 503: "turned back", 502: "scrapped", 504: "scrapped"}
+FINAL_BY_STATUS = {200: "satisfied", 429: "turned back", 503: "turned back", 502: "scrapped", 504: "scrapped"}
 
 
-class Crowd:
-    def __init__(self, settings: Clients) -> None:
+class ScriptedClients:
+    """All clients of a day, in one process."""
+
+    def __init__(self, settings: ClientsSettings) -> None:
         self.settings = settings
-        self.record = Recorder(settings.record)
+        self.write_record = RecordWriter(settings.record)
         self.pools = [
             Pool(e.host, e.port, connection_limit=8192, idle_timeout_ns=20_000_000_000)
             for e in settings.edges
         ]
-        self.demand = Demand(settings, len(self.pools), monotonic_ns)
+        self.generator = RequestGenerator(settings, len(self.pools), monotonic_ns)
 
-    async def arrivals(self, begin: int, group: anyio.abc.TaskGroup) -> None:
+    async def send_requests(self, begin: int, group: anyio.abc.TaskGroup) -> None:
+        """Starts each request at its time, from the trace or from the generator."""
         if self.settings.trace is not None:
-            traced = Traced(self.settings, self.settings.mapping, monotonic_ns)
-            for when, call in traced.calls():
-                await until(begin, when)
-                group.start_soon(self.follow, call())
+            trace = TraceRequests(self.settings, self.settings.mapping, monotonic_ns)
+            for at_ms, make_request in trace.requests():
+                await sleep_until(begin, at_ms)
+                group.start_soon(self.follow_request, make_request())
             return
-        at = 0.0
+        at_ms = 0.0
         while True:
-            at += self.demand.gap_ms()
-            if at > self.settings.seconds * 1000:
+            at_ms += self.generator.next_interval_ms()
+            if at_ms > self.settings.seconds * 1000:
                 return
-            await until(begin, at)
-            group.start_soon(self.follow, self.demand.call())
+            await sleep_until(begin, at_ms)
+            group.start_soon(self.follow_request, self.generator.next_request())
 
-    # -- one task, over its tries
+    # -- one request, over its tries
 
-    async def follow(self, call: Call) -> None:
-        chance = self.demand.chance_of(call)
+    async def follow_request(self, request: ClientRequest) -> None:
+        """Sends a request, and its retries until there are no more."""
+        random = self.generator.random_for(request)
         while True:
-            final, wait = await self.a_try(call, chance)
-            pause = self.demand.pause_ms(call, chance, final, wait)
-            if pause is None:
+            final, wait_ms = await self.send_try(request, random)
+            delay_ms = self.generator.retry_delay_ms(request, random, final, wait_ms)
+            if delay_ms is None:
                 return
-            await anyio.sleep(pause / 1000)
+            await anyio.sleep(delay_ms / 1000)
 
-    async def a_try(self, call: Call, chance: Random) -> tuple[str, float]:
-        """The final answer, or how it was missed, and the wait (ms) that was asked for."""
-        settings, offering = self.settings, call.offering
-        told = self.demand.attempt(call, chance)
-        at, name, give_up, leaves = told.edge, told.name, told.give_up, told.leaves
+    async def send_try(self, request: ClientRequest, random: Random) -> tuple[str, float]:
+        """Sends one try; returns the final response, or why there was none, and the Retry-After in ms (0 for
+        none).
+        """
+        settings, request_class = self.settings, request.request_class
+        client_try = self.generator.next_try(request, random)
+        edge, name, gives_up_at, leaves_at = (
+            client_try.edge,
+            client_try.name,
+            client_try.gives_up_at,
+            client_try.leaves_at,
+        )
         event = Event(
             {
                 "specversion": "1.0",
-                "id": str(call.number),
+                "id": str(request.number),
                 "source": "/portal",
-                "type": offering.name,
-                "model": call.model,
-                "lanes": offering.lanes,
-                "memorymb": int(offering.memory_mb),
-                "costms": int(call.cost_ms),
-                "timeleftms": max(0, (give_up - monotonic_ns()) // 1_000_000),
+                "type": request_class.name,
+                "model": request.function,
+                "lanes": request_class.lanes,
+                "memorymb": int(request_class.memory_mb),
+                "costms": int(request.cost_ms),
+                "timeleftms": max(0, (gives_up_at - monotonic_ns()) // 1_000_000),
                 "tryid": name,
-                "traceparent": f"00-{call.number:032x}-{call.tries + 1:016x}-01",
+                "traceparent": f"00-{request.number:032x}-{request.try_count + 1:016x}-01",
             },
             b'{"borrower":1}',
             "application/json",
         )
-        if settings.expiry:  # also covers what passes before the edge reads it
-            left = (give_up - monotonic_ns()) / 1e9
-            event.attributes["expirytime"] = datetime.fromtimestamp(wall_ns() / 1e9 + left, UTC).isoformat()
-        if call.customer:
-            event.attributes["customer"] = call.customer
-        if call.again:
+        if settings.expiry:  # also counts the time before the edge reads the request
+            left_s = (gives_up_at - monotonic_ns()) / 1e9
+            event.attributes["expirytime"] = datetime.fromtimestamp(wall_ns() / 1e9 + left_s, UTC).isoformat()
+        if request.tenant:
+            event.attributes["customer"] = request.tenant
+        if request.is_retry:
             event.attributes["again"] = True
-        if call.appointment:
-            event.attributes["appointment"] = call.appointment
-        if told.structured:
+        if request.reservation:
+            event.attributes["appointment"] = request.reservation
+        if client_try.is_structured:
             headers, body = [(b"content-type", b"application/cloudevents+json")], encode_json_event(event)
         else:
             headers, body = encode_event(event)
-        pool = self.pools[at]
-        about: dict[str, Any] = {"try": name, "id": str(call.number), "edge": at}
-        self.record(
+        pool = self.pools[edge]
+        identity: dict[str, Any] = {"try": name, "id": str(request.number), "edge": edge}
+        self.write_record(
             "sent",
-            give_up=give_up,
-            offering=offering.name,
-            model=call.model,
-            customer=call.customer,
-            first=not call.tries,
-            until=call.until,
-            leaves=leaves if leaves < give_up else None,
-            **about,
+            give_up=gives_up_at,
+            offering=request_class.name,
+            model=request.function,
+            customer=request.tenant,
+            first=not request.try_count,
+            until=request.deadline,
+            leaves=leaves_at if leaves_at < gives_up_at else None,
+            **identity,
         )
-        slack = 0 if leaves < give_up else settings.slack_ms / 1000
+        slack = 0 if leaves_at < gives_up_at else settings.slack_ms / 1000
         exchange = None
         strays = pool.stray_responses
-        with anyio.move_on_after(max(0.0, leaves - monotonic_ns()) / 1e9 + slack):
+        with anyio.move_on_after(max(0.0, leaves_at - monotonic_ns()) / 1e9 + slack):
             exchange = await pool.exchange(http.request(b"POST", b"/", b"edge", headers, body))
         if pool.stray_responses > strays:
-            self.record("stray", edge=at)
+            self.write_record("stray", edge=edge)
         if exchange is None:
-            self.record("left" if leaves < give_up else "no answer", **about)
-            return "left" if leaves < give_up else "no answer", 0
+            self.write_record("left" if leaves_at < gives_up_at else "no answer", **identity)
+            return "left" if leaves_at < gives_up_at else "no answer", 0
         message = exchange.message
         if message is None:
-            refused = exchange.end.name in ("REFUSED", "CONNECT_TIMEOUT", "NO_SLOT")
-            self.record("unreached" if refused else "broken", why=exchange.end.name, **about)
-            if refused:
-                self.demand.refused(at)
-            return "unreached" if refused else "broken", 0
-        final = FINALS.get(message.status, "refused")
+            is_unreachable = exchange.end.name in ("REFUSED", "CONNECT_TIMEOUT", "NO_SLOT")
+            self.write_record("unreached" if is_unreachable else "broken", why=exchange.end.name, **identity)
+            if is_unreachable:
+                self.generator.mark_unreachable(edge)
+            return "unreached" if is_unreachable else "broken", 0
+        final = FINAL_BY_STATUS.get(message.status, "refused")
         wait = message.header(b"martenlead-retry-after-ms")
-        call.appointment = (message.header(b"martenlead-appointment") or b"").decode("latin-1")
+        request.reservation = (message.header(b"martenlead-appointment") or b"").decode("latin-1")
         if message.header(b"martenlead-door") is not None:
-            about = {**about, "door": True}
-        self.record(
-            "answer", status=message.status, final=final, wait_ms=float(wait) if wait else None, **about
+            identity = {**identity, "door": True}
+        self.write_record(
+            "answer", status=message.status, final=final, wait_ms=float(wait) if wait else None, **identity
         )
         return final, float(wait) if wait else 0.0
 
-    async def play(self, fault: Fault) -> None:
-        self.record("fault", kind=fault.kind, for_ms=fault.for_ms)
-        self.demand.begins(fault)
+    async def apply_fault(self, fault: Fault) -> None:
+        """Applies a fault for its duration."""
+        self.write_record("fault", kind=fault.kind, for_ms=fault.for_ms)
+        self.generator.start_fault(fault)
         await anyio.sleep(fault.for_ms / 1000)
-        self.demand.ends(fault)
+        self.generator.end_fault(fault)
 
     async def run(self) -> None:
-        ready()
-        begin = await epoch(self.settings.epoch_ns)
+        """Runs the clients until all requests of the day have ended."""
+        announce_ready()
+        begin = await wait_for_epoch(self.settings.epoch_ns)
         async with anyio.create_task_group() as group:
-            group.start_soon(on_cue, begin, self.settings.faults, self.play)
-            await self.arrivals(begin, group)
-        strays = 0
+            group.start_soon(run_faults, begin, self.settings.faults, self.apply_fault)
+            await self.send_requests(begin, group)
+        stray_count = 0
         for pool in self.pools:
             before = pool.stray_responses
             await pool.close()
-            strays += pool.stray_responses - before
-        if strays:
-            self.record("stray", edge=-1)
-        self.record("over")
+            stray_count += pool.stray_responses - before
+        if stray_count:
+            self.write_record("stray", edge=-1)
+        self.write_record("over")
 
 
-async def run(settings: Clients) -> None:
-    await for_seconds(settings.seconds + 120, Crowd(settings).run)
+async def run(settings: ClientsSettings) -> None:
+    """Runs the clients' process; `martenlead standin client`."""
+    await run_for(settings.seconds + 120, ScriptedClients(settings).run)
--- a/martenlead/standins/roster.py
+++ b/martenlead/standins/roster.py
@@ -1,5 +1,4 @@
-"""The list of runners, pushed as the protocol has it. What it says and when is written in its settings:
-late."""
+"""The endpoint list's server; its settings say when it publishes which update, also later than the change."""
 
 from __future__ import annotations
 
@@ -13,77 +12,98 @@
 
 from martenlead.events.http import Message
 from martenlead.events.server import Reply, listen
-from martenlead.standins.crowding import Lines
-from martenlead.standins.life import epoch, for_seconds, on_cue, plain, ready, server, until
-from martenlead.standins.record import Recorder
-from martenlead.standins.settings import Fault, RosterPart
+from martenlead.standins.crowding import EndpointTable
+from martenlead.standins.life import (
+    announce_ready,
+    make_server,
+    run_faults,
+    run_for,
+    sleep_until,
+    text_reply,
+    wait_for_epoch,
+)
+from martenlead.standins.record import RecordWriter
+from martenlead.standins.settings import EndpointServerSettings, Fault
 
 
-class Roster:
-    def __init__(self, part: RosterPart) -> None:
-        self.part = part
-        self.record = Recorder(part.record)
-        self.epoch = monotonic_ns()
-        self.list = Lines(part.lines)
+class EndpointListServer:
+    """Streams the endpoint list to edges as the protocol describes it."""
+
+    def __init__(self, settings: EndpointServerSettings) -> None:
+        self.settings = settings
+        self.write_record = RecordWriter(settings.record)
+        self.epoch_ns = monotonic_ns()
+        self.endpoints = EndpointTable(settings.lines)
         self.changed = anyio.Event()
-        self.away_until = 0
+        self.unavailable_until = 0
 
-    async def say_all(self) -> None:
-        for said in sorted(self.part.says, key=lambda s: s.at_ms):
-            await until(self.epoch, said.at_ms)
-            self.list.say(said.line, said.born_ms)
+    async def publish_updates(self) -> None:
+        """Applies each scheduled update at its time and wakes the streams."""
+        for update in sorted(self.settings.says, key=lambda s: s.at_ms):
+            await sleep_until(self.epoch_ns, update.at_ms)
+            self.endpoints.apply(update.line, update.born_ms)
             self.changed.set()
             self.changed = anyio.Event()
 
     async def handle(self, message: Message, _now: int) -> Reply:
+        """Answers a subscription with a stream."""
         path, _, query = message.target.partition(b"?")
         if path != b"/roster":
-            return plain(404)
-        if monotonic_ns() < self.away_until:
+            return text_reply(404)
+        if monotonic_ns() < self.unavailable_until:
             return Reply(503, [], b"away", close=True)
-        after = int(parse_qs(query.decode()).get("after", ["0"])[0])
+        version = int(parse_qs(query.decode()).get("after", ["0"])[0])
         edge = (message.header(b"user-agent") or b"").decode().removeprefix("martenlead/")
-        return Reply(200, [(b"content-type", b"application/x-ndjson")], self.stream(edge, after))
+        return Reply(200, [(b"content-type", b"application/x-ndjson")], self.stream(edge, version))
 
-    async def stream(self, edge: str, after: int) -> AsyncGenerator[bytes]:
+    async def stream(self, edge: str, version: int) -> AsyncGenerator[bytes]:
+        """The updates after a version, with keep-alive lines between them."""
         encode = msgspec.json.encode
-        at = after
-        while monotonic_ns() >= self.away_until:
-            if at == self.list.version:
+        current = version
+        while monotonic_ns() >= self.unavailable_until:
+            if current == self.endpoints.version:
                 changed = self.changed
-                with anyio.move_on_after(self.part.keep_alive_ms / 1000):
+                with anyio.move_on_after(self.settings.keep_alive_ms / 1000):
                     await changed.wait()
-                if self.list.version == at:
-                    yield encode({"version": at}) + b"\n"
+                if self.endpoints.version == current:
+                    yield encode({"version": current}) + b"\n"
                 continue
-            at, found, whole = self.list.after(at)
-            day_ms = (monotonic_ns() - self.epoch) / 1e6
-            lines = [self.list.aged(line, day_ms) for line in found]
-            self.told(edge, lines, whole, at)
-            said = (
-                {"version": at, "whole": True, "runners": lines}
-                if whole
-                else {"version": at, "runners": lines}
+            current, changed_endpoints, is_snapshot = self.endpoints.updates_after(current)
+            day_ms = (monotonic_ns() - self.epoch_ns) / 1e6
+            endpoints = [self.endpoints.with_age(line, day_ms) for line in changed_endpoints]
+            self.record_update(edge, endpoints, is_snapshot, current)
+            message = (
+                {"version": current, "whole": True, "runners": endpoints}
+                if is_snapshot
+                else {"version": current, "runners": endpoints}
             )
-            yield encode(said) + b"\n"
+            yield encode(message) + b"\n"
 
-    def told(self, edge: str, lines: list[dict[str, Any]], whole: bool, version: int) -> None:
-        said = [[line["id"], line.get("state", "up"), line.get("start", "")] for line in lines]
-        self.record("told", edge=edge, whole=whole, version=version, lines=said)
+    def record_update(
+        self, edge: str, endpoints: list[dict[str, Any]], is_snapshot: bool, version: int
+    ) -> None:
+        """Records the states that an edge was sent."""
+        states = [
+            [endpoint["id"], endpoint.get("state", "up"), endpoint.get("start", "")] for endpoint in endpoints
+        ]
+        self.write_record("told", edge=edge, whole=is_snapshot, version=version, lines=states)
 
-    async def play(self, fault: Fault) -> None:
-        self.away_until = monotonic_ns() + int(fault.for_ms * 1e6)
-        self.record("away", for_ms=fault.for_ms)
+    async def apply_fault(self, fault: Fault) -> None:
+        """Makes the list unavailable for the fault's duration."""
+        self.unavailable_until = monotonic_ns() + int(fault.for_ms * 1e6)
+        self.write_record("away", for_ms=fault.for_ms)
 
     async def run(self) -> None:
-        listener, port = await listen("127.0.0.1", self.part.port)
-        ready(port=port)
+        """Serves the list and plays its updates and outages."""
+        listener, port = await listen("127.0.0.1", self.settings.port)
+        announce_ready(port=port)
         async with anyio.create_task_group() as group:
-            group.start_soon(server(self.handle).serve, listener)
-            self.epoch = await epoch(self.part.epoch_ns)
-            group.start_soon(self.say_all)
-            await on_cue(self.epoch, self.part.away, self.play)
+            group.start_soon(make_server(self.handle).serve, listener)
+            self.epoch_ns = await wait_for_epoch(self.settings.epoch_ns)
+            group.start_soon(self.publish_updates)
+            await run_faults(self.epoch_ns, self.settings.away, self.apply_fault)
 
 
-async def run(part: RosterPart) -> None:
-    await for_seconds(part.seconds, Roster(part).run)
+async def run(settings: EndpointServerSettings) -> None:
+    """Runs the server's process; `martenlead standin roster`."""
+    await run_for(settings.seconds, EndpointListServer(settings).run)
--- a/martenlead/standins/runner.py
+++ b/martenlead/standins/runner.py
@@ -1,4 +1,4 @@
-"""Runners on sockets: hand-offs, orders, drains and faults. What they do with their copies is shelf.py."""
+"""Workers on sockets: requests, load requests, drains and faults. Their replicas are in shelf.py."""
 
 from __future__ import annotations
 
@@ -20,223 +20,273 @@
 from martenlead.events.cloudevent import Event, InvalidEventError, decode_event, encode_event
 from martenlead.events.http import Message
 from martenlead.events.server import Reply, Server, listen
-from martenlead.standins.life import epoch, for_seconds, on_cue, plain, ready, server
-from martenlead.standins.record import Recorder
-from martenlead.standins.settings import Fault, Host, OfferingPart, RunnerPart
-from martenlead.standins.shelf import Copies, Place, Shelf
-
-LOAD = re.compile(rb"/v2/repository/models/([^/]+)/(load|unload)\Z")
-NEVER_RAN = (b"martenlead-never-ran", b"1")
-LOAD_FAILURE = b"martenlead-load-failure"
-LOAD_S = 30.0
-
-
-class Marks:
-    """What a group of runners knows of the deduplicated tasks that it has run: it drops repeats by their
-    mark."""
+from martenlead.standins.life import (
+    announce_ready,
+    make_server,
+    run_faults,
+    run_for,
+    text_reply,
+    wait_for_epoch,
+)
+from martenlead.standins.record import RecordWriter
+from martenlead.standins.settings import Fault, RequestClassSettings, WorkerHostSettings, WorkerSettings
+from martenlead.standins.shelf import FunctionReplicas, ReplicaCache, WaitingRequest
+
+LOAD_PATH_PATTERN = re.compile(rb"/v2/repository/models/([^/]+)/(load|unload)\Z")
+NEVER_RAN_HEADER = (b"martenlead-never-ran", b"1")
+LOAD_FAILURE_HEADER = b"martenlead-load-failure"
+LOAD_TIMEOUT_S = 30.0
+
+
+class DeduplicationTable:
+    """The deduplicated requests that a group of workers has run; repeats are recognized by their identity."""
 
     def __init__(self) -> None:
-        self.seen: dict[tuple[str, str], tuple[int, anyio.Event]] = {}
+        self.entries: dict[tuple[str, str], tuple[int, anyio.Event]] = {}
 
-    def find(self, mark: tuple[str, str], window: int) -> anyio.Event | None:
-        found = self.seen.get(mark)
-        return found[1] if found and monotonic_ns() - found[0] < window else None
+    def find(self, identity: tuple[str, str], window_ns: int) -> anyio.Event | None:
+        """The completion event of a request that began within the window."""
+        found = self.entries.get(identity)
+        return found[1] if found and monotonic_ns() - found[0] < window_ns else None
 
-    def begin(self, mark: tuple[str, str]) -> anyio.Event:
+    def begin(self, identity: tuple[str, str]) -> anyio.Event:
+        """Enters a request that begins now, and returns the event that its end has to set."""
         done = anyio.Event()
-        self.seen[mark] = monotonic_ns(), done
+        self.entries[identity] = monotonic_ns(), done
         return done
 
 
-class Runner(Shelf):
-    def __init__(self, part: RunnerPart, host: HostProcess) -> None:
-        chance = Random(f"{host.settings.seed}:{part.name}")
-        super().__init__(part, monotonic_ns, chance, lambda place: place.go.set(), self.fetch_begins)
-        self.host, self.record = host, host.record
-        self.life = 0
-        self.changed: dict[Copies, anyio.Event] = {}  # who waits for the end of a load
-        self.lost = self.garbage = self.twice = 0.0
-        self.deaf = False
-        self.reports: deque[tuple[int, str]] = deque(maxlen=10_000)  # the first is the one that is told
-        self.report_delay = 0
-        self.gate: anyio.Event | None = None  # set when a pause is over
+class ScriptedWorker(ReplicaCache):
+    """One worker: serves requests of edges and applies faults."""
+
+    def __init__(self, settings: WorkerSettings, host: WorkerHost) -> None:
+        random = Random(f"{host.settings.seed}:{settings.name}")
+        super().__init__(
+            settings, monotonic_ns, random, lambda waiting: waiting.wakeup.set(), self.begin_load
+        )
+        self.host, self.write_record = host, host.write_record
+        self.incarnation = 0
+        self.load_ended: dict[FunctionReplicas, anyio.Event] = {}  # set at the end of a load
+        self.lost_share = self.garbage_share = self.duplicate_share = 0.0
+        self.is_unresponsive = False
+        self.reports: deque[tuple[int, str]] = deque(maxlen=10_000)  # the first one is sent
+        self.report_delay_ns = 0
+        self.pause_ended: anyio.Event | None = None  # set when a pause is over
         self.server: Server | None = None
-        self.port = part.port
+        self.port = settings.port
 
-    # -- life
+    # -- start and end
 
     async def serve(self) -> None:
+        """Serves the worker's port in a new incarnation."""
         listener, self.port = await listen("127.0.0.1", self.port)
-        self.server = server(self.handle, self.part.connections)
+        self.server = make_server(self.handle, self.settings.connections)
         await self.server.serve(listener)
 
     async def start(self) -> None:
-        """A new life of the process: cold and empty."""
-        self.life += 1
-        self.lost = self.garbage = self.twice = 0.0
-        self.empty(self.record("up", runner=self.part.name, life=self.life))
+        """Starts a new incarnation: cold and empty."""
+        self.incarnation += 1
+        self.lost_share = self.garbage_share = self.duplicate_share = 0.0
+        self.reset(self.write_record("up", runner=self.settings.name, life=self.incarnation))
         self.host.group.start_soon(self.serve)
-        self.host.group.start_soon(self.sweeps, self.life)
+        self.host.group.start_soon(self.unload_idle_loop, self.incarnation)
 
-    def vanish(self) -> None:
-        """The process dies: what it held is lost, connections break."""
-        self.record("down", runner=self.part.name, life=self.life)
-        self.life += 1
+    def crash(self) -> None:
+        """Ends the incarnation: its state is lost and its connections break."""
+        self.write_record("down", runner=self.settings.name, life=self.incarnation)
+        self.incarnation += 1
         if self.server is not None:
             self.server.abort()
 
-    async def sweeps(self, life: int) -> None:
-        while life == self.life:
+    async def unload_idle_loop(self, incarnation: int) -> None:
+        """Unloads idle functions for as long as the incarnation lasts."""
+        while incarnation == self.incarnation:
             await anyio.sleep(0.25)
-            self.sweep()
+            self.unload_idle()
 
     # -- requests
 
     async def handle(self, message: Message, _now: int) -> Reply:
-        if self.deaf:
+        """Answers any request at the worker's port."""
+        if self.is_unresponsive:
             await anyio.sleep(3600)
-        if self.gate is not None:
-            await self.gate.wait()
+        if self.pause_ended is not None:
+            await self.pause_ended.wait()
         edge = (message.header(b"user-agent") or b"").decode().removeprefix("martenlead/")
-        order = LOAD.match(message.target)
+        load_request = LOAD_PATH_PATTERN.match(message.target)
         if message.method == b"GET" and message.target == b"/v2/health/ready":
-            return self.told(plain(200, "ready"))
-        if order:
-            return await self.ordered(edge, unquote(order[1].decode()), order[2] == b"load", message.body)
+            return self.add_report(text_reply(200, "ready"))
+        if load_request:
+            return await self.handle_load_request(
+                edge, unquote(load_request[1].decode()), load_request[2] == b"load", message.body
+            )
         if message.method != b"POST" or message.target != b"/":
-            return plain(404)
+            return text_reply(404)
         try:
             event = decode_event(message.headers, message.body)
         except InvalidEventError as error:
-            return plain(400, str(error))
-        return await self.task(edge, event)
+            return text_reply(400, str(error))
+        return await self.handle_request(edge, event)
 
-    def told(self, reply: Reply, copy: bytes = b"") -> Reply:
+    def add_report(self, reply: Reply, warmth: bytes = b"") -> Reply:
+        """Adds the headers with the load report, the replica's state and the draining state."""
         memory = self.used_mb()
-        busy = min(1.0, self.running / self.part.cores)
+        busy = min(1.0, self.running_count / self.settings.cores)
         now = monotonic_ns()
-        self.reports.append((now, f"busy={busy:.2f},x0={memory / self.part.memory_mb:.2f},x1={self.loads}"))
-        while len(self.reports) > 1 and self.reports[1][0] <= now - self.report_delay:
+        self.reports.append(
+            (now, f"busy={busy:.2f},x0={memory / self.settings.memory_mb:.2f},x1={self.active_loads}")
+        )
+        while len(self.reports) > 1 and self.reports[1][0] <= now - self.report_delay_ns:
             self.reports.popleft()
         reply.headers.append((b"martenlead-report", self.reports[0][1].encode()))
-        if copy and self.part.tells_warm:
-            reply.headers.append((b"martenlead-copy", copy))
-        if self.draining:
+        if warmth and self.settings.tells_warm:
+            reply.headers.append((b"martenlead-copy", warmth))
+        if self.is_draining:
             reply.headers.append((b"martenlead-state", b"draining"))
         return reply
 
-    def never(
-        self, status: int, why: str, about: dict[str, Any], copy: bytes = b"", failure: str = ""
+    def reject(
+        self, status: int, why: str, fields: dict[str, Any], warmth: bytes = b"", failure: str = ""
     ) -> Reply:
-        self.record("refused", why=why, **about)
-        reply = plain(status, why)
-        reply.headers.append(NEVER_RAN)
+        """A reply that says that the request has not run."""
+        self.write_record("refused", why=why, **fields)
+        reply = text_reply(status, why)
+        reply.headers.append(NEVER_RAN_HEADER)
         if failure:
-            reply.headers.append((LOAD_FAILURE, failure.encode()))
-        return self.told(reply, copy)
+            reply.headers.append((LOAD_FAILURE_HEADER, failure.encode()))
+        return self.add_report(reply, warmth)
 
-    async def task(self, edge: str, event: Event) -> Reply:
-        name = self.part.name
-        about = {
+    async def handle_request(self, edge: str, event: Event) -> Reply:
+        """Runs a request and records its course."""
+        name = self.settings.name
+        fields = {
             "runner": name,
             "edge": edge,
             "id": event.text("id"),
             "try": event.text("tryid") or event.text("id"),
             "offering": event.text("type"),
             "handoff": int(event.text("handoff") or 0),
-            "way": self.host.way(),
+            "way": self.host.next_attempt_id(),
         }
-        self.record("came", model=event.text("model"), zone=self.part.zone, cell=self.part.cell, **about)
-        offering = self.host.offerings.get(str(event.attributes["type"]))
-        model = event.text("model")
-        if offering is None or not model:
-            return self.told(plain(400, "type, model"))
-        about = {"way": about["way"]}
+        self.write_record(
+            "came",
+            model=event.text("model"),
+            zone=self.settings.zone,
+            cell=self.settings.cell,
+            **fields,
+        )
+        request_class = self.host.request_classes.get(str(event.attributes["type"]))
+        function = event.text("model")
+        if request_class is None or not function:
+            return self.add_report(text_reply(400, "type, model"))
+        fields = {"way": fields["way"]}
         try:
-            reply = await self.run(event, offering, model, about)
-            self.record("answered", **about)
+            reply = await self.run_request(event, request_class, function, fields)
+            self.write_record("answered", **fields)
             return reply
         except anyio.get_cancelled_exc_class():
-            self.record("cut", **about)  # the edge has closed the connection
+            self.write_record("cut", **fields)  # the edge has closed the connection
             raise
 
-    async def run(self, event: Event, offering: OfferingPart, model: str, about: dict[str, Any]) -> Reply:
-        if self.draining:
-            return self.never(503, "draining", about)
-        marks = self.host.marks(self.part, offering)
-        if marks is not None:
-            known = marks.find(event.identity, int(offering.window_ms * 1e6))
-            if known is not None:
-                await known.wait()
-                self.record("repeat", **about)
-                return self.answer(event, offering, b"warm")
-        lanes = int(event.text("lanes") or offering.lanes)
-        memory = float(event.text("memorymb") or offering.memory_mb)
-        copies, copy, refused = self.enter(model, offering, memory, lanes)
-        if copies is None:
+    async def run_request(
+        self,
+        event: Event,
+        request_class: RequestClassSettings,
+        function: str,
+        fields: dict[str, Any],
+    ) -> Reply:
+        """Waits for a lane, runs the request, and returns the reply."""
+        if self.is_draining:
+            return self.reject(503, "draining", fields)
+        deduplication = self.host.deduplication_for(self.settings, request_class)
+        if deduplication is not None:
+            completion = deduplication.find(event.identity, int(request_class.window_ms * 1e6))
+            if completion is not None:
+                await completion.wait()
+                self.write_record("repeat", **fields)
+                return self.success_reply(event, request_class, b"warm")
+        lanes = int(event.text("lanes") or request_class.lanes)
+        memory_mb = float(event.text("memorymb") or request_class.memory_mb)
+        replicas, warmth, refused = self.admit(function, request_class, memory_mb, lanes)
+        if replicas is None:
             assert refused is not None
-            return self.never(*refused, about)
-        left = float(event.text("timeleftms") or offering.hard_limit_ms)
-        place = Place(anyio.Event())
-        self.wait(copies, place)
+            return self.reject(*refused, fields)
+        left_ms = float(event.text("timeleftms") or request_class.hard_limit_ms)
+        waiting = WaitingRequest(anyio.Event())
+        self.enqueue(replicas, waiting)
         try:
-            with anyio.move_on_after(left / 1000) as scope:
-                await place.go.wait()
+            with anyio.move_on_after(left_ms / 1000) as scope:
+                await waiting.wakeup.wait()
         except anyio.get_cancelled_exc_class():
-            if place.go.is_set():
-                self.end(copies)
-            elif self.part.drops_waiting:
-                self.leave(copies, place)
+            if waiting.wakeup.is_set():
+                self.finish(replicas)
+            elif self.settings.drops_waiting:
+                self.dequeue(replicas, waiting)
             else:
-                self.host.group.start_soon(self.alone, copies, place, event, offering, about)
+                self.host.group.start_soon(
+                    self.run_abandoned, replicas, waiting, event, request_class, fields
+                )
             raise
-        if scope.cancelled_caught and not place.go.is_set():
-            self.leave(copies, place)
-            return self.never(503, "its time was over before it could begin", about)
-        if place.never:
-            status = 503 if place.never == "no-room" else 404
-            return self.never(status, "the load failed", about, b"load-failed", place.never)
+        if scope.cancelled_caught and not waiting.wakeup.is_set():
+            self.dequeue(replicas, waiting)
+            return self.reject(503, "its time was over before it could begin", fields)
+        if waiting.load_failure:
+            status = 503 if waiting.load_failure == "no-room" else 404
+            return self.reject(status, "the load failed", fields, b"load-failed", waiting.load_failure)
         done = anyio.Event()
-        self.host.group.start_soon(self.work, copies, event, offering, about, done)
+        self.host.group.start_soon(self.execute, replicas, event, request_class, fields, done)
         await done.wait()  # the work goes on if the edge leaves
-        if self.gate is not None:
-            await self.gate.wait()
-        if self.chance.random() < self.lost:
-            self.record("lost", **about)
+        if self.pause_ended is not None:
+            await self.pause_ended.wait()
+        if self.random.random() < self.lost_share:
+            self.write_record("lost", **fields)
             await anyio.sleep(3600)
-        return self.answer(event, offering, copy)
-
-    async def alone(
-        self, copies: Copies, place: Place, event: Event, offering: OfferingPart, about: dict[str, Any]
+        return self.success_reply(event, request_class, warmth)
+
+    async def run_abandoned(
+        self,
+        replicas: FunctionReplicas,
+        waiting: WaitingRequest,
+        event: Event,
+        request_class: RequestClassSettings,
+        fields: dict[str, Any],
     ) -> None:
+        """Runs a request whose edge left while it waited, in a worker that doesn't notice that."""
         with anyio.move_on_after(60):
-            await place.go.wait()
-            if not place.never:
-                await self.work(copies, event, offering, about, anyio.Event())
-
-    async def work(
-        self, copies: Copies, event: Event, offering: OfferingPart, about: dict[str, Any], done: anyio.Event
+            await waiting.wakeup.wait()
+            if not waiting.load_failure:
+                await self.execute(replicas, event, request_class, fields, anyio.Event())
+
+    async def execute(
+        self,
+        replicas: FunctionReplicas,
+        event: Event,
+        request_class: RequestClassSettings,
+        fields: dict[str, Any],
+        done: anyio.Event,
     ) -> None:
-        marks = self.host.marks(self.part, offering)
-        known = marks.begin(event.identity) if marks is not None else None
-        life = self.life
-        self.record("ran", id=event.text("id"), **about)
-        asked = float(event.text("costms") or offering.work_ms)
-        await anyio.sleep(self.lasts_ms(asked) / 1000)
-        self.record("done", **about)
-        if known is not None:
-            known.set()
-        if life == self.life:
-            self.end(copies)
+        """Takes the time of the request's work, and frees its lane."""
+        deduplication = self.host.deduplication_for(self.settings, request_class)
+        completion = deduplication.begin(event.identity) if deduplication is not None else None
+        incarnation = self.incarnation
+        self.write_record("ran", id=event.text("id"), **fields)
+        work_ms = float(event.text("costms") or request_class.work_ms)
+        await anyio.sleep(self.work_duration_ms(work_ms) / 1000)
+        self.write_record("done", **fields)
+        if completion is not None:
+            completion.set()
+        if incarnation == self.incarnation:
+            self.finish(replicas)
         done.set()
 
-    def answer(self, event: Event, offering: OfferingPart, copy: bytes) -> Reply:
+    def success_reply(self, event: Event, request_class: RequestClassSettings, warmth: bytes) -> Reply:
+        """The reply to a request that has run."""
         result = Event(
             {
                 "specversion": "1.0",
                 "id": f"{event.text('id')}.answer",
-                "source": f"/runners/{quote(self.part.name)}",
-                "type": f"{offering.name}.answer",
+                "source": f"/runners/{quote(self.settings.name)}",
+                "type": f"{request_class.name}.answer",
             },
             b'{"payment":120}',
             "application/json",
@@ -245,55 +295,60 @@
             if name in event.attributes:
                 result.attributes[name] = event.attributes[name]
         headers, body = encode_event(result)
-        reply = self.told(Reply(200, headers, body), copy)
-        if self.chance.random() < self.garbage:
+        reply = self.add_report(Reply(200, headers, body), warmth)
+        if self.random.random() < self.garbage_share:
             reply.headers.append((b"content-length", b"nonsense"))
         return reply
 
-    # -- copies
-
-    def fetch_begins(self, copies: Copies, ahead: int) -> None:
-        self.host.group.start_soon(self.loaded, copies, self.life, ahead)
-
-    async def loaded(self, copies: Copies, life: int, ahead: int) -> None:
-        self.record("load", runner=self.part.name, model=copies.model)
-        fetching, starting = self.load_ms(copies, ahead)
-        begun = monotonic_ns()
-        failure = await self.bring(copies.model, fetching)
-        took = (monotonic_ns() - begun) / 1e6
-        self.record("fetched", runner=self.part.name, model=copies.model, failure=failure, took_ms=took)
+    # -- replicas
+
+    def begin_load(self, replicas: FunctionReplicas, position: int) -> None:
+        """Starts a load in a task of its own."""
+        self.host.group.start_soon(self.load_replica, replicas, self.incarnation, position)
+
+    async def load_replica(self, replicas: FunctionReplicas, incarnation: int, position: int) -> None:
+        """Fetches a function and starts its replica, unless the incarnation ends meanwhile."""
+        self.write_record("load", runner=self.settings.name, model=replicas.function)
+        fetch_ms, start_ms = self.load_ms(replicas, position)
+        started_at = monotonic_ns()
+        failure = await self.fetch_function(replicas.function, fetch_ms)
+        took_ms = (monotonic_ns() - started_at) / 1e6
+        self.write_record(
+            "fetched", runner=self.settings.name, model=replicas.function, failure=failure, took_ms=took_ms
+        )
         if not failure:
-            await anyio.sleep(starting / 1000)
-        if life != self.life:
+            await anyio.sleep(start_ms / 1000)
+        if incarnation != self.incarnation:
             return
-        self.fetched(copies, failure)
-        changed = self.changed.pop(copies, None)
-        if changed is not None:
-            changed.set()
-
-    async def bring(self, model: str, ms: float) -> str:
-        """Brings a model to the box; "" or the name of what failed."""
-        if self.part.agent is not None:
-            return await self.through_agent(model)
-        if self.host.depot is not None:
-            with anyio.move_on_after(LOAD_S):
-                return await self.whole(self.host.depot, model)
+        self.finish_load(replicas, failure)
+        ended = self.load_ended.pop(replicas, None)
+        if ended is not None:
+            ended.set()
+
+    async def fetch_function(self, function: str, fetch_ms: float) -> str:
+        """Fetches a function to the worker's machine; returns "" or the name of the failure."""
+        if self.settings.agent is not None:
+            return await self.fetch_through_agent(function)
+        if self.host.artifact_store is not None:
+            with anyio.move_on_after(LOAD_TIMEOUT_S):
+                return await self.fetch_whole(self.host.artifact_store, function)
             return "late"
-        vault = self.host.vault
-        if vault is None:
-            await anyio.sleep(ms / 1000)
+        timed_store = self.host.timed_store
+        if timed_store is None:
+            await anyio.sleep(fetch_ms / 1000)
             return ""
-        target = f"/models/{quote(model, safe='')}?ms={ms:.0f}".encode()
-        with anyio.move_on_after(LOAD_S):
-            exchange = await vault.exchange(http.request(b"GET", target, b"vault", []))
+        target = f"/models/{quote(function, safe='')}?ms={fetch_ms:.0f}".encode()
+        with anyio.move_on_after(LOAD_TIMEOUT_S):
+            exchange = await timed_store.exchange(http.request(b"GET", target, b"vault", []))
             if exchange.message is not None and exchange.message.status == 200:
                 return ""
         return "vault-away"
 
-    async def through_agent(self, model: str) -> str:
-        pool = self.host.agent(self.part)
-        body = msgspec.json.encode({"ref": model, "within_ms": LOAD_S * 1000 - 1000})
-        with anyio.move_on_after(LOAD_S):
+    async def fetch_through_agent(self, function: str) -> str:
+        """Fetches a function through the machine's agent; returns "" or the name of the failure."""
+        pool = self.host.agent_pool(self.settings)
+        body = msgspec.json.encode({"ref": function, "within_ms": LOAD_TIMEOUT_S * 1000 - 1000})
+        with anyio.move_on_after(LOAD_TIMEOUT_S):
             exchange = await pool.exchange(http.request(b"POST", b"/load", b"agent", [], body))
             message = exchange.message
             if message is None:
@@ -301,20 +356,22 @@
             if message.status == 200:
                 return ""
             try:
-                told = msgspec.json.decode(message.body)
-                return str(told.get("failure") or "agent-away")
+                failed_load = msgspec.json.decode(message.body)
+                return str(failed_load.get("failure") or "agent-away")
             except (msgspec.DecodeError, AttributeError):
                 return "agent-away"
         return "late"
 
-    async def whole(self, depot: Pool, model: str) -> str:
-        """The baseline: a model in one piece from the vault, checked, and asked for again as the vault
-        asks."""
+    async def fetch_whole(self, store: Pool, function: str) -> str:
+        """The baseline without agents: fetches all of a function from the store, verifies it, and retries as
+        the store says.
+        """
 
         async def get(path: str) -> bytes | str:
+            """Fetches a manifest or blob; returns its bytes, or the name of the failure."""
             for attempt in range(5):
                 request = http.request(b"GET", f"/v2/models/{path}".encode(), b"vault", [])
-                exchange = await depot.exchange(request)
+                exchange = await store.exchange(request)
                 message = exchange.message
                 if message is not None and message.status == 200:
                     digest = path.partition("sha256:")[2]
@@ -323,162 +380,181 @@
                 elif message is not None and message.status == 404:
                     return "missing"
                 wait = float(message.header(b"retry-after") or 0) if message else 0.0
-                await anyio.sleep((wait or 0.2 * 2**attempt) * self.chance.uniform(0.5, 1.5))
+                await anyio.sleep((wait or 0.2 * 2**attempt) * self.random.uniform(0.5, 1.5))
             return "vault-away"
 
-        manifest = await get(f"manifests/{quote(model, safe='')}.whole")
+        manifest = await get(f"manifests/{quote(function, safe='')}.whole")
         if isinstance(manifest, str):
             return manifest
         for layer in msgspec.json.decode(manifest)["layers"]:
-            listed = await get(f"blobs/{layer['digest']}")
-            if isinstance(listed, str):
-                return listed
-            for chunk in msgspec.json.decode(listed)["chunks"]:
+            chunk_list = await get(f"blobs/{layer['digest']}")
+            if isinstance(chunk_list, str):
+                return chunk_list
+            for chunk in msgspec.json.decode(chunk_list)["chunks"]:
                 piece = await get(f"blobs/{chunk[0]}")
                 if isinstance(piece, str):
                     return piece
         return ""
 
-    async def ordered(self, edge: str, model: str, load: bool, body: bytes) -> Reply:
+    async def handle_load_request(self, edge: str, function: str, load: bool, body: bytes) -> Reply:
+        """Answers a request to load replicas, to unload a function, or (for 0 copies) to count them."""
         try:
-            asked = msgspec.json.decode(body or b"{}", type=dict[str, Any]).get("parameters", {})
-            count = min(int(asked.get("copies", 1)), 16)
-            memory, lanes = float(asked.get("memory_mb", 0)), int(asked.get("lanes", 1))
+            parameters = msgspec.json.decode(body or b"{}", type=dict[str, Any]).get("parameters", {})
+            count = min(int(parameters.get("copies", 1)), 16)
+            memory_mb, lanes = float(parameters.get("memory_mb", 0)), int(parameters.get("lanes", 1))
         except (msgspec.DecodeError, ValueError, AttributeError, TypeError):
-            return plain(400, "parameters")
-        self.record(
-            "order" if load else "unload", runner=self.part.name, edge=edge, model=model, copies=count
+            return text_reply(400, "parameters")
+        self.write_record(
+            "order" if load else "unload", runner=self.settings.name, edge=edge, model=function, copies=count
         )
         if not load:
-            self.unload(model)
-            return self.told(plain(200))
-        copies = self.copies.get(model)
+            self.unload(function)
+            return self.add_report(text_reply(200))
+        replicas = self.replicas.get(function)
         if not count:
-            return self.stand(200, copies)
-        if self.draining:
-            return self.stand(503, copies)
-        if copies is None:
-            copies = self.known(model, self.host.offering_of(model), memory, lanes)
-        copies.touched = monotonic_ns()
-        failed, life = copies.failed, self.life
-        while copies.standing + copies.loading < count:
-            if not self.load(copies):
-                return self.stand(503, copies)
+            return self.replica_reply(200, replicas)
+        if self.is_draining:
+            return self.replica_reply(503, replicas)
+        if replicas is None:
+            replicas = self.replicas_of(function, self.host.request_class_of(function), memory_mb, lanes)
+        replicas.last_used_ns = monotonic_ns()
+        failed_before, incarnation = replicas.failed_loads, self.incarnation
+        while replicas.ready + replicas.loading < count:
+            if not self.start_load(replicas):
+                return self.replica_reply(503, replicas)
         with anyio.move_on_after(30):
-            while copies.standing < count and copies.failed == failed and life == self.life:
-                await self.changed.setdefault(copies, anyio.Event()).wait()
-        if copies.standing >= count:
-            return self.stand(200, copies)
-        failure = copies.why if copies.failed != failed else ""
-        return self.stand(503 if failure == "no-room" else 500, copies, failure)
-
-    def stand(self, status: int, copies: Copies | None, failure: str = "") -> Reply:
-        body = msgspec.json.encode({"copies": copies.standing if copies else 0})
+            while (
+                replicas.ready < count
+                and replicas.failed_loads == failed_before
+                and incarnation == self.incarnation
+            ):
+                await self.load_ended.setdefault(replicas, anyio.Event()).wait()
+        if replicas.ready >= count:
+            return self.replica_reply(200, replicas)
+        failure = replicas.last_failure if replicas.failed_loads != failed_before else ""
+        return self.replica_reply(503 if failure == "no-room" else 500, replicas, failure)
+
+    def replica_reply(self, status: int, replicas: FunctionReplicas | None, failure: str = "") -> Reply:
+        """A reply that tells the number of ready replicas."""
+        body = msgspec.json.encode({"copies": replicas.ready if replicas else 0})
         headers = [(b"content-type", b"application/json")]
         if failure:
-            headers.append((LOAD_FAILURE, failure.encode()))
-        return self.told(Reply(status, headers, body))
+            headers.append((LOAD_FAILURE_HEADER, failure.encode()))
+        return self.add_report(Reply(status, headers, body))
 
     # -- faults
 
-    async def play(self, fault: Fault) -> None:
-        self.record("fault", runner=self.part.name, kind=fault.kind, for_ms=fault.for_ms)
+    async def apply_fault(self, fault: Fault) -> None:
+        """Applies a fault for its duration."""
+        self.write_record("fault", runner=self.settings.name, kind=fault.kind, for_ms=fault.for_ms)
         match fault.kind:
             case "slow":
-                self.slow = fault.size
+                self.slow_factor = fault.size
                 await anyio.sleep(fault.for_ms / 1000)
-                self.slow = 1.0
+                self.slow_factor = 1.0
             case "ageing":
                 steps = 20
                 for step in range(steps):
-                    self.slow = 1 + (fault.size - 1) * step / steps
+                    self.slow_factor = 1 + (fault.size - 1) * step / steps
                     await anyio.sleep(fault.for_ms / 1000 / steps)
-                self.vanish()
+                self.crash()
             case "pause":
-                gate = self.gate = anyio.Event()
+                pause_ended = self.pause_ended = anyio.Event()
                 await anyio.sleep(fault.for_ms / 1000)
-                gate.set()
-                self.gate = None
+                pause_ended.set()
+                self.pause_ended = None
             case "drain":
-                self.draining = True
+                self.is_draining = True
             case "report_late":
-                self.report_delay = int(fault.size * 1e9)
+                self.report_delay_ns = int(fault.size * 1e9)
                 await anyio.sleep(fault.for_ms / 1000)
-                self.report_delay = 0
+                self.report_delay_ns = 0
             case "vanish":
-                self.vanish()
+                self.crash()
             case "start":
                 await self.start()
             case "release":
-                self.release(fault.models)
+                self.invalidate(fault.models)
             case "answer_lost" | "garbage":
-                attribute = "lost" if fault.kind == "answer_lost" else "garbage"
+                attribute = "lost_share" if fault.kind == "answer_lost" else "garbage_share"
                 setattr(self, attribute, fault.size)
                 await anyio.sleep(fault.for_ms / 1000)
                 setattr(self, attribute, 0.0)
             case "deaf":
-                self.deaf = True
+                self.is_unresponsive = True
                 await anyio.sleep(fault.for_ms / 1000)
-                self.deaf = False
+                self.is_unresponsive = False
 
 
-class HostProcess:
-    """Some runners in one process. Groups that drop repeats share their knowledge within it."""
+class WorkerHost:
+    """Some workers in one process. Groups that drop repeats share their knowledge within it."""
 
-    def __init__(self, settings: Host) -> None:
+    def __init__(self, settings: WorkerHostSettings) -> None:
         self.settings = settings
-        self.record = Recorder(settings.record)
-        self.offerings = {o.name: o for o in settings.offerings}
-        self.vault = (
+        self.write_record = RecordWriter(settings.record)
+        self.request_classes = {o.name: o for o in settings.offerings}
+        self.timed_store = (
             Pool(settings.vault.host, settings.vault.port, connection_limit=4096) if settings.vault else None
         )
         limits = http.MessageLimits(body_bytes=1 << 28)
-        depot = settings.depot
-        self.depot = Pool(depot.host, depot.port, connection_limit=4096, limits=limits) if depot else None
+        store = settings.depot
+        self.artifact_store = (
+            Pool(store.host, store.port, connection_limit=4096, limits=limits) if store else None
+        )
         self._agents: dict[str, Pool] = {}
-        self.runners = {part.name: Runner(part, self) for part in settings.runners}
-        self._marks: dict[Any, Marks] = {}
-        self._ways = 0
+        self.workers = {part.name: ScriptedWorker(part, self) for part in settings.runners}
+        self._deduplication: dict[Any, DeduplicationTable] = {}
+        self._attempt_count = 0
         self.group: TaskGroup
 
-    def agent(self, part: RunnerPart) -> Pool:
-        """The agent on a runner's box."""
-        assert part.agent is not None
-        if part.name not in self._agents:
-            self._agents[part.name] = Pool(part.agent.host, part.agent.port, connection_limit=256)
-        return self._agents[part.name]
-
-    def way(self) -> str:
-        """A name for one arrival of one hand-off."""
-        self._ways += 1
-        return f"{self.settings.runners[0].name}/{self._ways}"
-
-    def marks(self, part: RunnerPart, offering: OfferingPart) -> Marks | None:
-        if offering.effect != "deduplicated":
+    def agent_pool(self, settings: WorkerSettings) -> Pool:
+        """Connections to the agent on a worker's machine."""
+        assert settings.agent is not None
+        if settings.name not in self._agents:
+            self._agents[settings.name] = Pool(settings.agent.host, settings.agent.port, connection_limit=256)
+        return self._agents[settings.name]
+
+    def next_attempt_id(self) -> str:
+        """A name for one arrival of one attempt."""
+        self._attempt_count += 1
+        return f"{self.settings.runners[0].name}/{self._attempt_count}"
+
+    def deduplication_for(
+        self, settings: WorkerSettings, request_class: RequestClassSettings
+    ) -> DeduplicationTable | None:
+        """What a worker's group has run of a request class; None for a class that is not deduplicated."""
+        if request_class.effect != "deduplicated":
             return None
-        where = {"all": (), "zone": (part.zone,), "cell": (part.zone, part.cell)}[offering.group]
-        return self._marks.setdefault((offering.name, where), Marks())
+        scope = {"all": (), "zone": (settings.zone,), "cell": (settings.zone, settings.cell)}[
+            request_class.group
+        ]
+        return self._deduplication.setdefault((request_class.name, scope), DeduplicationTable())
 
-    def offering_of(self, model: str) -> OfferingPart:
-        """Models are named OFFERING.NUMBER; one that is not is taken for the first offering's."""
-        return self.offerings.get(model.rpartition(".")[0]) or self.settings.offerings[0]
+    def request_class_of(self, function: str) -> RequestClassSettings:
+        """Functions are named CLASS.NUMBER; any other name counts as one of the first class."""
+        return self.request_classes.get(function.rpartition(".")[0]) or self.settings.offerings[0]
 
-    async def play(self, fault: Fault) -> None:
-        await self.runners[fault.who].play(fault)
+    async def apply_fault(self, fault: Fault) -> None:
+        """Applies a fault to its worker."""
+        await self.workers[fault.who].apply_fault(fault)
 
-    async def run(self, then: Callable[[], None] | None = None) -> None:
+    async def run(self, when_ready: Callable[[], None] | None = None) -> None:
+        """Serves all workers and applies the faults; calls `when_ready` when they listen."""
         async with anyio.create_task_group() as group:
             self.group = group
-            for runner in self.runners.values():
-                listener, runner.port = await listen("127.0.0.1", runner.part.port)
-                runner.server = server(runner.handle, runner.part.connections)
-                group.start_soon(runner.server.serve, listener)
-                group.start_soon(runner.sweeps, runner.life)
-            ready(ports={name: runner.port for name, runner in self.runners.items()})
-            if then:
-                then()
-            await on_cue(await epoch(self.settings.epoch_ns), self.settings.faults, self.play)
-
-
-async def run(settings: Host) -> None:
-    await for_seconds(settings.seconds, HostProcess(settings).run)
+            for worker in self.workers.values():
+                listener, worker.port = await listen("127.0.0.1", worker.settings.port)
+                worker.server = make_server(worker.handle, worker.settings.connections)
+                group.start_soon(worker.server.serve, listener)
+                group.start_soon(worker.unload_idle_loop, worker.incarnation)
+            announce_ready(ports={name: worker.port for name, worker in self.workers.items()})
+            if when_ready:
+                when_ready()
+            await run_faults(
+                await wait_for_epoch(self.settings.epoch_ns), self.settings.faults, self.apply_fault
+            )
+
+
+async def run(settings: WorkerHostSettings) -> None:
+    """Runs the workers' process; `martenlead standin runner`."""
+    await run_for(settings.seconds, WorkerHost(settings).run)
--- a/martenlead/standins/settings.py
+++ b/martenlead/standins/settings.py
@@ -1,5 +1,8 @@
-"""What each stand-in is told, checked. Times are ms; `epoch_ns` is the day's begin on the monotonic
-clock: 0 waits for it on standard input, None begins at once."""
+"""Settings of the stand-ins, checked when they are read.
+
+Times are ms. `epoch_ns` is the start of the day on the monotonic clock: 0 waits for it on standard input,
+None starts at once.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +11,19 @@
 import msgspec
 
 
-class Part(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """A group of settings."""
+class Settings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
+    """Base class of groups of settings."""
+
 
+class Address(Settings, frozen=True, kw_only=True):
+    """Where a server listens."""
 
-class Peer(Part, frozen=True, kw_only=True):
     host: str = "127.0.0.1"
     port: int
 
 
-class OfferingPart(Part, frozen=True, kw_only=True):
-    """An offering as stand-ins need it: work and load of its tasks, and how repeats are dropped."""
+class RequestClassSettings(Settings, frozen=True, kw_only=True):
+    """A request class as stand-ins need it: work and load of its requests, and how repeats are dropped."""
 
     name: str
     share: float = 1
@@ -39,9 +44,8 @@
     zipf: float = 1.1
 
 
-class Fault(Part, frozen=True, kw_only=True):
-    """Something that goes wrong at one stand-in at `at_ms`, for `for_ms`; `size` is what its kind says it
-    is."""
+class Fault(Settings, frozen=True, kw_only=True):
+    """A fault of one stand-in, from `at_ms` on for `for_ms`; the meaning of `size` depends on `kind`."""
 
     at_ms: float
     kind: str
@@ -52,7 +56,9 @@
     models: list[str] = []
 
 
-class RunnerPart(Part, frozen=True, kw_only=True):
+class WorkerSettings(Settings, frozen=True, kw_only=True):
+    """One worker."""
+
     name: str
     port: int = 0
     zone: str = "zone"
@@ -69,45 +75,48 @@
     tells_warm: bool = True
     drops_waiting: bool = True
     connections: int = 1024
-    agent: Peer | None = None  # loads through it
+    agent: Address | None = None  # fetches functions through it
 
 
-class Host(Part, frozen=True, kw_only=True):
-    """One process that plays some runners."""
+class WorkerHostSettings(Settings, frozen=True, kw_only=True):
+    """A process that runs some workers."""
 
     epoch_ns: int | None = None
     seed: int = 1
     record: str | None = None
-    vault: Peer | None = None
-    depot: Peer | None = None  # models are fetched whole from there, where a runner has no agent
-    offerings: list[OfferingPart]
-    runners: list[RunnerPart]
+    vault: Address | None = None
+    depot: Address | None = None  # workers without an agent fetch whole functions there
+    offerings: list[RequestClassSettings]
+    runners: list[WorkerSettings]
     faults: list[Fault] = []
     seconds: float = 3600
 
 
-class Said(Part, frozen=True, kw_only=True):
-    """A line that the roster says at `at_ms`."""
+class ScheduledUpdate(Settings, frozen=True, kw_only=True):
+    """A change of an endpoint that the list publishes at `at_ms`."""
 
     at_ms: float
     line: dict[str, Any]
-    born_ms: float | None = None  # when the life began that the line tells of; its age follows
+    born_ms: float | None = None  # start of the endpoint's incarnation, from which its age follows
+
 
+class EndpointServerSettings(Settings, frozen=True, kw_only=True):
+    """The endpoint list's server: its first list, its updates, and its outages (`away`)."""
 
-class RosterPart(Part, frozen=True, kw_only=True):
     epoch_ns: int | None = None
     record: str | None = None
     port: int = 0
     lines: list[dict[str, Any]]
-    says: list[Said] = []
+    says: list[ScheduledUpdate] = []
     away: list[Fault] = []
     keep_alive_ms: float = 500
     seconds: float = 3600
 
 
-class VaultPart(Part, frozen=True, kw_only=True):
-    """A store that serves `pace` fetches at once at full speed, is slower with more, and turns away at
-    `most`."""
+class TimedStoreSettings(Settings, frozen=True, kw_only=True):
+    """A store that serves `pace` fetches at once at full speed, more of them more slowly, and rejects fetches
+    beyond `most`.
+    """
 
     epoch_ns: int | None = None
     record: str | None = None
@@ -121,10 +130,13 @@
     seconds: float = 3600
 
 
-class DepotPart(Part, frozen=True, kw_only=True):
-    """A vault of images in a layout. One fetch goes at `mb_s` at most and all together at `pace` times that;
-    each waits `delay_ms` first. At `most` it turns away, and when more than `fall_multiple` times `pace` are
-    wanted for `fall_ms` it stops for `down_ms`."""
+class ArtifactStoreSettings(Settings, frozen=True, kw_only=True):
+    """A store of images in a layout on disk.
+
+    One fetch runs at `mb_s` at most, all together at `pace` times that; each waits `delay_ms` first. With
+    `most` fetches under way the store rejects more, and after demand above `fall_multiple` times `pace`
+    for `fall_ms` it stops for `down_ms`.
+    """
 
     epoch_ns: int | None = None
     seed: int = 1
@@ -142,15 +154,20 @@
     seconds: float = 3600
 
 
-class CustomerPart(Part, frozen=True, kw_only=True):
+class TenantSettings(Settings, frozen=True, kw_only=True):
+    """A tenant and its share of the requests."""
+
     name: str
     share: float = 1
 
 
-class Mapping(Part, frozen=True, kw_only=True):
-    """How a trace becomes tasks. `speed` 60 plays an hour in a minute; `sample` is the share of its
-    functions, `durations` what theirs are multiplied with; `models` at most an offering, 0 for one a
-    function."""
+class TraceMapping(Settings, frozen=True, kw_only=True):
+    """How a trace becomes requests.
+
+    `speed` 60 plays an hour in a minute, `sample` is the share of the functions that are used, `durations`
+    is a factor for their durations. `models` is the largest number of functions per request class, 0 for
+    one per function of the trace.
+    """
 
     from_s: float = 0
     until_s: float | None = None
@@ -162,15 +179,15 @@
     models: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
-class Clients(Part, frozen=True, kw_only=True):
-    """Open-loop clients: tasks come at their own times, whatever becomes of those before."""
+class ClientsSettings(Settings, frozen=True, kw_only=True):
+    """Open-loop clients: requests are sent at their own times, independent of earlier ones."""
 
     epoch_ns: int | None = None
     seed: int = 1
     record: str | None = None
-    edges: list[Peer]
-    offerings: list[OfferingPart]
-    customers: list[CustomerPart] = []
+    edges: list[Address]
+    offerings: list[RequestClassSettings]
+    customers: list[TenantSettings] = []
     seconds: float
     rate_per_s: float
     retries: int = 2
@@ -179,7 +196,7 @@
     honours: float = 0.8
     slack_ms: float = 40
     structured: float = 0.2
-    expiry: bool = True  # the absolute time beside the relative one
-    trace: str | None = None  # tasks come as this file has them, and `rate_per_s` says nothing
-    mapping: Mapping = Mapping()
+    expiry: bool = True  # sends the absolute deadline beside the relative one
+    trace: str | None = None  # requests come from this file, and `rate_per_s` is not used
+    mapping: TraceMapping = TraceMapping()
     faults: list[Fault] = []
--- a/martenlead/standins/shelf.py
+++ b/martenlead/standins/shelf.py
@@ -1,8 +1,8 @@
-"""What one runner does with its copies, lanes, memory and loads, free of I/O: for sockets and virtual time.
+"""A worker's replicas, lanes, memory and loads, without I/O: for stand-ins and the simulator.
 
-Scaled down: a task's time is fixed when it begins, from its work, the runner's speed, how many run beside it
-and how cold it is. That keeps a fleet on one machine and leaves out what running tasks do to each other later
-on. Times are ns, work is ms.
+Simplified: a request's duration is fixed when it begins, by its work, the worker's speed, the number of
+requests that run beside it and how cold the worker is. So a fleet fits on one machine; how running
+requests slow each other down later is left out. Times are ns, work is ms.
 """
 
 from __future__ import annotations
@@ -12,198 +12,222 @@
 from random import Random
 from typing import Any
 
-from martenlead.standins.settings import OfferingPart, RunnerPart
+from martenlead.standins.settings import RequestClassSettings, WorkerSettings
 
 
-class Place:
-    """A task's place in the waiting room; `never` says why none will come."""
+class WaitingRequest:
+    """A request in a worker's queue; `load_failure` says why it gets no lane."""
 
-    __slots__ = ("go", "never", "taken")
+    __slots__ = ("is_settled", "load_failure", "wakeup")
 
-    def __init__(self, go: Any) -> None:
-        self.go = go  # whoever waits there is woken by the shelf's owner
-        self.taken = False  # it has a lane, or none will come
-        self.never = ""
+    def __init__(self, wakeup: Any) -> None:
+        self.wakeup = wakeup  # the owner of the cache wakes who waits for it
+        self.is_settled = False  # True once the request has a lane or its load has failed
+        self.load_failure = ""
 
 
-class Copies:
-    """What one runner has of one model."""
+class FunctionReplicas:
+    """The replicas that a worker has of one function, and the requests that wait for them."""
+
+    def __init__(
+        self, function: str, request_class: RequestClassSettings, memory_mb: float, lanes: int, now_ns: int
+    ) -> None:
+        self.function, self.request_class, self.memory_mb, self.lanes = (
+            function,
+            request_class,
+            memory_mb,
+            lanes,
+        )
+        self.ready = self.loading = self.running = 0
+        self.last_used_ns = now_ns
+        self.queue: deque[WaitingRequest] = deque()
+        self.failed_loads = 0
+        self.last_failure = ""  # why the last load failed
 
-    def __init__(self, model: str, offering: OfferingPart, memory: float, lanes: int, now: int) -> None:
-        self.model, self.offering, self.memory, self.lanes = model, offering, memory, lanes
-        self.standing = self.loading = self.running = 0
-        self.touched = now
-        self.waiting: deque[Place] = deque()
-        self.failed = 0
-        self.why = ""  # the last load failed
 
+class ReplicaCache:
+    """A worker's replicas; the owner does the waiting and fetching.
 
-class Shelf:
-    """Its owner gives `wake` a place whose turn has come and `fetch` a load that begins (with its place among
-    the loads), and calls `fetched` when that has ended."""
+    The owner gives `wake_request`, called with a request that has a lane or whose load failed, and
+    `start_fetch`, called with a load that begins and its position among the active loads. It calls
+    `finish_load` when the load has ended.
+    """
 
     def __init__(
         self,
-        part: RunnerPart,
+        settings: WorkerSettings,
         clock: Callable[[], int],
-        chance: Random,
-        wake: Callable[[Place], None],
-        fetch: Callable[[Copies, int], None],
+        random: Random,
+        wake_request: Callable[[WaitingRequest], None],
+        start_fetch: Callable[[FunctionReplicas, int], None],
     ) -> None:
-        self.part, self.clock, self.chance = part, clock, chance
-        self.wake, self.fetch = wake, fetch
-        self.copies: dict[str, Copies] = {}
-        self.loads = self.running = self.waiting = 0
-        self.draining = False
-        self.started = -1 << 62  # warm from long ago
-        self.slow = 1.0
-
-    def empty(self, started: int) -> None:
-        """A new life of the process: cold and empty."""
-        self.copies.clear()
-        self.loads = self.running = self.waiting = 0
-        self.draining, self.slow, self.started = False, 1.0, started
-
-    def sweep(self) -> None:
-        """Unloads what has lain idle."""
+        self.settings, self.clock, self.random = settings, clock, random
+        self.wake_request, self.start_fetch = wake_request, start_fetch
+        self.replicas: dict[str, FunctionReplicas] = {}
+        self.active_loads = self.running_count = self.waiting_count = 0
+        self.is_draining = False
+        self.started_at = -1 << 62  # long ago: the worker is warm
+        self.slow_factor = 1.0
+
+    def reset(self, started_at: int) -> None:
+        """Begins a new incarnation: cold and empty."""
+        self.replicas.clear()
+        self.active_loads = self.running_count = self.waiting_count = 0
+        self.is_draining, self.slow_factor, self.started_at = False, 1.0, started_at
+
+    def unload_idle(self) -> None:
+        """Unloads functions that have been idle for the keep-alive time."""
         now = self.clock()
-        for model, copies in list(self.copies.items()):
-            if copies.running or copies.waiting or copies.loading:
-                copies.touched = now
-            elif now - copies.touched > self.part.keep_ms * 1e6:
-                del self.copies[model]
-
-    def capacity(self) -> float:
-        """Share of its full speed: a runner that has just started is cold."""
-        age = (self.clock() - self.started) / 1e6 / self.part.cold_ms
-        return 1.0 if age >= 1 else self.part.cold_from + (1 - self.part.cold_from) * age
-
-    def lasts_ms(self, work_ms: float) -> float:
-        """How long a task of so much work takes that begins now, itself counted among what runs."""
-        crowd = max(1.0, self.running / self.part.cores)
-        took = work_ms * self.chance.uniform(0.9, 1.1) * crowd
-        return took * self.slow / self.part.speed / self.capacity()
+        for function, replicas in list(self.replicas.items()):
+            if replicas.running or replicas.queue or replicas.loading:
+                replicas.last_used_ns = now
+            elif now - replicas.last_used_ns > self.settings.keep_ms * 1e6:
+                del self.replicas[function]
+
+    def speed_share(self) -> float:
+        """Present share of the full speed: a worker that has just started is cold."""
+        age = (self.clock() - self.started_at) / 1e6 / self.settings.cold_ms
+        return 1.0 if age >= 1 else self.settings.cold_from + (1 - self.settings.cold_from) * age
+
+    def work_duration_ms(self, work_ms: float) -> float:
+        """How long a request of this work takes that begins now and is already counted as running."""
+        load = max(1.0, self.running_count / self.settings.cores)
+        duration_ms = work_ms * self.random.uniform(0.9, 1.1) * load
+        return duration_ms * self.slow_factor / self.settings.speed / self.speed_share()
 
     def used_mb(self) -> float:
-        return sum(c.memory * (c.standing + c.loading) for c in self.copies.values())
-
-    # -- tasks
-
-    def enter(
-        self, model: str, offering: OfferingPart, memory: float, lanes: int
-    ) -> tuple[Copies | None, bytes, tuple[int, str] | None]:
-        """What a task meets: the copies that it may wait for, what it tells of them, or the refusal."""
-        copies = self.copies.get(model)
-        copy = b"warm"
-        if copies is None or not copies.standing:
-            if copies is not None and copies.loading:
-                copy = b"waited"
+        """Memory of all replicas, also of those that are loading."""
+        return sum(c.memory_mb * (c.ready + c.loading) for c in self.replicas.values())
+
+    # -- requests
+
+    def admit(
+        self, function: str, request_class: RequestClassSettings, memory_mb: float, lanes: int
+    ) -> tuple[FunctionReplicas | None, bytes, tuple[int, str] | None]:
+        """Returns the replicas that a request may wait for or None, the state it found them in, and the
+        rejection.
+        """
+        replicas = self.replicas.get(function)
+        warmth = b"warm"
+        if replicas is None or not replicas.ready:
+            if replicas is not None and replicas.loading:
+                warmth = b"waited"
             else:
-                if not self.part.loads_on_miss:
-                    return None, copy, (404, "missing")
-                copies = self.known(model, offering, memory, lanes)
-                copy = b"began"
-                if not self.load(copies):
-                    return None, copy, (503, "no room for a load")
-        if self.waiting >= self.part.queue:
-            return None, copy, (503, "full")
-        return copies, copy, None
-
-    def wait(self, copies: Copies, place: Place) -> None:
-        copies.waiting.append(place)
-        self.waiting += 1
-        self.begin_next(copies)
-
-    def leave(self, copies: Copies, place: Place) -> None:
-        """It waits no longer."""
-        copies.waiting.remove(place)
-        self.waiting -= 1
-
-    def end(self, copies: Copies) -> None:
-        copies.running -= 1
-        self.running -= 1
-        copies.touched = self.clock()
-        self.begin_next(copies)
-
-    def begin_next(self, copies: Copies) -> None:
-        while copies.waiting and copies.running < copies.lanes * copies.standing:
-            copies.running += 1
-            self.running += 1
-            self.waiting -= 1
-            place = copies.waiting.popleft()
-            place.taken = True
-            self.wake(place)
-
-    # -- copies
-
-    def known(self, model: str, offering: OfferingPart, memory: float, lanes: int) -> Copies:
-        if model not in self.copies:
-            self.copies[model] = Copies(model, offering, memory, lanes, self.clock())
-        return self.copies[model]
-
-    def load(self, copies: Copies) -> bool:
-        """Begins a load, if there is room and a place among the loads."""
-        if self.loads >= 3 * self.part.loads_at_once or not self.make_room(copies.memory):
+                if not self.settings.loads_on_miss:
+                    return None, warmth, (404, "missing")
+                replicas = self.replicas_of(function, request_class, memory_mb, lanes)
+                warmth = b"began"
+                if not self.start_load(replicas):
+                    return None, warmth, (503, "no room for a load")
+        if self.waiting_count >= self.settings.queue:
+            return None, warmth, (503, "full")
+        return replicas, warmth, None
+
+    def enqueue(self, replicas: FunctionReplicas, waiting: WaitingRequest) -> None:
+        """Queues a request, and starts it if a lane is free."""
+        replicas.queue.append(waiting)
+        self.waiting_count += 1
+        self.start_next(replicas)
+
+    def dequeue(self, replicas: FunctionReplicas, waiting: WaitingRequest) -> None:
+        """Removes a request that has not begun from the queue."""
+        replicas.queue.remove(waiting)
+        self.waiting_count -= 1
+
+    def finish(self, replicas: FunctionReplicas) -> None:
+        """Frees the lane of a request that has ended."""
+        replicas.running -= 1
+        self.running_count -= 1
+        replicas.last_used_ns = self.clock()
+        self.start_next(replicas)
+
+    def start_next(self, replicas: FunctionReplicas) -> None:
+        """Starts waiting requests while there are free lanes."""
+        while replicas.queue and replicas.running < replicas.lanes * replicas.ready:
+            replicas.running += 1
+            self.running_count += 1
+            self.waiting_count -= 1
+            waiting = replicas.queue.popleft()
+            waiting.is_settled = True
+            self.wake_request(waiting)
+
+    # -- replicas
+
+    def replicas_of(
+        self, function: str, request_class: RequestClassSettings, memory_mb: float, lanes: int
+    ) -> FunctionReplicas:
+        """The replicas of a function, created if there are none."""
+        if function not in self.replicas:
+            self.replicas[function] = FunctionReplicas(
+                function, request_class, memory_mb, lanes, self.clock()
+            )
+        return self.replicas[function]
+
+    def start_load(self, replicas: FunctionReplicas) -> bool:
+        """Starts a load; returns False if memory or the number of loads doesn't allow it."""
+        if self.active_loads >= 3 * self.settings.loads_at_once or not self.make_room(replicas.memory_mb):
             return False
-        copies.loading += 1
-        self.loads += 1
-        self.fetch(copies, self.loads)
+        replicas.loading += 1
+        self.active_loads += 1
+        self.start_fetch(replicas, self.active_loads)
         return True
 
-    def load_ms(self, copies: Copies, ahead: int) -> tuple[float, float]:
-        """How long a load takes: its fetch at full pace, and its start."""
-        offering = copies.offering
-        spread = Random(f"{copies.model}").uniform(0.8, 1.2)
-        total = offering.load_ms * spread * max(1.0, ahead / self.part.loads_at_once)
-        return total * offering.fetch_share, total * (1 - offering.fetch_share)
+    def load_ms(self, replicas: FunctionReplicas, position: int) -> tuple[float, float]:
+        """How long a load takes: its fetch at full speed, and the replica's start."""
+        request_class = replicas.request_class
+        spread = Random(f"{replicas.function}").uniform(0.8, 1.2)
+        total_ms = request_class.load_ms * spread * max(1.0, position / self.settings.loads_at_once)
+        return total_ms * request_class.fetch_share, total_ms * (1 - request_class.fetch_share)
 
-    def make_room(self, memory: float) -> bool:
+    def make_room(self, memory_mb: float) -> bool:
+        """Unloads the replicas that were unused for longest until the memory suffices; False if it can't."""
         idle = sorted(
-            (c for c in self.copies.values() if not c.running and not c.waiting and c.standing),
-            key=lambda c: c.touched,
+            (c for c in self.replicas.values() if not c.running and not c.queue and c.ready),
+            key=lambda c: c.last_used_ns,
         )
         used = self.used_mb()
-        while used + memory > self.part.memory_mb:
+        while used + memory_mb > self.settings.memory_mb:
             if not idle:
                 return False
             oldest = idle.pop(0)
-            used -= oldest.memory * oldest.standing
-            oldest.standing = 0
+            used -= oldest.memory_mb * oldest.ready
+            oldest.ready = 0
             if not oldest.loading:
-                self.copies.pop(oldest.model, None)
+                self.replicas.pop(oldest.function, None)
         return True
 
-    def fetched(self, copies: Copies, failure: str) -> None:
-        """A load has ended; `failure` names why it failed, "" for one that did not."""
-        self.loads -= 1
-        copies.loading -= 1
+    def finish_load(self, replicas: FunctionReplicas, failure: str) -> None:
+        """Ends a load; `failure` names why it failed, "" if it didn't."""
+        self.active_loads -= 1
+        replicas.loading -= 1
         if not failure:
-            copies.standing += 1
-            copies.touched = self.clock()
-            self.begin_next(copies)
+            replicas.ready += 1
+            replicas.last_used_ns = self.clock()
+            self.start_next(replicas)
             return
-        copies.failed += 1
-        copies.why = failure
-        if not copies.standing and not copies.loading:
-            while copies.waiting:
-                self.waiting -= 1
-                place = copies.waiting.popleft()
-                place.never, place.taken = failure, True
-                self.wake(place)
-            self.copies.pop(copies.model, None)
-
-    def unload(self, model: str) -> None:
-        copies = self.copies.get(model)
-        if copies is not None and not copies.running and not copies.waiting:
-            copies.standing = 0
-
-    def release(self, models: list[str]) -> None:
-        """What it holds of them is of yesterday."""
-        for model in models:
-            copies = self.copies.get(model)
-            if copies is not None and not copies.loading:
-                copies.standing = 0
-                if copies.waiting:
-                    self.load(copies)
-                elif not copies.running:
-                    self.copies.pop(model, None)
+        replicas.failed_loads += 1
+        replicas.last_failure = failure
+        if not replicas.ready and not replicas.loading:
+            while replicas.queue:
+                self.waiting_count -= 1
+                waiting = replicas.queue.popleft()
+                waiting.load_failure, waiting.is_settled = failure, True
+                self.wake_request(waiting)
+            self.replicas.pop(replicas.function, None)
+
+    def unload(self, function: str) -> None:
+        """Unloads a function that no request uses."""
+        replicas = self.replicas.get(function)
+        if replicas is not None and not replicas.running and not replicas.queue:
+            replicas.ready = 0
+
+    def invalidate(self, functions: list[str]) -> None:
+        """Discards the replicas of functions that have a new release."""
+        for function in functions:
+            replicas = self.replicas.get(function)
+            if replicas is not None and not replicas.loading:
+                replicas.ready = 0
+                if replicas.queue:
+                    self.start_load(replicas)
+                elif not replicas.running:
+                    self.replicas.pop(function, None)
--- a/martenlead/standins/traced.py
+++ b/martenlead/standins/traced.py
@@ -1,7 +1,8 @@
-"""Tasks from a trace: its functions as models, its owners as customers, its time as short as is wanted.
+"""Requests from a trace: its functions, its owners as tenants, its times scaled. For stand-ins and the
+simulator.
 
-For the stand-in clients and for virtual time alike. What a function is, is settled by a hash of its name and
-nothing else, so the same trace gives the same tasks in both.
+The request class and name of a function depend only on a hash of its name in the trace, so a trace gives
+both the same requests.
 """
 
 from __future__ import annotations
@@ -13,59 +14,72 @@
 
 import xxhash
 
-from martenlead.standins.demand import Call
-from martenlead.standins.settings import Clients, Mapping, OfferingPart
+from martenlead.standins.demand import ClientRequest
+from martenlead.standins.settings import ClientsSettings, RequestClassSettings, TraceMapping
 
-SECOND = 1_000_000_000
+NS_PER_S = 1_000_000_000
 
 
-def part(name: str, salt: str) -> float:
-    """In [0, 1), the same for a name always."""
+def hash_share(name: str, salt: str) -> float:
+    """A number in [0, 1) that is always the same for a name."""
     return float(xxhash.xxh3_64_intdigest(f"{salt}:{name}".encode()) / 2**64)
 
 
-class Traced:
-    def __init__(self, settings: Clients, mapping: Mapping, clock: Callable[[], int]) -> None:
+class TraceRequests:
+    """The requests of a trace under a mapping."""
+
+    def __init__(self, settings: ClientsSettings, mapping: TraceMapping, clock: Callable[[], int]) -> None:
         self.settings, self.mapping, self.clock = settings, mapping, clock
-        self.shares = list(itertools.accumulate(o.share for o in settings.offerings))
-        self.customers = list(itertools.accumulate(c.share for c in settings.customers))
-        self.made: dict[str, tuple[OfferingPart, str]] = {}
-        self.count = itertools.count(1)
+        self.cumulative_shares = list(itertools.accumulate(o.share for o in settings.offerings))
+        self.cumulative_tenant_shares = list(itertools.accumulate(c.share for c in settings.customers))
+        self.functions: dict[str, tuple[RequestClassSettings, str]] = {}
+        self.numbers = itertools.count(1)
 
-    def calls(self) -> Iterator[tuple[float, Callable[[], Call]]]:
-        """When each task comes, ms from the day's begin, and how to make it then. Raises `TraceError`."""
-        from martenlead.traces.store import read_trace  # only here: it takes a while to import
+    def requests(self) -> Iterator[tuple[float, Callable[[], ClientRequest]]]:
+        """Each request's time in ms since the start of the day, and a function that makes it then. Raises
+        `TraceError`.
+        """
+        from martenlead.traces.store import read_trace  # imported here, as it is slow to import
 
         mapping = self.mapping
-        begin = int(mapping.from_s * SECOND)
-        end = None if mapping.until_s is None else int(mapping.until_s * SECOND)
+        begin = int(mapping.from_s * NS_PER_S)
+        end = None if mapping.until_s is None else int(mapping.until_s * NS_PER_S)
         assert self.settings.trace is not None
-        for one in read_trace(Path(self.settings.trace), begin, end):
-            if mapping.sample < 1 and part(one.function, "sample") >= mapping.sample:
+        for invocation in read_trace(Path(self.settings.trace), begin, end):
+            if mapping.sample < 1 and hash_share(invocation.function, "sample") >= mapping.sample:
                 continue
-            at = (one.start_ns - begin) / 1e6 / mapping.speed
-            if at > self.settings.seconds * 1000:
+            at_ms = (invocation.start_ns - begin) / 1e6 / mapping.speed
+            if at_ms > self.settings.seconds * 1000:
                 return
-            took_ms = min(mapping.most_ms, max(mapping.least_ms, one.duration_ns / 1e6 * mapping.durations))
-            yield at, lambda o=one, t=took_ms: self.call(o.function, o.owner, t)  # type: ignore[misc]
+            took_ms = min(
+                mapping.most_ms, max(mapping.least_ms, invocation.duration_ns / 1e6 * mapping.durations)
+            )
+            yield at_ms, lambda o=invocation, t=took_ms: self.make_request(o.function, o.owner, t)  # type: ignore[misc]
 
-    def call(self, function: str, owner: str, took_ms: float) -> Call:
-        if function not in self.made:
-            self.made[function] = self.model(function)
-        offering, model = self.made[function]
-        customer = None
-        if self.customers:
-            at = bisect_right(self.customers, part(owner, "customer") * self.customers[-1])
-            customer = self.settings.customers[min(at, len(self.customers) - 1)].name
-        until = self.clock() + int(offering.hard_limit_ms * 1e6)
-        return Call(next(self.count), offering, model, customer, took_ms, until)
+    def make_request(self, function: str, owner: str, cost_ms: float) -> ClientRequest:
+        """A request that is sent now."""
+        if function not in self.functions:
+            self.functions[function] = self.assign_function(function)
+        request_class, function_name = self.functions[function]
+        tenant = None
+        if self.cumulative_tenant_shares:
+            index = bisect_right(
+                self.cumulative_tenant_shares,
+                hash_share(owner, "customer") * self.cumulative_tenant_shares[-1],
+            )
+            tenant = self.settings.customers[min(index, len(self.cumulative_tenant_shares) - 1)].name
+        deadline = self.clock() + int(request_class.hard_limit_ms * 1e6)
+        return ClientRequest(next(self.numbers), request_class, function_name, tenant, cost_ms, deadline)
 
-    def model(self, function: str) -> tuple[OfferingPart, str]:
-        offerings = self.settings.offerings
-        at = bisect_right(self.shares, part(function, "offering") * self.shares[-1])
-        offering = offerings[min(at, len(offerings) - 1)]
+    def assign_function(self, function: str) -> tuple[RequestClassSettings, str]:
+        """The request class and the name that a function of the trace is given."""
+        request_classes = self.settings.offerings
+        index = bisect_right(
+            self.cumulative_shares, hash_share(function, "offering") * self.cumulative_shares[-1]
+        )
+        request_class = request_classes[min(index, len(request_classes) - 1)]
         if self.mapping.models:
-            name = str(int(part(function, "model") * self.mapping.models))
+            name = str(int(hash_share(function, "model") * self.mapping.models))
         else:
             name = f"{xxhash.xxh3_64_intdigest(function.encode()):016x}"
-        return offering, f"{offering.name}.{name}"
+        return request_class, f"{request_class.name}.{name}"
--- a/martenlead/standins/vault.py
+++ b/martenlead/standins/vault.py
@@ -1,5 +1,6 @@
-"""The store that models are fetched from: slows when crowded, turns away past a limit, stops when pushed too
-far."""
+"""An artifact store that simulates fetches by their duration: it slows down under load, rejects requests
+beyond a limit, and stops when overloaded.
+"""
 
 from __future__ import annotations
 
@@ -10,56 +11,70 @@
 
 from martenlead.events.http import Message
 from martenlead.events.server import Reply, listen
-from martenlead.standins.crowding import Fall
-from martenlead.standins.life import epoch, for_seconds, on_cue, plain, ready, server
-from martenlead.standins.record import Recorder
-from martenlead.standins.settings import Fault, VaultPart
+from martenlead.standins.crowding import OverloadDetector
+from martenlead.standins.life import (
+    announce_ready,
+    make_server,
+    run_faults,
+    run_for,
+    text_reply,
+    wait_for_epoch,
+)
+from martenlead.standins.record import RecordWriter
+from martenlead.standins.settings import Fault, TimedStoreSettings
 
 
-class Vault:
-    def __init__(self, part: VaultPart) -> None:
-        self.part = part
-        self.record = Recorder(part.record)
-        self.active = 0
+class TimedStore:
+    """Serves `GET /models/NAME?ms=N` with the duration of a fetch and no data."""
+
+    def __init__(self, settings: TimedStoreSettings) -> None:
+        self.settings = settings
+        self.write_record = RecordWriter(settings.record)
+        self.active_fetches = 0
         self.down_until = 0
-        self.fall = Fall(part.fall_multiple, part.fall_ms)
+        self.overload = OverloadDetector(settings.fall_multiple, settings.fall_ms)
 
     async def handle(self, message: Message, now: int) -> Reply:
-        """`GET /models/NAME?ms=N`: N ms of fetching at full pace."""
-        part = self.part
-        model = message.target.split(b"?")[0].rsplit(b"/", 1)[-1].decode()
-        asked = float(parse_qs(message.target.partition(b"?")[2].decode()).get("ms", ["0"])[0])
-        crowd = self.active / part.pace
-        if self.fall.pushed_over(now, crowd):
-            self.down_until = now + int(part.down_ms * 1e6)
-        if now < self.down_until or self.active >= part.most:
-            self.record("turned away", model=model, active=self.active)
-            return plain(503, "crowded")
-        self.record("fetch", model=model, active=self.active)
-        self.active += 1
+        """`GET /models/NAME?ms=N`: N ms of fetching at full speed."""
+        settings = self.settings
+        function = message.target.split(b"?")[0].rsplit(b"/", 1)[-1].decode()
+        fetch_ms = float(parse_qs(message.target.partition(b"?")[2].decode()).get("ms", ["0"])[0])
+        load = self.active_fetches / settings.pace
+        if self.overload.is_overloaded(now, load):
+            self.down_until = now + int(settings.down_ms * 1e6)
+        if now < self.down_until or self.active_fetches >= settings.most:
+            self.write_record("turned away", model=function, active=self.active_fetches)
+            return text_reply(503, "crowded")
+        self.write_record("fetch", model=function, active=self.active_fetches)
+        self.active_fetches += 1
         try:
-            left = asked / 1000
-            while left > 0:
-                step = min(left, 0.05)
-                await anyio.sleep(step * max(1.0, self.active / part.pace))
-                left -= step
+            left_s = fetch_ms / 1000
+            while left_s > 0:
+                step = min(left_s, 0.05)
+                await anyio.sleep(step * max(1.0, self.active_fetches / settings.pace))
+                left_s -= step
                 if monotonic_ns() < self.down_until:
-                    return plain(503, "stopped")
+                    return text_reply(503, "stopped")
         finally:
-            self.active -= 1
-        return plain(200, "model")
+            self.active_fetches -= 1
+        return text_reply(200, "model")
 
-    async def play(self, fault: Fault) -> None:
+    async def apply_fault(self, fault: Fault) -> None:
+        """Stops the store for the fault's duration."""
         self.down_until = monotonic_ns() + int(fault.for_ms * 1e6)
-        self.record("down", for_ms=fault.for_ms)
+        self.write_record("down", for_ms=fault.for_ms)
 
     async def run(self) -> None:
-        listener, port = await listen("127.0.0.1", self.part.port)
-        ready(port=port)
+        """Serves fetches and applies the faults."""
+        listener, port = await listen("127.0.0.1", self.settings.port)
+        announce_ready(port=port)
         async with anyio.create_task_group() as group:
-            group.start_soon(server(self.handle).serve, listener)
-            await on_cue(await epoch(self.part.epoch_ns), self.part.faults, self.play)
+            group.start_soon(make_server(self.handle).serve, listener)
+            await run_faults(
+                await wait_for_epoch(self.settings.epoch_ns), self.settings.faults, self.apply_fault
+            )
 
 
-async def run(part: VaultPart) -> None:
-    await for_seconds(part.seconds, Vault(part).run)
+async def run(settings: TimedStoreSettings) -> None:
+    """Runs the store's process; `martenlead standin vault`."""
+    await run_for(settings.seconds, TimedStore(settings).run)
