--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -119,7 +119,7 @@
 faults.add("bind", errno.EACCES)
 with faults.installed():
     status = main()
-sys.exit(status if faults.failed["bind"] == 1 else 99)
+sys.exit(status if faults.failure_counts["bind"] == 1 else 99)
 """
 
 
