--- a/martenlead/emulator/box.py
+++ b/martenlead/emulator/box.py
@@ -365,30 +365,30 @@
         self.record("order", runner=self.name, edge=edge.name, model=function, copies=count)
         replicas = self.replicas.get(function)
         if not count:
-            return Result.SUCCEEDED, replicas.standing if replicas else 0, self.is_draining
+            return Result.SUCCEEDED, replicas.ready if replicas else 0, self.is_draining
         if self.is_draining:
-            return Result.AT_CAPACITY, replicas.standing if replicas else 0, True
+            return Result.AT_CAPACITY, replicas.ready if replicas else 0, True
         if replicas is None:
             replicas = self.replicas_of(function, self.fleet.request_class_of(function), memory, lanes)
-        replicas.touched = kernel.now
-        failed, incarnation = replicas.failed, self.incarnation
-        while replicas.standing + replicas.loading < count:
+        replicas.last_used_ns = kernel.now
+        failed, incarnation = replicas.failed_loads, self.incarnation
+        while replicas.ready + replicas.loading < count:
             if not self.start_load(replicas):
-                return Result.AT_CAPACITY, replicas.standing, self.is_draining
+                return Result.AT_CAPACITY, replicas.ready, self.is_draining
         until = kernel.now + LOAD_NS
         while (
-            replicas.standing < count
-            and replicas.failed == failed
+            replicas.ready < count
+            and replicas.failed_loads == failed
             and incarnation == self.incarnation
             and kernel.now < until
         ):
             yield self.replica_signals.setdefault(replicas, Signal()), until - kernel.now
         if incarnation != self.incarnation:
             return Result.CONNECTION_LOST, 0, False
-        if replicas.standing >= count:
-            return Result.SUCCEEDED, replicas.standing, self.is_draining
-        no_room = replicas.failed != failed and replicas.why == "no-room"
-        return Result.AT_CAPACITY if no_room else Result.ERROR, replicas.standing, self.is_draining
+        if replicas.ready >= count:
+            return Result.SUCCEEDED, replicas.ready, self.is_draining
+        no_room = replicas.failed_loads != failed and replicas.last_failure == "no-room"
+        return Result.AT_CAPACITY if no_room else Result.ERROR, replicas.ready, self.is_draining
 
     # -- start, crash and faults
 
--- a/martenlead/emulator/fleet.py
+++ b/martenlead/emulator/fleet.py
@@ -290,11 +290,11 @@
     def _run_client_attempt(self, call: ClientRequest, chance: Random) -> Steps:
         kernel, record = self.kernel, self.client_records
         attempt = self.demand.next_try(call, chance)
-        leaves = attempt.leaves if attempt.leaves < attempt.give_up else None
+        leaves = attempt.leaves_at if attempt.leaves_at < attempt.gives_up_at else None
         fields = {"try": attempt.name, "id": str(call.number), "edge": attempt.edge}
         record(
             "sent",
-            give_up=attempt.give_up,
+            give_up=attempt.gives_up_at,
             offering=call.request_class.name,
             model=call.function,
             customer=call.tenant,
@@ -307,7 +307,7 @@
         edge = self.edges[attempt.edge]
         kernel.call_later(self.client_latency_ns, edge.receive_request, exchange)
         slack = 0 if leaves is not None else ms_to_ns(self.clients.slack_ms)
-        if not (yield exchange.done, max(0, attempt.leaves - kernel.now) + slack):
+        if not (yield exchange.done, max(0, attempt.leaves_at - kernel.now) + slack):
             exchange.is_open = False
             kernel.call_later(self.client_latency_ns, edge.handle_client_disconnect, exchange)
             what = "left" if leaves is not None else "no answer"
--- a/martenlead/emulator/policies.py
+++ b/martenlead/emulator/policies.py
@@ -196,13 +196,13 @@
             speed = part.speed * emulated_worker.speed_share() / emulated_worker.slow_factor
             concurrent = emulated_worker.running_count + emulated_worker.waiting_count + 1
             takes = work * max(1.0, concurrent / part.cores) / speed
-            if replicas is None or not (replicas.standing or replicas.loading):
+            if replicas is None or not (replicas.ready or replicas.loading):
                 load_ms = fleet.request_class_of(fleet.function_names[request.function]).load_ms
                 return takes + load_ms / 1000 * (1 + emulated_worker.active_loads)
-            if not replicas.standing:
-                takes += fleet.request_class_of(replicas.model).load_ms / 2000
-            queued = len(replicas.waiting) + max(
-                0, replicas.running + 1 - replicas.lanes * max(1, replicas.standing)
+            if not replicas.ready:
+                takes += fleet.request_class_of(replicas.function).load_ms / 2000
+            queued = len(replicas.queue) + max(
+                0, replicas.running + 1 - replicas.lanes * max(1, replicas.ready)
             )
             return takes + queued * takes / max(1, replicas.lanes)
 
--- a/tests/test_wall_clock_contract.py
+++ b/tests/test_wall_clock_contract.py
@@ -41,7 +41,7 @@
     "layers/cache.py Cache._scan st_mtime_ns": "reads that time for its order alone",
     "layers/image.py _format_now wall_ns": "when an image was made, as its format asks for",
     "standins/client.py ScriptedClients.send_try wall_ns": "a client's `expirytime` is a Unix time",
-    "standins/depot.py ArtifactStore.read_index st_mtime_ns": "compared for equality, to detect a replaced file",
+    "standins/depot.py ArtifactStore.read_index st_mtime_ns": "compared to detect a replaced file",
 }
 
 
