--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -58,9 +58,9 @@
     without = process_time() - began
     pair = EdgePlannerSimulation(workers=20)
     spent = 0.0
-    run_planner = pair.planner
+    planner = pair.planner
     for name in ("receive_message", "poll"):
-        inner = getattr(run_planner, name)
+        inner = getattr(planner, name)
 
         def timed(*args: Any, inner: Any = inner) -> Any:
             """Calls the planner and adds the time spent."""
@@ -71,7 +71,7 @@
             finally:
                 spent += perf_counter() - began
 
-        setattr(run_planner, name, timed)
+        setattr(planner, name, timed)
     pair.connect()
     began = process_time()
     drive(pair, rate, seconds, 60)
--- a/support/planned.py
+++ b/support/planned.py
@@ -54,11 +54,11 @@
 @asynccontextmanager
 async def run_planner(port: int = 0, **settings: Any) -> AsyncIterator[tuple[Planner, int]]:
     """Runs a planner; yields it and its port."""
-    run_planner = Planner(decode(settings, PlannerSettings, "test"))
+    planner = Planner(decode(settings, PlannerSettings, "test"))
     listener, port = await listen("127.0.0.1", port)
     async with anyio.create_task_group() as group:
-        group.start_soon(run_planner.run, listener)
-        yield run_planner, port
+        group.start_soon(planner.run, listener)
+        yield planner, port
         group.cancel_scope.cancel()
     await listener.aclose()
 
--- a/tests/test_production_terms.py
+++ b/tests/test_production_terms.py
@@ -268,16 +268,16 @@
 
 def test_a_worker_that_drops_requests_with_little_time_stays_in_use() -> None:
     """Such a missing response proves nothing about the worker: it gets the next request. In virtual time."""
-    run_node = ScriptedDispatcher(workers="a")
-    run_node.serve_requests(12)
+    dispatcher = ScriptedDispatcher(workers="a")
+    dispatcher.serve_requests(12)
     for number in range(HURRIED):
-        run_node.send_request(f"hurried {number}", request_class=NON_IDEMPOTENT, timeout_ms=LITTLE[-1])
-        assert len(run_node.attempts) == 1
-        run_node.advance_to(run_node.policy.state.now_ns // MS + LITTLE[-1])
-        run_node.end_attempt(io.Result.NO_RESPONSE, io.Warmth.UNKNOWN)
-        run_node.advance_to(run_node.policy.state.now_ns // MS + 5)
-    run_node.send_request("usual", request_class=NON_IDEMPOTENT)
-    assert [run_node.names[sent.request] for sent in run_node.attempts] == ["usual"], run_node.trace
+        dispatcher.send_request(f"hurried {number}", request_class=NON_IDEMPOTENT, timeout_ms=LITTLE[-1])
+        assert len(dispatcher.attempts) == 1
+        dispatcher.advance_to(dispatcher.policy.state.now_ns // MS + LITTLE[-1])
+        dispatcher.end_attempt(io.Result.NO_RESPONSE, io.Warmth.UNKNOWN)
+        dispatcher.advance_to(dispatcher.policy.state.now_ns // MS + 5)
+    dispatcher.send_request("usual", request_class=NON_IDEMPOTENT)
+    assert [dispatcher.names[sent.request] for sent in dispatcher.attempts] == ["usual"], dispatcher.trace
 
 
 # -- requests that cross the end of an idle connection
